--- a/benchmarks/explore.py
+++ b/benchmarks/explore.py
@@ -50,9 +50,7 @@
                 way.back()
                 times.append(time.perf_counter() - began)
             found[f"{name}_{len(steps)}_us"] = median(times) * 1e6
-            print(
-                f"  back by {name:8} after {len(steps)} steps: {found[f'{name}_{len(steps)}_us']:7.0f} us"
-            )
+            print(f"  back by {name:8} after {len(steps)} steps: {found[f'{name}_{len(steps)}_us']:7.0f} us")
     return found
 
 
--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -186,9 +186,18 @@
         made["fleet_size"] = instances
         made["domain"]["instances_by_zone"] = [0, instances]  # type: ignore[index]
         made["domain"]["zone_link_kb_per_s"] = [0.0, 6e6]  # type: ignore[index]
-        base.write_text(json.dumps({"name": "r", "listen": "127.0.0.1:1", "seed": "7",
-                                    "changelog": f"127.0.0.1:{depot.log_port}", "known": depot.known(),
-                                    "settings": made}))
+        base.write_text(
+            json.dumps(
+                {
+                    "name": "r",
+                    "listen": "127.0.0.1:1",
+                    "seed": "7",
+                    "changelog": f"127.0.0.1:{depot.log_port}",
+                    "known": depot.known(),
+                    "settings": made,
+                }
+            )
+        )
         operator.write_text(
             f'fleet: {{folder: "{fleet}", health: every: 200ms\n{"leases: {}" if leases else ""}\n'
             f'groups: r: {{config: "{base}", host: "{HOST}", first_port: {FIRST_PORT}\n'
@@ -225,10 +234,12 @@
                 supervisor.kill()
             depot.close()
     asked = sum(one["asked"] for one in found["holders"].values()) if found else 0
-    print(f"{instances} instances, {told} cold starts, {'leases' if leases else 'shares'}: "
-          f"{sum(used) / len(used):.0%} of the routers' rule used, worst window {worst:.0%} of the true one, "
-          f"{asked / seconds:.1f} questions a second, {answered} answers, {lost} without one, "
-          f"{front.answers['503']} refused")
+    print(
+        f"{instances} instances, {told} cold starts, {'leases' if leases else 'shares'}: "
+        f"{sum(used) / len(used):.0%} of the routers' rule used, worst window {worst:.0%} of the true one, "
+        f"{asked / seconds:.1f} questions a second, {answered} answers, {lost} without one, "
+        f"{front.answers['503']} refused"
+    )
     return {"used": sum(used) / len(used), "worst": worst, "questions": asked / seconds, "lost": lost}
 
 
--- a/benchmarks/membership.py
+++ b/benchmarks/membership.py
@@ -333,9 +333,7 @@
         claims = [line for line in router.ask("trace")["lines"] if line["what"] == "claim"]
         last = keeper.trace()[-1]["at"]
         behind = max(0.0, claims[-1]["at"] - last) if claims else float("inf")
-        print(
-            f"{nodes} nodes: listed after {listed:.2f} s, {resident:.1f} MB ({base:.1f} MB with none)"
-        )
+        print(f"{nodes} nodes: listed after {listed:.2f} s, {resident:.1f} MB ({base:.1f} MB with none)")
         print(f"requests, no changes: ms {_figures(calm)}")
         print(
             f"requests, {rate:.0f} changes a second: ms {_figures(busy)}, {dict(statuses)}; "
--- a/benchmarks/run_cost.py
+++ b/benchmarks/run_cost.py
@@ -1,6 +1,6 @@
 """CPU a request and memory at ready of the router, against another checkout, in turns in the same run.
 
-    python -m benchmarks.run_cost [--short] [--against DIR]
+python -m benchmarks.run_cost [--short] [--against DIR]
 """
 
 from __future__ import annotations
@@ -36,16 +36,21 @@
     """Microseconds of CPU a request, and MB at ready."""
     depot, port = Depot(caches=3), free_port()
     config = {
-        "name": "cost", "listen": f"127.0.0.1:{port}", "seed": "7",
+        "name": "cost",
+        "listen": f"127.0.0.1:{port}",
+        "seed": "7",
         "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 512},
-        "changelog": f"127.0.0.1:{depot.log_port}", "known": depot.known(), "settings": settings(),
+        "changelog": f"127.0.0.1:{depot.log_port}",
+        "known": depot.known(),
+        "settings": settings(),
     }
     with tempfile.TemporaryDirectory() as folder:
         path = Path(folder, "config.json")
         path.write_text(json.dumps(config))
         environ = {**os.environ, "RELAY_CONFIG": str(path), "PYTHONPATH": str(checkout)}
-        router = subprocess.Popen([sys.executable, "-m", "stonecove"], cwd=checkout, env=environ,
-                                  stderr=subprocess.DEVNULL)
+        router = subprocess.Popen(
+            [sys.executable, "-m", "stonecove"], cwd=checkout, env=environ, stderr=subprocess.DEVNULL
+        )
         try:
             wait_ready(port, router)
             resident, asker = _resident(router.pid), Asker(port)
@@ -75,8 +80,10 @@
     for name, runs in found.items():
         figures[f"{name}_us"] = median(cpu for cpu, _ in runs)
         figures[f"{name}_mb"] = median(resident for _, resident in runs)
-        print(f"{name:6} CPU a request {min(c for c, _ in runs):.0f} to {max(c for c, _ in runs):.0f} us, "
-              f"median {figures[f'{name}_us']:.0f}; at ready {figures[f'{name}_mb']:.2f} MB")
+        print(
+            f"{name:6} CPU a request {min(c for c, _ in runs):.0f} to {max(c for c, _ in runs):.0f} us, "
+            f"median {figures[f'{name}_us']:.0f}; at ready {figures[f'{name}_mb']:.2f} MB"
+        )
     ratios = [here[0] / there[0] for here, there in zip(found["here"], found["other"], strict=True)]
     figures["cpu_ratio"] = median(ratios)
     print(" ".join(f"{name}={value:.4g}" for name, value in figures.items()))
--- a/benchmarks/swarm.py
+++ b/benchmarks/swarm.py
@@ -193,18 +193,23 @@
     figures: dict[str, float] = {}
     for count, kills in ((20, 10),) if short else ((3, 2), (20, 30), (200, 10)):
         calm, lossy = simulated(count, kills), simulated(count, max(2, kills // 2), 0.3)
-        print(f"{count} routers simulated: {calm['datagrams']:.2f} datagrams a second each, a kill known "
-              f"after {calm['p50']:.2f} s (p99 {calm['p99']:.2f}), under 30 % loss {lossy['p50']:.2f} s "
-              f"(p99 {lossy['p99']:.2f})", flush=True)
+        print(
+            f"{count} routers simulated: {calm['datagrams']:.2f} datagrams a second each, a kill known "
+            f"after {calm['p50']:.2f} s (p99 {calm['p99']:.2f}), under 30 % loss {lossy['p50']:.2f} s "
+            f"(p99 {lossy['p99']:.2f})",
+            flush=True,
+        )
         figures |= {f"sim_detect_p99_s_{count}": calm["p99"], f"sim_detect_loss_p99_s_{count}": lossy["p99"],
                     f"sim_datagrams_{count}": calm["datagrams"],
                     f"sim_rule_worst_{count}": max(calm["worst"], lossy["worst"])}  # fmt: skip
         if count > 3:
             many = mass(count)
-            print(f"  seven in ten killed: known after {many['known']:.2f} s, {many['views']:.0f} views "
-                  f"within 6 s; shares used {many['down']:.2f} while down and {many['joining']:.2f} in the "
-                  f"10 s of their return (1/N of the settings: 0.30 and 0.79); worst {many['worst']:.3f}",
-                  flush=True)
+            print(
+                f"  seven in ten killed: known after {many['known']:.2f} s, {many['views']:.0f} views "
+                f"within 6 s; shares used {many['down']:.2f} while down and {many['joining']:.2f} in the "
+                f"10 s of their return (1/N of the settings: 0.30 and 0.79); worst {many['worst']:.3f}",
+                flush=True,
+            )
             figures |= {f"sim_views_{count}": many["views"], f"sim_used_down_{count}": many["down"],
                         f"share_used_joining_{count}": many["joining"]}  # fmt: skip
     figures["datagrams_a_second"] = figures["sim_datagrams_20"]
@@ -220,9 +225,12 @@
         figures["sim_datagrams_2000"] = (model.sent - before) / 5.0 / 2000
         model.kill(7)
         figures["sim_detect_s_2000"] = model.until(lambda: model.known_over(7), 10.0)
-        print(f"2000 routers simulated in {time.monotonic() - began:.0f} s: "
-              f"{figures['sim_datagrams_2000']:.2f} datagrams a second each, a kill known after "
-              f"{figures['sim_detect_s_2000']:.2f} s", flush=True)
+        print(
+            f"2000 routers simulated in {time.monotonic() - began:.0f} s: "
+            f"{figures['sim_datagrams_2000']:.2f} datagrams a second each, a kill known after "
+            f"{figures['sim_detect_s_2000']:.2f} s",
+            flush=True,
+        )
     return figures
 
 
@@ -231,11 +239,14 @@
     figures: dict[str, float] = {}
     for name, phi in (("timeout", 0.0), ("phi", 8.0)):
         for count in (20,) if short else (20, 100):
-            calm, lossy, stopped = (heartbeats(count, phi, lose, stop)
-                                    for lose, stop in ((0.0, 0.0), (0.3, 0.0), (0.0, 5.0)))
-            print(f"heartbeats by {name}, {count} routers: {calm['datagrams']:.0f} datagrams a second each, "
-                  f"a kill known after {calm['detect']:.1f} s; falsely failed: {calm['false']:.0f} in calm, "
-                  f"{lossy['false']:.0f} under 30 % loss, {stopped['false']:.0f} by a stop of 5 s")
+            calm, lossy, stopped = (
+                heartbeats(count, phi, lose, stop) for lose, stop in ((0.0, 0.0), (0.3, 0.0), (0.0, 5.0))
+            )
+            print(
+                f"heartbeats by {name}, {count} routers: {calm['datagrams']:.0f} datagrams a second each, "
+                f"a kill known after {calm['detect']:.1f} s; falsely failed: {calm['false']:.0f} in calm, "
+                f"{lossy['false']:.0f} under 30 % loss, {stopped['false']:.0f} by a stop of 5 s"
+            )
             figures |= {f"{name}_false_loss_{count}": lossy["false"],
                         f"{name}_false_stop_{count}": stopped["false"],
                         f"{name}_detect_s_{count}": calm["detect"]}  # fmt: skip
--- a/examples/ask.py
+++ b/examples/ask.py
@@ -1,6 +1,6 @@
 """Asks an edge router for one part of an object, as a web server would.
 
-    python examples/ask.py 127.0.0.1:6565 item-image 7f3a9c21e0b4d655
+python examples/ask.py 127.0.0.1:6565 item-image 7f3a9c21e0b4d655
 """
 
 from __future__ import annotations
@@ -20,16 +20,26 @@
 
 def main(address: str, cls: str, item: str, part: str = "0") -> int:
     """Prints the head of the answer and how many bytes follow it."""
-    fields = {"X_TXN": secrets.token_hex(8), "X_TTL_MS": "3000", "X_ROW": item.zfill(16), "X_SEG": part,
-              "X_BUCKET": "17", "X_WORKING_SET_KB": "40"}
+    fields = {
+        "X_TXN": secrets.token_hex(8),
+        "X_TTL_MS": "3000",
+        "X_ROW": item.zfill(16),
+        "X_SEG": part,
+        "X_BUCKET": "17",
+        "X_WORKING_SET_KB": "40",
+    }
     params = pair("SCRIPT_NAME", f"/svc/{cls}") + b"".join(
-        pair(f"HTTP_{name}", value) for name, value in fields.items())
+        pair(f"HTTP_{name}", value) for name, value in fields.items()
+    )
     host, _, port = address.rpartition(":")
     out = b""
     with socket.create_connection((host, int(port)), 10) as sock, sock.makefile("rb") as stream:
-        sock.sendall(fastcgi.record(fastcgi.BEGIN, 1, struct.pack(">HB5x", 1, 1))
-                     + fastcgi.record(fastcgi.PARAMS, 1, params) + fastcgi.record(fastcgi.PARAMS, 1)
-                     + fastcgi.record(fastcgi.STDIN, 1))
+        sock.sendall(
+            fastcgi.record(fastcgi.BEGIN, 1, struct.pack(">HB5x", 1, 1))
+            + fastcgi.record(fastcgi.PARAMS, 1, params)
+            + fastcgi.record(fastcgi.PARAMS, 1)
+            + fastcgi.record(fastcgi.STDIN, 1)
+        )
         while len(head := stream.read(8)) == 8:
             _, kind, _, length, padding, _ = struct.unpack(">BBHHBB", head)
             content = stream.read(length + padding)[:length]
--- a/examples/toy_server.py
+++ b/examples/toy_server.py
@@ -51,10 +51,20 @@
         elif word in ("drain", "up") and entry is not None:
             host, _, port = entry["hostPort"].partition(":")
             address = int.from_bytes(bytes(int(part) for part in host.split(".")), "big")
-            self.tell(2, RECORD.pack(int(value[2:], 16), address, int(port), word == "drain",
-                                     self.settings["areas"].index(entry["zone"]),
-                                     self.settings["models"].index(entry["machineType"]), entry["cell"],
-                                     int(entry["weight"] * 1000), entry["startedAtMs"]))
+            self.tell(
+                2,
+                RECORD.pack(
+                    int(value[2:], 16),
+                    address,
+                    int(port),
+                    word == "drain",
+                    self.settings["areas"].index(entry["zone"]),
+                    self.settings["models"].index(entry["machineType"]),
+                    entry["cell"],
+                    int(entry["weight"] * 1000),
+                    entry["startedAtMs"],
+                ),
+            )
         else:
             print(f"not understood: {line.strip()!r}", flush=True)
 
@@ -74,8 +84,9 @@
         tag, born = self.held.get(copy, (f"{hash(copy) & 0xFFFFFFFF:08x}", int(time.time() * 1000)))
         if not write and asked.get("rank", "0") != "0":
             self.held[copy] = tag, born
-        fields = resp.words([("ver", tag), ("born", str(born)), ("tell", note),
-                             ("meter", "inflight:1;util:0.1")])
+        fields = resp.words(
+            [("ver", tag), ("born", str(born)), ("tell", note), ("meter", "inflight:1;util:0.1")]
+        )
         if asked.get("seen") == tag:
             return resp.encode(words[1], b"304", fields, b"")
         return resp.encode(words[1], b"200", fields, f"{asked['item']}/{asked['chunk']}\n".encode() * 100)
@@ -96,7 +107,7 @@
     (number,) = struct.unpack(">Q", await stream.receive_some(8))
     try:
         while True:
-            for frame in depot.log[max(0, number - depot.first):]:
+            for frame in depot.log[max(0, number - depot.first) :]:
                 await stream.send_all(frame)
             number = depot.last
             await stream.send_all(struct.pack(">IQB", 9, number, 0))
@@ -120,8 +131,9 @@
     async with trio.open_nursery() as nursery:
         for entry in depot.entries:
             host, _, port = entry["hostPort"].partition(":")
-            await nursery.start(partial(trio.serve_tcp, partial(cache, depot, entry["instanceId"]), int(port),
-                                        host=host))
+            await nursery.start(
+                partial(trio.serve_tcp, partial(cache, depot, entry["instanceId"]), int(port), host=host)
+            )
         host, _, port = config["changelog"].partition(":")
         await nursery.start(partial(trio.serve_tcp, partial(changelog, depot), int(port), host=host))
         print("toy depot is up", flush=True)
--- a/stonecove/__main__.py
+++ b/stonecove/__main__.py
@@ -10,7 +10,9 @@
         signal.pthread_sigmask(signal.SIG_BLOCK, (signal.SIGTERM, signal.SIGINT, signal.SIGHUP))
     if len(sys.argv) > 1:
         from stonecove.commands.main import main as commands
+
         commands()
     else:
         from stonecove.lifecycle.serve import main
+
         sys.exit(main())
--- a/stonecove/benchlink.py
+++ b/stonecove/benchlink.py
@@ -116,8 +116,19 @@
 
 def _write_get(inst: int, act: i.Get) -> bytes:
     node, source = act.node, act.source
-    return _OUT_GET.pack(80, inst, act.req, node >> 16, node & 65535, act.cut_at, source >> 16,
-                         source & 65535, act.keep, act.age, act.how)
+    return _OUT_GET.pack(
+        80,
+        inst,
+        act.req,
+        node >> 16,
+        node & 65535,
+        act.cut_at,
+        source >> 16,
+        source & 65535,
+        act.keep,
+        act.age,
+        act.how,
+    )
 
 
 def _write_text(code: int, inst: int, text: str) -> bytes:
@@ -148,7 +159,7 @@
         at += _LAUNCH.size
         if at + count > len(body):
             raise WireError("settings end early")
-        self.directors[inst] = Director(read_settings(body[at:at + count]), entropy)
+        self.directors[inst] = Director(read_settings(body[at : at + count]), entropy)
         return int(at + count)
 
     def _one(self, now: float, body: bytes, at: int, out: list[bytes]) -> int:
--- a/stonecove/commands/explore.py
+++ b/stonecove/commands/explore.py
@@ -81,9 +81,7 @@
     type=click.FloatRange(0.0),
     help="Seconds between two saved frontiers.",
 )
-@click.option(
-    "--traces", type=click.Path(path_type=Path, file_okay=False), help="Keep counterexamples here."
-)
+@click.option("--traces", type=click.Path(path_type=Path, file_okay=False), help="Keep counterexamples here.")
 @click.option("--depth", type=click.IntRange(1, 60), help="Another depth, for one part.")
 def run_command(
     scope_name: str,
@@ -176,9 +174,7 @@
         )
     Console(width=120).print(table)
     missed = [caught.name for caught in found if caught.found is None]
-    click.echo(
-        f"seeded={len(found)} found={len(found) - len(missed)} seconds={time.monotonic() - began:.1f}"
-    )
+    click.echo(f"seeded={len(found)} found={len(found) - len(missed)} seconds={time.monotonic() - began:.1f}")
     sys.exit(VIOLATED if missed else HELD)
 
 
@@ -193,9 +189,7 @@
 )
 @click.option("--seed", default=1, show_default=True, type=int, help="Chance seed of the first walk.")
 @click.option("--processes", default=0, type=click.IntRange(0, 64), help="0: all cores, at most 8.")
-@click.option(
-    "--traces", type=click.Path(path_type=Path, file_okay=False), help="Keep counterexamples here."
-)
+@click.option("--traces", type=click.Path(path_type=Path, file_okay=False), help="Keep counterexamples here.")
 def walk_command(walks: int, steps: int, seed: int, processes: int, traces: Path | None) -> None:
     """Walk at random beyond the bounds, seeded."""
     from stonecove.explore.hunt import wander_all
--- a/stonecove/commands/fleet.py
+++ b/stonecove/commands/fleet.py
@@ -106,8 +106,11 @@
 def _refused_by(stats: dict[str, str]) -> str:
     """What turned requests away since the last line of counts, most first."""
     names = {"no_room": "no_room", "shed": "cpu"}
-    found = [(int(count), names.get(field, field.removeprefix("limit:"))) for field, count in stats.items()
-             if (field in names or field.startswith("limit:")) and count.isdigit()]
+    found = [
+        (int(count), names.get(field, field.removeprefix("limit:")))
+        for field, count in stats.items()
+        if (field in names or field.startswith("limit:")) and count.isdigit()
+    ]
     return " ".join(f"{name} {count}" for count, name in sorted(found, reverse=True)) or "-"
 
 
--- a/stonecove/commands/main.py
+++ b/stonecove/commands/main.py
@@ -24,8 +24,11 @@
 
 
 @cli.command()
-@click.option("--operator", type=click.Path(path_type=Path, dir_okay=False),
-              help="The operator's own file; STONECOVE_OPERATOR names it otherwise.")
+@click.option(
+    "--operator",
+    type=click.Path(path_type=Path, dir_okay=False),
+    help="The operator's own file; STONECOVE_OPERATOR names it otherwise.",
+)
 def run(operator: Path | None) -> None:
     """Start one edge router, configured by the file that RELAY_CONFIG names."""
     from stonecove.lifecycle.serve import main as serve
--- a/stonecove/commands/overload.py
+++ b/stonecove/commands/overload.py
@@ -30,8 +30,9 @@
 
     try:
         found = json.loads((folder / BOOK).read_text())
-        return found, Book(Event(float(at), str(what), int(meaning), str(cls))
-                           for at, what, meaning, cls in found["events"])
+        return found, Book(
+            Event(float(at), str(what), int(meaning), str(cls)) for at, what, meaning, cls in found["events"]
+        )
     except (OSError, ValueError, KeyError, TypeError) as error:
         click.echo(f"stonecove overload: {folder / BOOK}: {error}", err=True)
         sys.exit(UNUSABLE)
@@ -79,12 +80,20 @@
     click.echo("  " + ", ".join(f"{count} {outcome}" for outcome, count in figures["ends"].items() if count))
     table = table_of("cause", "in all", "of each meant", "worst second", "at", "most of one")
     for cause, one in figures["causes"].items():
-        table.add_row(cause, str(one["all"]), f"{one['of_each_meant']:.2f}", f"{one['worst']:.2f}",
-                      f"{one['worst_at']} s", str(one["most_of_one"]))
+        table.add_row(
+            cause,
+            str(one["all"]),
+            f"{one['of_each_meant']:.2f}",
+            f"{one['worst']:.2f}",
+            f"{one['worst_at']} s",
+            str(one["most_of_one"]),
+        )
     print_table(table)
     for name, came in figures["classes"].items():
-        click.echo(f"  {name}: {came.get(SERVED, 0) / came['meant']:.3f} served, "
-                   f"{came.get(ATTEMPT, 0) / came['meant']:.2f} attempts each")
+        click.echo(
+            f"  {name}: {came.get(SERVED, 0) / came['meant']:.3f} served, "
+            f"{came.get(ATTEMPT, 0) / came['meant']:.2f} attempts each"
+        )
     back = figures["recovery_s"]
     told = "service did not come back" if back is None else f"good service {back:.0f} s later"
     click.echo(f"  after the last fault: {told}")
@@ -94,8 +103,12 @@
         table = table_of("second", "meant", "served", *CAUSES)
         for at in sorted(book.seconds):
             second = book.seconds[at]
-            table.add_row(str(at), str(second.meant), f"{second.served:.2f}",
-                          *(f"{second.ratio(cause):.2f}" for cause in CAUSES))
+            table.add_row(
+                str(at),
+                str(second.meant),
+                f"{second.served:.2f}",
+                *(f"{second.ratio(cause):.2f}" for cause in CAUSES),
+            )
         print_table(table)
 
 
--- a/stonecove/explore/codecs.py
+++ b/stonecove/explore/codecs.py
@@ -81,8 +81,7 @@
             for event in decoder.events(buffer):
                 out.append(repr(event))
             if any(
-                taking.size() > fastcgi.MOST_PARAMS + fastcgi.MOST_BODY
-                for taking in decoder._taking.values()
+                taking.size() > fastcgi.MOST_PARAMS + fastcgi.MOST_BODY for taking in decoder._taking.values()
             ):
                 error = "held too much"
                 break
--- a/stonecove/explore/fingerprint.py
+++ b/stonecove/explore/fingerprint.py
@@ -273,12 +273,8 @@
         txns = tuple(
             sorted((txn, self.request_place(request.req)) for txn, request in route.requests._txns.items())
         )
-        undecided = tuple(
-            (time(came), self.request_place(request.req)) for came, request in route._undecided
-        )
-        links = tuple(
-            (key, tuple(map(self.link, found))) for key, found in sorted(route.send._links.items())
-        )
+        undecided = tuple((time(came), self.request_place(request.req)) for came, request in route._undecided)
+        links = tuple((key, tuple(map(self.link, found))) for key, found in sorted(route.send._links.items()))
         where = tuple(
             sorted(
                 (self.request_place(attempt.request.req), attempt.number, link.node)
@@ -588,9 +584,7 @@
             sent = (
                 ()
                 if over
-                else tuple(
-                    (s.number, s.node, self.time(s.at), s.purges, s.not_run, s.over) for s in one.sent
-                )
+                else tuple((s.number, s.node, self.time(s.at), s.purges, s.not_run, s.over) for s in one.sent)
             )
             seen.append(
                 (
--- a/stonecove/explore/seeds.py
+++ b/stonecove/explore/seeds.py
@@ -162,9 +162,7 @@
         ("hedge",),
         "cancelled",
     ),
-    Seed(
-        "link-taken-twice", send.Link, "takes", "txn in self.answered", "False", ("confirm",), "run-is-run"
-    ),
+    Seed("link-taken-twice", send.Link, "takes", "txn in self.answered", "False", ("confirm",), "run-is-run"),
     Seed("link-kept-after-end", send.Send, "down", "links.remove(link)", "pass", ("links",), "no-leak"),
     Seed(
         "answer-not-unlinked",
--- a/stonecove/explore/swarm.py
+++ b/stonecove/explore/swarm.py
@@ -162,8 +162,11 @@
         router = self.routers[by]
         member = router.gossip.table.get(ident_of(f"r{dead}")) if router is not None else None
         if member is not None and not over(member.word.standing):
-            self.broken("swarm-known", f"router {by} holds {dead} for {member.word.standing.name.lower()}, "
-                                       f"which ended {self.now - self.dead_since[dead]:.1f} s ago")
+            self.broken(
+                "swarm-known",
+                f"router {by} holds {dead} for {member.word.standing.name.lower()}, "
+                f"which ended {self.now - self.dead_since[dead]:.1f} s ago",
+            )
 
     # -- within --
 
--- a/stonecove/explore/world.py
+++ b/stonecove/explore/world.py
@@ -127,9 +127,7 @@
         caches = tuple(0x11 + n for n in range(scope.caches))
         self.items = {cls: _item(cls, caches) for cls in set(scope.requests)}
         names = (
-            [f"c{n + 1}" for n in range(scope.caches)]
-            + [f"p{n + 1}" for n in range(scope.parents)]
-            + ["o1"]
+            [f"c{n + 1}" for n in range(scope.caches)] + [f"p{n + 1}" for n in range(scope.parents)] + ["o1"]
         )
         for place, name in enumerate(names):
             node = 0x11 + place if name[0] == "c" else 0x100 * _KINDS[name[0]] + place
@@ -315,9 +313,7 @@
             if alarm.call is not None and getattr(alarm.call, "__name__", "") != "_sweep"
         ]
         stopping = self.term_at < math.inf and not self.expired
-        return not (
-            alarms or len(self.route.requests) or self.channels or self.route._undecided or stopping
-        )
+        return not (alarms or len(self.route.requests) or self.channels or self.route._undecided or stopping)
 
     def enabled(self) -> list[str]:
         """All steps that may be taken now."""
@@ -386,9 +382,7 @@
                         continue
                     steps.append(f"{answer} {name} {place}")
             if left and not gone:
-                steps += [
-                    f"{kind} {name} {place}" for kind in ("spoil", "half", "trickle") if kind in kinds
-                ]
+                steps += [f"{kind} {name} {place}" for kind in ("spoil", "half", "trickle") if kind in kinds]
         if left and "choke" in kinds and channel.sock.room is None:
             steps += [f"choke{room} {name}" for room in (0, 20)]
         if left and channel.up:
@@ -476,9 +470,7 @@
         ground_log.divert(_logged)
         word, _, rest = step.partition(" ")
         self._one(word, rest.split())
-        while not self.scope.fine and (
-            own := [s for s in self.urgent() if s.startswith(("end", "decide"))]
-        ):
+        while not self.scope.fine and (own := [s for s in self.urgent() if s.startswith(("end", "decide"))]):
             word, _, rest = own[0].partition(" ")
             self._one(word, rest.split())
         if self.session.sock.room is None:
@@ -558,14 +550,10 @@
         now, txn = self.now, self.txn(int(place))
         self.witness.taken(txn, cls, now, min(now + TTL - MARGIN, self.route.admit.latest) + BACKSTOP)
         if self.session.finished:
-            self.session = ClientSession(
-                ClientSocket(self._record), self.front, self.clock.now, self.budget
-            )
+            self.session = ClientSession(ClientSocket(self._record), self.front, self.clock.now, self.budget)
         body = b"b" * 8 if CLASSES[cls].never_kept else b""
         seen = "aa11" if self.scope.seen and not CLASSES[cls].never_kept else ""
-        self.session.feed(
-            request_bytes(int(place) + 1, cls, txn, f"{self.items[cls]:016x}", TTL, seen, body)
-        )
+        self.session.feed(request_bytes(int(place) + 1, cls, txn, f"{self.items[cls]:016x}", TTL, seen, body))
 
     def _do_abort(self, place: str) -> None:
         if (self.session, int(place) + 1) in self.front._open:
--- a/stonecove/fleet/supervisor.py
+++ b/stonecove/fleet/supervisor.py
@@ -322,8 +322,11 @@
             },
         }
         if self.fleet.messages:
-            others = [":".join(map(str, one.listen)) for name, one in self.fleet.instances.items()
-                      if name != unit.name]
+            others = [
+                ":".join(map(str, one.listen))
+                for name, one in self.fleet.instances.items()
+                if name != unit.name
+            ]
             table |= {"peer_listen": table["listen"], "peers": [*others, *table.get("peers", ())]}
         _replace(unit.folder / "config.json", json.dumps(table))
         if self.lender is not None:
@@ -331,8 +334,12 @@
             _replace(unit.folder / "leases.json", self.lender.file(max(0.0, rest)).dumps())
             fleet_size = (table.get("settings") or {}).get("fleet_size", 1)
             if fleet_size < len(self.fleet.instances):
-                log("fleet-size-too-small", name=unit.name, fleet_size=fleet_size,
-                    instances=len(self.fleet.instances))
+                log(
+                    "fleet-size-too-small",
+                    name=unit.name,
+                    fleet_size=fleet_size,
+                    instances=len(self.fleet.instances),
+                )
 
     def _start(self, unit: Unit) -> None:
         now = trio.current_time()
@@ -352,7 +359,8 @@
                 env["STONECOVE_LEASES"] = str(unit.folder / "leases.json")
             if (tracing := self.fleet.tracing) is not None:
                 env["STONECOVE_TRACE"] = (
-                    f"{tracing.ratio:g}:{tracing.most_bytes}:{tracing.keep}:{unit.folder / 'trace'}")
+                    f"{tracing.ratio:g}:{tracing.most_bytes}:{tracing.keep}:{unit.folder / 'trace'}"
+                )
             if unit.spec.operator:
                 env["STONECOVE_OPERATOR"] = unit.spec.operator
             else:
--- a/stonecove/fleet/traces.py
+++ b/stonecove/fleet/traces.py
@@ -33,8 +33,10 @@
         def ms(at: int, began: int = began) -> str:
             return f"{(at - began) / 1e6:.1f}"
 
-        yield (f"{began / 1e9:.3f} {request['by']} request took {ms(request['end'])} ms"
-               f"{_fields(request['attributes'])}")
+        yield (
+            f"{began / 1e9:.3f} {request['by']} request took {ms(request['end'])} ms"
+            f"{_fields(request['attributes'])}"
+        )
         for event in request["events"]:
             yield f"  {ms(event['at'])} {event['name']}{_fields(event, 'name', 'at')}"
         for span in every:
--- a/stonecove/ground/timers.py
+++ b/stonecove/ground/timers.py
@@ -33,8 +33,7 @@
 class Timers:
     """All alarms, in the order of their times; once set, they don't mind if the system's clock is set."""
 
-    def __init__(self, clock: Clock, steady: Callable[[], float],
-                 wake: Callable[[], None] = nobody) -> None:
+    def __init__(self, clock: Clock, steady: Callable[[], float], wake: Callable[[], None] = nobody) -> None:
         """`steady` tells seconds that nobody sets; `wake` is called when an earlier alarm than all is set."""
         self._clock = clock
         self._steady = steady
--- a/stonecove/lifecycle/config.py
+++ b/stonecove/lifecycle/config.py
@@ -70,14 +70,16 @@
             settings=settings,
             # read by the swarm alone: guards against a start that fails for what nobody uses
             peers=tuple(map(str, peers)) if isinstance(peers, (list, tuple)) else (),
-            peer_listen=str(table.get("peer_listen") or ""))
+            peer_listen=str(table.get("peer_listen") or ""),
+        )
     except KeyError as error:
         raise ConfigError(f"the configuration lacks {error}") from error
     except (TypeError, ValueError, AttributeError, ArithmeticError, ChangeLogError) as error:
         raise ConfigError(f"the configuration can't be used: {error}") from error
     if config.sockets < LEAST_SOCKETS or not (config.memory_mb > 0 and config.cores > 0):
-        raise ConfigError(f"no room to run in {config.sockets} sockets, {config.memory_mb:g} MB "
-                          f"and {config.cores:g} cores")
+        raise ConfigError(
+            f"no room to run in {config.sockets} sockets, {config.memory_mb:g} MB and {config.cores:g} cores"
+        )
     return config
 
 
--- a/stonecove/lifecycle/serve.py
+++ b/stonecove/lifecycle/serve.py
@@ -63,8 +63,13 @@
 class Server:
     """One edge router."""
 
-    def __init__(self, config: Config, nursery: trio.Nursery, operator: Path | None = None,
-                 datagrams: socket.socket | None = None) -> None:
+    def __init__(
+        self,
+        config: Config,
+        nursery: trio.Nursery,
+        operator: Path | None = None,
+        datagrams: socket.socket | None = None,
+    ) -> None:
         """`datagrams`: where other routers speak to us.
 
         Raises `OperatorError` or OSError for an operator's file that can't be used.
@@ -83,8 +88,16 @@
         self._stop: tuple[str, float] = "", 0.0  # the signal that ends us, and when it came in trio's seconds
         self._reload_wanted = False  # a new configuration was told of while we start
         self._budget = Budget()
-        self._route = Route(config.settings, config.seed, self._clock, self._timers, self._budget,
-                            config.pace, self._connect, self._wake_decide)
+        self._route = Route(
+            config.settings,
+            config.seed,
+            self._clock,
+            self._timers,
+            self._budget,
+            config.pace,
+            self._connect,
+            self._wake_decide,
+        )
         self._limit(config)
         self._front = Front(config.settings, self._route)
         self._operator = operator
@@ -94,8 +107,9 @@
         if leases := os.environ.get("STONECOVE_LEASES"):
             from stonecove.lifecycle.leases import leases_from
 
-            self._leases = leases_from(Path(leases), config.name, config.settings, self._route, self._clock,
-                                       self._spawn)
+            self._leases = leases_from(
+                Path(leases), config.name, config.settings, self._route, self._clock, self._spawn
+            )
         self._http: HttpListener | None = None
         self._access: AccessKeeper | None = None
         if operator is not None:
@@ -257,8 +271,12 @@
             self._http.start()
             log("http-up", listen=self._http.where)
         self._notify("READY=1")
-        log("ready", name=self._config.name, listen=":".join(map(str, self._config.listen)),
-            nodes=len(self._route.nodes))
+        log(
+            "ready",
+            name=self._config.name,
+            listen=":".join(map(str, self._config.listen)),
+            nodes=len(self._route.nodes),
+        )
         if self._reload_wanted:
             self._reload()
 
@@ -281,10 +299,19 @@
         except ConfigError as error:
             log("reload-refused", why=str(error))
             return
-        fixed = [name for name in ("name", "listen", "pace", "settings")
-                 if getattr(config, name) != getattr(self._config, name)]
-        log("reloaded", changelog=":".join(map(str, config.changelog)), sockets=config.sockets,
-            memory_mb=config.memory_mb, cores=config.cores, waits_for_restart=",".join(fixed) or "nothing")
+        fixed = [
+            name
+            for name in ("name", "listen", "pace", "settings")
+            if getattr(config, name) != getattr(self._config, name)
+        ]
+        log(
+            "reloaded",
+            changelog=":".join(map(str, config.changelog)),
+            sockets=config.sockets,
+            memory_mb=config.memory_mb,
+            cores=config.cores,
+            waits_for_restart=",".join(fixed) or "nothing",
+        )
         self._limit(config)
         self._changelog.move(*config.changelog)
         if self._members is not None:
@@ -360,7 +387,8 @@
             return False
         young = self._clock.now() - MUTE_FOR
         return not any(not request.answered for request in self._route.requests) and all(
-            client.resting() and not (client.mute and client.last_used > young) for client in self._clients)
+            client.resting() and not (client.mute and client.last_used > young) for client in self._clients
+        )
 
     async def _stats(self) -> None:
         while True:
@@ -368,8 +396,9 @@
             # Guards against what has grown old and then ended, as connections do: the oldest generation is
             # looked through so seldom by itself that a node of 64 MB is full before. It holds few objects.
             gc.collect()
-            self._route.book.line(open=len(self._route.requests), clients=len(self._clients),
-                                  links=self._route.send.links())
+            self._route.book.line(
+                open=len(self._route.requests), clients=len(self._clients), links=self._route.send.links()
+            )
             limit = self._clock.now() - CLIENT_IDLE
             for client in list(self._clients):
                 if client.idle() and client.last_used <= limit:
@@ -397,10 +426,16 @@
             return False
         now = self._clock.now()
         mute = [client for client in self._clients if client.mute and client.last_used <= now - MUTE_FOR]
-        idle = mute or [client for client in self._clients
-                        if not client.leaving() and client.idle() and client.last_used <= now - IDLE_FOR]
-        idle = idle or [client for client in self._clients
-                        if not client.leaving() and client.quiet() and client.last_used <= now - HALF_FOR]
+        idle = mute or [
+            client
+            for client in self._clients
+            if not client.leaving() and client.idle() and client.last_used <= now - IDLE_FOR
+        ]
+        idle = idle or [
+            client
+            for client in self._clients
+            if not client.leaving() and client.quiet() and client.last_used <= now - HALF_FOR
+        ]
         for client in heapq.nsmallest(places, idle, key=lambda client: client.last_used):
             if client.leaving():
                 client.close()
@@ -454,8 +489,12 @@
                 self._clients.discard(client)
 
 
-async def serve(config: Config, listener: socket.socket, operator: Path | None = None,
-                datagrams: socket.socket | None = None) -> None:
+async def serve(
+    config: Config,
+    listener: socket.socket,
+    operator: Path | None = None,
+    datagrams: socket.socket | None = None,
+) -> None:
     """Runs an edge router on sockets that are bound already."""
     async with trio.open_nursery() as nursery:
         await Server(config, nursery, operator, datagrams).run(listener)
@@ -479,8 +518,10 @@
         try:
             listener.bind(config.listen)
         except OSError as error:
-            print(f"stonecove: can't listen on {config.listen[0]}:{config.listen[1]}: {error.strerror}",
-                  file=sys.stderr)
+            print(
+                f"stonecove: can't listen on {config.listen[0]}:{config.listen[1]}: {error.strerror}",
+                file=sys.stderr,
+            )
             return 2
         listener.listen(BACKLOG)
         try:
--- a/stonecove/lifecycle/swarm.py
+++ b/stonecove/lifecycle/swarm.py
@@ -82,7 +82,12 @@
     """One router's side of the swarm, joined to its decisions."""
 
     def __init__(
-        self, record: SwarmRecord, config: Config, datagrams: socket.socket, route: Route, clock: Clock,
+        self,
+        record: SwarmRecord,
+        config: Config,
+        datagrams: socket.socket,
+        route: Route,
+        clock: Clock,
         leases: Leases | None,
     ) -> None:
         """`datagrams`: as `bound` makes it; ours from now on."""
@@ -137,8 +142,14 @@
 
     def answer(self, words: list[str]) -> dict[str, Any]:
         """The answer to a question of `stonecove swarm`."""
-        return answer(words, self.swarm, self.name, time.monotonic(), self._addresses,
-                      self.swarm.gossip.counts + self.counts)
+        return answer(
+            words,
+            self.swarm,
+            self.name,
+            time.monotonic(),
+            self._addresses,
+            self.swarm.gossip.counts + self.counts,
+        )
 
     # -- within --
 
@@ -259,10 +270,16 @@
             self._leases.scale(stand.own)
         else:
             self._route.post(Terms(stand.own, 1.0))
-        log("swarm-share", joined=stand.joined, own=f"{stand.own:.3f}", fleet=told[1].fleet,
-                 by_zone=",".join(map(str, told[1].by_zone)), view=self.swarm.gossip.views.now.number)
+        log(
+            "swarm-share",
+            joined=stand.joined,
+            own=f"{stand.own:.3f}",
+            fleet=told[1].fleet,
+            by_zone=",".join(map(str, told[1].by_zone)),
+            view=self.swarm.gossip.views.now.number,
+        )
 
     def _peers(self, stand: Stand) -> Peers:
         present = self._present
         zones = [max(pair) for pair in zip(stand.by_zone, present.by_zone, strict=False)]
-        return Peers(max(stand.fleet, present.fleet), (*zones, *stand.by_zone[len(zones):]))
+        return Peers(max(stand.fleet, present.fleet), (*zones, *stand.by_zone[len(zones) :]))
--- a/stonecove/memory/requests.py
+++ b/stonecove/memory/requests.py
@@ -79,5 +79,9 @@
 
     def waiting(self) -> list[Attempt]:
         """Attempts of which nothing has been written yet."""
-        return [attempt for request in self._open.values() for attempt in request.attempts
-                if not attempt.ended and not attempt.written_at]
+        return [
+            attempt
+            for request in self._open.values()
+            for attempt in request.attempts
+            if not attempt.ended and not attempt.written_at
+        ]
--- a/stonecove/operator/records.py
+++ b/stonecove/operator/records.py
@@ -303,8 +303,11 @@
         ),
         fleet=_fleet(table["fleet"]) if "fleet" in table else None,
         access=Access(
-            **{**table["access"], "revoked": table["access"].get("revoked", ""),
-               "policies": tuple(table["access"]["policies"])}
+            **{
+                **table["access"],
+                "revoked": table["access"].get("revoked", ""),
+                "policies": tuple(table["access"]["policies"]),
+            }
         )
         if "access" in table
         else None,
--- a/stonecove/overload/book.py
+++ b/stonecove/overload/book.py
@@ -119,10 +119,16 @@
         """
         found = []
         for cause in CAUSES:
-            calm = [one.ratio(cause) for at, one in self.seconds.items()
-                    if at < calm_until and one.meant >= FEWEST]
-            after = [one.ratio(cause) for at, one in self.seconds.items()
-                     if at >= cause_ended and one.meant >= FEWEST and one.served < GOOD]
+            calm = [
+                one.ratio(cause)
+                for at, one in self.seconds.items()
+                if at < calm_until and one.meant >= FEWEST
+            ]
+            after = [
+                one.ratio(cause)
+                for at, one in self.seconds.items()
+                if at >= cause_ended and one.meant >= FEWEST and one.served < GOOD
+            ]
             if calm and after and (usual := sum(calm) / len(calm)) > 0.0:
                 times = sum(after) / len(after) / usual
                 if times > 1.0:
--- a/stonecove/stages/admit.py
+++ b/stonecove/stages/admit.py
@@ -22,16 +22,19 @@
 class Admit:
     """Decides whether there is room for one request more."""
 
-    def __init__(self, settings: Settings, requests: OpenRequests, budget: Budget, pace: float,
-                 seed: int) -> None:
+    def __init__(
+        self, settings: Settings, requests: OpenRequests, budget: Budget, pace: float, seed: int
+    ) -> None:
         """The pace is that of one transfer, in bytes a second; 0 if it is not told."""
         self.cpu = CpuCredit()
         self._random = random.Random(seed)
         self._longest_pause = settings.longest_pause if settings.may_pause else 0.0
         mean = sum(cls.worth for cls in settings.classes) / max(1, len(settings.classes))
         self._priority = [min(2.0, cls.worth / mean) if mean > 0 else 1.0 for cls in settings.classes]
-        self._patience = [max(LEAST_PATIENCE, PATIENCE * priority * cls.aim)
-                          for priority, cls in zip(self._priority, settings.classes, strict=True)]
+        self._patience = [
+            max(LEAST_PATIENCE, PATIENCE * priority * cls.aim)
+            for priority, cls in zip(self._priority, settings.classes, strict=True)
+        ]
         self._requests = requests
         self._budget = budget
         self._longest = max(LONGEST, *(cls.deadline for cls in settings.classes))
--- a/stonecove/stages/book.py
+++ b/stonecove/stages/book.py
@@ -21,8 +21,14 @@
         self._post = post
         self.counts: Counter[str] = Counter()
 
-    def ended(self, attempt: Attempt, outcome: Outcome, note: int = 0, waited: float = 0.0,
-              load: tuple[float, ...] = ()) -> None:
+    def ended(
+        self,
+        attempt: Attempt,
+        outcome: Outcome,
+        note: int = 0,
+        waited: float = 0.0,
+        load: tuple[float, ...] = (),
+    ) -> None:
         """An attempt is over; late news of it is dropped."""
         if attempt.ended:
             return
@@ -33,8 +39,11 @@
         self.counts[outcome.name.lower()] += 1
         request, order = attempt.request, attempt.order
         took = self._clock.now() - (attempt.written_at or attempt.ordered_at)
-        self._post(Ended(request.req, attempt.number, order.node, outcome, took, request.answered, note,
-                         waited, load))
+        self._post(
+            Ended(
+                request.req, attempt.number, order.node, outcome, took, request.answered, note, waited, load
+            )
+        )
         self.close_if_over(request)
 
     def close_if_over(self, request: OpenRequest) -> None:
--- a/stonecove/stages/intake.py
+++ b/stonecove/stages/intake.py
@@ -29,8 +29,9 @@
     return text
 
 
-def _figure(fields: Mapping[str, str], name: str, form: re.Pattern[str], most: float,
-            default: str | None = None) -> float:
+def _figure(
+    fields: Mapping[str, str], name: str, form: re.Pattern[str], most: float, default: str | None = None
+) -> float:
     """A field's figure. Guards against one out of range, which no cache can use."""
     value = float(_field(fields, name, form, default))
     if value > most:
@@ -51,8 +52,9 @@
         self._keyed = {cls.name for cls in settings.classes if cls.effect is Effect.KEYED}
         self._kinds = {cls.name: place for place, cls in enumerate(settings.classes)}
 
-    def take(self, path: str, fields: Mapping[str, str], body: bytes,
-             reply: Callable[[Answer], None]) -> Asked:
+    def take(
+        self, path: str, fields: Mapping[str, str], body: bytes, reply: Callable[[Answer], None]
+    ) -> Asked:
         """The request that these fields make; raises BadRequestError."""
         cls = path.removeprefix(PATH)
         if not path.startswith(PATH) or cls not in self._kinds:
@@ -63,10 +65,19 @@
         if ttl <= 0:
             raise BadRequestError(400, "X-Ttl-Ms is 0")
         return Asked(
-            txn=_field(fields, "X-Txn", _HEX), cls=cls, item=item, chunk=fields.get("X-Seg", "0"),
-            kind=self._kinds[cls], key=int(item, 16), part=int(part),
+            txn=_field(fields, "X-Txn", _HEX),
+            cls=cls,
+            item=item,
+            chunk=fields.get("X-Seg", "0"),
+            kind=self._kinds[cls],
+            key=int(item, 16),
+            part=int(part),
             group=int(_figure(fields, "X-Bucket", _WHOLE, MOST_GROUP, "0")),
-            size=_figure(fields, "X-Working-Set-Kb", _NUMBER, MOST_KB, "0"), ttl=ttl,
-            seen=_bare(fields.get("X-Etag", "")), body=body, reply=reply,
+            size=_figure(fields, "X-Working-Set-Kb", _NUMBER, MOST_KB, "0"),
+            ttl=ttl,
+            seen=_bare(fields.get("X-Etag", "")),
+            body=body,
+            reply=reply,
             # Guards against a repeat that nobody can know for one: without its key it is not taken.
-            nonce=_field(fields, "X-Txn-Key", _TAG) if cls in self._keyed else "")
+            nonce=_field(fields, "X-Txn-Key", _TAG) if cls in self._keyed else "",
+        )
--- a/stonecove/stages/relay.py
+++ b/stonecove/stages/relay.py
@@ -15,13 +15,28 @@
 
 MOST_BODY = 240_000  # bytes of the longest object
 
-OUTCOMES = {"200": Outcome.OK, "304": Outcome.OK, "404": Outcome.MISS, "503": Outcome.FULL,
-             "500": Outcome.ERROR, "504": Outcome.MOOT}
+OUTCOMES = {
+    "200": Outcome.OK,
+    "304": Outcome.OK,
+    "404": Outcome.MISS,
+    "503": Outcome.FULL,
+    "500": Outcome.ERROR,
+    "504": Outcome.MOOT,
+}
 _TAG = re.compile(r"[0-9A-Za-z._-]{1,64}")
 _FIGURE = re.compile(r"[0-9]{1,15}(\.[0-9]{1,12})?")
-_NOTES = {"hit": Note.HIT, "filled": Note.FILLED, "via_origin": Note.FILLED_BY_ORIGIN, "joined": Note.JOINED,
-          "stale": Note.OLD_COPY, "src_refused": Note.SOURCE_REFUSED, "src_broke": Note.SOURCE_BROKE,
-          "src_lacks": Note.SOURCE_LACKS, "no_slot": Note.NO_FILL_PLACE, "origin_failed": Note.ORIGIN_FAILED}
+_NOTES = {
+    "hit": Note.HIT,
+    "filled": Note.FILLED,
+    "via_origin": Note.FILLED_BY_ORIGIN,
+    "joined": Note.JOINED,
+    "stale": Note.OLD_COPY,
+    "src_refused": Note.SOURCE_REFUSED,
+    "src_broke": Note.SOURCE_BROKE,
+    "src_lacks": Note.SOURCE_LACKS,
+    "no_slot": Note.NO_FILL_PLACE,
+    "origin_failed": Note.ORIGIN_FAILED,
+}
 
 
 class Reply(NamedTuple):
@@ -84,11 +99,23 @@
             outcome = Outcome.ERROR
         if outcome is Outcome.OK:
             verdict = Verdict.UNCHANGED if reply.word == "304" else Verdict.SERVED
-            self.answer(attempt.request, Answer(verdict, reply.body, reply.fields.get("ver", ""),
-                                                born=_number(reply.fields.get("born", "")) or 0.0))
+            self.answer(
+                attempt.request,
+                Answer(
+                    verdict,
+                    reply.body,
+                    reply.fields.get("ver", ""),
+                    born=_number(reply.fields.get("born", "")) or 0.0,
+                ),
+            )
         note = _NOTES.get(reply.fields.get("tell", ""), Note.NONE)
-        self._book.ended(attempt, outcome, int(note), _number(reply.fields.get("waited", "")) or 0.0,
-                         self._load(reply.fields.get("meter", "")))
+        self._book.ended(
+            attempt,
+            outcome,
+            int(note),
+            _number(reply.fields.get("waited", "")) or 0.0,
+            self._load(reply.fields.get("meter", "")),
+        )
 
     def _wrong(self, attempt: Attempt, reply: Reply) -> str:
         """What is wrong with an answer that says ok. Guards against passing on a copy that won't do."""
--- a/stonecove/stages/route.py
+++ b/stonecove/stages/route.py
@@ -9,8 +9,23 @@
 from typing import Any
 
 from stonecove.choice import Director
-from stonecove.interface import (Cancel, Due, Event, Fail, Get, Left, Listed, ListKind, Log, Outcome, Purged,
-                                 Refuse, Request, Settings, Timer)
+from stonecove.interface import (
+    Cancel,
+    Due,
+    Event,
+    Fail,
+    Get,
+    Left,
+    Listed,
+    ListKind,
+    Log,
+    Outcome,
+    Purged,
+    Refuse,
+    Request,
+    Settings,
+    Timer,
+)
 from stonecove.ground.clock import Clock
 from stonecove.ground.timers import Timers, nobody
 from stonecove.ground.log import log
@@ -34,8 +49,17 @@
 class Route:
     """The core: it never waits, and nothing in here knows how a front speaks."""
 
-    def __init__(self, settings: Settings, seed: int, clock: Clock, timers: Timers, budget: Budget,
-                 pace: float, connect: Connect, wake: Callable[[], None] = nobody) -> None:
+    def __init__(
+        self,
+        settings: Settings,
+        seed: int,
+        clock: Clock,
+        timers: Timers,
+        budget: Budget,
+        pace: float,
+        connect: Connect,
+        wake: Callable[[], None] = nobody,
+    ) -> None:
         """`connect` opens connections to caches; `wake` is called when a request waits to be decided."""
         self._clock, self._timers = clock, timers
         self._director = Director(settings, seed)
@@ -50,8 +74,13 @@
         self.relay = Relay(settings, self.book)
         self.send = Send(clock, timers, self.nodes, settings, self.book, self.relay, connect)
         self._carry: dict[type, Callable[[Any], None]] = {
-            Get: self._get, Cancel: self._cancel, Refuse: self._refuse, Fail: self._fail,
-            Timer: self._timer, Log: self._log}
+            Get: self._get,
+            Cancel: self._cancel,
+            Refuse: self._refuse,
+            Fail: self._fail,
+            Timer: self._timer,
+            Log: self._log,
+        }
         self._said: dict[str, float] = {}
         self.gate: Gate | None = None  # limits that routers share, where the operator has set some
 
@@ -96,8 +125,17 @@
             self.book.counts["shed"] += 1
             self.relay.answer(request, Answer(Verdict.REFUSED, pause=self.admit.pause()))
         else:
-            self.post(Request(request.req, asked.kind, asked.key, request.deadline - now, asked.size,
-                              asked.group, asked.part))
+            self.post(
+                Request(
+                    request.req,
+                    asked.kind,
+                    asked.key,
+                    request.deadline - now,
+                    asked.size,
+                    asked.group,
+                    asked.part,
+                )
+            )
 
     def left(self, request: OpenRequest) -> None:
         """The client of an open request has gone."""
@@ -128,8 +166,15 @@
             node = member.node
             if node.started > 0:
                 self.send.started(node.node, node.started)
-            log("node", id=f"s-{node.node:08x}", state=node.state.name.lower(), kind=node.kind,
-                zone=node.zone, started=f"{node.started:.0f}", at=f"{member.host}:{member.port}")
+            log(
+                "node",
+                id=f"s-{node.node:08x}",
+                state=node.state.name.lower(),
+                kind=node.kind,
+                zone=node.zone,
+                started=f"{node.started:.0f}",
+                at=f"{member.host}:{member.port}",
+            )
         self.send.gone()
 
     def post(self, event: Event) -> None:
--- a/stonecove/stages/send.py
+++ b/stonecove/stages/send.py
@@ -26,8 +26,12 @@
 SWEEP = 200.0
 SLOW = 0.25  # part of the connect time-out after which what waits goes by another connection
 STUCK = 400.0  # ms, or a connect time-out, without a byte of an answer begun, after which its connection goes
-MODES = ((How.JOIN, "wait-for"), (How.HELD_ONLY, "no-fetch"), (How.NO_PARENT_COPY, "no-keep"),
-         (How.RENEW, "background"))
+MODES = (
+    (How.JOIN, "wait-for"),
+    (How.HELD_ONLY, "no-fetch"),
+    (How.NO_PARENT_COPY, "no-keep"),
+    (How.RENEW, "background"),
+)
 
 # Opens a connection for its owner, to that address, within so many seconds.
 Connect = Callable[[Owner, tuple[str, int], float], Channel]
@@ -36,8 +40,12 @@
 def command(attempt: Attempt, now: float) -> bytes:
     """The words of a fetch."""
     order, asked = attempt.order, attempt.request.asked
-    fields = [("cls", asked.cls), ("item", asked.item), ("chunk", asked.chunk),
-              ("limit", str(max(1, int(order.cut_at - now))))]
+    fields = [
+        ("cls", asked.cls),
+        ("item", asked.item),
+        ("chunk", asked.chunk),
+        ("limit", str(max(1, int(order.cut_at - now)))),
+    ]
     if order.source != order.node:
         fields.append(("from", f"s-{order.source:08x}"))
     if order.keep:
@@ -99,8 +107,13 @@
         connection once: a late or second answer to its first attempt would be taken for the word on the next,
         which may run although that word was `full`.
         """
-        if self.connection.over or self.doubtful or len(self.open) >= streams or txn in self.open or (
-                txn in self.given_up or txn in self.answered):
+        if (
+            self.connection.over
+            or self.doubtful
+            or len(self.open) >= streams
+            or txn in self.open
+            or (txn in self.given_up or txn in self.answered)
+        ):
             return False
         if not self.open:
             return not self.connection.halfway_at
@@ -152,8 +165,16 @@
 class Send:
     """All connections to caches."""
 
-    def __init__(self, clock: Clock, timers: Timers, nodes: NodeTable, settings: Settings, book: Book,
-                 relay: Relay, connect: Connect) -> None:
+    def __init__(
+        self,
+        clock: Clock,
+        timers: Timers,
+        nodes: NodeTable,
+        settings: Settings,
+        book: Book,
+        relay: Relay,
+        connect: Connect,
+    ) -> None:
         self._clock, self._timers, self._nodes, self._settings = clock, timers, nodes, settings
         self._book, self._relay, self._connect = book, relay, connect
         self.most_links = 0
@@ -199,8 +220,11 @@
         """
         for other in list(self._links.get(link.node, ())):
             for attempt in [] if other.connection.up else list(other.open.values()):
-                if not link.open and other.address == link.address and link.takes(
-                        attempt.request.asked.txn, self._clock.now(), 1, 0.0):
+                if (
+                    not link.open
+                    and other.address == link.address
+                    and link.takes(attempt.request.asked.txn, self._clock.now(), 1, 0.0)
+                ):
                     self._unlink(attempt)
                     link.used_at = self._clock.now()
                     self._put(attempt, link)
@@ -214,7 +238,8 @@
         """
         node, txn = attempt.order.node, attempt.request.asked.txn
         shares = self._settings.handshakes_priced and (
-            self._settings.classes[attempt.request.asked.kind].effect is Effect.SAFE)
+            self._settings.classes[attempt.request.asked.kind].effect is Effect.SAFE
+        )
         few = min(SHARED, self._settings.streams) if shares else 1
         silence = SILENT * max(self._settings.connect_timeout, 100.0)
         address, links = self._nodes.address(node), self._links.get(node, [])
@@ -256,8 +281,12 @@
 
     def _make_room(self) -> bool:
         """Closes the connection that has been idle for longest; says whether there was one."""
-        idle = [link for links in self._links.values() for link in links
-                if not link.open and not link.connection.over]
+        idle = [
+            link
+            for links in self._links.values()
+            for link in links
+            if not link.open and not link.connection.over
+        ]
         if idle:
             min(idle, key=lambda link: link.used_at).connection.close()
         return bool(idle)
@@ -272,8 +301,11 @@
         if attempt.ended:
             return False
         over = attempt.request.answered or attempt.outdated or self._window_over(attempt)
-        if over or not self._nodes.ready(order.node) or (
-                order.source != order.node and not self._nodes.ready(order.source)):
+        if (
+            over
+            or not self._nodes.ready(order.node)
+            or (order.source != order.node and not self._nodes.ready(order.source))
+        ):
             self._finish(attempt, Outcome.MOOT)
             return False
         return True
@@ -286,7 +318,8 @@
         cls = self._settings.classes[attempt.request.asked.kind]
         return cls.effect is Effect.KEYED and any(
             other.written_at and not other.not_run and self._clock.now() - other.written_at >= cls.window
-            for other in attempt.request.attempts)
+            for other in attempt.request.attempts
+        )
 
     def begin(self, attempt: Attempt) -> bytes | None:
         """The bytes of an attempt whose first byte is about to be written; None if it can't go."""
@@ -334,8 +367,10 @@
         """
         if len(array) != 4:
             raise resp.RespError(f"an answer of {len(array)} parts")
-        txn, reply = array[0].decode("latin-1"), Reply(array[1].decode("latin-1"), resp.fields_of(array[2]),
-                                                       array[3])
+        txn, reply = (
+            array[0].decode("latin-1"),
+            Reply(array[1].decode("latin-1"), resp.fields_of(array[2]), array[3]),
+        )
         attempt = link.open.get(txn)
         if attempt is None or not attempt.written_at:
             if txn in link.given_up:
@@ -382,8 +417,10 @@
         begun: guards against a cache that is given up for one connection.
         """
         if link.connection.late:
-            return any(other.connection.up and other.heard_at >= link.opened_at
-                       for other in self._links.get(link.node, ()))
+            return any(
+                other.connection.up and other.heard_at >= link.opened_at
+                for other in self._links.get(link.node, ())
+            )
         return not link.connection.refused
 
     def started(self, node: NodeId, moment: float) -> None:
--- a/stonecove/standins/depot.py
+++ b/stonecove/standins/depot.py
@@ -96,8 +96,11 @@
     def _fetch(self, sock: socket.socket, command: list[bytes]) -> None:
         fields = resp.fields_of(command[2])
         self.fetches += 1
-        self._depot.seen.append(Fetched(time.time() * 1000.0, self.ident, command[1].decode(), fields["cls"],
-                                        fields.get("from", "")))
+        self._depot.seen.append(
+            Fetched(
+                time.time() * 1000.0, self.ident, command[1].decode(), fields["cls"], fields.get("from", "")
+            )
+        )
         if self.started:
             self.book.append(time.time() * 1000.0)
         self._depot.serve(self, sock, command[1].decode(), fields)
--- a/stonecove/standins/webserver.py
+++ b/stonecove/standins/webserver.py
@@ -106,7 +106,11 @@
     def ask_item(self, number: int, item: int, cls: str = "item-image", kb: int = 40) -> tuple[str, bytes]:
         """Asks for an object under an id that is made of the number."""
         return self.ask(
-            f"/svc/{cls}", TXN=f"{number + 1:016x}", TTL_MS="3000", ROW=f"{item:016x}", BUCKET="17",
+            f"/svc/{cls}",
+            TXN=f"{number + 1:016x}",
+            TTL_MS="3000",
+            ROW=f"{item:016x}",
+            BUCKET="17",
             WORKING_SET_KB=str(kb),
         )
 
--- a/stonecove/swarm/shares.py
+++ b/stonecove/swarm/shares.py
@@ -100,8 +100,15 @@
     """One router's side of the sum. Danger: a sum over 1, whoever is cut off, stopped or started anew."""
 
     def __init__(
-        self, slots: int, zone: int, fleet: int, by_zone: tuple[int, ...], window: float, now: float,
-        own: float = OWN, lease: float = math.inf,
+        self,
+        slots: int,
+        zone: int,
+        fleet: int,
+        by_zone: tuple[int, ...],
+        window: float,
+        now: float,
+        own: float = OWN,
+        lease: float = math.inf,
     ) -> None:
         """`slots`: all others; `fleet`, `by_zone`: the settings; `window`: of the rule, in seconds.
 
@@ -272,7 +279,10 @@
         moments += [one.over_at + self._window for one in self.slots if one.over_at < math.inf]
         if self._lease < math.inf:
             moments += [self._leased_until()]
-            moments += [one.disowned_at + self._lease + self._window
-                        for one in self.slots if one.disowned_at < math.inf]
+            moments += [
+                one.disowned_at + self._lease + self._window
+                for one in self.slots
+                if one.disowned_at < math.inf
+            ]
         moments += [at + self._window for _, at in self._elsewhere.values() if at < math.inf]
         return min((moment for moment in moments if moment > now), default=math.inf)
--- a/stonecove/swarm/swarm.py
+++ b/stonecove/swarm/swarm.py
@@ -83,8 +83,9 @@
         gossip.push(now)
         if gossip.views.move(now, bool(gossip.table.suspects)) is not None:
             view, came, went = gossip.views.history[-1]
-            gossip.note("swarm-view", members=len(view.lives), digest=f"{view.digest:08x}", came=came,
-                        went=went)
+            gossip.note(
+                "swarm-view", members=len(view.lives), digest=f"{view.digest:08x}", came=came, went=went
+            )
 
     def rest(self, now: float) -> float:
         """Seconds until `tick` may have something to do. To be asked again once something was heard."""
@@ -132,8 +133,11 @@
         if self.probe is not None and not self.probe.answered and now < self.probe.ends:
             return  # with doubts in ourselves a probe may last for longer than a period
         self._next_probe = max(self._next_probe + figures.period, now)
-        ring = sorted(one.word.ident for one in gossip.table
-                      if one.slot is not None and one.word.standing <= Standing.SUSPECT)
+        ring = sorted(
+            one.word.ident
+            for one in gossip.table
+            if one.slot is not None and one.word.standing <= Standing.SUSPECT
+        )
         chosen = gossip.table.get(target(ring, gossip.me.ident, int(unix / 1000.0 / figures.period)) or 0)
         self.probe = None
         if chosen is not None and chosen.slot is not None:
@@ -165,8 +169,9 @@
         if len(probe.witnesses) < min(WITNESSES, len(probe.helpers)):
             gossip.health.worse()  # hardly anybody heard us: it may be our own doing
             return
-        self._suspect(member, now,
-                      f"no answer to {probe.number}, nor to {len(probe.witnesses)} who asked for us")
+        self._suspect(
+            member, now, f"no answer to {probe.number}, nor to {len(probe.witnesses)} who asked for us"
+        )
 
     def _suspect(self, member: Member, now: float, why: str) -> None:
         gossip = self.gossip
@@ -191,14 +196,20 @@
         for one in list(self.gossip.table.suspects.values()):
             if one.suspicion is not None and now >= one.suspicion.until():
                 doubters = len(one.suspicion.doubters)
-                self.gossip.believe(one.word._replace(standing=Standing.FAILED), now,
-                                    f"silent since it was suspected; {doubters} could not reach it")
+                self.gossip.believe(
+                    one.word._replace(standing=Standing.FAILED),
+                    now,
+                    f"silent since it was suspected; {doubters} could not reach it",
+                )
 
     def _join(self, now: float) -> None:
         """Asks all that have not answered yet to count us."""
         again = JOIN_AGAIN[0] if now < self.gossip.born + JOIN_WHILE else JOIN_AGAIN[1]
-        asking = [slot for slot in self.gossip.shares.asking()
-                  if (last := self._asked.get(slot, -math.inf)) < self.gossip.born or now >= last + again]
+        asking = [
+            slot
+            for slot in self.gossip.shares.asking()
+            if (last := self._asked.get(slot, -math.inf)) < self.gossip.born or now >= last + again
+        ]
         for slot in asking[:JOIN_AT_ONCE]:
             self._asked[slot] = now
             self.gossip.send(slot, Kind.PING, now, purpose=Purpose.JOIN)
@@ -283,8 +294,11 @@
             before = gossip.table.place(sender.ident, slot)
             gossip.shares.placed(sender.ident)
             if before is not None and not over(before.word.standing):
-                gossip.believe(before.word._replace(standing=Standing.GONE), now,
-                               f"{shown(sender.ident)} is at its address")
+                gossip.believe(
+                    before.word._replace(standing=Standing.GONE),
+                    now,
+                    f"{shown(sender.ident)} is at its address",
+                )
         member.heard = now
         member.disowners.clear()  # it speaks: what most held of it has to be learned anew
         member.view = datagram.view, datagram.view_digest
@@ -304,8 +318,14 @@
                 wanted = gossip.table.get(datagram.about)
                 if wanted is not None and wanted.slot is not None:
                     number = gossip.send(
-                        wanted.slot, Kind.PING, now, purpose=Purpose.HELP, ident=datagram.about,
-                        asker=(slot, datagram.answers), first=(datagram.sender,))
+                        wanted.slot,
+                        Kind.PING,
+                        now,
+                        purpose=Purpose.HELP,
+                        ident=datagram.about,
+                        asker=(slot, datagram.answers),
+                        first=(datagram.sender,),
+                    )
                     self._helps.append((now + self.figures.answer * HELP_PART, wanted.slot, number))
             case Kind.VIA | Kind.MISS if self.probe is not None and datagram.answers == self.probe.number:
                 self._of_helper(slot, datagram, now)
--- a/stonecove/swarm/told.py
+++ b/stonecove/swarm/told.py
@@ -53,7 +53,11 @@
 
 
 def answer(
-    words: list[str], swarm: Swarm, name: str, now: float, addresses: list[tuple[str, int]],
+    words: list[str],
+    swarm: Swarm,
+    name: str,
+    now: float,
+    addresses: list[tuple[str, int]],
     counts: Mapping[str, int],
 ) -> dict[str, Any]:
     """The answer to a question; one that can't be answered has `error`."""
@@ -61,14 +65,18 @@
     match words:
         case ["status"]:
             members = [_member(swarm, one, addresses, now) for one in gossip.table]
-            return {"status": _status(swarm, name, now, counts),
-                    "members": sorted(members, key=lambda one: str(one["member"]))}
+            return {
+                "status": _status(swarm, name, now, counts),
+                "members": sorted(members, key=lambda one: str(one["member"])),
+            }
         case ["explain", text]:
             one = gossip.table.get(int(text[2:], 16) if _is_id(text) else ident_of(text))
             if one is None:
                 return {"error": f"nobody of the name {text[:40]!r} was ever heard of"}
-            return {"member": _member(swarm, one, addresses, now),
-                    "evidence": [{"ago_s": round(now - at, 3), "what": what} for at, what in one.evidence]}
+            return {
+                "member": _member(swarm, one, addresses, now),
+                "evidence": [{"ago_s": round(now - at, 3), "what": what} for at, what in one.evidence],
+            }
         case ["gone", text]:
             slots = [slot for slot, address in enumerate(addresses) if ":".join(map(str, address)) == text]
             if not slots:
@@ -76,10 +84,19 @@
             swarm.declared_over(slots[0], now)
             return {"address": text, "gone": True}
         case ["history"]:
-            return {"views": [
-                {"view": view.number, "digest": f"{view.digest:08x}", "ago_s": round(now - view.since, 3),
-                 "members": len(view.lives), "came": came, "went": went}
-                for view, came, went in gossip.views.history]}
+            return {
+                "views": [
+                    {
+                        "view": view.number,
+                        "digest": f"{view.digest:08x}",
+                        "ago_s": round(now - view.since, 3),
+                        "members": len(view.lives),
+                        "came": came,
+                        "went": went,
+                    }
+                    for view, came, went in gossip.views.history
+                ]
+            }
     return {"error": f"no question {' '.join(words)[:40]!r}"}
 
 
--- a/stonecove/trial/crowd.py
+++ b/stonecove/trial/crowd.py
@@ -102,8 +102,8 @@
                     _, kind, ident, length, padding, _ = _RECORD.unpack_from(data)
                     if len(data) < _RECORD.size + length + padding:
                         break
-                    self._take(kind, ident, bytes(data[_RECORD.size:_RECORD.size + length]))
-                    del data[:_RECORD.size + length + padding]
+                    self._take(kind, ident, bytes(data[_RECORD.size : _RECORD.size + length]))
+                    del data[: _RECORD.size + length + padding]
         except (trio.BrokenResourceError, trio.ClosedResourceError):
             pass
         self.end()
@@ -227,8 +227,9 @@
         self, link: _Link, waiting: _Waiting, path: str, fields: dict[str, str]
     ) -> tuple[str, float]:
         table = {"SCRIPT_NAME": path, **{f"HTTP_X_{name}": value for name, value in fields.items()}}
-        params = b"".join(bytes((len(name), len(value))) + name.encode() + value.encode()
-                          for name, value in table.items())
+        params = b"".join(
+            bytes((len(name), len(value))) + name.encode() + value.encode() for name, value in table.items()
+        )
         try:
             ident = await link.ask(waiting, params)
             with trio.move_on_after(self.manners.patience):
--- a/stonecove/trial/ground.py
+++ b/stonecove/trial/ground.py
@@ -101,8 +101,12 @@
             "peer_listen": ":".join(map(str, self.listens[place])),
             "peers": [":".join(map(str, self.ways.address(place, other))) for other in others],
         }  # fmt: skip
-        router = RouterProcess(self.folder / f"edge-{place}", f"edge-{place}", config,
-                               ("swarm: {}\n" if trial.swarm else "") + self._more)
+        router = RouterProcess(
+            self.folder / f"edge-{place}",
+            f"edge-{place}",
+            config,
+            ("swarm: {}\n" if trial.swarm else "") + self._more,
+        )
         if trial.ahead or any(fault.do == "clock" for fault in trial.faults):
             router.set_clock(dict(enumerate(trial.ahead)).get(place, 0.0))
         return router
@@ -160,8 +164,11 @@
         """Whether all have their share and one view: guards against a first view that counts as a change."""
         found = [router.ask("swarm status") for router in self._awake()]
         told = [one["status"] for one in found if one is not None]
-        return len(told) == len(found) > 0 and all(one["joined"] and one["view"] for one in told) and (
-            len({one["digest"] for one in told}) == 1)
+        return (
+            len(told) == len(found) > 0
+            and all(one["joined"] and one["view"] for one in told)
+            and (len({one["digest"] for one in told}) == 1)
+        )
 
     def _awake(self) -> list[RouterProcess]:
         return [router for router in self.routers if router.running and not router.stopped]
--- a/stonecove/trial/judge.py
+++ b/stonecove/trial/judge.py
@@ -46,8 +46,12 @@
 
     def told(self) -> dict[str, Any]:
         """For programs."""
-        return {"title": self.title, "passed": not self.broken,
-                "broken": [asdict(one) for one in self.broken], "figures": self.figures}
+        return {
+            "title": self.title,
+            "passed": not self.broken,
+            "broken": [asdict(one) for one in self.broken],
+            "figures": self.figures,
+        }
 
 
 def play(trial: Trial, seed: int, folder: Path) -> tuple[Played, Verdict]:
@@ -85,11 +89,23 @@
     ]  # fmt: skip
     if len(lost) > expects.lost:
         at, place = lost[0]
-        verdict.broken.append(Broken("answer", at - played.began, (played.routers[place].name,),
-                                     f"{len(lost)} taken requests had no answer, though nothing ended them"))
+        verdict.broken.append(
+            Broken(
+                "answer",
+                at - played.began,
+                (played.routers[place].name,),
+                f"{len(lost)} taken requests had no answer, though nothing ended them",
+            )
+        )
     if played.repeated:
-        verdict.broken.append(Broken("write", played.ended - played.began, (),
-                                     f"{played.repeated} requests with an effect ran more than once"))
+        verdict.broken.append(
+            Broken(
+                "write",
+                played.ended - played.began,
+                (),
+                f"{played.repeated} requests with an effect ran more than once",
+            )
+        )
     total = sum(front.answers.values())  # of a crowd, those of all tries
     verdict.figures |= {
         "answers": total, "served": front.answers["200"] / max(1, total), "lost": len(lost),
@@ -102,12 +118,19 @@
 def _processes(played: Played, verdict: Verdict) -> None:
     """Nobody crashes, and nothing goes wrong within."""
     for place, code in played.codes:
-        verdict.broken.append(Broken("crash", played.ended - played.began, (played.routers[place].name,),
-                                     f"ended with {code}"))
+        verdict.broken.append(
+            Broken("crash", played.ended - played.began, (played.routers[place].name,), f"ended with {code}")
+        )
     for router in played.routers:
         if bugs := router.lines("bug"):
-            verdict.broken.append(Broken("bug", float(bugs[0]["at"]) - played.began, (router.name,),
-                                         f"{len(bugs)} in its log: {bugs[0]}"))
+            verdict.broken.append(
+                Broken(
+                    "bug",
+                    float(bugs[0]["at"]) - played.began,
+                    (router.name,),
+                    f"{len(bugs)} in its log: {bugs[0]}",
+                )
+            )
 
 
 def _cold(played: Played, verdict: Verdict) -> None:
@@ -116,8 +139,14 @@
     for started, cache, book in played.colds:
         at, part = cold_part(book, started, played.trial.window, played.trial.kb)
         if part > 1.0:
-            verdict.broken.append(Broken("cold", at - played.began, tuple(r.name for r in played.routers),
-                                         f"{cache} was sent {part:.2f} of what it bears"))
+            verdict.broken.append(
+                Broken(
+                    "cold",
+                    at - played.began,
+                    tuple(r.name for r in played.routers),
+                    f"{cache} was sent {part:.2f} of what it bears",
+                )
+            )
         worst = max(worst, part)
     verdict.figures["cold_worst"] = worst
 
@@ -147,17 +176,32 @@
     """Nothing to or from a drained cache after the grace, and nothing older than a purge."""
     for since, until, ident in played.drains:
         grace = since + settings_of("rules", "drain_grace") / 1000.0 + SLACK + _told_late(played, since)
-        asked = [one for one in played.depot.seen if grace < one.at / 1000.0 < until
-                 and (one.cache == ident or one.source == f"s-{ident:08x}")]
+        asked = [
+            one
+            for one in played.depot.seen
+            if grace < one.at / 1000.0 < until and (one.cache == ident or one.source == f"s-{ident:08x}")
+        ]
         if asked:
-            verdict.broken.append(Broken("drain", asked[0].at / 1000.0 - played.began, (),
-                                         f"s-{ident:08x} was asked {len(asked)} times after its grace"))
+            verdict.broken.append(
+                Broken(
+                    "drain",
+                    asked[0].at / 1000.0 - played.began,
+                    (),
+                    f"s-{ident:08x} was asked {len(asked)} times after its grace",
+                )
+            )
     for moment in played.purges:
         late = SLACK + _told_late(played, moment / 1000.0)
         grace = settings_of("domain", "heed_within") + late * 1000.0
         if old := played.depot.too_old(moment, grace):
-            verdict.broken.append(Broken("purge", moment / 1000.0 - played.began, (),
-                                         f"{old} answers were older than it after its grace"))
+            verdict.broken.append(
+                Broken(
+                    "purge",
+                    moment / 1000.0 - played.began,
+                    (),
+                    f"{old} answers were older than it after its grace",
+                )
+            )
 
 
 def events_of(played: Played) -> list[Event]:
@@ -193,8 +237,9 @@
         "origin_stops": len(played.depot.stops) if isinstance(played.depot, LoadedDepot) else 0,
     }  # fmt: skip
     if expects.amplification is not None and attempts > expects.amplification:
-        verdict.broken.append(Broken("amplification", float(at), (),
-                                     f"{attempts:.2f} attempts for each request that was meant"))
+        verdict.broken.append(
+            Broken("amplification", float(at), (), f"{attempts:.2f} attempts for each request that was meant")
+        )
     if expects.recovers_within is not None and back > expects.recovers_within:
         sustained = ", ".join(f"{cause} {times:.1f} times" for cause, times in book.sustained_by(last, first))
         verdict.broken.append(Broken("recovery", last, (), f"good again after {back:.1f} s; {sustained}"))
@@ -204,8 +249,11 @@
 
 def _told_late(played: Played, at: float) -> float:
     """Seconds by which an event of then may come late, since a change log was cut off."""
-    cuts = [played.began + fault.ends for fault in played.trial.faults
-            if "log" in fault.of and fault.at <= at - played.began + RECONNECT and fault.ends]
+    cuts = [
+        played.began + fault.ends
+        for fault in played.trial.faults
+        if "log" in fault.of and fault.at <= at - played.began + RECONNECT and fault.ends
+    ]
     return max(0.0, min(TOLD_BY, max((end - at + RECONNECT for end in cuts), default=0.0)))
 
 
@@ -223,11 +271,19 @@
     for router in played.routers:
         for started, ended in router.lives:
             # Its last word comes after `stopped`, and nothing goes to caches then.
-            over = min([float(line["at"]) for line in router.lines("stopped")
-                        if started <= float(line["at"]) <= (ended or played.ended)],
-                       default=ended or played.ended)
-            told = [(float(line["at"]), float(line["own"]) / max(1, int(line["fleet"])))
-                    for line in router.lines("swarm-share") if started <= float(line["at"]) <= over]
+            over = min(
+                [
+                    float(line["at"])
+                    for line in router.lines("stopped")
+                    if started <= float(line["at"]) <= (ended or played.ended)
+                ],
+                default=ended or played.ended,
+            )
+            told = [
+                (float(line["at"]), float(line["own"]) / max(1, int(line["fleet"])))
+                for line in router.lines("swarm-share")
+                if started <= float(line["at"]) <= over
+            ]
             for (at, share), (then, _) in zip(told, [*told[1:], (over, 0.0)], strict=True):
                 spans.append((at, then + window, share, router.name, started))
     worst, moment, who = 0.0, played.began, tuple[str, ...]()
@@ -260,15 +316,24 @@
                 known.setdefault((place, router.name), []).append(at)
             if line["stands"] not in ("failed", "gone"):
                 continue
-            lived = any(since < at - 0.05 and (ended is None or at < ended)
-                        and int(line["life"]) / 1000.0 - played.routers[place].shift_at(since) >= since - 0.1
-                        for since, ended in played.routers[place].lives)
+            lived = any(
+                since < at - 0.05
+                and (ended is None or at < ended)
+                and int(line["life"]) / 1000.0 - played.routers[place].shift_at(since) >= since - 0.1
+                for since, ended in played.routers[place].lives
+            )
             if lived:
                 falsely.append((at, router.name, played.routers[place].name))
     if len(falsely) > expects.false_failed:
         at, by, of = falsely[0]
-        verdict.broken.append(Broken("failed", at - played.began, (by, of),
-                                     f"{by} declared {of} over, which was there ({len(falsely)} in all)"))
+        verdict.broken.append(
+            Broken(
+                "failed",
+                at - played.began,
+                (by, of),
+                f"{by} declared {of} over, which was there ({len(falsely)} in all)",
+            )
+        )
     took = sorted(_detected(played, known))
     verdict.figures |= {
         "false_failed": len(falsely),
@@ -280,8 +345,11 @@
         after = math.inf if played.joined_at is None else played.joined_at - played.began - last
         verdict.figures["joined_s"] = after
         if after > expects.joined_within:
-            verdict.broken.append(Broken("joined", played.trial.lasts, (),
-                                         f"all were joined {after:.1f} s after the last fault"))
+            verdict.broken.append(
+                Broken(
+                    "joined", played.trial.lasts, (), f"all were joined {after:.1f} s after the last fault"
+                )
+            )
 
 
 def _detected(played: Played, known: dict[tuple[int, str], list[float]]) -> list[float]:
@@ -294,12 +362,17 @@
         if ended is None:
             continue
         for router in played.routers:
-            there = any(start < ended - KNOWS and (end is None or end > ended + 10.0)
-                        for start, end in router.lives)
+            there = any(
+                start < ended - KNOWS and (end is None or end > ended + 10.0) for start, end in router.lives
+            )
             if router is played.routers[place] or not there:
                 continue
-            took.append(min((at - ended for at in known.get((place, router.name), ()) if at >= ended - 0.05),
-                            default=math.inf))
+            took.append(
+                min(
+                    (at - ended for at in known.get((place, router.name), ()) if at >= ended - 0.05),
+                    default=math.inf,
+                )
+            )
     return took
 
 
@@ -308,14 +381,21 @@
     first = played.trial.span[0] + played.began
     for router in played.routers:
         started = router.lives[-1][0] if router.lives else 0.0
-        count = sum(max(first, started) <= float(line["at"]) <= played.ended
-                    for line in router.lines("swarm-view"))
+        count = sum(
+            max(first, started) <= float(line["at"]) <= played.ended for line in router.lines("swarm-view")
+        )
         if count > most:
             most, whose = count, router.name
     verdict.figures["views"] = most
     if expects.views is not None and most > expects.views:
-        verdict.broken.append(Broken("views", played.trial.lasts, (whose,),
-                                     f"{most} views, {expects.views} at the most were expected"))
+        verdict.broken.append(
+            Broken(
+                "views",
+                played.trial.lasts,
+                (whose,),
+                f"{most} views, {expects.views} at the most were expected",
+            )
+        )
 
 
 def _part(ordered: list[float], part: float) -> float:
--- a/stonecove/trial/model.py
+++ b/stonecove/trial/model.py
@@ -81,8 +81,15 @@
         box.skew = skew
         unix = self._unix(box)
         by_zone = [len(range(zone, len(self.boxes), self.zones)) for zone in range(self.zones)]
-        shares = Shares(len(self.boxes) - 1, place % self.zones, len(self.boxes), tuple(by_zone),
-                        self.window, self.now, lease=self.figures.lease_of(len(self.boxes)))
+        shares = Shares(
+            len(self.boxes) - 1,
+            place % self.zones,
+            len(self.boxes),
+            tuple(by_zone),
+            self.window,
+            self.now,
+            lease=self.figures.lease_of(len(self.boxes)),
+        )
         me = Word(ident_of(name or f"router-{place}"), int(unix), 0, Standing.ALIVE, place % self.zones)
         box.swarm = Swarm(me, shares, self.figures, self.random.getrandbits(32), self.now, unix)
         box.born, box.stopped_until, box.waiting, box.due = self.now, 0.0, [], math.inf
@@ -149,7 +156,8 @@
         return all(
             (member := box.swarm.gossip.table.get(ident)) is not None
             and (member.word.standing is Standing.FAILED or over(member.word.standing))
-            for box in self.here() if box.swarm is not None and box.place != place
+            for box in self.here()
+            if box.swarm is not None and box.place != place
         )
 
     def joined(self) -> bool:
--- a/stonecove/trial/plot.py
+++ b/stonecove/trial/plot.py
@@ -38,16 +38,28 @@
             row = pair[0] * (count + 1) + pair[1]
             if pair in last and sample["at"] - last[pair][0] < 1.0:
                 since, state = last[pair]
-                axes.barh(row, sample["at"] - since, left=since, height=1.0,
-                          color=COLOURS.get(state, "white"), linewidth=0)
+                axes.barh(
+                    row,
+                    sample["at"] - since,
+                    left=since,
+                    height=1.0,
+                    color=COLOURS.get(state, "white"),
+                    linewidth=0,
+                )
             last[pair] = sample["at"], member["state"]
     _faults(axes, found["faults"], -1.5)
-    axes.set_yticks([by * (count + 1) + (count - 1) / 2 for by in range(count)],
-                    [f"as {by} sees them" for by in range(count)])
+    axes.set_yticks(
+        [by * (count + 1) + (count - 1) / 2 for by in range(count)],
+        [f"as {by} sees them" for by in range(count)],
+    )
     axes.invert_yaxis()
     axes.set_xlabel("seconds since the load began")
-    axes.legend(handles=[Patch(color=colour, label=state) for state, colour in COLOURS.items()],
-                loc="upper left", bbox_to_anchor=(1.0, 1.0), fontsize=7)
+    axes.legend(
+        handles=[Patch(color=colour, label=state) for state, colour in COLOURS.items()],
+        loc="upper left",
+        bbox_to_anchor=(1.0, 1.0),
+        fontsize=7,
+    )
     path = folder / "trial.png"
     figure.savefig(path, dpi=110, bbox_inches="tight")
     plt.close(figure)
@@ -70,8 +82,12 @@
     demand.plot(seconds, [book.seconds[at].ends[SERVED] for at in seconds], label="served", color="#38761d")
     demand.set_ylabel("requests a second")
     for cause in CAUSES:
-        ratios.plot(seconds, [book.seconds[at].ratio(cause) for at in seconds], label=cause,
-                    linewidth=2.0 if cause == ATTEMPT else 1.0)
+        ratios.plot(
+            seconds,
+            [book.seconds[at].ratio(cause) for at in seconds],
+            label=cause,
+            linewidth=2.0 if cause == ATTEMPT else 1.0,
+        )
     ratios.set_ylabel("for each that was meant")
     ratios.set_xlabel("seconds since the load began")
     _faults(demand, faults, demand.get_ylim()[1])
--- a/stonecove/trial/relay.py
+++ b/stonecove/trial/relay.py
@@ -157,9 +157,7 @@
         except OSError:
             self.counts["undelivered"] += 1
 
-    def flood(
-        self, listen: Address, place: int, rate: float, seconds: float, over: threading.Event
-    ) -> None:
+    def flood(self, listen: Address, place: int, rate: float, seconds: float, over: threading.Event) -> None:
         """Sends that router what nobody can read, from one peer's address and from a stranger's."""
         chooser = random.Random(7)
         peer = next(viewer for viewer, viewed in self._sockets if viewer == place)
--- a/stonecove/trial/schedule.py
+++ b/stonecove/trial/schedule.py
@@ -16,8 +16,18 @@
 
 SCHEMA = "schema.cue"
 PACE = 4200.0  # KB a second of one transfer, as in the trials' settings
-LASTING = ("pause", "starve", "cut", "weather", "flood", "swallow", "down", "drain",
-           "surge", "slow")  # that need an end
+LASTING = (
+    "pause",
+    "starve",
+    "cut",
+    "weather",
+    "flood",
+    "swallow",
+    "down",
+    "drain",
+    "surge",
+    "slow",
+)  # that need an end
 TO_SERVERS = ("reset", "swallow", "down")  # that need `of`
 NOBODYS = ("weather", "cold", "drain", "purge", "surge", "slow", *TO_SERVERS)  # that need not tell who
 
--- a/stonecove/trial/streams.py
+++ b/stonecove/trial/streams.py
@@ -69,9 +69,7 @@
                       for router in range(routers) for host, port in servers}  # fmt: skip
         self._each(self._ways.values(), self._listen)
 
-    def change(
-        self, ways: Iterable[tuple[int, int]], change: Callable[[StreamFaults], None]
-    ) -> None:
+    def change(self, ways: Iterable[tuple[int, int]], change: Callable[[StreamFaults], None]) -> None:
         """Changes what becomes of connections on these ways, each from a router to a port."""
 
         def both(way: _Way) -> None:
@@ -217,7 +215,7 @@
     left = memoryview(data)
     while left:
         try:
-            left = left[to.send(left):]
+            left = left[to.send(left) :]
         except BlockingIOError:
             await trio.lowlevel.wait_writable(to)
         except OSError:
@@ -230,5 +228,3 @@
     if sock.fileno() >= 0:
         trio.lowlevel.notify_closing(sock)
         sock.close()
-
-
--- a/stonecove/wire/buffer.py
+++ b/stonecove/wire/buffer.py
@@ -33,14 +33,14 @@
                 self._data = bytearray(FIRST)
         if len(self._data) - self._end < want and self._start:
             held = self._end - self._start
-            self._data[:held] = self._data[self._start:self._end]
+            self._data[:held] = self._data[self._start : self._end]
             self._start, self._end = 0, held
         if len(self._data) - self._end < want:
             size = min(self._most, max(2 * len(self._data), self._end + want))
             if size <= self._end:
                 raise BufferFullError(f"{self._end} bytes unread")
             self._data.extend(bytes(size - len(self._data)))
-        return memoryview(self._data)[self._end:]
+        return memoryview(self._data)[self._end :]
 
     def filled(self, count: int) -> None:
         """So many bytes were received into the last room."""
@@ -49,7 +49,7 @@
     def feed(self, data: bytes | bytearray) -> None:
         """Appends bytes that are at hand."""
         with self.room(len(data)) as view:
-            view[:len(data)] = data
+            view[: len(data)] = data
         self.filled(len(data))
 
     def find(self, mark: bytes, within: int) -> int:
@@ -63,7 +63,7 @@
 
     def take(self, count: int) -> bytes:
         """The next bytes, consumed."""
-        data = bytes(self._data[self._start:min(self._end, self._start + count)])
+        data = bytes(self._data[self._start : min(self._end, self._start + count)])
         self._start += len(data)
         return data
 
--- a/stonecove/wire/changelog.py
+++ b/stonecove/wire/changelog.py
@@ -40,8 +40,9 @@
         raise ChangeLogError(f"a list of {len(payload)} bytes")
     found = []
     for ident, address, port, state, zone, kind, cell, weight, started in _RECORD.iter_unpack(payload):
-        node = Node(ident, kind, float(started), _STATES.get(state, NodeState.DRAINING), cell, zone,
-                    weight / 1000.0)
+        node = Node(
+            ident, kind, float(started), _STATES.get(state, NodeState.DRAINING), cell, zone, weight / 1000.0
+        )
         host = ".".join(str(byte) for byte in address.to_bytes(4, "big"))
         found.append(Member(node, host, port))
     return tuple(found)
@@ -89,10 +90,15 @@
     """An instance of the JSON list."""
     host, _, port = str(entry["hostPort"]).rpartition(":")
     ident = int(str(entry["instanceId"]).removeprefix("s-"), 16)
-    node = Node(ident, _place(settings.kinds, entry["machineType"]), float(entry.get("startedAtMs") or 0.0),
-                _WORDS.get(entry["lifecycle"], NodeState.DRAINING),
-                int(entry.get("cell") or 0), _place(settings.zones, entry["zone"]),
-                float(entry.get("weight") or 0.0))
+    node = Node(
+        ident,
+        _place(settings.kinds, entry["machineType"]),
+        float(entry.get("startedAtMs") or 0.0),
+        _WORDS.get(entry["lifecycle"], NodeState.DRAINING),
+        int(entry.get("cell") or 0),
+        _place(settings.zones, entry["zone"]),
+        float(entry.get("weight") or 0.0),
+    )
     return Member(node, host, int(port))
 
 
--- a/stonecove/wire/client.py
+++ b/stonecove/wire/client.py
@@ -22,8 +22,9 @@
 class Connection(Session):
     """A session on a plain non-blocking socket."""
 
-    def __init__(self, sock: socket.socket, handler: Handler, clock: Callable[[], float],
-                 budget: Budget) -> None:
+    def __init__(
+        self, sock: socket.socket, handler: Handler, clock: Callable[[], float], budget: Budget
+    ) -> None:
         super().__init__(sock, handler, clock, budget)
         self._sock: socket.socket = sock
         self._room_wanted = trio.Event()
--- a/stonecove/wire/connection.py
+++ b/stonecove/wire/connection.py
@@ -15,8 +15,9 @@
 class Connection(Channel):
     """A channel on a plain non-blocking socket; a task writes what could not be written at once."""
 
-    def __init__(self, owner: Owner, address: tuple[str, int], patience: float,
-                 clock: Callable[[], float]) -> None:
+    def __init__(
+        self, owner: Owner, address: tuple[str, int], patience: float, clock: Callable[[], float]
+    ) -> None:
         """Patience is in seconds."""
         super().__init__(owner, clock)
         self._address = address
--- a/stonecove/wire/fastcgi.py
+++ b/stonecove/wire/fastcgi.py
@@ -81,7 +81,7 @@
     first = max(0, PIECE - len(head))
     records = deque((record(STDOUT, ident, head + body[:first]),))
     for at in range(first, len(body), PIECE):
-        records.append(record(STDOUT, ident, body[at:at + PIECE]))
+        records.append(record(STDOUT, ident, body[at : at + PIECE]))
     records.append(record(STDOUT, ident) + end_record(ident))
     return records
 
@@ -89,7 +89,7 @@
 def _length(data: bytes, at: int) -> tuple[int, int]:
     if data[at] < 128:
         return data[at], at + 1
-    return int.from_bytes(data[at:at + 4], "big") & 0x7FFFFFFF, at + 4
+    return int.from_bytes(data[at : at + 4], "big") & 0x7FFFFFFF, at + 4
 
 
 def pairs(data: bytes) -> dict[str, str]:
@@ -104,7 +104,7 @@
         end = at + name + value
         if end > len(data):
             raise ValueError("a pair is cut short")
-        found[data[at:at + name].decode("latin-1")] = data[at + name:end].decode("latin-1")
+        found[data[at : at + name].decode("latin-1")] = data[at + name : end].decode("latin-1")
         at = end
     return found
 
@@ -115,8 +115,11 @@
         names = pairs(asked)
     except ValueError as error:
         raise FastCgiError(f"values asked for: {error}") from error
-    out = b"".join(bytes((len(name), len(known[name]))) + name.encode() + known[name].encode()
-                   for name in names if name in known)
+    out = b"".join(
+        bytes((len(name), len(known[name]))) + name.encode() + known[name].encode()
+        for name in names
+        if name in known
+    )
     return record(GET_VALUES_RESULT, 0, out)
 
 
@@ -190,8 +193,11 @@
                     self.open.discard(ident)
                     yield Reply(end_record(ident, COMPLETE, 1))
         elif taking := self._taking.get(ident):  # of an unknown id: passed over, as the standard asks
-            if kind in (PARAMS, STDIN) and content and (
-                    taking.no_room or not self._budget.lets_in(len(content), self)):
+            if (
+                kind in (PARAMS, STDIN)
+                and content
+                and (taking.no_room or not self._budget.lets_in(len(content), self))
+            ):
                 self._forget(taking)
             elif kind == PARAMS:
                 yield from self._params(ident, taking, content)
--- a/stonecove/wire/follow.py
+++ b/stonecove/wire/follow.py
@@ -124,7 +124,7 @@
                 await sock.connect(self._address)
                 hello = self._follower.hello()
                 while hello:  # guards against one written in part: the log would wait for the rest
-                    hello = hello[await sock.send(hello):]
+                    hello = hello[await sock.send(hello) :]
             if waiting.cancelled_caught:
                 return "not up in time"
             log_some("changelog-up", last=self._follower.last)
--- a/stonecove/wire/front.py
+++ b/stonecove/wire/front.py
@@ -18,10 +18,22 @@
     from stonecove.wire.desk import Desk
 
 READY_PATH = "/status/live"
-_LINES = {Verdict.SERVED: "200 OK", Verdict.UNCHANGED: "200 OK", Verdict.REFUSED: "503 Service Unavailable",
-          Verdict.FAILED: "502 Bad Gateway"}
-_REASONS = {400: "Bad Request", 404: "Not Found", 408: "Request Timeout", 413: "Content Too Large",
-            401: "Unauthorized", 403: "Forbidden", 429: "Too Many Requests", 503: "Service Unavailable"}
+_LINES = {
+    Verdict.SERVED: "200 OK",
+    Verdict.UNCHANGED: "200 OK",
+    Verdict.REFUSED: "503 Service Unavailable",
+    Verdict.FAILED: "502 Bad Gateway",
+}
+_REASONS = {
+    400: "Bad Request",
+    404: "Not Found",
+    408: "Request Timeout",
+    413: "Content Too Large",
+    401: "Unauthorized",
+    403: "Forbidden",
+    429: "Too Many Requests",
+    503: "Service Unavailable",
+}
 
 
 def _head(status: str, **fields: object) -> bytes:
@@ -63,8 +75,7 @@
         self.ready = False
         self.desk: Desk | None = None  # where tokens are checked, if the operator wants it here too
 
-    def request(self, connection: Session, ident: int, params: dict[str, str], body: bytes,
-                bad: str) -> bool:
+    def request(self, connection: Session, ident: int, params: dict[str, str], body: bytes, bad: str) -> bool:
         """A request has come in; says whether it could be taken."""
         path = params.get("SCRIPT_NAME", "") + params.get("PATH_INFO", "")
         if path == READY_PATH and not bad:
--- a/stonecove/wire/session.py
+++ b/stonecove/wire/session.py
@@ -14,8 +14,15 @@
 from stonecove.memory.budget import Budget
 from stonecove.wire.buffer import Buffer
 from stonecove.wire.channel import Socket
-from stonecove.wire.fastcgi import (COMPLETE, Aborted, Arrived, Decoder, FastCgiError, answer_records,
-                                      end_record)
+from stonecove.wire.fastcgi import (
+    COMPLETE,
+    Aborted,
+    Arrived,
+    Decoder,
+    FastCgiError,
+    answer_records,
+    end_record,
+)
 
 MOST_UNREAD = 2 * (65_536 + 256 + 8)
 MOST_OWED = 1000  # protocol records that wait to be written
@@ -28,8 +35,7 @@
 class Handler(Protocol):
     """Who takes the requests of all connections."""
 
-    def request(self, connection: Session, ident: int, params: dict[str, str], body: bytes,
-                bad: str) -> bool:
+    def request(self, connection: Session, ident: int, params: dict[str, str], body: bytes, bad: str) -> bool:
         """A request has come in, or is ended for what is bad with it; exactly one answer or an end is owed.
 
         Says whether it was one that can be taken.
--- a/stonecove/wire/zktree.py
+++ b/stonecove/wire/zktree.py
@@ -126,9 +126,7 @@
             return
         self._list_out, self._list_again = True, False
         confirmed, self._confirmed = self._confirmed, False
-        self._ask(
-            zk.GetChildren2(self.path, watch=not self._recursive), partial(self._list_came, confirmed)
-        )
+        self._ask(zk.GetChildren2(self.path, watch=not self._recursive), partial(self._list_came, confirmed))
 
     def _synced(self, reply: Reply) -> None:
         self._confirming = False
--- a/tests/known_red.py
+++ b/tests/known_red.py
@@ -59,8 +59,11 @@
     def pytest_collection_modifyitems(self, items: list[pytest.Item]) -> None:
         """Looks for the listed tests before `-k` and the like leave some out."""
         there = {item.nodeid for item in items}
-        self._unknown = {test for test, line in self._known.items()
-                         if test not in there and self._should_be_there(line.file)}
+        self._unknown = {
+            test
+            for test, line in self._known.items()
+            if test not in there and self._should_be_there(line.file)
+        }
         if hasattr(self._config, "workeroutput"):
             self._config.workeroutput["unknown_red"] = sorted(self._unknown)
 
@@ -86,8 +89,9 @@
     # -- how they end --
 
     @pytest.hookimpl(wrapper=True, tryfirst=True)
-    def pytest_runtest_makereport(self, item: pytest.Item, call: pytest.CallInfo[None]
-                                  ) -> Generator[None, pytest.TestReport, pytest.TestReport]:
+    def pytest_runtest_makereport(
+        self, item: pytest.Item, call: pytest.CallInfo[None]
+    ) -> Generator[None, pytest.TestReport, pytest.TestReport]:
         """Only a failure of the test itself is the expected one.
 
         A skip, or an error in set-up or tear-down, shows nothing of the listed cause.
--- a/tests/stand.py
+++ b/tests/stand.py
@@ -23,20 +23,53 @@
 
 PATIENCE = 30.0  # generous: nothing here measures speed
 SETTINGS: dict[str, Any] = {
-    "areas": ["hub", "edge-1"], "models": ["box", "parent", "origin"], "zone": 1, "fleet_size": 1,
+    "areas": ["hub", "edge-1"],
+    "models": ["box", "parent", "origin"],
+    "zone": 1,
+    "fleet_size": 1,
     "classes": [
         {"name": "image", "deadline": 9000.0, "on_time": 4000.0, "effect": "pure", "importance": 1.0},
-        {"name": "confirm", "deadline": 9000.0, "on_time": 4000.0, "effect": "side_effect",
-         "importance": 3.0},
-        {"name": "page", "deadline": 9000.0, "on_time": 4000.0, "effect": "pure", "importance": 1.0}],
-    "domain": {"shield_kind": 1, "store_kind": 2, "client_kb_per_s": 9e6, "zone_link_kb_per_s": [0.0, 9e9],
-               "instances_by_zone": [0, 1], "never_kept": [False, True, False], "heed_within": 500.0,
-               "lifetime_by_class": [0.0, 0.0, 20000.0], "purge_settles": 6000.0, "joins": True},
-    "limits": {"most_tries": 8, "cancel": True, "second_copies": True, "connect_timeout": 400.0,
-               "retry_after": True, "max_retry_after": 1000.0, "conn_idle": 15000.0, "streams_per_conn": 100},
-    "report": {"fields": ["busy_reqs", "x0"], "how": "piggyback"}, "weights": "nominal",
-    "rules": {"drain_grace": 250.0, "cold_from": 0.25, "warm_up": 16000.0, "tip_multiple": 4.0,
-              "overload_for": 3000.0}}
+        {
+            "name": "confirm",
+            "deadline": 9000.0,
+            "on_time": 4000.0,
+            "effect": "side_effect",
+            "importance": 3.0,
+        },
+        {"name": "page", "deadline": 9000.0, "on_time": 4000.0, "effect": "pure", "importance": 1.0},
+    ],
+    "domain": {
+        "shield_kind": 1,
+        "store_kind": 2,
+        "client_kb_per_s": 9e6,
+        "zone_link_kb_per_s": [0.0, 9e9],
+        "instances_by_zone": [0, 1],
+        "never_kept": [False, True, False],
+        "heed_within": 500.0,
+        "lifetime_by_class": [0.0, 0.0, 20000.0],
+        "purge_settles": 6000.0,
+        "joins": True,
+    },
+    "limits": {
+        "most_tries": 8,
+        "cancel": True,
+        "second_copies": True,
+        "connect_timeout": 400.0,
+        "retry_after": True,
+        "max_retry_after": 1000.0,
+        "conn_idle": 15000.0,
+        "streams_per_conn": 100,
+    },
+    "report": {"fields": ["busy_reqs", "x0"], "how": "piggyback"},
+    "weights": "nominal",
+    "rules": {
+        "drain_grace": 250.0,
+        "cold_from": 0.25,
+        "warm_up": 16000.0,
+        "tip_multiple": 4.0,
+        "overload_for": 3000.0,
+    },
+}
 
 
 def resp(*items: bytes) -> bytes:
@@ -164,16 +197,37 @@
         self._stream = self.sock.makefile("rb")
         self._out: dict[int, bytes] = {}
 
-    def request(self, ident: int = 1, path: str = "/svc/image", body: bytes = b"", padding: int = 0,
-                cgi: dict[str, str] | None = None, **fields: str | None) -> bytes:
+    def request(
+        self,
+        ident: int = 1,
+        path: str = "/svc/image",
+        body: bytes = b"",
+        padding: int = 0,
+        cgi: dict[str, str] | None = None,
+        **fields: str | None,
+    ) -> bytes:
         """The records of a request; a field None is left out."""
-        table = {"X_TXN": secrets.token_hex(8), "X_TTL_MS": "8000", "X_SEG": "3",
-                 "X_ROW": "7f3a9c21e0b4d655", "X_BUCKET": "17", "X_WORKING_SET_KB": "4.5", **fields}
+        table = {
+            "X_TXN": secrets.token_hex(8),
+            "X_TTL_MS": "8000",
+            "X_SEG": "3",
+            "X_ROW": "7f3a9c21e0b4d655",
+            "X_BUCKET": "17",
+            "X_WORKING_SET_KB": "4.5",
+            **fields,
+        }
         params = b"".join(pair(*one) for one in {"SCRIPT_NAME": path, **(cgi or {})}.items()) + b"".join(
-            pair(f"HTTP_{name}", value) for name, value in table.items() if value is not None)
+            pair(f"HTTP_{name}", value) for name, value in table.items() if value is not None
+        )
         stdin = record(5, ident, body, padding) if body else b""
-        return (record(1, ident, struct.pack(">HB5x", 1, 1)) + record(4, ident, params[:20], padding)
-                + record(4, ident, params[20:]) + record(4, ident) + stdin + record(5, ident))
+        return (
+            record(1, ident, struct.pack(">HB5x", 1, 1))
+            + record(4, ident, params[:20], padding)
+            + record(4, ident, params[20:])
+            + record(4, ident)
+            + stdin
+            + record(5, ident)
+        )
 
     def send(self, ident: int = 1, **what: Any) -> None:
         self.sock.sendall(self.request(ident, **what))
@@ -258,9 +312,15 @@
 class Stand:
     """A running edge router with two caches, a parent and an origin, and its change log."""
 
-    def __init__(self, descriptors: int | None = None, memory_mb: float = 192, sockets: int = 1024,
-                 env: dict[str, str] | None = None, missed: Callable[[Stand], bytes] | None = None,
-                 **settings: Any) -> None:
+    def __init__(
+        self,
+        descriptors: int | None = None,
+        memory_mb: float = 192,
+        sockets: int = 1024,
+        env: dict[str, str] | None = None,
+        missed: Callable[[Stand], bytes] | None = None,
+        **settings: Any,
+    ) -> None:
         self.commands: queue.Queue[Fetch] = queue.Queue()
         self.caches = [Cache(0x10 + place, self.commands) for place in range(2)]
         self.log = ChangeLog()
@@ -270,10 +330,14 @@
         first = {"seq": 1, "fleet": {"generation": 1, "reset": True, "instances": nodes}}
         known = {"seq": 1, "results": [first]}
         self.config: dict[str, Any] = {
-            "name": "n0", "listen": ":".join(map(str, self.address)), "seed": "8c1f30d27a5be964",
+            "name": "n0",
+            "listen": ":".join(map(str, self.address)),
+            "seed": "8c1f30d27a5be964",
             "known": known,
             "limits": {"cores": 1.0, "memory_mb": memory_mb, "sockets": sockets},
-            "changelog": f"127.0.0.1:{self.log.listener.port}", "settings": {**SETTINGS, **settings}}
+            "changelog": f"127.0.0.1:{self.log.listener.port}",
+            "settings": {**SETTINGS, **settings},
+        }
         self.log.missed = missed and (lambda: missed(self))
         self._descriptors, self._env = descriptors, env or {}
         self.process = self.start()
@@ -281,20 +345,43 @@
     @staticmethod
     def plain_config() -> dict[str, Any]:
         """A configuration without servers, at an address that is free."""
-        return {"name": "n0", "listen": ":".join(map(str, free_address())), "seed": "1",
-                "known": {"seq": 0, "results": []}, "changelog": "127.0.0.1:1", "settings": SETTINGS,
-                "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024}}
+        return {
+            "name": "n0",
+            "listen": ":".join(map(str, free_address())),
+            "seed": "1",
+            "known": {"seq": 0, "results": []},
+            "changelog": "127.0.0.1:1",
+            "settings": SETTINGS,
+            "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
+        }
 
     @staticmethod
     def instance(ident: int, port: int, zone: int, kind: str) -> dict[str, Any]:
-        return {"instanceId": f"s-{ident:08x}", "hostPort": f"127.0.0.1:{port}", "machineType": kind,
-                "cell": 0, "zone": SETTINGS["areas"][zone], "lifecycle": "up", "weight": 9000,
-                "startedAtMs": 0}
+        return {
+            "instanceId": f"s-{ident:08x}",
+            "hostPort": f"127.0.0.1:{port}",
+            "machineType": kind,
+            "cell": 0,
+            "zone": SETTINGS["areas"][zone],
+            "lifecycle": "up",
+            "weight": 9000,
+            "startedAtMs": 0,
+        }
 
     def record(self, cache: Cache, state: int, started: int = 0, port: int = 0) -> bytes:
         """A record of the change log."""
-        return struct.pack(">IIHBBBHIQ", cache.ident, 0x7F000001, port or cache.listener.port, state, 1, 0, 0,
-                           9_000_000, started)
+        return struct.pack(
+            ">IIHBBBHIQ",
+            cache.ident,
+            0x7F000001,
+            port or cache.listener.port,
+            state,
+            1,
+            0,
+            0,
+            9_000_000,
+            started,
+        )
 
     def start(self) -> subprocess.Popen[bytes]:
         self.folder = tempfile.TemporaryDirectory()
@@ -307,8 +394,12 @@
                 resource.setrlimit(resource.RLIMIT_NOFILE, (limit, limit))
 
         with Path(self.folder.name, "log").open("wb") as output:
-            process = subprocess.Popen([sys.executable, "-m", "stonecove"], stderr=output, preexec_fn=lower,
-                                       env={**os.environ, **self._env, "RELAY_CONFIG": str(path)})
+            process = subprocess.Popen(
+                [sys.executable, "-m", "stonecove"],
+                stderr=output,
+                preexec_fn=lower,
+                env={**os.environ, **self._env, "RELAY_CONFIG": str(path)},
+            )
         self.wait(lambda: process.poll() is not None or self._live(), "the router is ready")
         return process
 
--- a/tests/test_attempt_crossings.py
+++ b/tests/test_attempt_crossings.py
@@ -51,13 +51,19 @@
         self.room = 1 << 20
         self.writable()
 
-    def answer(self, txn: str, word: str = "200", fields: str = "ver=aa11,born=1", body: bytes = b"",
-               cut: int | None = None) -> bytes:
+    def answer(
+        self,
+        txn: str,
+        word: str = "200",
+        fields: str = "ver=aa11,born=1",
+        body: bytes = b"",
+        cut: int | None = None,
+    ) -> bytes:
         """Some bytes of an answer come in; what is left of it is returned."""
         whole = resp.encode(txn.encode(), word.encode(), fields.encode(), body)
         self.buffer.feed(whole[:cut])
         self.received()
-        return whole[len(whole) if cut is None else cut:]
+        return whole[len(whole) if cut is None else cut :]
 
     def carries(self, txn: str) -> bool:
         """Whether the whole of its fetch was written."""
@@ -74,11 +80,13 @@
         self.wires: list[Wire] = []
         budget = Budget()
         budget.most = 1e9
-        self.route = Route(make_settings(*classes, **changes), 7, self.clock, self.timers, budget, 0.0,
-                           self._connect)
+        self.route = Route(
+            make_settings(*classes, **changes), 7, self.clock, self.timers, budget, 0.0, self._connect
+        )
         self.route.send.most_links = 100
-        self.members = [Member(node, "127.0.0.1", node.node) for node in make_nodes()
-                        if node.node not in CACHES[caches:]]
+        self.members = [
+            Member(node, "127.0.0.1", node.node) for node in make_nodes() if node.node not in CACHES[caches:]
+        ]
         self.route.told(MembersTold(True, tuple(self.members)))
         self.answers: dict[str, list[Answer]] = {}
 
@@ -91,8 +99,9 @@
         """A request is taken in and decided; its id."""
         txn = f"{len(self.answers) + 1:016x}"
         answers = self.answers[txn] = []
-        self.route.asked(Asked(txn, "c", f"{key:016x}", "0", kind, key, 0, 3, 1.0, ttl, seen, b"",
-                               answers.append))
+        self.route.asked(
+            Asked(txn, "c", f"{key:016x}", "0", kind, key, 0, 3, 1.0, ttl, seen, b"", answers.append)
+        )
         self.route.decide()
         return txn
 
@@ -116,11 +125,13 @@
 # -- repeated attempts --
 
 
-@pytest.mark.parametrize(("group", "verdict"), [(KeyGroup.ALL, Verdict.REFUSED),
-                                                (KeyGroup.ZONE, Verdict.FAILED)])
+@pytest.mark.parametrize(
+    ("group", "verdict"), [(KeyGroup.ALL, Verdict.REFUSED), (KeyGroup.ZONE, Verdict.FAILED)]
+)
 @pytest.mark.parametrize(("up_after", "goes"), [(90.0, True), (110.0, False)])
-def test_no_repeat_begins_after_its_window(up_after: float, goes: bool, group: KeyGroup,
-                                           verdict: Verdict) -> None:
+def test_no_repeat_begins_after_its_window(
+    up_after: float, goes: bool, group: KeyGroup, verdict: Verdict
+) -> None:
     """It was ordered within the window, but its connection came up late."""
     seam = Seam(keyed(200.0, group), connect_timeout=1000.0)
     txn = seam.ask()
@@ -183,8 +194,16 @@
 
 
 @pytest.mark.parametrize("never_kept", [True, False])
-@pytest.mark.parametrize(("fields", "current"), [("ver=aa11,born=1", True), ("ver=bb22,born=1", False),
-                                                 ("born=1", False), ("-", False), ("ver=,born=1", False)])
+@pytest.mark.parametrize(
+    ("fields", "current"),
+    [
+        ("ver=aa11,born=1", True),
+        ("ver=bb22,born=1", False),
+        ("born=1", False),
+        ("-", False),
+        ("ver=,born=1", False),
+    ],
+)
 def test_a_copy_is_current_only_if_a_cache_has_named_it(fields: str, current: bool, never_kept: bool) -> None:
     seam = Seam(make_class(never_kept=never_kept))
     txn = seam.ask(seen="aa11")
@@ -233,7 +252,8 @@
 
 
 def test_a_start_anew_while_a_connection_comes_up_is_no_failure_of_the_new_process(
-        capsys: pytest.CaptureFixture[str]) -> None:
+    capsys: pytest.CaptureFixture[str],
+) -> None:
     """We close the old connection ourselves; what waited for it goes by another one."""
     seam = Seam(make_class(effect=Effect.UNSAFE, never_kept=True), caches=1)
     txn = seam.ask()
@@ -248,7 +268,8 @@
 
 
 def test_one_late_connection_beside_one_that_works_ejects_no_cache(
-        capsys: pytest.CaptureFixture[str]) -> None:
+    capsys: pytest.CaptureFixture[str],
+) -> None:
     seam = Seam(make_class(effect=Effect.UNSAFE, never_kept=True), caches=1)
     first, second = seam.ask(), seam.ask()
     seam.wires[0].come_up()
@@ -263,7 +284,8 @@
 
 
 def test_a_late_connection_is_told_as_failed_where_nothing_is_heard(
-        capsys: pytest.CaptureFixture[str]) -> None:
+    capsys: pytest.CaptureFixture[str],
+) -> None:
     seam = Seam(caches=1)
     seam.ask()
     seam.wires[0].late = True
--- a/tests/test_benchlink.py
+++ b/tests/test_benchlink.py
@@ -16,9 +16,13 @@
 from stonecove.settings import read_settings
 
 SETTINGS = {
-    "zone": 0, "classes": [{"deadline": 3000.0, "on_time": 500.0, "nobody_knows": 1}], "new_key": {"a": 1},
+    "zone": 0,
+    "classes": [{"deadline": 3000.0, "on_time": 500.0, "nobody_knows": 1}],
+    "new_key": {"a": 1},
     "domain": {"shield_kind": 1, "store_kind": 2, "zone_link_kb_per_s": [9000.0], "client_kb_per_s": 900.0},
-    "rules": {"warm_up": 9000.0}, "limits": {"most_tries": 3, "cancel": True, "second_copies": True}}
+    "rules": {"warm_up": 9000.0},
+    "limits": {"most_tries": 3, "cancel": True, "second_copies": True},
+}
 
 
 def launch(inst: int) -> bytes:
@@ -37,8 +41,9 @@
 
 
 def done(inst: int, req: int, code: int = 0, load: tuple[float, ...] = (1.0, 0.5)) -> bytes:
-    return struct.pack(">BIIBIHBdBIdB", 60, inst, req, 0, 0xA000001, 80, code, 12.0, code == 0, 1, 0.0,
-                       len(load)) + struct.pack(f">{len(load)}f", *load)
+    return struct.pack(
+        ">BIIBIHBdBIdB", 60, inst, req, 0, 0xA000001, 80, code, 12.0, code == 0, 1, 0.0, len(load)
+    ) + struct.pack(f">{len(load)}f", *load)
 
 
 OTHERS = [
@@ -96,12 +101,15 @@
 def test_actions_are_written_out() -> None:
     link = Link()
     link.batch(0.0, 2, launch(3) + listed(3))
-    expected = [(i.Cancel(1, 2), (30, 3, 1, 2), ">BIIB"), (i.Fail(1), (40, 3, 1), ">BII"),
-                (i.Refuse(1, 5.0), (60, 3, 1, 5.0), ">BIId"),
-                (i.Probe(0xA0000010050), (20, 3, 0xA000001, 80), ">BIIH"),
-                (i.Watch(), (70, 3, 1), ">BIB"),
-                (i.Timer(4, 9.0), (110, 3, 4, 9.0), ">BIId"),
-                (i.Log("hi"), (50, 3, 2, b"hi"), ">BIH2s")]
+    expected = [
+        (i.Cancel(1, 2), (30, 3, 1, 2), ">BIIB"),
+        (i.Fail(1), (40, 3, 1), ">BII"),
+        (i.Refuse(1, 5.0), (60, 3, 1, 5.0), ">BIId"),
+        (i.Probe(0xA0000010050), (20, 3, 0xA000001, 80), ">BIIH"),
+        (i.Watch(), (70, 3, 1), ">BIB"),
+        (i.Timer(4, 9.0), (110, 3, 4, 9.0), ">BIId"),
+        (i.Log("hi"), (50, 3, 2, b"hi"), ">BIH2s"),
+    ]
     for action, fields, form in expected:
         assert struct.unpack(form, benchlink._WRITERS[type(action)](3, action)) == fields
 
@@ -121,10 +129,18 @@
     assert reply[8] == 100 and b"zone" in reply
 
 
-@pytest.mark.parametrize("data", [
-    b"abc", batch(launch(3))[:-4], batch(b"\xff\x00\x00\x00\x01"), batch(incoming(3, 8)[:-3]),
-    batch(incoming(3, 8))[:-50] + b"\0" * 50, struct.pack(">dII", 0.0, 3, 0),
-    struct.pack(">dII", 0.0, 18, 0) + b"xx"])
+@pytest.mark.parametrize(
+    "data",
+    [
+        b"abc",
+        batch(launch(3))[:-4],
+        batch(b"\xff\x00\x00\x00\x01"),
+        batch(incoming(3, 8)[:-3]),
+        batch(incoming(3, 8))[:-50] + b"\0" * 50,
+        struct.pack(">dII", 0.0, 3, 0),
+        struct.pack(">dII", 0.0, 18, 0) + b"xx",
+    ],
+)
 def test_malformed_frames_are_refused(data: bytes) -> None:
     done = subprocess.run([sys.executable, "-m", "stonecove.benchlink"], input=data, capture_output=True)
     if done.returncode == 0:
@@ -138,7 +154,10 @@
 
 
 def test_settings_name_what_is_missing() -> None:
-    for missing, table in (("classes", {"zone": 1}), ("zone", {"classes": []}),
-                           ("deadline", {"zone": 1, "classes": [{}]})):
+    for missing, table in (
+        ("classes", {"zone": 1}),
+        ("zone", {"classes": []}),
+        ("deadline", {"zone": 1, "classes": [{}]}),
+    ):
         with pytest.raises(ValueError, match=missing):
             read_settings(json.dumps(table))
--- a/tests/test_choice.py
+++ b/tests/test_choice.py
@@ -13,8 +13,22 @@
 from conftest import CACHES, ORIGIN, PARENTS, World, gets, make_class, make_nodes, make_settings
 
 from stonecove.choice import FRESH_FOR, HALF_LIFE, TABLE_MOST, Director, Load, Popularity, Ring
-from stonecove.interface import (Due, Effect, Ended, Get, How, Listed, ListKind, Node, NodeState, Note,
-                                 Outcome, Refuse, Request, Timer)
+from stonecove.interface import (
+    Due,
+    Effect,
+    Ended,
+    Get,
+    How,
+    Listed,
+    ListKind,
+    Node,
+    NodeState,
+    Note,
+    Outcome,
+    Refuse,
+    Request,
+    Timer,
+)
 
 
 def busy_day(popularity: Popularity, requests: int = 3000, once: int = 7) -> None:
@@ -195,8 +209,14 @@
         get = gets(world.ask(key=n))
         while get:
             sent += 1
-            get = gets(world.end(get[0], Outcome.ERROR, wait=0.1, attempt=len(
-                world.director._held[get[0].req].attempts) - 1))
+            get = gets(
+                world.end(
+                    get[0],
+                    Outcome.ERROR,
+                    wait=0.1,
+                    attempt=len(world.director._held[get[0].req].attempts) - 1,
+                )
+            )
     assert sent < 300 * 1.25
 
 
@@ -304,8 +324,10 @@
             took = size * max(1.0, out[get.node] / 5)  # each of four caches sends five at once
             heapq.heappush(ends, (arrives + took, took, get))
     order = sorted(range(count), key=lambda place: -sizes[place])
-    part, tenth, fifth = (sum(place in answered for place in some) / len(some)
-                          for some in (order, order[:count // 10], order[count // 10:3 * count // 10]))
+    part, tenth, fifth = (
+        sum(place in answered for place in some) / len(some)
+        for some in (order, order[: count // 10], order[count // 10 : 3 * count // 10])
+    )
     assert min(tenth, fifth) >= floor * part > 0
 
 
@@ -345,11 +367,18 @@
     assert not any(get.how & How.HELD_ONLY for get in later[8:])
 
 
-@pytest.mark.parametrize(("write", "outcome", "note"), [
-    (False, Outcome.FULL, Note.ORIGIN_FAILED), (False, Outcome.ERROR, Note.ORIGIN_FAILED),
-    (True, Outcome.FULL, Note.SOURCE_REFUSED), (True, Outcome.FULL, Note.SOURCE_BROKE)])
+@pytest.mark.parametrize(
+    ("write", "outcome", "note"),
+    [
+        (False, Outcome.FULL, Note.ORIGIN_FAILED),
+        (False, Outcome.ERROR, Note.ORIGIN_FAILED),
+        (True, Outcome.FULL, Note.SOURCE_REFUSED),
+        (True, Outcome.FULL, Note.SOURCE_BROKE),
+    ],
+)
 def test_an_origin_that_turns_away_is_not_asked_again_for_the_request(
-        write: bool, outcome: Outcome, note: Note) -> None:
+    write: bool, outcome: Outcome, note: Note
+) -> None:
     """Guards against all directors together pushing it over."""
     world = World(make_settings(make_class(never_kept=write, effect=Effect.UNSAFE if write else Effect.SAFE)))
     for key in range(4):
@@ -372,7 +401,8 @@
 
 @pytest.mark.parametrize("note", [Note.NONE, Note.FILLED])
 def test_a_source_whose_fills_arrive_is_good_whether_or_not_answers_tell_of_them(
-        world: World, note: Note) -> None:
+    world: World, note: Note
+) -> None:
     get = gets(world.ask())[0]
     health = world.director._source_health[get.source]
     health.marks, health.until = 2.0, world.now + 1e6
@@ -441,16 +471,27 @@
 
 
 def test_a_fleet_of_one_with_no_figures_still_works() -> None:
-    settings = make_settings(fleet=0, zone_directors=(), zone_link=(), client_pace=0.0, warm_up=0.0,
-                             fall_window=0.0, connect_timeout=0.0)
+    settings = make_settings(
+        fleet=0,
+        zone_directors=(),
+        zone_link=(),
+        client_pace=0.0,
+        warm_up=0.0,
+        fall_window=0.0,
+        connect_timeout=0.0,
+    )
     world = World(settings)
     assert gets(world.ask())
 
 
 def test_missing_classes_are_named() -> None:
     with pytest.raises(ValueError, match="classes"):
-        Director(make_settings().__class__(**{**{f: getattr(make_settings(), f) for f in
-                                                 make_settings().__slots__}, "classes": ()}), 1)
+        Director(
+            make_settings().__class__(
+                **{**{f: getattr(make_settings(), f) for f in make_settings().__slots__}, "classes": ()}
+            ),
+            1,
+        )
 
 
 # -- the same everywhere --
@@ -480,8 +521,13 @@
 def test_the_same_events_give_the_same_actions() -> None:
     outputs = set()
     for seed in ("0", "1", "77"):
-        done = subprocess.run([sys.executable, "-c", SCRIPT], capture_output=True, text=True, check=True,
-                              env={"PYTHONHASHSEED": seed, "PYTHONPATH": "."})
+        done = subprocess.run(
+            [sys.executable, "-c", SCRIPT],
+            capture_output=True,
+            text=True,
+            check=True,
+            env={"PYTHONHASHSEED": seed, "PYTHONPATH": "."},
+        )
         outputs.add(done.stdout)
     assert len(outputs) == 1 and outputs.pop().startswith("True")
 
@@ -534,8 +580,12 @@
         for get in mine[1:]:
             world.end(get, Outcome.RESET)
     world.list(CACHES[0])  # late ends may leave a trace, until the next news
-    tables: list[Collection[int]] = [director._loads, director._cache_health, director._source_health,
-                                     director._cold_caches.sent]
+    tables: list[Collection[int]] = [
+        director._loads,
+        director._cache_health,
+        director._source_health,
+        director._cold_caches.sent,
+    ]
     assert all(set(table) <= {*CACHES, *PARENTS, ORIGIN} for table in tables)
     assert min(load.out for load in director._loads.values()) >= 0
 
--- a/tests/test_client_crossings.py
+++ b/tests/test_client_crossings.py
@@ -73,7 +73,7 @@
 
     def feed(self, data: bytes) -> None:
         for at in range(0, len(data), 4096):
-            self._buffer.feed(data[at:at + 4096])
+            self._buffer.feed(data[at : at + 4096])
             self.received()
 
 
@@ -336,8 +336,12 @@
         kind = "large" if draw.random() < 0.1 else "small"
         size = 240.0 if kind == "large" else draw.uniform(10.0, 40.0)  # KB
         asked[kind] += 1
-        found = admit.enter(1000.0, Asked(f"{number:016x}", "pictures", "", "0", 0, 1, 0, 0, size, 1000.0, "",
-                                          b"", seam.answers.append))
+        found = admit.enter(
+            1000.0,
+            Asked(
+                f"{number:016x}", "pictures", "", "0", 0, 1, 0, 0, size, 1000.0, "", b"", seam.answers.append
+            ),
+        )
         if found is not None:
             taken[kind] += 1
             held.append(found)
@@ -392,7 +396,7 @@
     seam = Seam()
     line = seam.line()
     for at in range(0, len(data), step):
-        line.feed(data[at:at + step])
+        line.feed(data[at : at + step])
     assert [open_.asked.body for open_ in seam.route.requests] == [body, b""]
     assert not seam.budget._coming and line._partial_since == 0 == len(line._buffer)
 
@@ -439,11 +443,17 @@
             bad = stand.client()
             txn, data = f"{number:016x}", b""
             for ident in range(1, 301):
-                data += request(ident, "/svc/image", X_ROW=f"{ident:016x}", X_TXN=txn if number % 3 else None,
-                                X_TTL_MS="60000", body=bytes(draw.choice((0, 0, 9000))))
+                data += request(
+                    ident,
+                    "/svc/image",
+                    X_ROW=f"{ident:016x}",
+                    X_TXN=txn if number % 3 else None,
+                    X_TTL_MS="60000",
+                    body=bytes(draw.choice((0, 0, 9000))),
+                )
             data += record(5, 300, bytes(60_000)) * 5 + b"".join(record(2, ident) for ident in range(400))
             with contextlib.suppress(OSError):
-                bad.sock.sendall(data[:draw.randrange(len(data) // 2, len(data))])
+                bad.sock.sendall(data[: draw.randrange(len(data) // 2, len(data))])
             leave(bad, draw.choice(("FIN", "reset")))
             usual.send()
             assert usual.answer().status == 200
--- a/tests/test_example.py
+++ b/tests/test_example.py
@@ -18,8 +18,13 @@
 @contextmanager
 def running(*command: str, said: str, on: str, **env: str) -> Iterator[subprocess.Popen[str]]:
     """Starts a program and waits for the line that says it is up; ends it in the end."""
-    process = subprocess.Popen([sys.executable, *command], stdin=subprocess.PIPE, text=True,
-                               env={**os.environ, **env}, **{on: subprocess.PIPE})  # type: ignore[call-overload]
+    process = subprocess.Popen(
+        [sys.executable, *command],
+        stdin=subprocess.PIPE,
+        text=True,
+        env={**os.environ, **env},
+        **{on: subprocess.PIPE},
+    )  # type: ignore[call-overload]
     try:
         for line in getattr(process, on):
             if said in line:
@@ -33,8 +38,9 @@
 
 
 def ask(address: str, *what: str) -> str:
-    done = subprocess.run([sys.executable, str(EXAMPLES / "ask.py"), address, *what], capture_output=True,
-                          text=True, timeout=30)
+    done = subprocess.run(
+        [sys.executable, str(EXAMPLES / "ask.py"), address, *what], capture_output=True, text=True, timeout=30
+    )
     assert done.returncode == 0, done.stdout + done.stderr
     return done.stdout
 
@@ -48,8 +54,10 @@
     found = re.search(r'"listen": "(.*?)"', text)
     assert found
     depot = running(str(EXAMPLES / "toy_server.py"), str(config), said="toy depot is up", on="stdout")
-    with depot as toy, running("-m", "stonecove", said="changelog-up", on="stderr",
-                               RELAY_CONFIG=str(config)) as router:
+    with (
+        depot as toy,
+        running("-m", "stonecove", said="changelog-up", on="stderr", RELAY_CONFIG=str(config)) as router,
+    ):
         for note in ("filled", "hit"):
             answer = ask(found[1], "item-image", "7f3a9c21e0b4d655")
             assert "Status: 200 OK" in answer and answer.endswith("1900 bytes\n")
--- a/tests/test_explore.py
+++ b/tests/test_explore.py
@@ -111,7 +111,14 @@
             + tuple(
                 f"stonecove.{one}"
                 for one in (
-                    "explore", "commands", "access", "sharing", "operator", "swarm", "overload", "trial"
+                    "explore",
+                    "commands",
+                    "access",
+                    "sharing",
+                    "operator",
+                    "swarm",
+                    "overload",
+                    "trial",
                 )
             ),
         ),
@@ -215,8 +222,7 @@
     killed.wait()
     again = stonecove(*words, "--save", str(save))
     counts = [
-        re.search(r"states=\d+ transitions=\d+ depth=\d+ violations=0", one.stdout)
-        for one in (whole, again)
+        re.search(r"states=\d+ transitions=\d+ depth=\d+ violations=0", one.stdout) for one in (whole, again)
     ]
     assert counts[0] and counts[1] and counts[0][0] == counts[1][0]
     saved = Path(f"{save}.purge")
--- a/tests/test_fleet_daemon.py
+++ b/tests/test_fleet_daemon.py
@@ -25,7 +25,11 @@
     """A supervisor over instances in front of the stand's caches."""
 
     def __init__(
-        self, folder: Path, count: int = 2, more: str = "", operator: str = "",
+        self,
+        folder: Path,
+        count: int = 2,
+        more: str = "",
+        operator: str = "",
         base: dict[str, Any] | None = None,
     ) -> None:
         self.stand = Stand()
--- a/tests/test_other_settings.py
+++ b/tests/test_other_settings.py
@@ -31,34 +31,95 @@
 SHAPES: dict[str, dict[str, Any]] = {
     # short deadlines, three zones, kinds in another order, keyed by cell, little allowed
     "brisk": {
-        "areas": ["north", "south", "west"], "models": ["source", "mid", "leaf"], "zone": 2, "fleet_size": 40,
-        "classes": [cls("tile", "pure", 900.0, 400.0, importance=4.0),
-                    cls("vote", "token", 1000.0, 500.0, importance=5.0, group="cell", window=200.0),
-                    cls("pay", "side_effect", 800.0, 400.0, importance=9.0)],
-        "domain": {"shield_kind": 1, "store_kind": 0, "client_kb_per_s": 2e5, "heed_within": 100.0,
-                   "never_kept": [False, True, True], "zone_link_kb_per_s": [0, 1e6, 1e6],
-                   "instances_by_zone": [0, 10, 30],
-                   "lifetime_by_class": [5000.0, 0, 0], "stale_for": [2000.0, 0, 0], "purge_settles": 2000.0},
+        "areas": ["north", "south", "west"],
+        "models": ["source", "mid", "leaf"],
+        "zone": 2,
+        "fleet_size": 40,
+        "classes": [
+            cls("tile", "pure", 900.0, 400.0, importance=4.0),
+            cls("vote", "token", 1000.0, 500.0, importance=5.0, group="cell", window=200.0),
+            cls("pay", "side_effect", 800.0, 400.0, importance=9.0),
+        ],
+        "domain": {
+            "shield_kind": 1,
+            "store_kind": 0,
+            "client_kb_per_s": 2e5,
+            "heed_within": 100.0,
+            "never_kept": [False, True, True],
+            "zone_link_kb_per_s": [0, 1e6, 1e6],
+            "instances_by_zone": [0, 10, 30],
+            "lifetime_by_class": [5000.0, 0, 0],
+            "stale_for": [2000.0, 0, 0],
+            "purge_settles": 2000.0,
+        },
         "tenants": [{"name": "one", "quota_rps": 50.0, "share": 0.4}, {"name": "two", "share": 0.6}],
-        "limits": {"most_tries": 3, "cancel": False, "second_copies": False, "connect_timeout": 200.0,
-                   "conn_idle": 1000.0, "streams_per_conn": 1, "most_held": 500},
-        "report": {"fields": [], "how": "silent"}, "weights": "silent", "prices": {"handshake": 0.05},
-        "rules": {"drain_grace": 0.0, "cold_from": 0.1, "warm_up": 4000.0, "tip_multiple": 2.0,
-                  "overload_for": 1000.0}},
+        "limits": {
+            "most_tries": 3,
+            "cancel": False,
+            "second_copies": False,
+            "connect_timeout": 200.0,
+            "conn_idle": 1000.0,
+            "streams_per_conn": 1,
+            "most_held": 500,
+        },
+        "report": {"fields": [], "how": "silent"},
+        "weights": "silent",
+        "prices": {"handshake": 0.05},
+        "rules": {
+            "drain_grace": 0.0,
+            "cold_from": 0.1,
+            "warm_up": 4000.0,
+            "tip_multiple": 2.0,
+            "overload_for": 1000.0,
+        },
+    },
     # long deadlines, one zone, no parents, nothing that may be repeated
     "slow": {
-        "areas": ["site"], "models": ["store", "shelf"], "zone": 0, "fleet_size": 1,
-        "classes": [cls("film", "side_effect", 60_000.0, 20_000.0, aim_stretch=2.0),
-                    cls("note", "side_effect", 30_000.0, 9000.0, importance=0.2)],
-        "domain": {"shield_kind": -1, "store_kind": 0, "client_kb_per_s": 300.0,
-                   "never_kept": [False, True], "zone_link_kb_per_s": [4000.0], "instances_by_zone": [1],
-                   "joins": True, "may_pass_by": True, "heed_within": 3000.0, "purge_settles": 60_000.0},
-        "limits": {"most_tries": 20, "cancel": True, "second_copies": True, "connect_timeout": 3000.0,
-                   "retry_after": True, "max_retry_after": 30_000.0, "conn_idle": 120_000.0,
-                   "streams_per_conn": 2000, "peers": True, "may_probe": True},
-        "report": {"fields": ["cpu_share"], "how": "pull"}, "weights": "live", "discovery": "ask",
-        "rules": {"drain_grace": 2000.0, "cold_from": 0.5, "warm_up": 90_000.0, "tip_multiple": 8.0,
-                  "overload_for": 10_000.0, "ask_within": 30_000.0}}}
+        "areas": ["site"],
+        "models": ["store", "shelf"],
+        "zone": 0,
+        "fleet_size": 1,
+        "classes": [
+            cls("film", "side_effect", 60_000.0, 20_000.0, aim_stretch=2.0),
+            cls("note", "side_effect", 30_000.0, 9000.0, importance=0.2),
+        ],
+        "domain": {
+            "shield_kind": -1,
+            "store_kind": 0,
+            "client_kb_per_s": 300.0,
+            "never_kept": [False, True],
+            "zone_link_kb_per_s": [4000.0],
+            "instances_by_zone": [1],
+            "joins": True,
+            "may_pass_by": True,
+            "heed_within": 3000.0,
+            "purge_settles": 60_000.0,
+        },
+        "limits": {
+            "most_tries": 20,
+            "cancel": True,
+            "second_copies": True,
+            "connect_timeout": 3000.0,
+            "retry_after": True,
+            "max_retry_after": 30_000.0,
+            "conn_idle": 120_000.0,
+            "streams_per_conn": 2000,
+            "peers": True,
+            "may_probe": True,
+        },
+        "report": {"fields": ["cpu_share"], "how": "pull"},
+        "weights": "live",
+        "discovery": "ask",
+        "rules": {
+            "drain_grace": 2000.0,
+            "cold_from": 0.5,
+            "warm_up": 90_000.0,
+            "tip_multiple": 8.0,
+            "overload_for": 10_000.0,
+            "ask_within": 30_000.0,
+        },
+    },
+}
 
 
 class Shaped(Stand):
@@ -84,16 +145,26 @@
 
     def drain(self, cache: Cache) -> None:
         kind, zone = self.place
-        self.log.tell(2, 2, struct.pack(">IIHBBBHIQ", cache.ident, 0x7F000001, cache.listener.port, 1, zone,
-                                        kind, 0, 1000, 0))
+        self.log.tell(
+            2,
+            2,
+            struct.pack(
+                ">IIHBBBHIQ", cache.ident, 0x7F000001, cache.listener.port, 1, zone, kind, 0, 1000, 0
+            ),
+        )
         self.wait(lambda: any("state=draining" in line for line in self.lines("node")), "the drain")
 
     def send(self, client: Client, place: int, ident: int = 1, ttl: float = 0.0) -> None:
         """A request of a class, as its clients send it."""
         kind = self.shape["classes"][place]
         key = {"X_TXN_KEY": secrets.token_hex(8)} if kind["effect"] == "token" else {}
-        client.send(ident, path=f"/svc/{kind['name']}", X_TTL_MS=str(ttl or kind["deadline"]),
-                    X_ROW=secrets.token_hex(8), **key)
+        client.send(
+            ident,
+            path=f"/svc/{kind['name']}",
+            X_TTL_MS=str(ttl or kind["deadline"]),
+            X_ROW=secrets.token_hex(8),
+            **key,
+        )
 
     def asked(self, client: Client, place: int, ident: int = 1, ttl: float = 0.0) -> Fetch:
         """What a cache is asked for it. A router that was held up may refuse: then it is sent again."""
@@ -136,8 +207,9 @@
         fetch = stand.asked(client, place)
         assert fetch.fields["cls"] == kind["name"] and 0 < int(fetch.fields["limit"]) <= kind["deadline"]
         kept = not stand.shape["domain"]["never_kept"][place]
-        assert fetch.fields["from"] == ("s-00000020" if kept and stand.shape["domain"]["shield_kind"] >= 0
-                                        else "s-00000030")
+        assert fetch.fields["from"] == (
+            "s-00000020" if kept and stand.shape["domain"]["shield_kind"] >= 0 else "s-00000030"
+        )
         fetch.reply(body=b"%d" % place)
         assert client.answer()[1:4:2] == (200, b"%d" % place)
 
@@ -177,8 +249,11 @@
     for place, kind in each(stand):
         stand.asked(client, place, ttl=min(kind["deadline"], 1200.0))
         answer = client.answer()
-        assert is_refusal(stand, answer.status, answer.fields) if kind["effect"] == "pure" else (
-            answer.status == 502)
+        assert (
+            is_refusal(stand, answer.status, answer.fields)
+            if kind["effect"] == "pure"
+            else (answer.status == 502)
+        )
 
 
 def test_nothing_goes_to_a_cache_that_drains(stand: Shaped) -> None:
@@ -202,22 +277,39 @@
     assert stand.process.wait(PATIENCE) == 0
 
 
-@pytest.mark.parametrize("settings", [
-    {"classes": []}, {"classes": {}},
-    {"classes": [cls("a", "pure", 0.0, 0.0)]}, {"classes": [cls("a", "pure", float("nan"), 1.0)]},
-    {"classes": [cls("a", "pure", 5.0, float("nan"))]}])
+@pytest.mark.parametrize(
+    "settings",
+    [
+        {"classes": []},
+        {"classes": {}},
+        {"classes": [cls("a", "pure", 0.0, 0.0)]},
+        {"classes": [cls("a", "pure", float("nan"), 1.0)]},
+        {"classes": [cls("a", "pure", 5.0, float("nan"))]},
+    ],
+)
 def test_settings_that_cannot_be_used_are_one_line(tmp_path: Path, settings: dict[str, Any]) -> None:
     config = Stand.plain_config()
     path = tmp_path / "config.json"
     path.write_text(json.dumps({**config, "settings": {**config["settings"], **settings}}))
-    done = subprocess.run([sys.executable, "-m", "stonecove"], env={"RELAY_CONFIG": str(path)},
-                          capture_output=True, text=True, timeout=PATIENCE)
+    done = subprocess.run(
+        [sys.executable, "-m", "stonecove"],
+        env={"RELAY_CONFIG": str(path)},
+        capture_output=True,
+        text=True,
+        timeout=PATIENCE,
+    )
     assert (done.returncode, done.stderr.count("\n")) == (2, 1) and "settings" in done.stderr
 
 
-@pytest.mark.parametrize(("deadline", "ttl", "kept"), [
-    (300.0, 300.0, 300.0), (60_000.0, 60_000.0, 60_000.0), (180_000.0, 180_000.0, 180_000.0),
-    (300.0, 3_600_000.0, 60_000.0)])
+@pytest.mark.parametrize(
+    ("deadline", "ttl", "kept"),
+    [
+        (300.0, 300.0, 300.0),
+        (60_000.0, 60_000.0, 60_000.0),
+        (180_000.0, 180_000.0, 180_000.0),
+        (300.0, 3_600_000.0, 60_000.0),
+    ],
+)
 def test_a_request_may_take_as_long_as_its_class_does(deadline: float, ttl: float, kept: float) -> None:
     """Guards against long requests cut short, and against what claims to wait for ever."""
     settings = settings_from({"zone": 0, "classes": [cls("a", "pure", deadline, deadline)]})
--- a/tests/test_overload.py
+++ b/tests/test_overload.py
@@ -110,8 +110,9 @@
     file.write_text(text)
 
     def stonecove(*words: str) -> subprocess.CompletedProcess[str]:
-        return subprocess.run([sys.executable, "-m", "stonecove", *words], capture_output=True, text=True,
-                              check=False)
+        return subprocess.run(
+            [sys.executable, "-m", "stonecove", *words], capture_output=True, text=True, check=False
+        )
 
     played = stonecove("trial", "run", str(file), "--json", "--logs", str(folder))
     figures = json.loads(played.stdout)["figures"]
--- a/tests/test_router.py
+++ b/tests/test_router.py
@@ -21,8 +21,20 @@
 from stonecove.settings import settings_from
 from stonecove.stages.admit import Admit
 
-from stand import (PATIENCE, SETTINGS, Answer, Cache, ChangeLog, Client, Fetch, Hanging, Stand, pair, record,
-                   resp)
+from stand import (
+    PATIENCE,
+    SETTINGS,
+    Answer,
+    Cache,
+    ChangeLog,
+    Client,
+    Fetch,
+    Hanging,
+    Stand,
+    pair,
+    record,
+    resp,
+)
 
 WRITE: dict[str, Any] = {"path": "/svc/confirm"}
 FINAL_REFUSED, FINAL_FAILED = 503, 502
@@ -50,8 +62,15 @@
     fetch = stand.command()
     assert fetch.txn == "9b1f03aa5c7e2d41" and fetch.body == b""
     assert 0 < int(fetch.fields.pop("limit")) <= 8000
-    assert fetch.fields == {"cls": "image", "item": "7f3a9c21e0b4d655", "chunk": "3", "from": "s-00000020",
-                            "rank": "1", "mode": "wait-for", "seen": "4be0"}
+    assert fetch.fields == {
+        "cls": "image",
+        "item": "7f3a9c21e0b4d655",
+        "chunk": "3",
+        "from": "s-00000020",
+        "rank": "1",
+        "mode": "wait-for",
+        "seen": "4be0",
+    }
     fetch.reply(body=body, meter="busy_reqs:7;x0:0.5")
     answer = client.answer()
     assert (answer.ident, answer.status, answer.body, answer.protocol) == (5, 200, body, 0)
@@ -72,12 +91,12 @@
     client = stand.client()
     data = client.request(7, body=b"x" * 300, padding=5, X_SEG="0", X_FILL="y" * 200, **WRITE)
     for at in range(0, len(data), size):
-        client.sock.sendall(data[at:at + size])
+        client.sock.sendall(data[at : at + size])
     fetch = stand.command()
     assert fetch.body == b"x" * 300
     reply = resp(fetch.txn.encode(), b"200", b"tell=hit,ver=aa11,born=1796128466000", b"abc")
     for at in range(0, len(reply), size):
-        fetch.sock.sendall(reply[at:at + size])
+        fetch.sock.sendall(reply[at : at + size])
     assert client.answer()[:2] == (7, 200)
 
 
@@ -105,11 +124,21 @@
     assert quick.answer().body == b"quick"
 
 
-@pytest.mark.parametrize("word, what, again", [
-    ("404", {}, True), ("503", {}, True), ("504", {}, True),
-    ("500", {}, True), ("404", WRITE, True), ("503", WRITE, True), ("500", WRITE, False)])
-def test_only_what_never_ran_or_does_no_harm_goes_out_again(stand: Stand, word: str, what: dict[str, Any],
-                                                            again: bool) -> None:
+@pytest.mark.parametrize(
+    "word, what, again",
+    [
+        ("404", {}, True),
+        ("503", {}, True),
+        ("504", {}, True),
+        ("500", {}, True),
+        ("404", WRITE, True),
+        ("503", WRITE, True),
+        ("500", WRITE, False),
+    ],
+)
+def test_only_what_never_ran_or_does_no_harm_goes_out_again(
+    stand: Stand, word: str, what: dict[str, Any], again: bool
+) -> None:
     client = stand.client()
     client.send(**what)
     first = stand.command()
@@ -125,8 +154,9 @@
 
 
 @pytest.mark.parametrize("what, status", [({}, 200), (WRITE, FINAL_FAILED)])
-def test_a_connection_that_breaks_may_have_run_what_was_on_it(stand: Stand, what: dict[str, Any],
-                                                              status: int) -> None:
+def test_a_connection_that_breaks_may_have_run_what_was_on_it(
+    stand: Stand, what: dict[str, Any], status: int
+) -> None:
     client = stand.client()
     client.send(**what)
     fetch = stand.command()
@@ -166,13 +196,27 @@
 
 
 @pytest.mark.parametrize("what, status", [({}, 200), (WRITE, FINAL_FAILED)])
-@pytest.mark.parametrize("parts", [
-    b"*4\r\n$16\r\n9b1f", b"HTTP/1.1 200 OK\r\n\r\n", b"*1\r\n$3000000000\r\n", b"*" * 99, b"*0\r\n",
-    (b"200", COPY), (b"200", COPY, b"body", b"more"), (b"999", COPY, b""), (b"\xff\x00", COPY, b""),
-    (b"200", b"\x00\xfe", b"body"), (b"404", b"tell", b""), (b"503", b"-", b"full?"),
-    (b"200", COPY, bytes(240_001))])
-def test_a_spoilt_answer_may_have_run_and_ends_its_connection(stand: Stand, parts: Any, what: dict[str, Any],
-                                                              status: int) -> None:
+@pytest.mark.parametrize(
+    "parts",
+    [
+        b"*4\r\n$16\r\n9b1f",
+        b"HTTP/1.1 200 OK\r\n\r\n",
+        b"*1\r\n$3000000000\r\n",
+        b"*" * 99,
+        b"*0\r\n",
+        (b"200", COPY),
+        (b"200", COPY, b"body", b"more"),
+        (b"999", COPY, b""),
+        (b"\xff\x00", COPY, b""),
+        (b"200", b"\x00\xfe", b"body"),
+        (b"404", b"tell", b""),
+        (b"503", b"-", b"full?"),
+        (b"200", COPY, bytes(240_001)),
+    ],
+)
+def test_a_spoilt_answer_may_have_run_and_ends_its_connection(
+    stand: Stand, parts: Any, what: dict[str, Any], status: int
+) -> None:
     """Half an answer (it stays open: the rest never comes), rubbish, and arrays that say nothing readable."""
     client = stand.client()
     client.send(**what)
@@ -195,8 +239,9 @@
 
 
 @pytest.mark.parametrize("what, refused", [({}, True), (WRITE, False)])
-def test_a_silent_cache_is_answered_for_when_time_is_up(stand: Stand, what: dict[str, Any],
-                                                        refused: bool) -> None:
+def test_a_silent_cache_is_answered_for_when_time_is_up(
+    stand: Stand, what: dict[str, Any], refused: bool
+) -> None:
     client = stand.client()
     answer = client.ask(X_TTL_MS="300", **what)
     assert is_refusal(answer) if refused else answer.status == FINAL_FAILED
@@ -249,8 +294,10 @@
 
 def test_the_key_of_a_keyed_class_passes_on_with_each_attempt() -> None:
     """Guards against a repeat that the origin can't know for one; other classes have no key."""
-    classes = [{**cls, "effect": "token" if cls["name"] == "confirm" else cls["effect"], "group": "all"}
-               for cls in SETTINGS["classes"]]
+    classes = [
+        {**cls, "effect": "token" if cls["name"] == "confirm" else cls["effect"], "group": "all"}
+        for cls in SETTINGS["classes"]
+    ]
     stand = Stand(classes=classes)
     try:
         client, key = stand.client(), "5c0f6e1a2b3d4c59a8b7c6d5e4f30211"
@@ -269,7 +316,8 @@
 
 @pytest.mark.parametrize(("price", "what", "most"), [(0.08, {}, 4), (0.08, WRITE, 16), (0.0, {}, 16)])
 def test_reads_share_connections_where_these_have_a_price(
-        price: float, what: dict[str, Any], most: int) -> None:
+    price: float, what: dict[str, Any], most: int
+) -> None:
     """Guards against all routers of a fleet holding a connection for each request; writes go alone."""
     stand = Stand(prices={"handshake": price})
     try:
@@ -355,11 +403,17 @@
     assert client.answer()[:1] == (2,)
 
 
-@pytest.mark.parametrize("word, fields, what", [
-    ("200", {"born": int(time.time() * 1000) - 60_000}, {"path": "/svc/page"}),  # fresh for 20 s
-    ("304", {"ver": "other"}, {"X_ETAG": "4be0"}), ("304", {}, {})])
-def test_what_a_cache_must_not_send_is_not_passed_on(stand: Stand, word: str, fields: dict[str, object],
-                                                     what: dict[str, Any]) -> None:
+@pytest.mark.parametrize(
+    "word, fields, what",
+    [
+        ("200", {"born": int(time.time() * 1000) - 60_000}, {"path": "/svc/page"}),  # fresh for 20 s
+        ("304", {"ver": "other"}, {"X_ETAG": "4be0"}),
+        ("304", {}, {}),
+    ],
+)
+def test_what_a_cache_must_not_send_is_not_passed_on(
+    stand: Stand, word: str, fields: dict[str, object], what: dict[str, Any]
+) -> None:
     client = stand.client()
     client.send(**what)
     stand.command().reply(word, b"", **fields)
@@ -395,13 +449,30 @@
 # -- what clients do wrong --
 
 
-@pytest.mark.parametrize("what, status", [
-    ({"X_TXN": None}, 400), ({"X_TXN": "a,from=s-1"}, 400), ({"X_ROW": "xyz"}, 400), ({"X_SEG": "-1"}, 400),
-    ({"X_TXN": "9b1f"}, 400), ({"X_ROW": "7f3a9c21e0b4d655f"}, 400), ({"X_SEG": "-4000000"}, 400),
-    ({"X_SEG": "1e12"}, 400), ({"X_SEG": "70000"}, 400), ({"X_BUCKET": "256"}, 400), ({"X_BUCKET": ""}, 400),
-    ({"X_TTL_MS": "99999999999"}, 400), ({"X_WORKING_SET_KB": "99999999999"}, 400),
-    ({"X_TTL_MS": "soon"}, 400), ({"X_TTL_MS": "0"}, 400), ({"X_WORKING_SET_KB": "nan"}, 400),
-    ({"path": "/svc/nothing"}, 404), ({"path": "/else"}, 404), ({"X_FILL": "y" * 40_000}, 413)])
+@pytest.mark.parametrize(
+    "what, status",
+    [
+        ({"X_TXN": None}, 400),
+        ({"X_TXN": "a,from=s-1"}, 400),
+        ({"X_ROW": "xyz"}, 400),
+        ({"X_SEG": "-1"}, 400),
+        ({"X_TXN": "9b1f"}, 400),
+        ({"X_ROW": "7f3a9c21e0b4d655f"}, 400),
+        ({"X_SEG": "-4000000"}, 400),
+        ({"X_SEG": "1e12"}, 400),
+        ({"X_SEG": "70000"}, 400),
+        ({"X_BUCKET": "256"}, 400),
+        ({"X_BUCKET": ""}, 400),
+        ({"X_TTL_MS": "99999999999"}, 400),
+        ({"X_WORKING_SET_KB": "99999999999"}, 400),
+        ({"X_TTL_MS": "soon"}, 400),
+        ({"X_TTL_MS": "0"}, 400),
+        ({"X_WORKING_SET_KB": "nan"}, 400),
+        ({"path": "/svc/nothing"}, 404),
+        ({"path": "/else"}, 404),
+        ({"X_FILL": "y" * 40_000}, 413),
+    ],
+)
 def test_a_bad_request_is_told_so(stand: Stand, what: dict[str, Any], status: int) -> None:
     client = stand.client()
     assert client.ask(**what).status == status
@@ -411,9 +482,15 @@
     assert client.answer().status == 200
 
 
-@pytest.mark.parametrize("data", [
-    b"GET / HTTP/1.1\r\n\r\n", record(1, 1, b"\0"), record(1, 1, struct.pack(">HB5x", 1, 1)) * 2,
-    record(9, 0, b"\x20\x00abc")])
+@pytest.mark.parametrize(
+    "data",
+    [
+        b"GET / HTTP/1.1\r\n\r\n",
+        record(1, 1, b"\0"),
+        record(1, 1, struct.pack(">HB5x", 1, 1)) * 2,
+        record(9, 0, b"\x20\x00abc"),
+    ],
+)
 def test_what_is_not_fastcgi_ends_its_connection_alone(stand: Stand, data: bytes) -> None:
     other, client = stand.client(), stand.client()
     other.send()
@@ -425,10 +502,14 @@
     stand.wait(lambda: stand.lines("client-lost"), "a line of the log")
 
 
-@pytest.mark.parametrize("data, kind, content", [
-    (record(9, 0, pair("FCGI_MPXS_CONNS", "") + pair("ELSE", "")), 10, pair("FCGI_MPXS_CONNS", "1")),
-    (record(77, 0, b"?"), 11, b"\x4d" + bytes(7)),
-    (record(1, 9, struct.pack(">HB5x", 2, 1)), 3, b"\0\0\0\0\x03\0\0\0")])
+@pytest.mark.parametrize(
+    "data, kind, content",
+    [
+        (record(9, 0, pair("FCGI_MPXS_CONNS", "") + pair("ELSE", "")), 10, pair("FCGI_MPXS_CONNS", "1")),
+        (record(77, 0, b"?"), 11, b"\x4d" + bytes(7)),
+        (record(1, 9, struct.pack(">HB5x", 2, 1)), 3, b"\0\0\0\0\x03\0\0\0"),
+    ],
+)
 def test_management_records(stand: Stand, data: bytes, kind: int, content: bytes) -> None:
     client = stand.client()
     client.sock.sendall(data)
@@ -627,8 +708,9 @@
 
 
 @pytest.mark.parametrize("since, lost", [(1000, True), (-60_000, False)])
-def test_connections_older_than_the_start_of_their_machine_are_closed(stand: Stand, since: int,
-                                                                      lost: bool) -> None:
+def test_connections_older_than_the_start_of_their_machine_are_closed(
+    stand: Stand, since: int, lost: bool
+) -> None:
     """Guards against waiting for a process that is gone, and giving up what its successor works on."""
     client = stand.client()
     client.send()
@@ -642,8 +724,9 @@
     assert client.answer().body == b"here" and bool(stand.lines("connection-lost")) is lost
 
 
-@pytest.mark.parametrize("kind, name", [
-    (3, struct.pack(">Q", 0x7F3A9C21E0B4D655)), (4, struct.pack(">H", 17))])
+@pytest.mark.parametrize(
+    "kind, name", [(3, struct.pack(">Q", 0x7F3A9C21E0B4D655)), (4, struct.pack(">H", 17))]
+)
 def test_no_copy_older_than_a_purge(stand: Stand, kind: int, name: bytes) -> None:
     client = stand.client()
     client.send()
@@ -745,7 +828,8 @@
     flag = tmp_path / "set-back"
     tmp_path.joinpath("sitecustomize.py").write_text(
         "import os, time\nreal = time.time\n"
-        f"time.time = lambda: real() - (3600 if os.path.exists({str(flag)!r}) else 0)\n")
+        f"time.time = lambda: real() - (3600 if os.path.exists({str(flag)!r}) else 0)\n"
+    )
     stand = Stand(env={"PYTHONPATH": str(tmp_path)})
     client = stand.client()
     ask_many(stand, client, 2)
@@ -781,10 +865,21 @@
     new.listener.close()
 
 
-@pytest.mark.parametrize("text", [
-    "", "{", "[]", "{}", '{"limits": {"sockets": 0}}', '{"limits": {"memory_mb": -1}}',
-    '{"limits": {"sockets": 1e999}}', '{"changelog": "nowhere"}', '{"known": {"results": [{"fleet": 7}]}}',
-    '{"settings": {}}'])
+@pytest.mark.parametrize(
+    "text",
+    [
+        "",
+        "{",
+        "[]",
+        "{}",
+        '{"limits": {"sockets": 0}}',
+        '{"limits": {"memory_mb": -1}}',
+        '{"limits": {"sockets": 1e999}}',
+        '{"changelog": "nowhere"}',
+        '{"known": {"results": [{"fleet": 7}]}}',
+        '{"settings": {}}',
+    ],
+)
 def test_a_bad_new_configuration_is_one_line_and_the_old_one_stays(stand: Stand, text: str) -> None:
     assert stand.log.since.get(timeout=PATIENCE) == 1
     changes = json.loads(text) if text.startswith('{"') else None
@@ -885,18 +980,31 @@
     stand.process = stand.start()
 
 
-@pytest.mark.parametrize("text", [
-    None, "{", "[]", "{}", '{"settings":{"zone":0,"classes":[{}]}}',
-    '{"settings":{"zone":0,"classes":[{"deadline":1}]},"listen":"nowhere","changelog":"127.0.0.1:1"}',
-    '{"settings":{"zone":0,"classes":[{"deadline":1}]},"listen":"127.0.0.1:0","changelog":"127.0.0.1:1",'
-    '"known":{"results":[{"fleet":{"instances":[{"instanceId":"x"}]}}]}}',
-    '{"settings":{"zone":0,"classes":[{"deadline":1}]},"listen":"255.1.1.1:1","changelog":"127.0.0.1:1"}'])
+@pytest.mark.parametrize(
+    "text",
+    [
+        None,
+        "{",
+        "[]",
+        "{}",
+        '{"settings":{"zone":0,"classes":[{}]}}',
+        '{"settings":{"zone":0,"classes":[{"deadline":1}]},"listen":"nowhere","changelog":"127.0.0.1:1"}',
+        '{"settings":{"zone":0,"classes":[{"deadline":1}]},"listen":"127.0.0.1:0","changelog":"127.0.0.1:1",'
+        '"known":{"results":[{"fleet":{"instances":[{"instanceId":"x"}]}}]}}',
+        '{"settings":{"zone":0,"classes":[{"deadline":1}]},"listen":"255.1.1.1:1","changelog":"127.0.0.1:1"}',
+    ],
+)
 def test_a_bad_configuration_is_one_clear_line(tmp_path: Path, text: str | None) -> None:
     path = tmp_path / "config.json"
     if text is not None:
         path.write_text(text)
-    done = subprocess.run([sys.executable, "-m", "stonecove"], env={"RELAY_CONFIG": str(path)},
-                          capture_output=True, text=True, timeout=PATIENCE)
+    done = subprocess.run(
+        [sys.executable, "-m", "stonecove"],
+        env={"RELAY_CONFIG": str(path)},
+        capture_output=True,
+        text=True,
+        timeout=PATIENCE,
+    )
     assert done.returncode == 2 and done.stderr.startswith("stonecove: ") and done.stderr.count("\n") == 1
 
 
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -5,8 +5,20 @@
 import pytest
 from conftest import CACHES, ORIGIN, PARENTS, World, gets, make_class, make_nodes, make_settings
 
-from stonecove.interface import (Due, Effect, Fail, KeyGroup, Left, Listed, ListKind, NodeState, Note,
-                                 Outcome, Purged, Refuse)
+from stonecove.interface import (
+    Due,
+    Effect,
+    Fail,
+    KeyGroup,
+    Left,
+    Listed,
+    ListKind,
+    NodeState,
+    Note,
+    Outcome,
+    Purged,
+    Refuse,
+)
 
 FINAL = (Refuse, Fail)
 
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -9,8 +9,19 @@
 import pytest
 from conftest import CACHES, ORIGIN, World, gets, make_nodes, make_settings
 
-from stonecove.interface import (Ended, Fail, Get, Listed, ListKind, Node, NodeState, Note, Outcome, Probed,
-                                 Refuse)
+from stonecove.interface import (
+    Ended,
+    Fail,
+    Get,
+    Listed,
+    ListKind,
+    Node,
+    NodeState,
+    Note,
+    Outcome,
+    Probed,
+    Refuse,
+)
 from stonecove.stages.send import Link
 
 READY = NodeState.READY
@@ -37,11 +48,15 @@
     assert {get.node % 40 for get in sent} == {2}
 
 
-@pytest.mark.parametrize("changes", [
-    {"fleet": 10**9, "zone_directors": (0, 10**9, 0)},
-    {"zone_directors": (0, 0, 0), "fleet": 0},
-    {"zone": 77}, {"zone": -1},
-])
+@pytest.mark.parametrize(
+    "changes",
+    [
+        {"fleet": 10**9, "zone_directors": (0, 10**9, 0)},
+        {"zone_directors": (0, 0, 0), "fleet": 0},
+        {"zone": 77},
+        {"zone": -1},
+    ],
+)
 def test_odd_shares(changes: dict[str, int]) -> None:
     world = World(make_settings(**changes), [n._replace(zone=changes.get("zone", 1)) for n in make_nodes()])
     assert answered(world, 60)
--- a/tests/test_stop_crossings.py
+++ b/tests/test_stop_crossings.py
@@ -69,7 +69,8 @@
     if where == "imports":
         (tmp_path / "ujson.py").write_text(
             f"import sys; open({str(gate)!r}).read(); sys.path.remove({str(tmp_path)!r})\n"
-            "del sys.modules['ujson']; import ujson")
+            "del sys.modules['ujson']; import ujson"
+        )
         env["PYTHONPATH"] = str(tmp_path)
     with subprocess.Popen([sys.executable, "-m", "stonecove"], env=env, stderr=subprocess.PIPE) as process:
         try:
@@ -219,8 +220,13 @@
         code = serve.main()
         print(late[0].recv(1000))
         sys.exit(code)"""
-    done = subprocess.run([sys.executable, "-c", program], env={**os.environ, "RELAY_CONFIG": str(path)},
-                          capture_output=True, text=True, timeout=PATIENCE)
+    done = subprocess.run(
+        [sys.executable, "-c", program],
+        env={**os.environ, "RELAY_CONFIG": str(path)},
+        capture_output=True,
+        text=True,
+        timeout=PATIENCE,
+    )
     assert done.returncode == 0 and "Status: 200 OK" in done.stdout, done.stderr
 
 
@@ -240,8 +246,10 @@
 
     def left(self) -> bool:
         """Whether the router has ended its side."""
-        ends = ["{:08X}:{:04X}".format(*struct.unpack("=I", socket.inet_aton(host)), port)
-                for host, port in (self.sock.getpeername(), self.sock.getsockname())]
+        ends = [
+            "{:08X}:{:04X}".format(*struct.unpack("=I", socket.inet_aton(host)), port)
+            for host, port in (self.sock.getpeername(), self.sock.getsockname())
+        ]
         rows = [line.split()[1:4] for line in Path("/proc/net/tcp").read_text().splitlines()]
         return [*ends, "01"] not in rows
 
--- a/tests/test_swarm.py
+++ b/tests/test_swarm.py
@@ -202,9 +202,12 @@
                 case 9:
                     model.cuts = {way for way in sorted(model.cuts) if chooser.random() < 0.3}
             model.run(chooser.choice((0.05, 0.3, 1.0, 6.0)))
-            freed += sum(not box.swarm.gossip.shares.counts(slot, model.now) and one.over_at == math.inf
-                         for box in model.here() if box.swarm is not None
-                         for slot, one in enumerate(box.swarm.gossip.shares.slots))
+            freed += sum(
+                not box.swarm.gossip.shares.counts(slot, model.now) and one.over_at == math.inf
+                for box in model.here()
+                if box.swarm is not None
+                for slot, one in enumerate(box.swarm.gossip.shares.slots)
+            )
         assert model.worst <= 1.0 + 1e-9, number
     assert freed  # or it would show nothing
 
@@ -223,8 +226,11 @@
 
 
 def verdicts(model: Model) -> list[dict[str, object]]:
-    return [fields for _, _, event, fields in model.notes
-            if event == "swarm-member" and fields["stands"] in ("failed", "gone")]
+    return [
+        fields
+        for _, _, event, fields in model.notes
+        if event == "swarm-member" and fields["stands"] in ("failed", "gone")
+    ]
 
 
 def test_a_killed_router_is_known_everywhere_soon_and_in_one_step() -> None:
@@ -338,8 +344,9 @@
     model.run(1.0)
     model.start(1, name="router-2")
     model.run(10.0)
-    alarms = {place: fields["holds"]
-              for _, place, event, fields in model.notes if event == "swarm-name-twice"}
+    alarms = {
+        place: fields["holds"] for _, place, event, fields in model.notes if event == "swarm-name-twice"
+    }
     assert alarms == {1: "ours", 2: "theirs"}
     assert model.joined() and model.worst <= 1.0 + 1e-9
 
@@ -385,7 +392,10 @@
     model.kill(2)
     model.run(1.0)
     assert [model.stands(2, by=place) for place in (0, 1, 3)] == ["left"] * 3
-    assert all(over(box.swarm.gossip.table.members[ident_of("router-2")].word.standing)
-               for box in model.here() if box.swarm is not None)
+    assert all(
+        over(box.swarm.gossip.table.members[ident_of("router-2")].word.standing)
+        for box in model.here()
+        if box.swarm is not None
+    )
     model.run(3.0)
     assert model.shares() == pytest.approx(0.925)
--- a/tests/test_swarm_beside.py
+++ b/tests/test_swarm_beside.py
@@ -136,9 +136,7 @@
 @pytest.mark.parametrize(
     "fault", ["lessor stopped", "lessor killed in a roll", "holder stopped past its lease", "holder killed"]
 )
-def test_what_is_lent_and_what_the_swarm_shares_keep_to_one_rule(
-    fault: str, tmp_path: Path
-) -> None:
+def test_what_is_lent_and_what_the_swarm_shares_keep_to_one_rule(fault: str, tmp_path: Path) -> None:
     """A cold cache is sent no more than it bears by own parts, pieces and the swarm's shares together."""
     host = Host(tmp_path)
     front = Front([(host.daemon.host, 7100 + place) for place in range(host.count)], 150.0, kb=KB, writes=0.1)
--- a/tests/test_trial.py
+++ b/tests/test_trial.py
@@ -79,8 +79,12 @@
     assert named in str(refused.value)
     path = tmp_path / "t.cue"
     path.write_text(text)
-    found = subprocess.run([sys.executable, "-m", "stonecove", "trial", "run", str(path)],
-                           capture_output=True, text=True, check=False)
+    found = subprocess.run(
+        [sys.executable, "-m", "stonecove", "trial", "run", str(path)],
+        capture_output=True,
+        text=True,
+        check=False,
+    )
     assert (found.returncode, named in found.stderr) == (2, True)
 
 
@@ -112,8 +116,7 @@
         played.depot.answer(played.depot.caches[0], "2", item)
         time.sleep(1.1)
     found = {one.rule: one for one in judge(played).broken}
-    assert set(found) == {
-        "answer", "write", "crash", "bug", "cold", "shares", "failed", "drain", "purge"}
+    assert set(found) == {"answer", "write", "crash", "bug", "cold", "shares", "failed", "drain", "purge"}
     assert found["failed"].processes == ("edge-0", "edge-1")
     assert 0.9 <= found["shares"].at <= 1.1
 
@@ -171,8 +174,13 @@
     path, operator = tmp_path / "config.json", tmp_path / "operator.cue"
     path.write_text(json.dumps(config))
     operator.write_text(record + "\n")
-    found = subprocess.run([sys.executable, "-m", "stonecove", "run", "--operator", str(operator)],
-                           env={"RELAY_CONFIG": str(path)}, capture_output=True, text=True, check=False)
+    found = subprocess.run(
+        [sys.executable, "-m", "stonecove", "run", "--operator", str(operator)],
+        env={"RELAY_CONFIG": str(path)},
+        capture_output=True,
+        text=True,
+        check=False,
+    )
     assert found.returncode == 2
     assert named in found.stderr and len(found.stderr.splitlines()) == 1
 
--- a/tests/test_watch_crossings.py
+++ b/tests/test_watch_crossings.py
@@ -28,8 +28,9 @@
 
 
 @contextlib.contextmanager
-def running(missed: Callable[[Stand], bytes] | None = None, grace: float = 250.0,
-            env: dict[str, str] | None = None) -> Iterator[Stand]:
+def running(
+    missed: Callable[[Stand], bytes] | None = None, grace: float = 250.0, env: dict[str, str] | None = None
+) -> Iterator[Stand]:
     stand = Stand(missed=missed, env=env, rules={**SETTINGS["rules"], "drain_grace": grace})
     try:
         yield stand
@@ -184,8 +185,12 @@
         if at == "mid-frame":
             stand.log.listener.accepted[-1].sendall(drain[:20])
         else:
-            move(stand, {"connecting": hanging, "mute": None}.get(at) and hanging.port or (
-                mute if at == "mute" else closed).getsockname()[1])
+            move(
+                stand,
+                {"connecting": hanging, "mute": None}.get(at)
+                and hanging.port
+                or (mute if at == "mute" else closed).getsockname()[1],
+            )
         if at == "backing off":
             stand.wait(lambda: len(stand.lines("changelog-lost")) > 3, "refusals")
         move(stand, new.listener.port)
@@ -298,19 +303,23 @@
     return frame(number, 4, struct.pack(">HQ", number, 1))
 
 
-@pytest.mark.parametrize("events, fails, groups, rounds", [
-    ([purge(2), purge(3), purge(2), purge(3), purge(4)], {}, [2, 3, 4], 1),  # doubled
-    ([purge(3), purge(1), frame(0, 0), purge(2)], {}, [3], 2),  # a gap that stays; numbers that go back
-    ([purge(2), frame(1, 0), purge(3)], {}, [2, 3], 1),  # a log that lags
-    ([purge(2), frame(3, 77, b"?"), purge(4)], {}, [2, 4], 1),  # a kind that is not known
-    ([purge(2), frame(3, 4, b"?"), purge(4)], {}, [2, 4], 2),  # unreadable
-    ([purge(2), frame(3, 3, b"?"), purge(4)], {}, [2, 4], 2),
-    ([purge(2), frame(3, 1, b"?"), purge(4)], {}, [2, 4], 2),
-    ([purge(2), purge(3), purge(4)], {3: 1}, [2, 3, 4], 2),  # can't be worked off once
-    ([purge(2), purge(3), purge(4)], {3: 9}, [2, 4], 3),  # ever
-])
-def test_each_event_is_told_once_and_none_bars_the_way(events: list[bytes], fails: dict[int, int],
-                                                       groups: list[int], rounds: int) -> None:
+@pytest.mark.parametrize(
+    "events, fails, groups, rounds",
+    [
+        ([purge(2), purge(3), purge(2), purge(3), purge(4)], {}, [2, 3, 4], 1),  # doubled
+        ([purge(3), purge(1), frame(0, 0), purge(2)], {}, [3], 2),  # a gap that stays; numbers that go back
+        ([purge(2), frame(1, 0), purge(3)], {}, [2, 3], 1),  # a log that lags
+        ([purge(2), frame(3, 77, b"?"), purge(4)], {}, [2, 4], 1),  # a kind that is not known
+        ([purge(2), frame(3, 4, b"?"), purge(4)], {}, [2, 4], 2),  # unreadable
+        ([purge(2), frame(3, 3, b"?"), purge(4)], {}, [2, 4], 2),
+        ([purge(2), frame(3, 1, b"?"), purge(4)], {}, [2, 4], 2),
+        ([purge(2), purge(3), purge(4)], {3: 1}, [2, 3, 4], 2),  # can't be worked off once
+        ([purge(2), purge(3), purge(4)], {3: 9}, [2, 4], 3),  # ever
+    ],
+)
+def test_each_event_is_told_once_and_none_bars_the_way(
+    events: list[bytes], fails: dict[int, int], groups: list[int], rounds: int
+) -> None:
     """`rounds` is how often the log is asked until all went through."""
     follower, sink, needed = changelog.Follower(1), Sink(fails), 0
     whole = False
