--- a/benchmarks/membership.py
+++ b/benchmarks/membership.py
@@ -26,7 +26,7 @@
 from hdrh.histogram import HdrHistogram
 
 from stonecove.commands.demo import free_port, wait_ready
-from stonecove.ground.log import divert
+from stonecove.runtime.log import divert
 from stonecove.interface import NodeState
 from stonecove.membership import Member
 from stonecove.membership.merge import Merge, Source, Told, merged
--- a/stonecove/choice.py
+++ b/stonecove/choice.py
@@ -21,7 +21,7 @@
                                  Want, Watch)
 
 if TYPE_CHECKING:
-    from stonecove.sharing.purse import Purse
+    from stonecove.sharing.credit import LeasedCredit
 
 # The design's open values.
 TOP_SHARE = 0.9  # P_th: the top set is the most popular objects whose summed share first reaches it
@@ -179,7 +179,7 @@
     return mix(request.key + mix(request.part)) if request.part else request.key
 
 
-class Ring:
+class Rendezvous:
     """Weighted rendezvous hashing over some nodes; orders are cached until the list changes."""
 
     def __init__(self, nodes: Sequence[Node], weighted: bool) -> None:
@@ -236,7 +236,7 @@
         self.sent: dict[NodeId, deque[list[float]]] = {}
         self.room: dict[NodeId, float] = {}  # what was left of the own part when it was last looked at
         self.own = 1.0  # part of the share that is spent without asking
-        self.purse: Purse | None = None
+        self.credit: LeasedCredit | None = None
 
     def present(self, now: float, started: float) -> float:
         """The least part of its capacity that the node has now; 1 once it is surely warm."""
@@ -257,7 +257,7 @@
         own = self.own * share * self.rule(now, node, capacity)
         self.room[node.node] = own - sum(work for _, work in sent)
         return work <= self.room[node.node] or (
-            self.purse is not None and work <= self.purse.left(now, node.node))
+            self.credit is not None and work <= self.credit.left(now, node.node))
 
     def rule(self, now: float, node: Node, capacity: float) -> float:
         """The work that all directors together may send there within a window."""
@@ -266,16 +266,16 @@
     def lacks(self, now: float, node: Node, work: float, capacity: float, share: float) -> bool:
         """Whether it is time to ask for a piece."""
         early = EARLY * self.own * share * self.rule(now, node, capacity)
-        return self.purse is not None and node.node in self.sent and (
-            self.room.get(node.node, 0.0) < max(work, early) and self.purse.left(now, node.node) < 2 * work)
+        return self.credit is not None and node.node in self.sent and (
+            self.room.get(node.node, 0.0) < max(work, early) and self.credit.left(now, node.node) < 2 * work)
 
     def charge(self, now: float, node: NodeId, work: float) -> list[float]:
         """Books an attempt whatever its end, if the node is watched; returns the entry."""
         entry = [now, work]
-        if node in self.sent and (self.purse is None or work <= self.room.get(node, 0.0)):
+        if node in self.sent and (self.credit is None or work <= self.room.get(node, 0.0)):
             self.sent[node].append(entry)
-        elif node in self.sent and self.purse is not None:
-            self.purse.spend(now, node, work)
+        elif node in self.sent and self.credit is not None:
+            self.credit.spend(now, node, work)
         return entry
 
 
@@ -422,7 +422,7 @@
         self._mean_work = [[0.0, cls.aim] for cls in settings.classes]  # the aim, until one is known
         self._answered = [[1.0] * 4 for _ in settings.classes]  # shares of late: of three sizes, and of all
         self._hedges = self._burst = HEDGE_BURST
-        self._purse: Purse | None = None
+        self._credit: LeasedCredit | None = None
         self._pause = PAUSE * max(settings.connect_timeout, 1.0)
         self._handlers: dict[type, Callable[[float, Any], None]] = {
             Listed: self._on_list, Request: self._on_request, Ended: self._on_end, Left: self._on_left,
@@ -443,18 +443,18 @@
 
     def _on_terms(self, now: float, event: Terms) -> None:
         """A part of what cold nodes bear, and of retries, is ours; the rest comes in pieces."""
-        from stonecove.sharing.purse import Purse  # only where directors share
+        from stonecove.sharing.credit import LeasedCredit  # only where directors share
 
-        self._purse = self._cold_caches.purse = self._cold_parents.purse = self._purse or Purse()
+        self._credit = self._cold_caches.credit = self._cold_parents.credit = self._credit or LeasedCredit()
         self._cold_caches.own = self._cold_parents.own = event.own
         self._burst = max(1.0, HEDGE_BURST * event.retries)
         self._hedges = min(self._hedges, self._burst)
 
     def _on_piece(self, now: float, event: Piece) -> None:
-        if self._purse is not None:
-            self._purse.add(now, event)
-            self._out += self._purse.over
-            self._purse.over.clear()
+        if self._credit is not None:
+            self._credit.add(now, event)
+            self._out += self._credit.over
+            self._credit.over.clear()
 
     def _want(self, now: float, cold: ColdBudget, node: Node, work: float) -> None:
         """Asks for a piece in time, whether or not there is still room."""
@@ -496,7 +496,7 @@
         tables: list[dict[NodeId, Any]] = [self._cache_health, self._source_health, self._loads,
                                            self._cold_caches.sent, self._cold_parents.sent,
                                            self._cold_caches.room, self._cold_parents.room]
-        tables += [self._purse.pieces] if self._purse is not None else []
+        tables += [self._credit.pieces] if self._credit is not None else []
         for table in tables:
             for node in [node for node in table if node not in self._listed and node != RETRIES]:
                 del table[node]
@@ -506,9 +506,9 @@
         parent, origin, weighted = self._set.parent_kind, self._set.origin_kind, self._set.weighted
         ready = sorted(n for n in self._listed.values() if n.state is NodeState.READY)
         self._origins = [n.node for n in ready if n.kind == origin]
-        self._parents = Ring([n for n in ready if n.kind == parent], weighted)
-        self._caches = Ring([n for n in ready if n.kind not in (parent, origin) and n.zone == self._set.zone],
-                            weighted)
+        self._parents = Rendezvous([n for n in ready if n.kind == parent], weighted)
+        self._caches = Rendezvous(
+            [n for n in ready if n.kind not in (parent, origin) and n.zone == self._set.zone], weighted)
 
     def _on_request(self, now: float, event: Request) -> None:
         if not 0 <= event.kind < len(self._set.classes):
@@ -604,7 +604,7 @@
         return 1 + int(self._popularity.byte_share(key) * caches / SPREAD_AT)
 
     @staticmethod
-    def _fit(now: float, key: int, node: NodeId, ring: Ring, health: Healths, cold: ColdBudget) -> bool:
+    def _fit(now: float, key: int, node: NodeId, ring: Rendezvous, health: Healths, cold: ColdBudget) -> bool:
         """Whether the node is healthy and, while it warms, takes this object already."""
         if not health[node].usable(now):
             return False
@@ -634,7 +634,7 @@
         work = self._mean_work[request.kind][1]
         for cold, one, load in ((self._cold_caches, cache, work), (self._cold_parents, parent, held.work)):
             fits = one is None or cold.fits(now, one, load, *self._bears(one))
-            if one is not None and self._purse is not None:
+            if one is not None and self._credit is not None:
                 self._want(now, cold, one, load)
             if not fits:
                 return False
@@ -744,10 +744,10 @@
         if self._hedges >= 1.0:
             self._hedges -= 1.0
             return True
-        if self._purse is None:
+        if self._credit is None:
             return False
         self._out.append(Want(RETRIES, 1.0, HEDGE_BURST, 0.0, 1.0, False))
-        return self._purse.spend(now, RETRIES, 1.0)
+        return self._credit.spend(now, RETRIES, 1.0)
 
     def _judge(self, now: float, held: Held, attempt: Attempt, event: Ended) -> None:
         """Tells cache, source and origin apart by the outcome and its note."""
--- a/stonecove/exchange.py
+++ b/stonecove/exchange.py
@@ -28,7 +28,7 @@
 
 
 @dataclass(slots=True, eq=False)
-class Asked:
+class ClientRequest:
     """A request, checked; the texts pass on to caches unchanged."""
 
     txn: str
--- a/stonecove/explore/fingerprint.py
+++ b/stonecove/explore/fingerprint.py
@@ -17,7 +17,7 @@
 
 from stonecove import choice
 from stonecove.explore import peers
-from stonecove.ground.timers import Timers
+from stonecove.runtime.timers import Timers
 from stonecove.interface import Get, Node
 from stonecove.memory import budget, nodes, requests
 from stonecove.stages import admit, relay, route, send
@@ -164,7 +164,7 @@
             "handle": "the witness's own",
             "_burst": FIXED,
             "_answered": "all requests of a class are of one size here, whose share is that of all",
-            "_purse": "nobody lends in the explorer's installation; its machine is explore.fleet",
+            "_credit": "nobody lends in the explorer's installation; its machine is explore.fleet",
         },
     ),
     choice.Held: (
@@ -186,7 +186,7 @@
             "_window": FIXED,
             "room": "written and read within one decision",
             "own": FIXED,
-            "purse": "nobody lends in the explorer's installation",
+            "credit": "nobody lends in the explorer's installation",
         },
     ),
     choice.Purges: (
--- a/stonecove/explore/fleet.py
+++ b/stonecove/explore/fleet.py
@@ -14,7 +14,7 @@
 from stonecove.explore.coordination import _canon as canon
 from stonecove.explore.machine import Violation
 from stonecove.sharing.leases import Grant, Holder, Lessor
-from stonecove.sharing.purse import Purse
+from stonecove.sharing.credit import LeasedCredit
 from stonecove.fleet.restart import Do, Instance, Phase, Policy
 from stonecove.fleet.rolling import Roll, RollState
 from stonecove.interface import Piece
@@ -43,7 +43,7 @@
     holders: int = 2
     flying: int = 2  # answers that may be under way
     fault_kinds: tuple[str, ...] = ("lose", "repeat", "kill", "lessor-dies", "clock-back")
-    purse: bool = False  # pieces are handed to the module, which goes by the system's clock
+    credit: bool = False  # pieces are handed to the module, which goes by the system's clock
 
 
 class LifeBounds(NamedTuple):
@@ -61,7 +61,7 @@
     LeaseBounds("lease-two", 7, faults=1),
     LeaseBounds("lease-late", 9, faults=1, holders=1, fault_kinds=("repeat", "lose")),
     LeaseBounds("lease-clock", 12, faults=1, holders=1, flying=0, fault_kinds=("clock-back", "lessor-dies")),
-    LeaseBounds("lease-purse", 11, faults=1, holders=1, flying=0, fault_kinds=("unix-back",), purse=True),
+    LeaseBounds("lease-credit", 11, faults=1, holders=1, flying=0, fault_kinds=("unix-back",), credit=True),
 )
 LIVES = (
     LifeBounds("life-one", 10, faults=3, words=2),
@@ -104,7 +104,7 @@
         self.lives = [0] * bounds.holders
         self.spent: list[tuple[float, float]] = []
         self.unix = 0.0  # what the system's clock is ahead of the steady one
-        self.purses = [Purse() for _ in range(bounds.holders)]
+        self.credits = [LeasedCredit() for _ in range(bounds.holders)]
         self.ends: list[tuple[float, int, int]] = []  # true moments at which the module is told of an end
         self.back: set[tuple[int, int]] = set()  # pieces given back
         self.lessor.rule(NODE, RULE, self.now)
@@ -121,7 +121,7 @@
             steps.append(f"take {place}")
             if len(self.flying) < self.bounds.flying:
                 steps.append(f"ask {place}")
-            if holder.left(NODE, self.now) > 0 or holder._pieces or self.purses[place].pieces.get(NODE):
+            if holder.left(NODE, self.now) > 0 or holder._pieces or self.credits[place].pieces.get(NODE):
                 steps.append(f"spend {place}")
         steps += [f"answer {number}" for number in range(len(self.flying))]
         if self.faults:
@@ -163,10 +163,10 @@
                 self._granted(to, grant)
         elif word == "lose":
             self.flying.pop(place)
-        elif word == "spend" and self.bounds.purse:
-            purse = self.purses[place]
-            work = purse.left(self.now + self.unix, NODE)
-            if work > 0 and purse.spend(self.now + self.unix, NODE, work):
+        elif word == "spend" and self.bounds.credit:
+            credit = self.credits[place]
+            work = credit.left(self.now + self.unix, NODE)
+            if work > 0 and credit.spend(self.now + self.unix, NODE, work):
                 self.spent.append((self.true, work))
             self._give_back(place)
         elif word == "spend":
@@ -190,27 +190,27 @@
 
     def _granted(self, place: int, grant: Grant) -> None:
         """As `lifecycle.leases` does: what is granted goes to the module at once, and its end in time."""
-        if self.holders[place].granted(grant, self.now) and self.bounds.purse:
+        if self.holders[place].granted(grant, self.now) and self.bounds.credit:
             for number, left, until in self.holders[place].hand_over(NODE):
-                self.purses[place].add(self.now + self.unix, Piece(number, NODE, left, until + self.unix))
+                self.credits[place].add(self.now + self.unix, Piece(number, NODE, left, until + self.unix))
                 self.ends.append((self.true + until - self.now, place, number))
                 self._give_back(place)
 
     def _tell_ends(self) -> None:
         for _, place, number in [end for end in self.ends if end[0] <= self.true]:
-            self.purses[place].add(self.now + self.unix, Piece(number, NODE, 0.0, 0.0))
+            self.credits[place].add(self.now + self.unix, Piece(number, NODE, 0.0, 0.0))
             self._give_back(place)
         self.ends = [end for end in self.ends if end[0] > self.true]
 
     def _give_back(self, place: int) -> None:
         """What is left of pieces goes back to the lessor, each once."""
-        purse = self.purses[place]
-        for unspent in purse.over:
+        credit = self.credits[place]
+        for unspent in credit.over:
             if (place, unspent.number) in self.back:
                 self.broken("lease-once", f"piece {unspent.number} was given back twice")
             self.back.add((place, unspent.number))
             self.lessor.give_back(self.names[place], unspent.number, unspent.work, self.now)
-        purse.over.clear()
+        credit.over.clear()
 
     def _look(self) -> None:
         self.spent = [one for one in self.spent if one[0] > self.true - WINDOW]
@@ -282,9 +282,9 @@
                 [
                     [
                         (self.holders[place]._number - key, rel(until - self.unix), round(left, 6))
-                        for key, (until, left) in sorted(purse.pieces.get(NODE, {}).items())
+                        for key, (until, left) in sorted(credit.pieces.get(NODE, {}).items())
                     ]
-                    for place, purse in enumerate(self.purses)
+                    for place, credit in enumerate(self.credits)
                 ],
                 sorted(
                     (round(at - self.true, 6), place, self.holders[place]._number - key)
--- a/stonecove/explore/properties.py
+++ b/stonecove/explore/properties.py
@@ -138,7 +138,7 @@
             "what is spent of shared pieces within any window keeps to what is to be shared",
             "sharing/leases; WIRE 2 rule 4",
         ),
-        Property("lease-once", "what is left of a piece is given back once", "sharing/purse"),
+        Property("lease-once", "what is left of a piece is given back once", "sharing/credit"),
         Property("lease-back", "what was handed out long ago may be handed out again", "sharing/leases"),
         Property("one-process", "an instance has one process at most", "fleet/restart"),
         Property("restarts-bounded", "a crash loop is held, also over supervisors", "fleet/restart"),
--- a/stonecove/explore/reach.py
+++ b/stonecove/explore/reach.py
@@ -23,7 +23,7 @@
 CORE = (
     "choice.py",
     "exchange.py",
-    "ground/timers.py",
+    "runtime/timers.py",
     "memory/budget.py",
     "memory/nodes.py",
     "memory/requests.py",
@@ -63,7 +63,7 @@
     ("choice.py", "_leave|_may_repeat|_copy_wanted", "cold budgets, no second copies, stale times"),
     ("choice.py", "_on_end", "guards against late events, which the stages never send"),
     ("exchange.py", "__init__", "bad requests: tests/test_router.py"),
-    ("ground/timers.py", "next_due|_make", "an alarm that raises; the seeded faults and tests play it"),
+    ("runtime/timers.py", "next_due|_make", "an alarm that raises; the seeded faults and tests play it"),
     ("stages/book.py", "ended", "the second line against a second end: every caller looks first"),
     ("stages/relay.py", "answer", "the second line against a second answer, in nocancel at its full depth"),
     ("stages/relay.py", "spoilt|_wrong", "long bodies and wrong tags: tests/test_router.py"),
--- a/stonecove/explore/seeds_fleet.py
+++ b/stonecove/explore/seeds_fleet.py
@@ -4,7 +4,7 @@
 
 from stonecove.explore.seeds_coordination import Fault
 from stonecove.fleet import restart, rolling
-from stonecove.sharing import leases, purse
+from stonecove.sharing import leases, credit
 
 FAULTS: tuple[Fault, ...] = (
     Fault(
@@ -62,30 +62,30 @@
         "lease-back",
     ),
     Fault(
-        "purse-spends-twice",
-        purse.Purse,
+        "credit-spends-twice",
+        credit.LeasedCredit,
         "spend",
         "piece[1] -= part",
         "pass",
-        ("lease-purse",),
+        ("lease-credit",),
         "lease-sum",
     ),
     Fault(
-        "purse-passes-over-the-end",
-        purse.Purse,
+        "credit-passes-over-the-end",
+        credit.LeasedCredit,
         "add",
         "if piece.work <= 0:",
         "if False:",
-        ("lease-purse",),
+        ("lease-credit",),
         "lease-sum",
     ),
     Fault(
-        "purse-keeps-what-is-over",
-        purse.Purse,
+        "credit-keeps-what-is-over",
+        credit.LeasedCredit,
         "left",
         "held.pop(number)[1]",
         "held[number][1]",
-        ("lease-purse",),
+        ("lease-credit",),
         "lease-once",
     ),
     Fault(
--- a/stonecove/explore/world.py
+++ b/stonecove/explore/world.py
@@ -10,18 +10,18 @@
 import struct
 from typing import Any
 
-from stonecove.choice import Ring, part_key
+from stonecove.choice import Rendezvous, part_key
 from stonecove.explore import scope as bounds
 from stonecove.explore.fingerprint import encode_world
 from stonecove.explore.machine import Violation
 from stonecove.explore.peers import ClientSession, ClientSocket, ServerChannel, request_bytes
 from stonecove.explore.properties import Witness
 from stonecove.explore.scope import ANSWERS, CACHE, CLASSES, ORIGIN, PARENT, Scope
-from stonecove.ground import log as ground_log
-from stonecove.ground.clock import Clock, CpuCredit
-from stonecove.ground.timers import Timers
+from stonecove.runtime import log as ground_log
+from stonecove.runtime.clock import Clock, CpuCredit
+from stonecove.runtime.timers import Timers
 from stonecove.interface import Ended, Event, Get, Node, NodeState, Request
-from stonecove.membership import MembersTold, PurgeTold, Told
+from stonecove.membership import MembersUpdate, PurgeUpdate, Told
 from stonecove.memory.budget import Budget
 from stonecove.stages.admit import MARGIN
 from stonecove.stages.route import BACKSTOP, Route
@@ -77,7 +77,7 @@
 def _item(cls: str, caches: tuple[int, ...]) -> int:
     """The least object of the class whose caches in hash order are those, so that c1 is always the home."""
     nodes = [Node(node, CACHE, 0.0, NodeState.READY, 0, 1, 1.0) for node in caches]
-    ring = Ring(nodes, False)
+    ring = Rendezvous(nodes, False)
     key = 1000 * (1 + bounds.ORDER.index(cls))
     while ring.order(part_key(Request(1, 0, key, 0.0, 0.0, 0, 0))) != caches:
         key += 1
@@ -225,9 +225,9 @@
     def told(self, event: Told) -> None:
         """What the follower passes on: the witness hears of it first."""
         self.told_events += 1
-        if isinstance(event, MembersTold):
+        if isinstance(event, MembersUpdate):
             self.witness.listed(tuple(member.node for member in event.members), event.whole)
-        elif isinstance(event, PurgeTold):
+        elif isinstance(event, PurgeUpdate):
             self.witness.purges.append((self.now, event.time, event.group, event.key))
         self.route.told(event)
 
--- a/stonecove/fleet/lender.py
+++ b/stonecove/fleet/lender.py
@@ -11,8 +11,8 @@
 
 import trio
 
-from stonecove.ground.log import log, log_some
-from stonecove.ground.unix import accept_all, bound
+from stonecove.runtime.log import log, log_some
+from stonecove.runtime.unix import accept_all, bound
 from stonecove.lifecycle.leases import LeaseFile
 from stonecove.operator.records import Fleet
 from stonecove.sharing.lending import Lending, LendingError
--- a/stonecove/fleet/supervisor.py
+++ b/stonecove/fleet/supervisor.py
@@ -28,9 +28,9 @@
 from stonecove.fleet.probe import live
 from stonecove.fleet.restart import Do, Instance, Phase, Policy
 from stonecove.fleet.rolling import Roll, RollState
-from stonecove.ground.log import log
-from stonecove.ground.notify import notify, reloading, watchdog_every
-from stonecove.ground.unix import accept_all, bound
+from stonecove.runtime.log import log
+from stonecove.runtime.notify import notify, reloading, watchdog_every
+from stonecove.runtime.unix import accept_all, bound
 from stonecove.operator.grammar import OperatorError
 from stonecove.operator.reader import read
 from stonecove.operator.records import Fleet, FleetInstance
--- a/stonecove/ground/__init__.py
+++ /dev/null
@@ -1,1 +0,0 @@
-"""The ground floor that everybody stands on: the clock, the timers and the log. Nothing here waits."""
--- a/stonecove/lifecycle/access.py
+++ b/stonecove/lifecycle/access.py
@@ -15,8 +15,8 @@
 from stonecove.access.keys import Key, KeyRing, KeyRingError
 from stonecove.access.revoked import Revoked
 from stonecove.access.routes import Policy, Routes
-from stonecove.ground.clock import Clock
-from stonecove.ground.log import log
+from stonecove.runtime.clock import Clock
+from stonecove.runtime.log import log
 from stonecove.operator.records import Access
 from stonecove.stages.route import Route
 from stonecove.wire.desk import Desk
--- a/stonecove/lifecycle/coordination.py
+++ b/stonecove/lifecycle/coordination.py
@@ -8,8 +8,8 @@
 
 import trio
 
-from stonecove.ground.clock import Clock
-from stonecove.ground.log import log, log_some
+from stonecove.runtime.clock import Clock
+from stonecove.runtime.log import log, log_some
 from stonecove.interface import NodeId
 from stonecove.membership import presence
 from stonecove.membership.records import Names, RecordError
--- a/stonecove/lifecycle/http.py
+++ b/stonecove/lifecycle/http.py
@@ -12,7 +12,7 @@
 
 from stonecove.access.gate import Decision
 from stonecove.exchange import BadRequestError
-from stonecove.ground.log import log, log_some
+from stonecove.runtime.log import log, log_some
 from stonecove.memory.requests import OpenRequest
 from stonecove.operator.records import Http
 from stonecove.wire.http import HttpError, HttpRequest, HttpSession, State
--- a/stonecove/lifecycle/leases.py
+++ b/stonecove/lifecycle/leases.py
@@ -17,9 +17,9 @@
 
 import trio
 
-from stonecove.exchange import Asked
-from stonecove.ground.clock import Clock
-from stonecove.ground.log import log, log_some
+from stonecove.exchange import ClientRequest
+from stonecove.runtime.clock import Clock
+from stonecove.runtime.log import log, log_some
 from stonecove.interface import Piece, Settings, Terms, Unspent, Want
 from stonecove.sharing.leases import LIFE_PART, Grant, Holder
 from stonecove.sharing.quota import Plan, PlanError, Quota
@@ -178,7 +178,7 @@
     def _unspent(self, unspent: Unspent) -> None:
         self._say({"do": "back", "number": unspent.number, "left": unspent.work})
 
-    def _gate(self, asked: Asked) -> str:
+    def _gate(self, asked: ClientRequest) -> str:
         assert self._quota is not None
         return self._quota.take((self._zone, asked.cls, asked.client), time.monotonic())
 
--- a/stonecove/lifecycle/members.py
+++ b/stonecove/lifecycle/members.py
@@ -18,13 +18,13 @@
 
 import trio
 
-from stonecove.ground.clock import Clock
-from stonecove.ground.log import log
-from stonecove.ground.unix import accept_all, bound
+from stonecove.runtime.clock import Clock
+from stonecove.runtime.log import log
+from stonecove.runtime.unix import accept_all, bound
 from stonecove.interface import NodeId, NodeState, Peers
 from stonecove.lifecycle.config import Config
 from stonecove.lifecycle.coordination import Coordination, Spawn, connection_of, rules_of
-from stonecove.membership import Member, MembersTold, PurgeTold, Told, presence
+from stonecove.membership import Member, MembersUpdate, PurgeUpdate, Told, presence
 from stonecove.membership.merge import Merge, Source
 from stonecove.membership.pace import Pace
 from stonecove.membership.records import Names, RecordError, node_id
@@ -131,7 +131,7 @@
 
     def told(self, event: Told) -> None:
         """The change log's word: purges pass, nodes are one source's claims."""
-        if isinstance(event, PurgeTold):
+        if isinstance(event, PurgeUpdate):
             self._route.told(event)
             return
         now = self.clock.now()
@@ -313,7 +313,7 @@
             if member.node.state is NodeState.DRAINING:
                 strict.append(member)
         if strict:
-            self._route.nodes.apply(MembersTold(False, tuple(strict)))
+            self._route.nodes.apply(MembersUpdate(False, tuple(strict)))
         self._pace.changed(trio.current_time(), urgent)
         self._pending_woken.set()
 
@@ -327,7 +327,7 @@
                     await self._pending_woken.wait()
                 continue
             began = trio.current_time()
-            told = MembersTold(False, tuple(self._pending.values()))
+            told = MembersUpdate(False, tuple(self._pending.values()))
             self._pending = {}
             self._route.told(told)
             self._pace.done(began, trio.current_time())
--- a/stonecove/lifecycle/serve.py
+++ b/stonecove/lifecycle/serve.py
@@ -17,10 +17,10 @@
 
 import trio
 
-from stonecove.ground.clock import Clock
-from stonecove.ground.timers import Timers
+from stonecove.runtime.clock import Clock
+from stonecove.runtime.timers import Timers
 from stonecove.lifecycle.config import Config, ConfigError, read_config
-from stonecove.ground.log import divert, log, log_some
+from stonecove.runtime.log import divert, log, log_some
 from stonecove.memory.budget import Budget
 from stonecove.stages.route import Route
 from stonecove.stages.send import connection_limit
@@ -284,7 +284,7 @@
     def _notify(state: str) -> None:
         """Tells a service manager, where one has asked for it."""
         if os.environ.get("NOTIFY_SOCKET"):
-            from stonecove.ground.notify import notify
+            from stonecove.runtime.notify import notify
 
             notify(state)
 
@@ -588,7 +588,7 @@
     """Entry point of the edge router; STONECOVE_OPERATOR names an operator's file if no argument does."""
     signal.pthread_sigmask(signal.SIG_BLOCK, SIGNALS)  # until the router heeds them, and once it has ended
     if pipe := os.environ.get("STONECOVE_LOG"):
-        from stonecove.ground.pipe import from_setting
+        from stonecove.runtime.pipe import from_setting
 
         try:
             divert(from_setting(pipe))
--- a/stonecove/lifecycle/swarm.py
+++ b/stonecove/lifecycle/swarm.py
@@ -16,8 +16,8 @@
 
 import trio
 
-from stonecove.ground.clock import Clock
-from stonecove.ground.log import log, log_some
+from stonecove.runtime.clock import Clock
+from stonecove.runtime.log import log, log_some
 from stonecove.interface import Peers, Terms
 from stonecove.lifecycle.config import Config, ConfigError, address_of
 from stonecove.lifecycle.leases import Leases
--- a/stonecove/lifecycle/tracing.py
+++ b/stonecove/lifecycle/tracing.py
@@ -25,7 +25,7 @@
 from opentelemetry.trace import Span, set_span_in_context
 
 from stonecove.choice import mix
-from stonecove.exchange import Answer, Asked
+from stonecove.exchange import Answer, ClientRequest
 from stonecove.interface import Outcome
 from stonecove.lifecycle.config import Config
 from stonecove.memory.requests import Attempt, OpenRequest
@@ -136,7 +136,9 @@
 
         setattr(owner, name, wrapped)
 
-    def _asked(self, inner: Callable[[Asked], OpenRequest | None], asked: Asked) -> OpenRequest | None:
+    def _asked(
+        self, inner: Callable[[ClientRequest], OpenRequest | None], asked: ClientRequest
+    ) -> OpenRequest | None:
         self._ids.txn = asked.txn
         span = self._tracer.start_span(
             "request",
--- a/stonecove/membership/__init__.py
+++ b/stonecove/membership/__init__.py
@@ -15,14 +15,14 @@
     port: int
 
 
-class MembersTold(NamedTuple):
+class MembersUpdate(NamedTuple):
     """The whole list, or what has changed in it."""
 
     whole: bool
     members: tuple[Member, ...]
 
 
-class PurgeTold(NamedTuple):
+class PurgeUpdate(NamedTuple):
     """An object (or with key 0 a group) was purged at that Unix millisecond."""
 
     time: float
@@ -30,7 +30,7 @@
     key: int
 
 
-Told = MembersTold | PurgeTold
+Told = MembersUpdate | PurgeUpdate
 
 
 class MembershipSink(Protocol):
--- a/stonecove/memory/nodes.py
+++ b/stonecove/memory/nodes.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from stonecove.interface import NodeId, NodeState
-from stonecove.membership import Member, MembersTold
+from stonecove.membership import Member, MembersUpdate
 
 
 class NodeTable:
@@ -15,7 +15,7 @@
     def __len__(self) -> int:
         return len(self._members)
 
-    def apply(self, told: MembersTold) -> None:
+    def apply(self, told: MembersUpdate) -> None:
         """Takes in a list, or what has changed in it."""
         if told.whole:
             self._members = {}
--- a/stonecove/memory/requests.py
+++ b/stonecove/memory/requests.py
@@ -6,8 +6,8 @@
 from dataclasses import dataclass, field
 
 from stonecove.interface import Get
-from stonecove.ground.timers import Alarm
-from stonecove.exchange import Asked
+from stonecove.runtime.timers import Alarm
+from stonecove.exchange import ClientRequest
 
 
 @dataclass(slots=True, eq=False)
@@ -31,7 +31,7 @@
     """A request that has been taken, until its last attempt has ended and it is answered."""
 
     req: int
-    asked: Asked
+    asked: ClientRequest
     deadline: float
     holds: int = 0  # bytes that are set aside for it and its answer
     answered: bool = False
@@ -54,7 +54,7 @@
     def __iter__(self) -> Iterator[OpenRequest]:
         return iter(list(self._open.values()))
 
-    def add(self, asked: Asked, deadline: float, holds: int) -> OpenRequest:
+    def add(self, asked: ClientRequest, deadline: float, holds: int) -> OpenRequest:
         """Takes a request in, under a new number below 2^32."""
         self._next = self._next % 0xFFFFFFFF + 1
         request = self._open[self._next] = OpenRequest(self._next, asked, deadline, holds)
--- a/stonecove/ground/pipe.py
+++ b/stonecove/runtime/pipe.py
@@ -11,7 +11,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from stonecove.ground.log import line
+from stonecove.runtime.log import line
 
 MOST = 4000  # bytes of a line: up to PIPE_BUF (4096) it goes in whole or not at all (pipe(7))
 
@@ -32,7 +32,7 @@
 
 
 class Pipe:
-    """A sink for `ground.log.divert`."""
+    """A sink for `runtime.log.divert`."""
 
     def __init__(self, path: str, as_json: bool = False) -> None:
         """Opened for both ways, so that it stays open whoever else is there; raises OSError."""
--- a/stonecove/ground/timers.py
+++ b/stonecove/runtime/timers.py
@@ -6,8 +6,8 @@
 import math
 from collections.abc import Callable
 
-from stonecove.ground.clock import Clock
-from stonecove.ground.log import log
+from stonecove.runtime.clock import Clock
+from stonecove.runtime.log import log
 
 
 LEAST_TIDIED = 1024  # alarms, those called off among them, up to which nothing is thrown away
--- a/stonecove/sharing/purse.py
+++ b/stonecove/sharing/credit.py
@@ -7,7 +7,7 @@
 from stonecove.interface import NodeId, Piece, Unspent
 
 
-class Purse:
+class LeasedCredit:
     """Pieces of what the directors of a host share. Danger: one that is spent after its time, or twice."""
 
     def __init__(self) -> None:
--- a/stonecove/sharing/quota.py
+++ b/stonecove/sharing/quota.py
@@ -140,19 +140,19 @@
 
     def take(self, path: Path, now: float) -> str:
         """Takes a token for one request; empty if it may go, else the name of the limit that refuses."""
-        purse = self._purses.get(path)
-        if purse is None:
+        credit = self._purses.get(path)
+        if credit is None:
             if len(self._purses) >= MOST_PATHS:
                 self._purses.popitem(last=False)
-            purse = self._purses[path] = _Purse()
+            credit = self._purses[path] = _Purse()
         else:
             self._purses.move_to_end(path)
-        purse.asked += 1
-        if purse.tokens >= 1.0 and now < purse.until:
-            purse.tokens -= 1.0
+        credit.asked += 1
+        if credit.tokens >= 1.0 and now < credit.until:
+            credit.tokens -= 1.0
             return ""
         limit = self._own.take(*path, now)
-        return (purse.limit or limit) if limit else ""
+        return (credit.limit or limit) if limit else ""
 
     def wants(self, now: float) -> list[tuple[Path, int]]:
         """What is to be fetched, by path: as much as was asked for since the last look, and again."""
@@ -160,36 +160,36 @@
         # Guards against the same paths coming first, and finding all that there is, at each look.
         paths = list(self._purses.items())
         self._turn = (self._turn + 7) % max(1, len(paths))
-        for path, purse in paths[self._turn :] + paths[: self._turn]:
-            asked, purse.asked = purse.asked, 0
-            purse.idle = 0 if asked else purse.idle + 1
-            if purse.idle > FORGET_AFTER:
+        for path, credit in paths[self._turn :] + paths[: self._turn]:
+            asked, credit.asked = credit.asked, 0
+            credit.idle = 0 if asked else credit.idle + 1
+            if credit.idle > FORGET_AFTER:
                 del self._purses[path]
                 continue
-            if now >= purse.until:
-                purse.tokens = 0.0
-            wanted = min(MOST_TOKENS, round(AHEAD * asked - purse.tokens))
-            if wanted > 0 and not purse.out:
-                purse.out = True
+            if now >= credit.until:
+                credit.tokens = 0.0
+            wanted = min(MOST_TOKENS, round(AHEAD * asked - credit.tokens))
+            if wanted > 0 and not credit.out:
+                credit.out = True
                 found.append((path, wanted))
         return found
 
     def granted(self, path: Path, count: int, limit: str, asked_at: float, now: float) -> None:
         """A batch has come. Guards against a late one, and a clock that was set back."""
-        purse = self._purses.get(path)
-        if purse is None:
+        credit = self._purses.get(path)
+        if credit is None:
             return
-        purse.out = False
-        purse.limit = limit
+        credit.out = False
+        credit.limit = limit
         if not asked_at <= now < asked_at + TOKEN_LIFE:
             return
-        if now >= purse.until:
-            purse.tokens = 0.0
-        purse.tokens += count
-        purse.until = asked_at + TOKEN_LIFE
+        if now >= credit.until:
+            credit.tokens = 0.0
+        credit.tokens += count
+        credit.until = asked_at + TOKEN_LIFE
         self.fetched += count
 
     def lost(self) -> None:
         """The lessor is gone: nothing is under way."""
-        for purse in self._purses.values():
-            purse.out, purse.limit = False, ""
+        for credit in self._purses.values():
+            credit.out, credit.limit = False, ""
--- a/stonecove/stages/admit.py
+++ b/stonecove/stages/admit.py
@@ -5,10 +5,10 @@
 import random
 
 from stonecove.interface import Settings
-from stonecove.ground.clock import CpuCredit
+from stonecove.runtime.clock import CpuCredit
 from stonecove.memory.budget import Budget
 from stonecove.memory.requests import OpenRequest, OpenRequests
-from stonecove.exchange import Asked
+from stonecove.exchange import ClientRequest
 
 MARGIN = 15.0  # ms before the client's own limit at which the answer is due: it has to get there
 MOST_OPEN = 4096
@@ -42,7 +42,7 @@
         self._bytes_per_kb = pace / settings.client_pace if settings.client_pace > 0 and pace > 0 else 1000.0
         self.latest = float("inf")  # once the router stops, all is answered by this Unix millisecond
 
-    def enter(self, now: float, asked: Asked) -> OpenRequest | None:
+    def enter(self, now: float, asked: ClientRequest) -> OpenRequest | None:
         """The request, now open; None if there is no room for it and its answer."""
         holds = len(asked.body) + min(MOST_ANSWER, round(asked.size * self._bytes_per_kb))
         if len(self._requests) >= self._most or not self._budget.admits(holds):
--- a/stonecove/stages/book.py
+++ b/stonecove/stages/book.py
@@ -6,8 +6,8 @@
 from collections.abc import Callable
 
 from stonecove.interface import NOT_RUN, Ended, Event, Outcome
-from stonecove.ground.clock import Clock
-from stonecove.ground.log import log
+from stonecove.runtime.clock import Clock
+from stonecove.runtime.log import log
 from stonecove.memory.requests import Attempt, OpenRequest
 from stonecove.stages.admit import Admit
 
--- a/stonecove/stages/intake.py
+++ b/stonecove/stages/intake.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable, Mapping
 
 from stonecove.interface import Effect, Settings
-from stonecove.exchange import Answer, Asked, BadRequestError
+from stonecove.exchange import Answer, ClientRequest, BadRequestError
 
 PATH = "/svc/"
 MOST_PART = 65_535
@@ -54,7 +54,7 @@
 
     def take(
         self, path: str, fields: Mapping[str, str], body: bytes, reply: Callable[[Answer], None]
-    ) -> Asked:
+    ) -> ClientRequest:
         """The request that these fields make; raises BadRequestError."""
         cls = path.removeprefix(PATH)
         if not path.startswith(PATH) or cls not in self._kinds:
@@ -64,7 +64,7 @@
         ttl = _figure(fields, "X-Ttl-Ms", _NUMBER, LONGEST)
         if ttl <= 0:
             raise BadRequestError(400, "X-Ttl-Ms is 0")
-        return Asked(
+        return ClientRequest(
             txn=_field(fields, "X-Txn", _HEX),
             cls=cls,
             item=item,
--- a/stonecove/stages/relay.py
+++ b/stonecove/stages/relay.py
@@ -6,7 +6,7 @@
 from typing import NamedTuple
 
 from stonecove.interface import ClassSettings, Note, Outcome, Settings
-from stonecove.ground.log import log_some
+from stonecove.runtime.log import log_some
 from stonecove.memory.requests import Attempt, OpenRequest
 from stonecove.stages.book import Book
 from stonecove.exchange import Answer, Verdict
--- a/stonecove/stages/route.py
+++ b/stonecove/stages/route.py
@@ -26,10 +26,10 @@
     Settings,
     Timer,
 )
-from stonecove.ground.clock import Clock
-from stonecove.ground.timers import Timers, nobody
-from stonecove.ground.log import log
-from stonecove.membership import MembersTold, PurgeTold, Told
+from stonecove.runtime.clock import Clock
+from stonecove.runtime.timers import Timers, nobody
+from stonecove.runtime.log import log
+from stonecove.membership import MembersUpdate, PurgeUpdate, Told
 from stonecove.memory.budget import Budget
 from stonecove.memory.nodes import NodeTable
 from stonecove.memory.requests import Attempt, OpenRequest, OpenRequests
@@ -37,9 +37,11 @@
 from stonecove.stages.book import Book
 from stonecove.stages.relay import Relay
 from stonecove.stages.send import Connect, Send
-from stonecove.exchange import Answer, Asked, Verdict
+from stonecove.exchange import Answer, ClientRequest, Verdict
 
-Gate = Callable[[Asked], str]  # empty if a request may go in, else the name of the limit that refuses it
+Gate = Callable[
+    [ClientRequest], str
+]  # empty if a request may go in, else the name of the limit that refuses it
 
 BATCH = 8  # requests that are decided between two looks at the sockets
 SAID_FOR = 1000.0  # ms within which the module's words are not repeated
@@ -90,7 +92,7 @@
 
     # -- what comes in --
 
-    def asked(self, asked: Asked) -> OpenRequest | None:
+    def asked(self, asked: ClientRequest) -> OpenRequest | None:
         """A request was taken in; None if it was refused at the door."""
         now = self._clock.now()
         if self.gate is not None and (limit := self.gate(asked)):
@@ -148,7 +150,7 @@
     def told(self, event: Told) -> None:
         """News of nodes or a purge. What waits to be written is looked at again, once the module knows."""
         waiting = self.requests.waiting()
-        if isinstance(event, PurgeTold):
+        if isinstance(event, PurgeUpdate):
             self.post(Purged(max(0.0, self._clock.now() - event.time), event.group, event.key))
             for attempt in waiting:
                 asked = attempt.request.asked
@@ -158,7 +160,7 @@
         for attempt in waiting:
             self.send.may_go(attempt)
 
-    def _listed(self, event: MembersTold) -> None:
+    def _listed(self, event: MembersUpdate) -> None:
         self.nodes.apply(event)
         form = ListKind.FULL if event.whole else ListKind.DELTA
         self.post(Listed(form, tuple(member.node for member in event.members)))
--- a/stonecove/stages/send.py
+++ b/stonecove/stages/send.py
@@ -7,9 +7,9 @@
 from functools import partial
 
 from stonecove.interface import Effect, Get, How, NodeId, Outcome, Settings
-from stonecove.ground.clock import Clock
-from stonecove.ground.timers import Timers
-from stonecove.ground.log import log_some
+from stonecove.runtime.clock import Clock
+from stonecove.runtime.timers import Timers
+from stonecove.runtime.log import log_some
 from stonecove.memory.nodes import NodeTable
 from stonecove.memory.requests import Attempt
 from stonecove.stages.book import Book
--- a/stonecove/wire/changelog.py
+++ b/stonecove/wire/changelog.py
@@ -7,8 +7,8 @@
 from typing import Any, NamedTuple
 
 from stonecove.interface import Node, NodeState, Settings
-from stonecove.ground.log import log_some
-from stonecove.membership import Member, MembershipSink, MembersTold, PurgeTold, Told
+from stonecove.runtime.log import log_some
+from stonecove.membership import Member, MembershipSink, MembersUpdate, PurgeUpdate, Told
 from stonecove.wire.buffer import Buffer
 
 MOST_FRAME = 4 << 20
@@ -53,13 +53,13 @@
     wrong = ""
     try:
         if kind in (_WHOLE, _CHANGES):
-            told = MembersTold(kind == _WHOLE, _members(payload))
+            told = MembersUpdate(kind == _WHOLE, _members(payload))
         elif kind == _OBJECT_PURGE:
             key, time = _OBJECT.unpack(payload)
-            told = PurgeTold(float(time), 0, key)
+            told = PurgeUpdate(float(time), 0, key)
         elif kind == _GROUP_PURGE:
             group, time = _GROUP.unpack(payload)
-            told = PurgeTold(float(time), group, 0)
+            told = PurgeUpdate(float(time), group, 0)
     except (struct.error, ChangeLogError) as error:  # only this event: the next frame begins where it says
         wrong = f"a frame of kind {kind}: {error}"
     return Frame(number, kind != _NOTHING, told, wrong)
@@ -109,10 +109,10 @@
         for event in known.get("results", []):
             if fleet := event.get("fleet"):
                 members = tuple(member_from(entry, settings) for entry in fleet["instances"])
-                told.append(MembersTold(bool(fleet.get("reset")) or not told, members))
+                told.append(MembersUpdate(bool(fleet.get("reset")) or not told, members))
             if purge := event.get("invalidate"):
                 key = int(str(purge["object"]), 16) if "object" in purge else 0
-                told.append(PurgeTold(float(purge["time"]), int(purge.get("bucket", 0)), key))
+                told.append(PurgeUpdate(float(purge["time"]), int(purge.get("bucket", 0)), key))
     except (KeyError, TypeError, ValueError) as error:
         raise ChangeLogError(f"'known' cannot be read: {error!r}") from error
     return told
--- a/stonecove/wire/desk.py
+++ b/stonecove/wire/desk.py
@@ -7,8 +7,8 @@
 
 from stonecove.access.gate import Decision, Gate
 from stonecove.access.grants import Request
-from stonecove.ground.clock import Clock
-from stonecove.ground.log import log_some
+from stonecove.runtime.clock import Clock
+from stonecove.runtime.log import log_some
 
 
 class Desk:
--- a/stonecove/wire/deskfcgi.py
+++ b/stonecove/wire/deskfcgi.py
@@ -5,11 +5,11 @@
 from stonecove.access.gate import Decision
 from stonecove.access.grants import Request
 from stonecove.access.reasons import status_of
-from stonecove.exchange import Asked
+from stonecove.exchange import ClientRequest
 from stonecove.wire.http import cookies_of
 
 
-def presented(params: dict[str, str], asked: Asked, depot: str) -> Request:
+def presented(params: dict[str, str], asked: ClientRequest, depot: str) -> Request:
     """The request as a token names it: `/svc/CLASS/OBJECT/PART`, whatever path the web server had."""
     query = params.get("QUERY_STRING", "")
     path = f"/svc/{asked.cls}/{asked.item}/{asked.chunk}"
--- a/stonecove/wire/ensemble.py
+++ b/stonecove/wire/ensemble.py
@@ -7,7 +7,7 @@
 
 import trio
 
-from stonecove.ground.log import log
+from stonecove.runtime.log import log
 from stonecove.wire import zookeeper as zk
 from stonecove.wire.zksession import Down, Expired, Figures, Reply, Server, Session, SessionEvent, State, Up
 
--- a/stonecove/wire/follow.py
+++ b/stonecove/wire/follow.py
@@ -9,7 +9,7 @@
 
 import trio
 
-from stonecove.ground.log import log, log_some
+from stonecove.runtime.log import log, log_some
 from stonecove.membership import MembershipSink
 from stonecove.wire.buffer import Buffer, BufferFullError
 from stonecove.wire.changelog import MOST_FRAME, ChangeLogError, Follower, frames
--- a/stonecove/wire/front.py
+++ b/stonecove/wire/front.py
@@ -6,11 +6,11 @@
 from typing import TYPE_CHECKING
 
 from stonecove.interface import Settings
-from stonecove.ground.log import log_some
+from stonecove.runtime.log import log_some
 from stonecove.memory.requests import OpenRequest
 from stonecove.stages.intake import Intake
 from stonecove.stages.route import Route
-from stonecove.exchange import Answer, Asked, BadRequestError, Verdict
+from stonecove.exchange import Answer, ClientRequest, BadRequestError, Verdict
 from stonecove.wire.fastcgi import COMPLETE
 from stonecove.wire.session import Session
 
@@ -101,7 +101,7 @@
             self._open[connection, ident] = request
         return True
 
-    def _let_in(self, connection: Session, ident: int, params: dict[str, str], asked: Asked) -> bool:
+    def _let_in(self, connection: Session, ident: int, params: dict[str, str], asked: ClientRequest) -> bool:
         """Has the token checked; a request that may not go in is refused at once, and never sent on."""
         from stonecove.wire.deskfcgi import presented, refusal
 
--- a/stonecove/wire/httpfront.py
+++ b/stonecove/wire/httpfront.py
@@ -14,9 +14,9 @@
 
 from stonecove.access.gate import Decision, cookie_path
 from stonecove.access.grants import Request as Presented
-from stonecove.exchange import Answer, Asked, BadRequestError, Verdict
-from stonecove.ground.clock import Clock
-from stonecove.ground.log import log_some
+from stonecove.exchange import Answer, ClientRequest, BadRequestError, Verdict
+from stonecove.runtime.clock import Clock
+from stonecove.runtime.log import log_some
 from stonecove.interface import Settings
 from stonecove.memory.requests import OpenRequest
 from stonecove.stages.intake import Intake
@@ -102,7 +102,7 @@
         if key := request.fields.get("x-txn-key"):
             fields["X-Txn-Key"] = key
         answer = partial(self._answer, request, decision, reply)
-        asked: Asked = self._intake.take(f"/svc/{cls}", fields, request.body, answer)
+        asked: ClientRequest = self._intake.take(f"/svc/{cls}", fields, request.body, answer)
         asked.gone = partial(self.over, decision, ran=True)
         asked.client = decision.subject if decision is not None and decision.subject else source
         if self._route.requests.waits(asked.txn):
--- a/tests/test_attempt_crossings.py
+++ b/tests/test_attempt_crossings.py
@@ -8,11 +8,11 @@
 import pytest
 from conftest import CACHES, make_class, make_nodes, make_settings
 
-from stonecove.exchange import Answer, Asked, Verdict
-from stonecove.ground.clock import Clock
-from stonecove.ground.timers import Timers
+from stonecove.exchange import Answer, ClientRequest, Verdict
+from stonecove.runtime.clock import Clock
+from stonecove.runtime.timers import Timers
 from stonecove.interface import ClassSettings, Effect, KeyGroup
-from stonecove.membership import Member, MembersTold
+from stonecove.membership import Member, MembersUpdate
 from stonecove.memory.budget import Budget
 from stonecove.stages.route import Route
 from stonecove.wire import resp
@@ -87,7 +87,7 @@
         self.members = [
             Member(node, "127.0.0.1", node.node) for node in make_nodes() if node.node not in CACHES[caches:]
         ]
-        self.route.told(MembersTold(True, tuple(self.members)))
+        self.route.told(MembersUpdate(True, tuple(self.members)))
         self.answers: dict[str, list[Answer]] = {}
 
     def _connect(self, owner: Owner, address: tuple[str, int], patience: float) -> Channel:
@@ -100,7 +100,7 @@
         txn = f"{len(self.answers) + 1:016x}"
         answers = self.answers[txn] = []
         self.route.asked(
-            Asked(txn, "c", f"{key:016x}", "0", kind, key, 0, 3, 1.0, ttl, seen, b"", answers.append)
+            ClientRequest(txn, "c", f"{key:016x}", "0", kind, key, 0, 3, 1.0, ttl, seen, b"", answers.append)
         )
         self.route.decide()
         return txn
@@ -245,10 +245,10 @@
 # -- connections that come up late, or never --
 
 
-def members(seam: Seam, **changes: Any) -> MembersTold:
+def members(seam: Seam, **changes: Any) -> MembersUpdate:
     """What has changed of the one cache."""
     member = seam.members[0]
-    return MembersTold(False, (member._replace(node=member.node._replace(**changes)),))
+    return MembersUpdate(False, (member._replace(node=member.node._replace(**changes)),))
 
 
 def test_a_start_anew_while_a_connection_comes_up_is_no_failure_of_the_new_process(
--- a/tests/test_choice.py
+++ b/tests/test_choice.py
@@ -12,7 +12,7 @@
 import pytest
 from conftest import CACHES, ORIGIN, PARENTS, World, gets, make_class, make_nodes, make_settings
 
-from stonecove.choice import FRESH_FOR, HALF_LIFE, TABLE_MOST, Director, Load, Popularity, Ring
+from stonecove.choice import FRESH_FOR, HALF_LIFE, TABLE_MOST, Director, Load, Popularity, Rendezvous
 from stonecove.interface import (
     Due,
     Effect,
@@ -100,14 +100,14 @@
 
 def test_shares_follow_the_weights() -> None:
     listed = [*nodes(3), Node(9, 0, 0.0, NodeState.READY, 0, 1, 3.0)]
-    homes = Counter(Ring(listed, True).order(key)[0] for key in range(6000))
+    homes = Counter(Rendezvous(listed, True).order(key)[0] for key in range(6000))
     assert abs(homes[9] / 6000 - 0.5) < 0.03
-    flat = Counter(Ring(listed, False).order(key)[0] for key in range(6000))
+    flat = Counter(Rendezvous(listed, False).order(key)[0] for key in range(6000))
     assert abs(flat[9] / 6000 - 0.25) < 0.03
 
 
 def test_a_node_that_goes_moves_only_its_own_objects() -> None:
-    before, after = Ring(nodes(8), True), Ring(nodes(7), True)
+    before, after = Rendezvous(nodes(8), True), Rendezvous(nodes(7), True)
     for key in range(500):
         home = before.order(key)[0]
         assert home == 8 or after.order(key)[0] == home
--- a/tests/test_client_crossings.py
+++ b/tests/test_client_crossings.py
@@ -17,11 +17,11 @@
 
 import pytest
 from conftest import make_class, make_nodes, make_settings
-from stonecove.exchange import Answer, Asked
-from stonecove.ground.clock import Clock
-from stonecove.ground.timers import Timers
+from stonecove.exchange import Answer, ClientRequest
+from stonecove.runtime.clock import Clock
+from stonecove.runtime.timers import Timers
 from stonecove.lifecycle.serve import Server
-from stonecove.membership import Member, MembersTold
+from stonecove.membership import Member, MembersUpdate
 from stonecove.memory.budget import Budget
 from stonecove.memory.requests import OpenRequest
 from stonecove.stages.route import Route
@@ -91,7 +91,7 @@
         settings = make_settings(make_class(deadline=60_000.0, aim=30_000.0), may_cancel=may_cancel)
         self.route = Route(settings, 7, self.clock, self.timers, self.budget, 0.0, self._connect)
         self.route.send.most_links = 100
-        self.route.told(MembersTold(True, tuple(Member(node, "127.0.0.1", 1) for node in make_nodes())))
+        self.route.told(MembersUpdate(True, tuple(Member(node, "127.0.0.1", 1) for node in make_nodes())))
         self.front = Front(settings, self.route)
         self.front.ready = True
 
@@ -338,7 +338,7 @@
         asked[kind] += 1
         found = admit.enter(
             1000.0,
-            Asked(
+            ClientRequest(
                 f"{number:016x}", "pictures", "", "0", 0, 1, 0, 0, size, 1000.0, "", b"", seam.answers.append
             ),
         )
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -18,8 +18,8 @@
 from stonecove.fleet.placement import Demand, Host, place
 from stonecove.fleet.restart import Do, Instance, Phase, Policy
 from stonecove.fleet.rolling import Roll, RollState
-from stonecove.ground.notify import notify, watchdog_every
-from stonecove.ground.pipe import Pipe, from_setting
+from stonecove.runtime.notify import notify, watchdog_every
+from stonecove.runtime.pipe import Pipe, from_setting
 
 # -- restarts --
 
--- a/tests/test_sharing.py
+++ b/tests/test_sharing.py
@@ -1,4 +1,4 @@
-"""What routers share: the module's purse, the lessor's whole side, admission tokens; then a real fleet."""
+"""What routers share: the module's credit, the lessor's whole side, admission tokens; then a real fleet."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 from stonecove.interface import RETRIES, Listed, ListKind, Piece, Terms, Unspent, Want
 from stonecove.lifecycle.leases import LeaseFile, LeaseFileError
 from stonecove.sharing.lending import Lending, LendingError
-from stonecove.sharing.purse import Purse
+from stonecove.sharing.credit import LeasedCredit
 from stonecove.sharing.quota import Limit, Plan, PlanError, Quota
 
 WINDOW = 3.0
@@ -68,9 +68,9 @@
 
 
 def test_retries_beyond_the_own_part_come_in_pieces() -> None:
-    purse = Purse()
-    purse.add(0.0, Piece(1, RETRIES, 2.0, 100.0))
-    assert [purse.spend(1.0, RETRIES, 1.0) for _ in range(3)] == [True, True, False]
+    credit = LeasedCredit()
+    credit.add(0.0, Piece(1, RETRIES, 2.0, 100.0))
+    assert [credit.spend(1.0, RETRIES, 1.0) for _ in range(3)] == [True, True, False]
     world = World()
     world.give(Terms(0.3, 0.015))  # one of 20: no more than one retry is saved up
     assert world.director._burst == 1.0
--- a/tests/test_watch_crossings.py
+++ b/tests/test_watch_crossings.py
@@ -15,7 +15,7 @@
 import pytest
 
 from stand import PATIENCE, SETTINGS, ChangeLog, Hanging, Listener, Stand
-from stonecove.membership import PurgeTold, Told
+from stonecove.membership import PurgeUpdate, Told
 from stonecove.wire import changelog, follow
 from stonecove.wire.buffer import Buffer
 
@@ -292,7 +292,7 @@
         self._fails = fails
 
     def told(self, event: Told) -> None:
-        assert isinstance(event, PurgeTold)
+        assert isinstance(event, PurgeUpdate)
         if self._fails.get(event.group, 0):
             self._fails[event.group] -= 1
             raise RuntimeError("not now")
