--- a/stonecove/explore/copying.py
+++ b/stonecove/explore/copying.py
@@ -1,7 +1,7 @@
 """Three ways back to a state: taking its steps again, `copy.deepcopy`, and a pickle of the whole world.
 
-Settings are fixed and shared by all copies; so are the fixed parts of a list (`Rendezvous`), by what they were
-made of.
+Settings are fixed and shared by all copies; so are the fixed parts of a list (`Rendezvous`), by what they
+were made of.
 """
 
 from __future__ import annotations
