--- a/stonecove/lifecycle/coordination.py
+++ b/stonecove/lifecycle/coordination.py
@@ -4,13 +4,14 @@
 
 from collections.abc import Awaitable, Callable, Iterable
 from pathlib import Path
-from typing import TYPE_CHECKING
+from typing import Protocol
 
 import trio
 
 from stonecove.runtime.clock import Clock
 from stonecove.runtime.log import log, log_some
 from stonecove.interface import NodeId
+from stonecove.lifecycle.config import Config
 from stonecove.membership import presence
 from stonecove.membership.records import Names, RecordError
 from stonecove.membership.roster import Claim, Roster, Rules
@@ -21,12 +22,32 @@
 from stonecove.wire.zktree import Tree
 from stonecove.wire.zookeeper import Stat
 
-if TYPE_CHECKING:
-    from stonecove.lifecycle.members import Members
-
 Spawn = Callable[[Callable[[], Awaitable[None]]], None]
 
 
+class CoordinationOwner(Protocol):
+    """What a coordination needs from the membership that owns it."""
+
+    @property
+    def clock(self) -> Clock:
+        """The router's clock."""
+
+    @property
+    def seed(self) -> int:
+        """Seeds the order in which servers are tried, and the jitter of the pauses between."""
+
+    @property
+    def names(self) -> Names:
+        """The names of zones and kinds that records may use."""
+
+    @property
+    def config(self) -> Config:
+        """The present configuration: its settings hold the fleet's size as configured."""
+
+    def settle(self) -> None:
+        """Called after each event of the session, once roster and tree have taken it in."""
+
+
 def rules_of(source: ZooKeeperSource) -> Rules:
     """The figures of a roster."""
     return Rules(
@@ -128,7 +149,7 @@
         source: ZooKeeperSource,
         own: Presence | None,
         peer: presence.Peer,
-        owner: Members,
+        owner: CoordinationOwner,
         emit: Callable[[NodeId, Claim], None],
     ) -> None:
         """Raises OSError for a credential that can't be read."""
