--- a/tests/test_explore.py
+++ b/tests/test_explore.py
@@ -27,7 +27,7 @@
 FLOORS = {
     "": 0,
     "interface": 0,
-    "ground": 0,
+    "runtime": 0,
     "exchange": 1,
     "settings": 1,
     "choice": 1,
