--- a/benchmarks/explore.py
+++ b/benchmarks/explore.py
@@ -16,7 +16,7 @@
 from stonecove.explore.copying import DeepCopy, Pickle, Replay, Way, run
 from stonecove.explore.scope import SMALL, named
 from stonecove.explore.search import Crew, Options, Result
-from stonecove.explore.trace import world_start
+from stonecove.explore.trace import simulation_start
 from stonecove.explore.visited import FingerprintSet, PlainSet, Visited
 
 DEPTHS = {"links": (6, 8), "clients": (6, 7), "drain": (5, 7), "confirm": (7, 9)}
@@ -39,7 +39,7 @@
 def copies() -> dict[str, float]:
     """Microseconds to come back to a state, by way and depth."""
     found = {}
-    start = world_start(named(SMALL, "links"))
+    start = simulation_start(named(SMALL, "links"))
     for steps in (("ask 0",), ("ask 0", "decide", "up c1.0", "wait", "fire", "up c1.1")):
         ways: dict[str, Way] = {"replay": Replay(start), "deepcopy": DeepCopy(), "pickle": Pickle()}
         for name, way in ways.items():
@@ -99,7 +99,7 @@
             print(f"  {name:8} replay {_rates(replayed)}")
             figures["pickle_over_replay"] = replayed.seconds / on.seconds
             figures["states_per_s"] = on.states / on.seconds
-            deep = search.depth_first(world_start(named(SMALL, name)), depth)
+            deep = search.depth_first(simulation_start(named(SMALL, name)), depth)
             print(f"  {name:8} depth  {_rates(deep)}")
     figures["sleep_saved_percent"] = 100 * sum(saved) / len(saved)
     print("Cores:")
--- a/stonecove/commands/explore.py
+++ b/stonecove/commands/explore.py
@@ -43,7 +43,7 @@
 def _show(scope_name: str, result: Result, scopes: tuple[Any, ...], folder: Path | None) -> None:
     """Tells of the first violation of each property, and keeps its trace."""
     from stonecove.explore.scope import named
-    from stonecove.explore.trace import Trace, shrink, world_start
+    from stonecove.explore.trace import Trace, shrink, simulation_start
 
     shown: set[str] = set()
     for found in result.found:
@@ -54,7 +54,7 @@
             click.echo(f"  {found.violation.prop}: {found.violation.why}: {' / '.join(found.steps)}")
             continue
         scope = named(scopes, scope_name)
-        steps = shrink(world_start(scope), found.steps, found.violation.prop)
+        steps = shrink(simulation_start(scope), found.steps, found.violation.prop)
         trace = Trace(scope, steps, found.violation.prop, found.violation.why)
         click.echo(trace.story())
         if folder is not None:
--- a/stonecove/explore/copying.py
+++ b/stonecove/explore/copying.py
@@ -1,4 +1,4 @@
-"""Three ways back to a state: taking its steps again, `copy.deepcopy`, and a pickle of the whole world.
+"""Three ways back to a state: taking its steps again, `copy.deepcopy`, and a pickle of the whole simulation.
 
 Settings are fixed and shared by all copies; so are the fixed parts of a list (`Rendezvous`), by what they
 were made of.
--- a/stonecove/explore/fingerprint.py
+++ b/stonecove/explore/fingerprint.py
@@ -11,23 +11,23 @@
 import marshal
 from collections.abc import Callable
 from functools import partial
-from typing import TYPE_CHECKING, Any
+from typing import Any, Protocol
 
 import xxhash
 
 from stonecove import choice
 from stonecove.explore import peers
+from stonecove.explore.properties import Witness
+from stonecove.explore.scope import Scope
 from stonecove.runtime.timers import Timers
-from stonecove.interface import Get, Node
+from stonecove.interface import Get, Node, NodeState
 from stonecove.memory import budget, nodes, requests
 from stonecove.stages import admit, relay, route, send
 from stonecove.stages.book import Book
 from stonecove.wire import channel, fastcgi, session
+from stonecove.wire.changelog import Follower
 from stonecove.wire.resp import Decoder
 
-if TYPE_CHECKING:
-    from stonecove.explore.world import World
-
 WIRING = "points to another part that is encoded on its own, and never changes"
 FIXED = "set once from the settings"
 SAID = "told to people, read by nothing"
@@ -124,9 +124,9 @@
     ),
     peers.ServerChannel: (
         "process until silent sock asked aborted done numbers halfway",
-        {"link": WIRING, "world": WIRING, "last": DERIVED, "owed": DERIVED},
+        {"link": WIRING, "observer": WIRING, "last": DERIVED, "owed": DERIVED},
     ),
-    peers.LinkSocket: ("room dead _midway", {"_world": WIRING, "_channel": WIRING, "_command": DERIVED}),
+    peers.LinkSocket: ("room dead _midway", {"_observer": WIRING, "_channel": WIRING, "_command": DERIVED}),
     Decoder: ("_items _left _bulk", {}),
     session.Session: (
         "_decoder _buffer _leaving _unwanted _partial_since mute _urgent _answers _unsent _rest _full "
@@ -230,13 +230,97 @@
     return round(value, 4) + 0.0
 
 
+class SimulationState(Protocol):
+    """What a fingerprint is made of: the router's parts, and those of the simulation around it."""
+
+    @property
+    def t(self) -> float:
+        """The present Unix second."""
+
+    @property
+    def now(self) -> float:
+        """The present Unix millisecond."""
+
+    @property
+    def scope(self) -> Scope:
+        """The bounds that are explored."""
+
+    @property
+    def route(self) -> route.Route:
+        """The router's loop, with the stages and the decision module."""
+
+    @property
+    def budget(self) -> budget.Budget:
+        """The router's budget of bytes."""
+
+    @property
+    def timers(self) -> Timers:
+        """The router's timers."""
+
+    @property
+    def channels(self) -> list[peers.ServerChannel]:
+        """Connections to servers whose end has not been reported to the router."""
+
+    @property
+    def session(self) -> peers.ClientSession:
+        """The connection of the clients."""
+
+    @property
+    def heads(self) -> dict[int, bytes]:
+        """What has come so far of each answer, by FastCGI id."""
+
+    @property
+    def members(self) -> dict[int, tuple[str, NodeState, float]]:
+        """The listed nodes by id: name, state, start in Unix ms."""
+
+    @property
+    def processes(self) -> dict[int, int]:
+        """The node that listens at each port."""
+
+    @property
+    def follower(self) -> Follower:
+        """The router's reader of the change log."""
+
+    @property
+    def log(self) -> list[bytes]:
+        """The events of the change log, by number."""
+
+    @property
+    def log_up(self) -> bool:
+        """Whether the change log can be reached."""
+
+    @property
+    def log_skips(self) -> bool:
+        """Whether the next event comes under a number that is too high."""
+
+    @property
+    def requests(self) -> list[tuple[str, str]]:
+        """Class and state of each request."""
+
+    @property
+    def faults(self) -> int:
+        """How many faults may still happen."""
+
+    @property
+    def term_at(self) -> float:
+        """The Unix second at which a drain is over; infinite without one."""
+
+    @property
+    def expired(self) -> bool:
+        """Whether the drain is over."""
+
+    @property
+    def witness(self) -> Witness:
+        """What was observed, for the properties."""
+
+
 class _Encoder:
-    """One walk through a world."""
+    """Encodes the parts of one simulation."""
 
-    def __init__(self, world: World) -> None:
-        self._world = world
-        self._now = world.now
-        self._place = {request.req: int(request.asked.txn, 16) for request in world.route.requests}
+    def __init__(self, simulation: SimulationState) -> None:
+        self._simulation = simulation
+        self._now = simulation.now
+        self._place = {request.req: int(request.asked.txn, 16) for request in simulation.route.requests}
 
     def time(self, moment: float) -> float:
         """A Unix millisecond, told from now on; 0 stays 0."""
@@ -250,7 +334,7 @@
 
     def core(self) -> tuple[Any, ...]:
         """Stages and memory."""
-        route, time = self._world.route, self.time
+        route, time = self._simulation.route, self.time
         cpu = getattr(route.admit.cpu, "saved", 0.0)
         members = tuple(
             (key, self.node(member.node), member.host, member.port)
@@ -291,9 +375,9 @@
             links,
             where,
             route.send.most_links,
-            self._world.budget.most,
-            self._world.budget._used,
-            self._world.budget._coming,
+            self._simulation.budget.most,
+            self._simulation.budget._used,
+            self._simulation.budget._coming,
         )
 
     def node(self, node: Node) -> tuple[Any, ...]:
@@ -353,7 +437,7 @@
         return (
             channel.link.node,
             channel.process,
-            round(channel.until - self._world.t, 6),
+            round(channel.until - self._simulation.t, 6),
             channel.silent,
             queue,
             channel._rest,
@@ -374,7 +458,9 @@
             tuple(sorted(dict.fromkeys(channel.done))),
             tuple(sorted(channel.numbers.items())),
             channel.halfway,
-            any(link is channel.link for link in self._world.route.send._links.get(channel.link.node, ())),
+            any(
+                link is channel.link for link in self._simulation.route.send._links.get(channel.link.node, ())
+            ),
         )
 
     def command(self, command: Any) -> tuple[Any, ...]:
@@ -387,8 +473,8 @@
     def timers(self) -> tuple[Any, ...]:
         """All alarms that are on, in their order."""
         return tuple(
-            (round(due - self._world.t, 6), self.call(alarm.call))
-            for due, _, alarm in sorted(self._world.timers._heap, key=lambda entry: entry[:2])
+            (round(due - self._simulation.t, 6), self.call(alarm.call))
+            for due, _, alarm in sorted(self._simulation.timers._heap, key=lambda entry: entry[:2])
             if alarm.call is not None
         )
 
@@ -410,7 +496,7 @@
 
     def director(self) -> tuple[Any, ...]:
         """The decision module."""
-        d, time = self._world.route._director, self.time
+        d, time = self._simulation.route._director, self.time
         listed = tuple(self.node(d._listed[key]) for key in sorted(d._listed))
         popularity = d._popularity
         table = tuple(
@@ -519,7 +605,7 @@
 
     def around(self) -> tuple[Any, ...]:
         """Clients, list, log and limits."""
-        world, session = self._world, self._world.session
+        simulation, session = self._simulation, self._simulation.session
         decoder = session._decoder
         client = (
             tuple(sorted(decoder.open)),
@@ -546,41 +632,41 @@
             session.finished,
             -1 if session.sock.room is None else session.sock.room,
             session.sock.gone,
-            tuple(sorted(world.heads.items())),
+            tuple(sorted(simulation.heads.items())),
         )
         members = tuple(
             (node, name, int(state), self.time(started))
-            for node, (name, state, started) in sorted(world.members.items())
+            for node, (name, state, started) in sorted(simulation.members.items())
         )
-        behind = len(world.log) - world.follower.last
+        behind = len(simulation.log) - simulation.follower.last
         log = (
-            world.log_up,
-            world.log_skips,
+            simulation.log_up,
+            simulation.log_skips,
             behind,
-            world.follower._jumped - world.follower.last,
-            tuple(world.log[world.follower.last :]),
-            world.log[-1][13:] if "repeat" in world.scope.kinds else b"",
+            simulation.follower._jumped - simulation.follower.last,
+            tuple(simulation.log[simulation.follower.last :]),
+            simulation.log[-1][13:] if "repeat" in simulation.scope.kinds else b"",
         )
         return (
             client,
             members,
             log,
-            tuple(sorted(world.processes.items())),
-            tuple(world.requests),
-            world.faults,
-            round(world.term_at - world.t, 6),
-            world.expired,
+            tuple(sorted(simulation.processes.items())),
+            tuple(simulation.requests),
+            simulation.faults,
+            round(simulation.term_at - simulation.t, 6),
+            simulation.expired,
         )
 
     def witness(self) -> tuple[Any, ...]:
         """What the witness has to remember."""
-        witness = self._world.witness
+        witness = self._simulation.witness
         purges = tuple(
             (self.time(told), self.time(at), group, key) for told, at, group, key in witness.purges
         )
         seen = []
         for txn, one in witness.seen.items():
-            over = one.state != "open" and self._world.route.requests._txns.get(txn) is None
+            over = one.state != "open" and self._simulation.route.requests._txns.get(txn) is None
             sent = (
                 ()
                 if over
@@ -598,10 +684,10 @@
         return (purges, tuple(seen))
 
 
-def encode_world(world: World) -> bytes:
-    """The whole state of a world."""
-    encoder = _Encoder(world)
-    channels = tuple(map(encoder.channel, world.channels))
+def encode_state(simulation: SimulationState) -> bytes:
+    """The whole state of a simulation in its canonical form."""
+    encoder = _Encoder(simulation)
+    channels = tuple(map(encoder.channel, simulation.channels))
     state = (
         encoder.core(),
         tuple(sorted(channels, key=lambda channel: channel[0])),
@@ -613,9 +699,9 @@
     return marshal.dumps(state, 2)
 
 
-def all_parts(world: World) -> list[object]:
-    """One object of each class of the ledger that the world holds, to check its fields."""
-    route = world.route
+def all_parts(simulation: SimulationState) -> list[object]:
+    """The objects in a simulation whose fields `check_fields` is to compare with the ledger."""
+    route = simulation.route
     director = route._director
     found: list[object] = [
         route,
@@ -625,10 +711,10 @@
         route.send,
         route.requests,
         route.nodes,
-        world.budget,
-        world.timers,
-        world.session,
-        world.session._decoder,
+        simulation.budget,
+        simulation.timers,
+        simulation.session,
+        simulation.session._decoder,
         director,
         director._popularity,
         director._purges,
@@ -637,7 +723,7 @@
     ]
     for request in route.requests:
         found += [request, *request.attempts]
-    for one in world.channels:
+    for one in simulation.channels:
         found += [one, one.sock, one.link, one.decoder]
     for held in director._held.values():
         found += [held, *held.attempts]
--- a/stonecove/explore/hunt.py
+++ b/stonecove/explore/hunt.py
@@ -13,7 +13,7 @@
 from stonecove.explore.machine import Machine
 from stonecove.explore.scope import SMALL, WALK, Scope, named
 from stonecove.explore.search import Crew, Found, Options, Result, Start, breadth_first
-from stonecove.explore.trace import Trace, shrink, world_start
+from stonecove.explore.trace import Trace, shrink, simulation_start
 from stonecove.explore.walk import Walks, walk
 
 CHANNEL_DEPTH = 14
@@ -39,7 +39,7 @@
 ) -> Result:
     """Plays all of a scope."""
     return breadth_first(
-        crew, world_start, (scope, seed), scope.depth, options or Options(), f"{scope}/{seed}", progress
+        crew, simulation_start, (scope, seed), scope.depth, options or Options(), f"{scope}/{seed}", progress
     )
 
 
@@ -128,7 +128,7 @@
     crash: str = ""
 
     def trace(self) -> Trace | None:
-        """The counterexample, if it is one of the router's world."""
+        """The counterexample, if the router's simulation found it."""
         if self.found is None or self.where in ("codecs", "channel", *SMALL_MACHINES):
             return None
         return Trace(
@@ -176,7 +176,7 @@
 def wander(first: int, count: int, steps: int, scope: Scope = WALK, seed: str = "") -> Walks:
     """Walks with the chance seeds from `first` on; stops at the first violation, shrunk."""
     done = Walks()
-    start = world_start(scope, seed)
+    start = simulation_start(scope, seed)
     try:
         for chance in range(first, first + count):
             walk(start, scope, chance, steps, done)
--- a/stonecove/explore/peers.py
+++ b/stonecove/explore/peers.py
@@ -5,27 +5,41 @@
 import re
 import struct
 from collections.abc import Callable
-from typing import TYPE_CHECKING
+from typing import Protocol
 
+from stonecove.explore.properties import Witness
 from stonecove.memory.budget import Budget
+from stonecove.runtime.clock import Clock
 from stonecove.stages.send import Link
 from stonecove.wire import fastcgi, resp
 from stonecove.wire.channel import Channel
 from stonecove.wire.session import Handler, Session
 
-if TYPE_CHECKING:
-    from stonecove.explore.world import World
-
 _TXN = re.compile(rb"\*4\r\n\$5\r\nfetch\r\n\$16\r\n([0-9a-f]{16})\r\n\$\d+\r\n([^\r]*)\r\n")
 _ABORT = re.compile(rb"\*2\r\n\$5\r\nabort\r\n\$16\r\n([0-9a-f]{16})\r\n")
 _RECORD = struct.Struct(">BBHHBB")
 
 
+class PeerObserver(Protocol):
+    """What simulated sockets and connections need from the simulation that holds them."""
+
+    @property
+    def clock(self) -> Clock:
+        """The simulated clock."""
+
+    @property
+    def witness(self) -> Witness:
+        """Takes note of properties that are violated."""
+
+    def first_byte(self, channel: ServerChannel, txn: str, fields: dict[str, str]) -> None:
+        """Called as the first byte of a fetch is written."""
+
+
 class LinkSocket:
     """The router's end of a connection to a server."""
 
-    def __init__(self, world: World, channel: ServerChannel) -> None:
-        self._world = world
+    def __init__(self, observer: PeerObserver, channel: ServerChannel) -> None:
+        self._observer = observer
         self._channel = channel
         self.room: int | None = None  # bytes that it still takes; None: any number
         self.dead = ""  # why it is over, though the router may not have noticed: closed, reset
@@ -33,7 +47,7 @@
         self._command = b""  # all of it
 
     def send(self, data: bytes | memoryview, /) -> int:
-        """Takes bytes, and has the world look at each command as its first byte goes out."""
+        """Takes bytes; the observer is told of each command as its first byte is written."""
         if self.dead == "reset":
             raise ConnectionResetError("reset by the server")
         count = len(data) if self.room is None else min(self.room, len(data))
@@ -43,14 +57,14 @@
             self.room -= count
         first = not self._midway
         if first and self.dead:
-            self._world.witness.broken("not-into-ended", "a command begins after the server's end")
+            self._observer.witness.broken("not-into-ended", "a command begins after the server's end")
         if not first and bytes(data) != self._midway:
-            self._world.witness.broken("order-kept", "a command is not written to its end")
+            self._observer.witness.broken("order-kept", "a command is not written to its end")
         if first:
             self._command = bytes(data)
         self._midway = bytes(data[count:])
         if first and (found := _TXN.match(bytes(data))):
-            self._world.first_byte(self._channel, found[1].decode(), resp.fields_of(found[2]))
+            self._observer.first_byte(self._channel, found[1].decode(), resp.fields_of(found[2]))
         if not self._midway and not self.dead:
             self._channel.whole(self._command)
         return count
@@ -65,16 +79,16 @@
 
 
 class ServerChannel(Channel):
-    """A connection to a server, its I/O played by the world."""
+    """A connection to a server, its I/O done by the simulation."""
 
-    def __init__(self, world: World, link: Link, process: int, until: float) -> None:
-        super().__init__(link, world.clock.now)
+    def __init__(self, observer: PeerObserver, link: Link, process: int, until: float) -> None:
+        super().__init__(link, observer.clock.now)
         self.link = link
-        self.world = world
+        self.observer = observer
         self.until = until  # the second at which connecting is given up
         self.process = process  # the process that listened at the address when it was dialled
         self.silent = False  # it never comes up
-        self.sock = LinkSocket(world, self)
+        self.sock = LinkSocket(observer, self)
         self.asked: list[str] = []  # ids that the server has whole and has not answered
         self.aborted: list[str] = []  # ids among them that were given up
         self.done: list[str] = []  # ids that it has answered
@@ -84,7 +98,7 @@
         self.owed = ("", b"", 0.0)  # and what it says: id, bytes, birth
 
     def _stop(self) -> None:
-        pass  # the world sees that it is over, and tells the owner in a step of its own
+        pass  # the simulation notices the end, and reports it to the owner in a separate step
 
     def whole(self, command: bytes) -> None:
         """A command has reached the server whole."""
@@ -103,7 +117,7 @@
             self.over = True
             self._why = str(error)
         except Exception as error:  # the program would tell of a bug, and end the connection
-            self.world.witness.broken("no-slip", repr(error))
+            self.observer.witness.broken("no-slip", repr(error))
             self.over = True
 
 
@@ -141,7 +155,7 @@
 
 
 class ClientSession(Session):
-    """A client connection, its I/O played by the world."""
+    """A client connection, its I/O done by the simulation."""
 
     def __init__(
         self, sock: ClientSocket, handler: Handler, clock: Callable[[], float], budget: Budget
@@ -152,7 +166,7 @@
         self.finished = False
 
     def close(self) -> None:
-        """The router ends it; the world tells so in a step of its own."""
+        """The router ends it; the simulation reports the end in a separate step."""
         self.closing = True
 
     def _stop_reading(self) -> None:
--- a/stonecove/explore/reach.py
+++ b/stonecove/explore/reach.py
@@ -16,7 +16,7 @@
 from stonecove.explore.properties import PROPERTIES
 from stonecove.explore.scope import SMALL, WALK
 from stonecove.explore.search import Crew, Options
-from stonecove.explore.trace import world_start
+from stonecove.explore.trace import simulation_start
 from stonecove.explore.walk import Walks, walk
 
 ROOT = Path(stonecove.__file__).parent
@@ -157,7 +157,7 @@
         hunt.explore_codecs()
         done = Walks()
         for chance in range(3):
-            walk(world_start(WALK), WALK, chance, 1500, done)
+            walk(simulation_start(WALK), WALK, chance, 1500, done)
     finally:
         cover.stop()
     total_lines = total_missed = 0
--- a/stonecove/explore/seeds.py
+++ b/stonecove/explore/seeds.py
@@ -559,10 +559,24 @@
     _plant(seed)
 
 
+def _function_of(seed: Seed) -> tuple[Any, Any]:
+    """What the owner holds under that name, and the plain function within it."""
+    held = inspect.getattr_static(seed.owner, seed.function)
+    return held, held.__func__ if isinstance(held, (staticmethod, classmethod)) else held
+
+
+def _source_of(function: Any) -> str:
+    return textwrap.dedent(inspect.getsource(function))
+
+
+def occurrences(seed: Seed) -> int:
+    """How often the text to be replaced stands in the seed's function; only 1 can be planted."""
+    return _source_of(_function_of(seed)[1]).count(seed.old)
+
+
 def _plant(seed: Seed) -> None:
-    before = inspect.getattr_static(seed.owner, seed.function)
-    plain = before.__func__ if isinstance(before, (staticmethod, classmethod)) else before
-    text = textwrap.dedent(inspect.getsource(plain))
+    before, plain = _function_of(seed)
+    text = _source_of(plain)
     if text.count(seed.old) != 1:
         raise SeedError(f"{seed.name}: {seed.old!r} stands {text.count(seed.old)} times in {seed.function}")
     text = text.replace(seed.old, seed.new)
--- a/stonecove/explore/world.py
+++ b/stonecove/explore/simulation.py
@@ -12,12 +12,12 @@
 
 from stonecove.choice import Rendezvous, part_key
 from stonecove.explore import scope as bounds
-from stonecove.explore.fingerprint import encode_world
+from stonecove.explore.fingerprint import encode_state
 from stonecove.explore.machine import Violation
 from stonecove.explore.peers import ClientSession, ClientSocket, ServerChannel, request_bytes
 from stonecove.explore.properties import Witness
 from stonecove.explore.scope import ANSWERS, CACHE, CLASSES, ORIGIN, PARENT, Scope
-from stonecove.runtime import log as ground_log
+from stonecove.runtime import log as runtime_log
 from stonecove.runtime.clock import Clock, CpuCredit
 from stonecove.runtime.timers import Timers
 from stonecove.interface import Ended, Event, Get, Node, NodeState, Request
@@ -84,13 +84,13 @@
     return key
 
 
-class World:
+class Simulation:
     """One router and all that is around it."""
 
     def __init__(self, scope: Scope) -> None:
         global _current
         _current = self
-        ground_log.divert(_logged)
+        runtime_log.divert(_logged)
         self.scope = scope
         self.t = START  # seconds
         self.faults = scope.faults
@@ -467,7 +467,7 @@
         """Takes a step, and in a coarse scope the router's own turns that follow at once."""
         global _current
         _current = self
-        ground_log.divert(_logged)
+        runtime_log.divert(_logged)
         word, _, rest = step.partition(" ")
         self._one(word, rest.split())
         while not self.scope.fine and (own := [s for s in self.urgent() if s.startswith(("end", "decide"))]):
@@ -819,10 +819,10 @@
 
     def encode(self) -> bytes:
         """The state in its canonical form."""
-        return encode_world(self)
+        return encode_state(self)
 
 
-_current: World | None = None
+_current: Simulation | None = None
 
 
 def _logged(event: str, fields: dict[str, object]) -> None:
@@ -833,14 +833,14 @@
 class Watched:
     """The decision module's `handle`, with the witness looking on."""
 
-    def __init__(self, world: World) -> None:
-        self._world = world
-        self._director = world.route._director
+    def __init__(self, simulation: Simulation) -> None:
+        self._simulation = simulation
+        self._director = simulation.route._director
 
     def __call__(self, now: float, event: Event) -> list[Any]:
-        self._world._handle(event)
+        self._simulation._handle(event)
         actions = type(self._director).handle(self._director, now, event)
         for act in actions:
-            if isinstance(act, Get) and (txn := self._world.txn_of(act.req)):
-                self._world.witness.ordered(txn)
+            if isinstance(act, Get) and (txn := self._simulation.txn_of(act.req)):
+                self._simulation.witness.ordered(txn)
         return actions
--- a/stonecove/explore/trace.py
+++ b/stonecove/explore/trace.py
@@ -12,7 +12,7 @@
 from stonecove.explore.properties import PROPERTIES
 from stonecove.explore.scope import ANSWERS, Scope
 from stonecove.explore.search import SETTLE, Start, Steps
-from stonecove.explore.world import START, World
+from stonecove.explore.simulation import START, Simulation
 
 FORMAT = 1
 _WORDS = {
@@ -124,13 +124,13 @@
         return cls.from_json(path.read_text())
 
     def start(self) -> Start:
-        """What starts the world that it was found in, its seed planted."""
-        return world_start(self.scope, self.seed)
+        """Plants the seed, and gives what starts the simulation that it was found in."""
+        return simulation_start(self.scope, self.seed)
 
     def play(self) -> tuple[list[Told], list[Violation]]:
         """Takes the steps again, as far as they can be; tells each, and what is broken in the end."""
         machine = self.start()()
-        assert isinstance(machine, World)
+        assert isinstance(machine, Simulation)
         told = []
         for step in self.steps:
             if step != SETTLE and step not in machine.enabled():
@@ -158,17 +158,17 @@
         return "\n".join(lines)
 
 
-def world_start(scope: Scope, seed: str = "") -> Start:
-    """Plants the seed in this process, and gives what starts a world of that scope."""
+def simulation_start(scope: Scope, seed: str = "") -> Start:
+    """Plants the seed in this process, and returns what starts a simulation of that scope."""
     seeds.plant(seed)
 
     def start() -> Machine:
-        return World(scope)
+        return Simulation(scope)
 
     return start
 
 
-def in_words(world: World, step: str) -> str:
+def in_words(simulation: Simulation, step: str) -> str:
     """A step as a sentence."""
     word, _, rest = step.partition(" ")
     args = rest.split()
@@ -176,7 +176,7 @@
         code, note = ANSWERS[word]
         return f"{args[0]}: answers request {args[1]} with {code}{f', {note}' if note else ''}"
     place = int(args[0]) if args and args[0].isdigit() else -1
-    cls = world.requests[place][0] if 0 <= place < len(world.requests) else ""
+    cls = simulation.requests[place][0] if 0 <= place < len(simulation.requests) else ""
     return _WORDS.get(word, word).format(*args, cls=cls)
 
 
--- a/tests/test_explore.py
+++ b/tests/test_explore.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 import ast
+import graphlib
 import os
 import re
 import signal
@@ -18,9 +19,9 @@
 from stonecove.explore.properties import PROPERTIES
 from stonecove.explore.reach import HARD_CASES, HARD_STEPS
 from stonecove.explore.search import Crew, Options, Result
-from stonecove.explore.trace import Trace, shrink, world_start
+from stonecove.explore.trace import Trace, shrink, simulation_start
 from stonecove.explore.visited import FingerprintSet, PlainSet
-from stonecove.explore.world import World
+from stonecove.explore.simulation import Simulation
 
 ROOT = Path(__file__).parent.parent
 TRACES = sorted((Path(__file__).parent / "traces").glob("*.json"))
@@ -98,13 +99,29 @@
                     assert floor_of(target) <= floor_of(module), f"{module} imports {target}"
 
 
+def test_no_module_imports_itself_through_others() -> None:
+    paths = {
+        ".".join(path.relative_to(ROOT).with_suffix("").parts).removesuffix(".__init__"): path
+        for path in (ROOT / "stonecove").rglob("*.py")
+    }
+    imports: dict[str, set[str]] = {module: set() for module in paths}
+    for module, path in paths.items():
+        for node in ast.walk(ast.parse(path.read_text())):
+            if isinstance(node, ast.ImportFrom) and node.module in paths:
+                wholes = {f"{node.module}.{name.name}" for name in node.names}
+                imports[module] |= {whole if whole in paths else node.module for whole in wholes}
+            elif isinstance(node, ast.Import):
+                imports[module] |= {name.name for name in node.names if name.name in paths}
+    graphlib.TopologicalSorter(imports).prepare()  # raises CycleError, which names the circle
+
+
 @pytest.mark.parametrize(
     ("module", "absent"),
     [
         ("stonecove.stages.route", ("trio",)),
         ("stonecove.wire.channel", ("trio",)),
         ("stonecove.wire.session", ("trio",)),
-        ("stonecove.explore.world", ("trio",)),
+        ("stonecove.explore.simulation", ("trio",)),
         (
             "stonecove.lifecycle.serve",
             ("click", "rich", "numpy", "xxhash", "opentelemetry", "cryptography", "joserfc", "h11")
@@ -134,32 +151,32 @@
 
 def test_the_fingerprint_knows_every_field() -> None:
     one = scope.named(scope.SMALL, "links")
-    world = run(world_start(one), ("ask 0", "decide", "up c1.0", "wait", "fire"))
-    assert isinstance(world, World)
-    assert check_fields(all_parts(world)) == []
-    vars(world.route)["_new"] = 1
-    assert check_fields(all_parts(world)) == ["Route._new is not in the ledger of the fingerprint"]
+    simulation = run(simulation_start(one), ("ask 0", "decide", "up c1.0", "wait", "fire"))
+    assert isinstance(simulation, Simulation)
+    assert check_fields(all_parts(simulation)) == []
+    vars(simulation.route)["_new"] = 1
+    assert check_fields(all_parts(simulation)) == ["Route._new is not in the ledger of the fingerprint"]
 
 
 def test_states_are_told_apart_by_what_matters_alone() -> None:
-    start = world_start(small("clients"))
+    start = simulation_start(small("clients"))
     one = run(start, ("ask 0", "ask 1", "decide", "up c1.0", "up c1.1")).encode()
     assert run(start, ("ask 0", "ask 1", "decide", "up c1.1", "up c1.0")).encode() == one
     assert run(start, ("ask 0", "ask 1", "decide", "up c1.0")).encode() != one
     assert run(start, ("ask 0", "ask 1", "decide", "up c1.0", "up c1.1", "wait")).encode() != one
 
 
-@pytest.mark.parametrize("way", [Replay(world_start(small("links"))), DeepCopy(), Pickle()])
+@pytest.mark.parametrize("way", [Replay(simulation_start(small("links"))), DeepCopy(), Pickle()])
 def test_each_way_back_leads_to_the_same_state(way: Way) -> None:
-    start, steps = world_start(small("links")), ("ask 0", "decide", "up c1.0", "wait", "fire", "up c1.1")
-    world = run(start, steps)
-    way.keep(world, steps)
+    start, steps = simulation_start(small("links")), ("ask 0", "decide", "up c1.0", "wait", "fire", "up c1.1")
+    simulation = run(start, steps)
+    way.keep(simulation, steps)
     for further in (("hit c1.0 0",), ("reset c1.1", "end c1.1")):
         there = way.back()
         for step in further:
             there.do(step)
         assert there.encode() == run(start, (*steps, *further)).encode()
-    assert way.back().encode() == world.encode()
+    assert way.back().encode() == simulation.encode()
 
 
 def test_the_set_of_states_agrees_with_a_plain_one() -> None:
@@ -194,7 +211,7 @@
     one = small("confirm", depth=6)
     alone, many = explored(one, processes=1), explored(one, processes=4)
     assert (alone.states, alone.transitions, told(alone)) == (many.states, many.transitions, told(many))
-    deep = search.depth_first(world_start(one), one.depth)
+    deep = search.depth_first(simulation_start(one), one.depth)
     assert deep.states == alone.states and not deep.found
 
 
@@ -259,13 +276,13 @@
 @pytest.mark.parametrize("case", HARD_CASES)
 def test_hard_cases_are_in_their_scope(case: str) -> None:
     one = scope.named(scope.SMALL, HARD_CASES[case])
-    world = world_start(one)()
+    simulation = simulation_start(one)()
     for step in HARD_STEPS[case]:
-        assert step in world.enabled()
-        world.do(step)
+        assert step in simulation.enabled()
+        simulation.do(step)
     assert len(HARD_STEPS[case]) <= one.depth
-    world.settle()
-    assert world.violations == []
+    simulation.settle()
+    assert simulation.violations == []
 
 
 def test_walks_hold_and_are_the_same_each_time() -> None:
@@ -292,7 +309,7 @@
 
 
 def test_a_trace_is_shrunk_kept_and_told(tmp_path: Path) -> None:
-    start = world_start(small("confirm"), "reset-told-as-never-run")
+    start = simulation_start(small("confirm"), "reset-told-as-never-run")
     try:
         long = (
             "ask 0",
--- a/tests/test_trial.py
+++ b/tests/test_trial.py
@@ -15,8 +15,8 @@
 from stand import Stand, free_address
 from stonecove.explore import scope
 from stonecove.explore.copying import run
-from stonecove.explore.trace import world_start
-from stonecove.explore.world import World
+from stonecove.explore.trace import simulation_start
+from stonecove.explore.simulation import Simulation
 from stonecove.operator.grammar import OperatorError
 from stonecove.standins.depot import Fetched
 from stonecove.trial.ground import Ground, Played
@@ -187,14 +187,14 @@
 
 def test_what_was_decided_before_a_stop_is_decided_anew() -> None:
     """The last look before the first byte: an attempt that has outlived its share never goes."""
-    world = run(world_start(scope.named(scope.SMALL, "links")), ("ask 0", "decide"))
-    assert isinstance(world, World)
+    simulation = run(simulation_start(scope.named(scope.SMALL, "links")), ("ask 0", "decide"))
+    assert isinstance(simulation, Simulation)
     outlived = [True]
-    world.route.send.outlived = lambda attempt: bool(outlived) and outlived.pop()
-    world.do("up c1.0")
-    (request,) = world.route.requests
+    simulation.route.send.outlived = lambda attempt: bool(outlived) and outlived.pop()
+    simulation.do("up c1.0")
+    (request,) = simulation.route.requests
     assert [(one.ended, one.written_at > 0) for one in request.attempts] == [(True, False), (False, False)]
-    assert world.route.book.counts["moot"] == 1
+    assert simulation.route.book.counts["moot"] == 1
 
 
 def test_a_router_that_was_stopped_says_so_and_one_that_ends_in_order_too(tmp_path: Path) -> None:
