--- a/stonecove/lifecycle/access.py
+++ b/stonecove/lifecycle/access.py
@@ -19,7 +19,7 @@
 from stonecove.runtime.log import log
 from stonecove.operator.records import Access
 from stonecove.stages.route import Route
-from stonecove.wire.desk import Desk
+from stonecove.wire.token_check import TokenChecker
 
 MOST_FILE = 1 << 24
 
@@ -110,7 +110,7 @@
         self._access = access
         ring, routes, revoked = self._read(access)
         gate = Gate(routes, ring, Limits(access.seen, access.checks), revoked)
-        self.desk = Desk(gate, clock, depot, self._counter(route))
+        self.desk = TokenChecker(gate, clock, depot, self._counter(route))
 
     @staticmethod
     def _counter(route: Route) -> Any:
--- a/stonecove/wire/front.py
+++ b/stonecove/wire/front.py
@@ -15,7 +15,7 @@
 from stonecove.wire.session import Session
 
 if TYPE_CHECKING:
-    from stonecove.wire.desk import Desk
+    from stonecove.wire.token_check import TokenChecker
 
 READY_PATH = "/status/live"
 _LINES = {
@@ -73,7 +73,7 @@
         self._route = route
         self._open: dict[tuple[Session, int], OpenRequest] = {}
         self.ready = False
-        self.desk: Desk | None = None  # where tokens are checked, if the operator wants it here too
+        self.desk: TokenChecker | None = None  # where tokens are checked, if the operator wants it here too
 
     def request(self, connection: Session, ident: int, params: dict[str, str], body: bytes, bad: str) -> bool:
         """A request has come in; says whether it could be taken."""
@@ -103,7 +103,7 @@
 
     def _let_in(self, connection: Session, ident: int, params: dict[str, str], asked: ClientRequest) -> bool:
         """Has the token checked; a request that may not go in is refused at once, and never sent on."""
-        from stonecove.wire.deskfcgi import presented, refusal
+        from stonecove.wire.token_fastcgi import presented, refusal
 
         assert self.desk is not None
         decision = self.desk.check(presented(params, asked, self.desk.depot))
--- a/stonecove/wire/httpfront.py
+++ b/stonecove/wire/httpfront.py
@@ -21,7 +21,7 @@
 from stonecove.memory.requests import OpenRequest
 from stonecove.stages.intake import Intake
 from stonecove.stages.route import Route
-from stonecove.wire.desk import Desk
+from stonecove.wire.token_check import TokenChecker
 from stonecove.wire.front import READY_PATH
 from stonecove.wire.http import HttpError, HttpRequest, byte_range
 
@@ -41,19 +41,19 @@
     """Takes the requests of all HTTP connections."""
 
     def __init__(
-        self, settings: Settings, route: Route, clock: Clock, desk: Desk | None, scheme: str
+        self, settings: Settings, route: Route, clock: Clock, tokens: TokenChecker | None, scheme: str
     ) -> None:
-        """Without a desk, nothing is asked of anybody."""
+        """`tokens`: checks each request; None admits all."""
         self._settings, self._route, self._clock = settings, route, clock
         self._intake = Intake(settings)
         self._kinds = {cls.name: cls for cls in settings.classes}
-        self.desk = desk
+        self.tokens = tokens
         self._scheme = scheme
         self.ready = False
 
     def door(self, request: HttpRequest, source: str) -> Decision | None:
         """What the head alone decides; None if nothing is asked of it. Raises BadRequestError."""
-        if request.path == READY_PATH or self.desk is None:
+        if request.path == READY_PATH or self.tokens is None:
             return None
         presented = Presented(
             request.method,
@@ -61,11 +61,11 @@
             request.fields.get("host", ""),
             request.target,
             source,
-            self.desk.depot,
+            self.tokens.depot,
             request.fields.get("authorization", ""),
             request.cookies,
         )
-        return self.desk.check(presented)
+        return self.tokens.check(presented)
 
     def turned_away(self, decision: Decision) -> tuple[int, Fields]:
         """Status and fields of a refusal: the client learns little."""
@@ -111,8 +111,8 @@
 
     def over(self, decision: Decision | None, ran: bool) -> None:
         """A request that was let in has its final answer, or its client has left."""
-        if decision is not None and self.desk is not None:
-            self.desk.over(decision, ran)
+        if decision is not None and self.tokens is not None:
+            self.tokens.over(decision, ran)
 
     def _answer(self, request: HttpRequest, decision: Decision | None, reply: Reply, answer: Answer) -> None:
         self.over(decision, ran=answer.verdict is not Verdict.REFUSED)
--- a/stonecove/wire/desk.py
+++ b/stonecove/wire/token_check.py
@@ -1,4 +1,4 @@
-"""Where the fronts have tokens checked: the gate with a clock, counts and log lines."""
+"""Checks the tokens of requests for all fronts: the gate, joined to the clock, the counts and the log."""
 
 from __future__ import annotations
 
@@ -11,15 +11,15 @@
 from stonecove.runtime.log import log_some
 
 
-class Desk:
-    """One gate for all fronts of a router."""
+class TokenChecker:
+    """Checks tokens with one gate for all fronts of a router."""
 
     def __init__(self, gate: Gate, clock: Clock, depot: str, count: Callable[[str], None]) -> None:
-        """`depot`: the zone that we stand in; `count` is told the reason of each refusal."""
+        """`depot`: the zone of this router; `count` is called with the counter's name on each refusal."""
         self.gate, self._clock, self.depot, self._count = gate, clock, depot, count
 
     def check(self, request: Request) -> Decision:
-        """Decides; the log has the reason, the key's id and who it was, never the token."""
+        """Decides on a request; logs reason, key id and subject of a refusal, never the token."""
         parts = request.path.split("/")
         item = "/".join(parts[2:4])
         decision = self.gate.check(request, item, self._clock.now() / 1000.0, time.monotonic())
@@ -37,5 +37,5 @@
         return decision
 
     def over(self, decision: Decision, ran: bool) -> None:
-        """A request that was let in has its final answer."""
+        """Called once an admitted request has its final answer; `ran`: whether it may have had an effect."""
         self.gate.over(decision, ran)
--- a/stonecove/wire/deskfcgi.py
+++ b/stonecove/wire/token_fastcgi.py
@@ -1,4 +1,4 @@
-"""Tokens on FastCGI: what a web server passes on of a request, as the gate wants it."""
+"""Tokens over FastCGI: maps the parameters of a web server to the request that the gate checks."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 def presented(params: dict[str, str], asked: ClientRequest, depot: str) -> Request:
-    """The request as a token names it: `/svc/CLASS/OBJECT/PART`, whatever path the web server had."""
+    """The request under the path that a token covers, `/svc/CLASS/OBJECT/PART`."""
     query = params.get("QUERY_STRING", "")
     path = f"/svc/{asked.cls}/{asked.item}/{asked.chunk}"
     return Request(
