--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -26,7 +26,7 @@
 from stonecove.fleet.control import ControlError, ask
 from stonecove.sharing.leases import Holder, Lessor, own_part
 from stonecove.standins.depot import Depot
-from stonecove.trial.load import Front
+from stonecove.trial.closed_loop import ClosedLoopClients
 
 HOST = "127.77.7.7"
 FIRST_PORT = 7300
@@ -92,13 +92,13 @@
         try:
             _all_ready(fleet, instances)
             ready = time.monotonic() - began
-            front = Front(_addresses(instances), PACE)
+            clients = ClosedLoopClients(_addresses(instances), PACE)
             chooser, kills = random.Random(5), list[tuple[float, int]]()
             pids = {unit["pid"]: _cpu(unit["pid"]) for unit in _status(fleet).values()}
             start = time.monotonic()
             time.sleep(min(5.0, seconds / 6))
             used = sum(_cpu(pid) - before for pid, before in pids.items())
-            asked = sum(front.answers.values())
+            asked = sum(clients.answers.values())
             cpu = used / max(1, asked) * 1e6
             memory = [unit["memory_mb"] for unit in _status(fleet).values()]
             rolled = subprocess.Popen(
@@ -114,13 +114,13 @@
                     kills.append((time.time(), at))
                     os.kill(pid, signal.SIGKILL)
             back = _all_ready(fleet, instances)
-            front.end()
+            clients.end()
             unexplained = [
                 one
-                for one in front.lost
+                for one in clients.lost
                 if not any(at == one[1] and 0 <= one[0] - when < 2.0 for when, at in kills)
             ]
-            total = sum(front.answers.values())
+            total = sum(clients.answers.values())
             supervisor.terminate()
             stopping = time.monotonic()
             code = supervisor.wait(60)
@@ -129,18 +129,18 @@
             if supervisor.poll() is None:
                 supervisor.kill()
             depot.close()
-    histogram = front.took
+    histogram = clients.took
     print(
         f"{instances} instances: all ready after {ready:.2f} s, {sum(memory) / len(memory):.1f} MB each, "
         f"{cpu:.0f} us of CPU a request"
     )
     print(
-        f"{total} answers {dict(front.answers)}, p50 {histogram.get_value_at_percentile(50) / 1000:.2f} ms, "
-        f"p99 {histogram.get_value_at_percentile(99) / 1000:.2f} ms; {front.turned_away} refused, "
-        f"{front.crossed} crossed a close"
+        f"{total} answers {dict(clients.answers)}, p50 {histogram.get_value_at_percentile(50) / 1000:.2f} ms, "
+        f"p99 {histogram.get_value_at_percentile(99) / 1000:.2f} ms; {clients.turned_away} refused, "
+        f"{clients.crossed} crossed a close"
     )
     print(
-        f"{len(kills)} kills took along {len(front.lost) - len(unexplained)} requests in flight; "
+        f"{len(kills)} kills took along {len(clients.lost) - len(unexplained)} requests in flight; "
         f"{len(unexplained)} others had no answer; roll ended with {rolled.returncode}, reload with "
         f"{reloaded.returncode}; {depot.repeated()} writes ran twice; all ready again after {back:.2f} s; "
         f"stopped in {stopped:.2f} s with {code}"
@@ -152,7 +152,7 @@
         "cpu_us": cpu,
         "answers": total,
         "kills": len(kills),
-        "lost_in_kills": len(front.lost) - len(unexplained),
+        "lost_in_kills": len(clients.lost) - len(unexplained),
         "lost_otherwise": len(unexplained),
         "roll_code": rolled.returncode or 0,
         "stop_s": stopped,
@@ -209,7 +209,7 @@
         try:
             _all_ready(fleet, instances)
             time.sleep(4.5 if leases else 1.0)  # a lessor that knows nothing of the past begins late
-            front = Front(_addresses(instances), pace, skew=True, kb=COLD_KB)
+            clients = ClosedLoopClients(_addresses(instances), pace, skew=True, kb=COLD_KB)
             start = time.monotonic()
             while time.monotonic() < start + seconds:
                 box = depot.caches[told % len(depot.caches)]
@@ -224,9 +224,9 @@
                     worst = max(worst, sent / _allowed(age))
                     if age >= 3.0:
                         used.append(sent / (_allowed(age) * HEADROOM))
-            front.end()
+            clients.end()
             found = ask(fleet, "status")["leases"]
-            answered, lost = sum(front.answers.values()), len(front.lost)
+            answered, lost = sum(clients.answers.values()), len(clients.lost)
             supervisor.terminate()
             supervisor.wait(60)
         finally:
@@ -238,7 +238,7 @@
         f"{instances} instances, {told} cold starts, {'leases' if leases else 'shares'}: "
         f"{sum(used) / len(used):.0%} of the routers' rule used, worst window {worst:.0%} of the true one, "
         f"{asked / seconds:.1f} questions a second, {answered} answers, {lost} without one, "
-        f"{front.answers['503']} refused"
+        f"{clients.answers['503']} refused"
     )
     return {"used": sum(used) / len(used), "worst": worst, "questions": asked / seconds, "lost": lost}
 
--- a/stonecove/commands/trial.py
+++ b/stonecove/commands/trial.py
@@ -91,7 +91,7 @@
     told = [{"at": at - played.began, "by": place, **found} for at, place, found in played.samples]
     samples = {"ids": played.ids, "faults": faults, "samples": told}
     (folder / "samples.json").write_text(json.dumps(samples))
-    if played.trial.crowd is not None:
+    if played.trial.open_loop is not None:
         first, last = played.trial.span
         book = {"title": played.trial.title, "faults": faults, "first": first, "last": last,
                 "events": events_of(played)}  # fmt: skip
--- a/stonecove/trial/load.py
+++ b/stonecove/trial/closed_loop.py
@@ -1,4 +1,4 @@
-"""Web servers under trial: bounded load on many routers, and the book on what became of each request."""
+"""A closed-loop load generator: workers that send one request after the other, and what became of each."""
 
 from __future__ import annotations
 
@@ -16,8 +16,8 @@
 Address = tuple[str, int]
 
 
-class Front:
-    """Web servers: each worker asks any instance that takes its connection, one request after the other.
+class ClosedLoopClients:
+    """Web servers: each worker sends one request after the other, to any instance that takes its connection.
 
     `skew`: instances are asked in proportion to 1/rank, as web servers that keep to some routers do.
     """
--- a/stonecove/trial/ground.py
+++ b/stonecove/trial/ground.py
@@ -14,8 +14,8 @@
 from stonecove.standins.depot import HOST, Cache, Depot
 from stonecove.standins.loaded import LoadedDepot
 from stonecove.swarm.words import ident_of, shown
-from stonecove.trial.crowd import Crowd
-from stonecove.trial.load import Front
+from stonecove.trial.open_loop import OpenLoopClients
+from stonecove.trial.closed_loop import ClosedLoopClients
 from stonecove.trial.processes import RouterProcess, free_address
 from stonecove.trial.relay import Faults, Ways
 from stonecove.trial.schedule import Fault, Trial
@@ -43,7 +43,7 @@
     ended: float
     routers: list[RouterProcess]
     ids: list[str]
-    front: Front | Crowd
+    clients: ClosedLoopClients | OpenLoopClients
     depot: Depot
     repeated: int
     colds: list[tuple[float, str, list[float]]]  # start, cache, when it was asked
@@ -62,7 +62,7 @@
         """Nothing runs yet. `more`: what else the operator's file of all routers says."""
         self.trial, self.folder, self._more = trial, folder, more
         self.depot = self._depot()
-        self.front: Front | Crowd | None = None
+        self.clients: ClosedLoopClients | OpenLoopClients | None = None
         self._log_ports = [self.depot.log_port] * trial.routers
         self.streams = self._streams(seed) if trial.relayed else None
         self.ways = Ways(trial.routers, seed)
@@ -269,8 +269,8 @@
         self.ways.change(change)
 
     def _pace(self, factor: float) -> None:
-        assert isinstance(self.front, Crowd)
-        self.front.rate = self.trial.rate * factor
+        assert isinstance(self.clients, OpenLoopClients)
+        self.clients.rate = self.trial.rate * factor
 
     def _slow(self, factor: float) -> None:
         assert isinstance(self.depot, LoadedDepot)
@@ -364,12 +364,12 @@
             raise TrialError("the routers did not count each other in time")
         addresses = [router.address for router in self.routers]
         began = time.time()
-        front: Front | Crowd
-        if trial.crowd is None:
-            front = Front(addresses, trial.rate, kb=trial.kb, writes=trial.writes)
+        clients: ClosedLoopClients | OpenLoopClients
+        if trial.open_loop is None:
+            clients = ClosedLoopClients(addresses, trial.rate, kb=trial.kb, writes=trial.writes)
         else:
-            front = Crowd(addresses, trial.rate, trial.crowd)
-        self.front = front
+            clients = OpenLoopClients(addresses, trial.rate, trial.open_loop)
+        self.clients = clients
         samples: list[tuple[float, int, dict[str, Any]]] = []
         try:
             if trial.swarm:
@@ -378,7 +378,7 @@
             joined_at = self._recover(began)
         finally:
             self._over.set()
-            front.end()
+            clients.end()
         for thread in self._threads:
             thread.join()
         time.sleep(SETTLES)
@@ -391,7 +391,7 @@
             self.routers[place].signal(signal.SIGTERM)
         for place in running:
             self._ended(place)
-        return Played(trial, began, ended, self.routers, self.ids, front, self.depot, self.depot.repeated(),
+        return Played(trial, began, ended, self.routers, self.ids, clients, self.depot, self.depot.repeated(),
                       self.colds, self.troubled, self.codes, samples, self.drains, self.purges,
                       joined_at)  # fmt: skip
 
--- a/stonecove/trial/judge.py
+++ b/stonecove/trial/judge.py
@@ -11,12 +11,12 @@
 from stonecove.standins.depot import WRITE
 from stonecove.standins.loaded import LoadedDepot
 from stonecove.standins.webserver import settings
-from stonecove.trial.crowd import Crowd, meaning_of
+from stonecove.trial.open_loop import OpenLoopClients, meaning_of
 from stonecove.trial.ground import WEIGHT, Ground, Played
 from stonecove.trial.schedule import PACE, Trial
 
 GRACE = 25.0  # seconds after a kill or a pause within which a request is lost to it: clients wait so long
-SLACK = 0.5  # seconds by which a stand-in on a crowded machine may note a request late
+SLACK = 0.5  # seconds by which a stand-in on a busy machine may note a request late
 KNOWS = 2.0  # seconds after its start in which a router may not have heard of all others yet
 RECONNECT = 2.0  # seconds in which a router reads the change log again once it can be reached
 TOLD_BY = 7.0  # seconds by which an event counts as told, where the change log is cut off
@@ -71,8 +71,8 @@
     _processes(played, verdict)
     _cold(played, verdict)
     _list(played, verdict)
-    if isinstance(played.front, Crowd):
-        _crowd(played, played.front, verdict)
+    if isinstance(played.clients, OpenLoopClients):
+        _open_loop(played, played.clients, verdict)
     if played.trial.swarm:
         _shares(played, verdict)
         _members(played, verdict)
@@ -81,9 +81,9 @@
 
 def _answers(played: Played, verdict: Verdict) -> None:
     """One final answer for all that was taken, and no write twice."""
-    front, expects = played.front, played.trial.expects
+    clients, expects = played.clients, played.trial.expects
     lost = [
-        (at, place) for at, place in front.lost
+        (at, place) for at, place in clients.lost
         if not any(place == who and since - 0.1 <= at <= until + GRACE
                    for since, until, who, _ in played.troubled)
     ]  # fmt: skip
@@ -106,12 +106,12 @@
                 f"{played.repeated} requests with an effect ran more than once",
             )
         )
-    total = sum(front.answers.values())  # of a crowd, those of all tries
+    total = sum(clients.answers.values())  # of open-loop clients, those of all tries
     verdict.figures |= {
-        "answers": total, "served": front.answers["200"] / max(1, total), "lost": len(lost),
-        "lost_to_faults": len(front.lost) - len(lost), "writes_twice": played.repeated,
-        "p50_ms": front.took.get_value_at_percentile(50) / 1000.0,
-        "p99_ms": front.took.get_value_at_percentile(99) / 1000.0,
+        "answers": total, "served": clients.answers["200"] / max(1, total), "lost": len(lost),
+        "lost_to_faults": len(clients.lost) - len(lost), "writes_twice": played.repeated,
+        "p50_ms": clients.took.get_value_at_percentile(50) / 1000.0,
+        "p99_ms": clients.took.get_value_at_percentile(99) / 1000.0,
     }  # fmt: skip
 
 
@@ -207,8 +207,8 @@
 def events_of(played: Played) -> list[Event]:
     """All that requests led to, from the books of clients and servers; seconds since the load began."""
     depot, found, seen = played.depot, list[Event](), set[str]()
-    if isinstance(played.front, Crowd):
-        found += [event._replace(at=event.at - played.began) for event in played.front.events]
+    if isinstance(played.clients, OpenLoopClients):
+        found += [event._replace(at=event.at - played.began) for event in played.clients.events]
     for one in depot.seen:
         at, meaning = one.at / 1000.0 - played.began, meaning_of(one.txn)
         found.append(Event(at, ATTEMPT, meaning, one.cls))
@@ -222,7 +222,7 @@
     return [event for event in found if event.at >= 0]
 
 
-def _crowd(played: Played, front: Crowd, verdict: Verdict) -> None:
+def _open_loop(played: Played, clients: OpenLoopClients, verdict: Verdict) -> None:
     """What came of what clients meant, and whether service came back."""
     expects, book = played.trial.expects, Book(events_of(played))
     first, last = played.trial.span
--- a/stonecove/trial/crowd.py
+++ b/stonecove/trial/open_loop.py
@@ -1,7 +1,8 @@
-"""Web servers under trial whose clients come when they come, wait so long, and come again.
+"""An open-loop load generator: clients that arrive at random, wait for a limited time, and try again.
 
-Arrivals are open: a router that answers slowly doesn't slow them down, and what a client waited is counted
-from when it meant to ask (no coordinated omission). Many requests share a connection, as web servers do it.
+The rate of arrivals does not depend on the answers: a slow router does not slow them down, and latency is
+counted from the planned arrival (no coordinated omission). Many requests share a connection, as they do where
+web servers are the clients.
 """
 
 from __future__ import annotations
@@ -25,15 +26,15 @@
 MOST_OPEN = 32  # requests at once on a connection
 IDLE = 4.0  # seconds after which a connection without requests is closed
 CROSSED = 0.05  # seconds within which a request that met a close is sent again
-AGAIN = 0.05, 0.3  # seconds until a client that was told no pause tries again
-TRIES = 16  # ids that one meaning has
+AGAIN = 0.05, 0.3  # seconds until the next try where the answer names no pause
+TRIES = 16  # request ids reserved for the tries of one intended request
 STATUS = {"200": SERVED, "429": REFUSED, "503": REFUSED}
 _RECORD = struct.Struct(">BBHHBB")
 
 
 @dataclass(frozen=True, slots=True)
-class Manners:
-    """How clients behave."""
+class ClientBehaviour:
+    """How many times clients try, for how long they wait, and what they ask for."""
 
     tries: int = 1
     patience: float = 3.0  # seconds for one try
@@ -44,13 +45,13 @@
 
 
 def meaning_of(txn: str) -> int:
-    """To which meaning a request belongs, by its id."""
+    """The number of the intended request that a try belongs to, by the id of the try."""
     return int(txn, 16) // TRIES
 
 
 @dataclass(slots=True)
-class _Waiting:
-    """A request that is out."""
+class _PendingRequest:
+    """A request that was sent and is not answered yet."""
 
     sent: float
     done: trio.Event = field(default_factory=trio.Event)
@@ -58,12 +59,12 @@
     whole: bool = False
 
 
-class _Link:
+class _Connection:
     """One connection to a router."""
 
     def __init__(self, stream: trio.SocketStream) -> None:
         self.stream = stream
-        self.open: dict[int, _Waiting] = {}
+        self.open: dict[int, _PendingRequest] = {}
         self.over = False
         self.idle_since = time.monotonic()
         self._sending = trio.Lock()
@@ -71,11 +72,11 @@
 
     @property
     def takes(self) -> bool:
-        """Whether one more request may go there."""
+        """Whether the connection has room for one more request."""
         return not self.over and bool(self._free)
 
-    async def ask(self, waiting: _Waiting, params: bytes) -> int:
-        """Sends a request; its number there. Raises trio.BrokenResourceError."""
+    async def ask(self, waiting: _PendingRequest, params: bytes) -> int:
+        """Sends a request and returns its FastCGI id. Raises trio.BrokenResourceError."""
         ident = self._free.pop()
         self.open[ident] = waiting
         async with self._sending:
@@ -88,12 +89,12 @@
         return ident
 
     async def give_up(self, ident: int) -> None:
-        """The client no longer waits; the router still ends the request."""
+        """Aborts a request; the router still ends it."""
         async with self._sending:
             await self.stream.send_all(fastcgi.record(fastcgi.ABORT, ident))
 
     async def read(self) -> None:
-        """Takes answers until the connection ends."""
+        """Reads answers until the connection ends."""
         data = bytearray()
         try:
             while piece := await self.stream.receive_some(65_536):
@@ -123,18 +124,23 @@
             waiting.done.set()
 
     def end(self) -> None:
-        """No answer comes any more."""
+        """Marks the connection as ended; wakes all who wait for an answer."""
         self.over = True
         for waiting in self.open.values():
             waiting.done.set()
 
 
-class Crowd(TrioThread):
-    """Clients in so many requests a second; `rate` may be changed at any time. The book is in `events`."""
+class OpenLoopClients(TrioThread):
+    """Clients that send `rate` requests a second, which may be changed at any time.
 
-    def __init__(self, addresses: Sequence[Address], rate: float, manners: Manners, seed: int = 1) -> None:
-        """Begins at once."""
-        self.rate, self.manners = rate, manners
+    `events` records what became of each request.
+    """
+
+    def __init__(
+        self, addresses: Sequence[Address], rate: float, behaviour: ClientBehaviour, seed: int = 1
+    ) -> None:
+        """Starts sending at once."""
+        self.rate, self.behaviour = rate, behaviour
         self.events: list[Event] = []
         self.answers: Counter[str] = Counter()
         self.lost: list[tuple[float, int]] = []  # when, and at which router, a taken request had no answer
@@ -142,7 +148,7 @@
         self.turned_away = 0  # connections that were refused: nothing was taken
         self.crossed = 0  # requests that crossed a close, and were sent again
         self._addresses = addresses
-        self._links: list[list[_Link]] = [[] for _ in addresses]
+        self._links: list[list[_Connection]] = [[] for _ in addresses]
         self._random = random.Random(seed)
         self._open = 0
         self._over = False
@@ -151,9 +157,9 @@
         self._call(lambda: self._nursery.start_soon(self._sweep))
 
     def end(self) -> None:
-        """Nobody comes any more; those who are there get their answers first."""
+        """Stops arrivals, and waits for the answers that are still out."""
         self._over = True
-        limit = time.monotonic() + self.manners.patience + 1.0
+        limit = time.monotonic() + self.behaviour.patience + 1.0
         while self._open and time.monotonic() < limit:
             time.sleep(0.02)
         self.close()
@@ -174,7 +180,7 @@
             self._nursery.start_soon(self._mean, meaning, due)
 
     async def _sweep(self) -> None:
-        """Closes what has been idle, before the router does."""
+        """Closes idle connections before the router does."""
         while True:
             await trio.sleep(0.5)
             for links in self._links:
@@ -185,27 +191,27 @@
                 links[:] = [link for link in links if not link.over]
 
     async def _mean(self, meaning: int, due: float) -> None:
-        """A client means a request, and tries it until it has its answer or enough of it."""
-        chooser, manners = self._random, self.manners
-        cls = "pick-confirm" if chooser.random() < manners.writes else "item-image"
-        item = chooser.randrange(1, manners.items + 1)
+        """One intended request: tried until it is answered, or no try is left."""
+        chooser, behaviour = self._random, self.behaviour
+        cls = "pick-confirm" if chooser.random() < behaviour.writes else "item-image"
+        item = chooser.randrange(1, behaviour.items + 1)
         self.events.append(Event(time.time(), MEANT, meaning, cls))
         outcome = FAILED
-        for number in range(manners.tries):
+        for number in range(behaviour.tries):
             self.events.append(Event(time.time(), TRY, meaning, cls))
             outcome, pause = await self._try(meaning * TRIES + number, item, cls, number > 0)
-            if outcome in (SERVED, LOST) or number + 1 == manners.tries or self._over:
+            if outcome in (SERVED, LOST) or number + 1 == behaviour.tries or self._over:
                 break
-            await trio.sleep(max(chooser.uniform(*AGAIN), pause if manners.heeds else 0.0))
+            await trio.sleep(max(chooser.uniform(*AGAIN), pause if behaviour.heeds else 0.0))
         self.events.append(Event(time.time(), outcome, meaning, cls))
         self.took.record_value(max(1, round((time.monotonic() - due) * 1e6)))
         self._open -= 1
 
     async def _try(self, txn: int, item: int, cls: str, again: bool) -> tuple[str, float]:
-        """How one try ended, and for how long the client is to stay away."""
+        """One try: its outcome, and the seconds for which the answer asks the client to wait."""
         place = self._random.randrange(len(self._addresses))
-        fields = {"TXN": f"{txn:016x}", "TTL_MS": f"{self.manners.patience * 1000:.0f}", "BUCKET": "17",
-                  "ROW": f"{item:016x}", "WORKING_SET_KB": str(self.manners.kb)}  # fmt: skip
+        fields = {"TXN": f"{txn:016x}", "TTL_MS": f"{self.behaviour.patience * 1000:.0f}", "BUCKET": "17",
+                  "ROW": f"{item:016x}", "WORKING_SET_KB": str(self.behaviour.kb)}  # fmt: skip
         if again:
             fields["SECOND_TRY"] = "1"
         for _ in range(2):
@@ -214,7 +220,7 @@
             except OSError:
                 self.turned_away += 1
                 return REFUSED, 0.0
-            waiting = _Waiting(time.monotonic())
+            waiting = _PendingRequest(time.monotonic())
             status, pause = await self._answer(link, waiting, f"/svc/{cls}", fields)
             if status != LOST or time.monotonic() - waiting.sent > CROSSED:
                 break
@@ -224,7 +230,7 @@
         return status, pause
 
     async def _answer(
-        self, link: _Link, waiting: _Waiting, path: str, fields: dict[str, str]
+        self, link: _Connection, waiting: _PendingRequest, path: str, fields: dict[str, str]
     ) -> tuple[str, float]:
         table = {"SCRIPT_NAME": path, **{f"HTTP_X_{name}": value for name, value in fields.items()}}
         params = b"".join(
@@ -232,7 +238,7 @@
         )
         try:
             ident = await link.ask(waiting, params)
-            with trio.move_on_after(self.manners.patience):
+            with trio.move_on_after(self.behaviour.patience):
                 await waiting.done.wait()
             if not waiting.done.is_set():
                 await link.give_up(ident)
@@ -248,15 +254,15 @@
         told = [line.partition(":")[2] for line in lines if line.lower().startswith("x-throttle-ms:")]
         return STATUS.get(status, FAILED), float(told[0]) / 1000.0 if told else 0.0
 
-    async def _link(self, place: int) -> _Link:
-        """A connection with room, a new one if there is none; raises OSError."""
+    async def _link(self, place: int) -> _Connection:
+        """A connection with room, opened if there is none; raises OSError."""
         for link in self._links[place]:
             if link.takes:
                 return link
         host, port = self._addresses[place]
         sock = trio.socket.socket()
         try:
-            with trio.fail_after(self.manners.patience):
+            with trio.fail_after(self.behaviour.patience):
                 await sock.connect((host, port))
         except trio.TooSlowError:
             sock.close()
@@ -264,7 +270,7 @@
         except OSError:
             sock.close()
             raise
-        link = _Link(trio.SocketStream(sock))
+        link = _Connection(trio.SocketStream(sock))
         self._links[place].append(link)
         self._nursery.start_soon(link.read)
         return link
--- a/stonecove/trial/schedule.py
+++ b/stonecove/trial/schedule.py
@@ -12,7 +12,7 @@
 from stonecove.operator.reader import checked, text_of
 from stonecove.operator.values import Notes, Value
 from stonecove.standins.loaded import Bears
-from stonecove.trial.crowd import Manners
+from stonecove.trial.open_loop import ClientBehaviour
 
 SCHEMA = "schema.cue"
 PACE = 4200.0  # KB a second of one transfer, as in the trials' settings
@@ -92,7 +92,7 @@
     twins: tuple[int, ...]
     zones: int
     ahead: tuple[float, ...]
-    crowd: Manners | None
+    open_loop: ClientBehaviour | None  # None: clients wait for an answer before they ask again
     bears: Bears | None
     faults: tuple[Fault, ...]
     expects: Expects
@@ -133,7 +133,7 @@
         table["joins"] / 1000.0, float(table["rate"]), float(table["writes"]), table["kb"],
         table["window"] / 1000.0, table["swarm"], tuple(table["twins"]),
         table["zones"], tuple(ahead / 1000.0 for ahead in table["ahead"]),
-        _crowd(table), _bears(table),
+        _open_loop(table), _bears(table),
         tuple(sorted((_fault(one, table, chooser) for one in table["faults"]),
                      key=lambda one: one.at)),
         Expects(expects["false_failed"], expects["lost"], expects.get("views"), seconds("joined_within"),
@@ -141,11 +141,17 @@
     )  # fmt: skip
 
 
-def _crowd(table: dict[str, Any]) -> Manners | None:
+def _open_loop(table: dict[str, Any]) -> ClientBehaviour | None:
     if (crowd := table.get("crowd")) is None:
         return None
-    return Manners(crowd["tries"], crowd["patience"] / 1000.0, crowd["heeds"], crowd["items"], table["kb"],
-                   float(table["writes"]))  # fmt: skip
+    return ClientBehaviour(
+        crowd["tries"],
+        crowd["patience"] / 1000.0,
+        crowd["heeds"],
+        crowd["items"],
+        table["kb"],
+        float(table["writes"]),
+    )
 
 
 def _bears(table: dict[str, Any]) -> Bears | None:
--- a/tests/test_swarm_beside.py
+++ b/tests/test_swarm_beside.py
@@ -17,7 +17,7 @@
 from stonecove.standins.webserver import settings
 from stonecove.trial.ground import WEIGHT, Ground
 from stonecove.trial.judge import cold_part
-from stonecove.trial.load import Front
+from stonecove.trial.closed_loop import ClosedLoopClients
 from stonecove.trial.schedule import trial_of
 from test_fleet_daemon import Daemon
 
@@ -139,7 +139,9 @@
 def test_what_is_lent_and_what_the_swarm_shares_keep_to_one_rule(fault: str, tmp_path: Path) -> None:
     """A cold cache is sent no more than it bears by own parts, pieces and the swarm's shares together."""
     host = Host(tmp_path)
-    front = Front([(host.daemon.host, 7100 + place) for place in range(host.count)], 150.0, kb=KB, writes=0.1)
+    front = ClosedLoopClients(
+        [(host.daemon.host, 7100 + place) for place in range(host.count)], 150.0, kb=KB, writes=0.1
+    )
     lessor = host.daemon.process.pid
     stopped = lessor if fault.startswith("lessor") else host.pid(1)
     before = host.pids()
--- a/tests/test_trial.py
+++ b/tests/test_trial.py
@@ -103,7 +103,7 @@
         log.write(f"{now:.3f} swarm-share joined=True own=1.000 fleet=1 by_zone=0,1 view=1\n")
         log.write(f"{now:.3f} swarm-member member={played.ids[1]} stands=failed life=9999999999999\n")
         log.write(f"{now:.3f} bug where=x\n")
-    played.front.lost.append((now, 1))
+    played.clients.lost.append((now, 1))
     played.repeated = 1
     played.codes.append((0, -6))
     played.colds.append((now, "s-1", [now * 1000.0 + 5.0] * 4000))
