--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -135,7 +135,8 @@
         f"{cpu:.0f} us of CPU a request"
     )
     print(
-        f"{total} answers {dict(clients.answers)}, p50 {histogram.get_value_at_percentile(50) / 1000:.2f} ms, "
+        f"{total} answers {dict(clients.answers)}, "
+        f"p50 {histogram.get_value_at_percentile(50) / 1000:.2f} ms, "
         f"p99 {histogram.get_value_at_percentile(99) / 1000:.2f} ms; {clients.turned_away} refused, "
         f"{clients.crossed} crossed a close"
     )
--- a/tests/test_swarm_beside.py
+++ b/tests/test_swarm_beside.py
@@ -139,9 +139,8 @@
 def test_what_is_lent_and_what_the_swarm_shares_keep_to_one_rule(fault: str, tmp_path: Path) -> None:
     """A cold cache is sent no more than it bears by own parts, pieces and the swarm's shares together."""
     host = Host(tmp_path)
-    front = ClosedLoopClients(
-        [(host.daemon.host, 7100 + place) for place in range(host.count)], 150.0, kb=KB, writes=0.1
-    )
+    addresses = [(host.daemon.host, 7100 + place) for place in range(host.count)]
+    clients = ClosedLoopClients(addresses, 150.0, kb=KB, writes=0.1)
     lessor = host.daemon.process.pid
     stopped = lessor if fault.startswith("lessor") else host.pid(1)
     before = host.pids()
@@ -172,10 +171,10 @@
             host.daemon.write(more="leases: {}")
             assert "fleet.messages" in host.daemon.do("reload", code=1)
     finally:
-        front.end()
+        clients.end()
         host.close()
     _, part = cold_part(box.book, box.started / 1000.0, WINDOW, KB)
     assert 0 < part <= 1.0
     assert host.depot.repeated() == 0
-    to_fault = [at for at, place in front.lost if place == 1 and fault.startswith("holder")]
-    assert len(front.lost) == len(to_fault)
+    to_fault = [at for at, place in clients.lost if place == 1 and fault.startswith("holder")]
+    assert len(clients.lost) == len(to_fault)
