--- a/benchmarks/swarm.py
+++ b/benchmarks/swarm.py
@@ -20,7 +20,7 @@
 from pathlib import Path
 
 from stonecove.trial import judge
-from stonecove.trial.ground import Ground
+from stonecove.trial.testbed import Testbed
 from stonecove.trial.model import Model, Weather
 from stonecove.trial.schedule import Trial, read_trial, trial_of
 
@@ -52,22 +52,22 @@
     record = "" if swarm else "swarm: false\n"
     trial = trial_of(record + SHARED % ("idle", 60, ""), "idle", 1)
     with tempfile.TemporaryDirectory() as folder:
-        ground = Ground(trial, 3, Path(folder))
+        testbed = Testbed(trial, 3, Path(folder))
         try:
             places = list(range(trial.routers))
             for place in places:
-                ground.start(place)
-            ground.wait_ready(places)
+                testbed.start(place)
+            testbed.wait_ready(places)
             if swarm:
-                ground.until(ground.joined, 30.0)
+                testbed.until(testbed.joined, 30.0)
             else:
                 time.sleep(3.0)
-            pids = [router.process.pid for router in ground.routers if router.process is not None]
+            pids = [router.process.pid for router in testbed.routers if router.process is not None]
             before = sum(map(_cpu, pids))
             time.sleep(seconds)
             return (sum(map(_cpu, pids)) - before) / seconds / len(pids) * 1e6
         finally:
-            ground.close()
+            testbed.close()
 
 
 def _part(ordered: list[float], part: float) -> float:
--- a/stonecove/commands/trial.py
+++ b/stonecove/commands/trial.py
@@ -14,7 +14,7 @@
 from stonecove.commands.overload import BOOK
 
 if TYPE_CHECKING:
-    from stonecove.trial.ground import Played
+    from stonecove.trial.testbed import Played
 
 GOOD, BROKEN, UNUSABLE = 0, 1, 2
 
@@ -52,7 +52,7 @@
 def run_command(name: str, seed: int, as_json: bool, logs: Path | None) -> None:
     """Play a trial file, or one of those that come along, and judge it."""
     from stonecove.operator.grammar import OperatorError
-    from stonecove.trial.ground import TrialError
+    from stonecove.trial.testbed import TrialError
     from stonecove.trial.judge import play
     from stonecove.trial.schedule import read_trial
 
--- a/stonecove/swarm/gossip.py
+++ b/stonecove/swarm/gossip.py
@@ -1,4 +1,4 @@
-"""Our own word, what we believe of others and tell them: the ground that detector and joining share."""
+"""Our own word, what we believe of others and tell them: the state that detector and joining share."""
 
 from __future__ import annotations
 
--- a/stonecove/trial/__init__.py
+++ b/stonecove/trial/__init__.py
@@ -1,1 +1,1 @@
-"""The proving ground: many routers together, as real processes or decisions alone, and faults in between."""
+"""The testbed: many routers together, as real processes or as simulated decisions, with faults injected."""
--- a/stonecove/trial/judge.py
+++ b/stonecove/trial/judge.py
@@ -12,7 +12,7 @@
 from stonecove.standins.loaded import LoadedDepot
 from stonecove.standins.webserver import settings
 from stonecove.trial.open_loop import OpenLoopClients, meaning_of
-from stonecove.trial.ground import WEIGHT, Ground, Played
+from stonecove.trial.testbed import WEIGHT, Testbed, Played
 from stonecove.trial.schedule import PACE, Trial
 
 GRACE = 25.0  # seconds after a kill or a pause within which a request is lost to it: clients wait so long
@@ -56,11 +56,11 @@
 
 def play(trial: Trial, seed: int, folder: Path) -> tuple[Played, Verdict]:
     """Plays a trial and judges it; raises TrialError or OSError if it can't be played."""
-    ground = Ground(trial, seed, folder)
+    testbed = Testbed(trial, seed, folder)
     try:
-        played = ground.play()
+        played = testbed.play()
     finally:
-        ground.close()
+        testbed.close()
     return played, judge(played)
 
 
--- a/stonecove/trial/ground.py
+++ b/stonecove/trial/testbed.py
@@ -1,4 +1,4 @@
-"""One trial on real processes: routers, their depot, the ways between them, load, and faults in time."""
+"""Runs one trial on real processes: routers, caches, relays between them, load, and faults at set times."""
 
 from __future__ import annotations
 
@@ -31,12 +31,12 @@
 
 
 class TrialError(Exception):
-    """A trial that could not be played; the text says why."""
+    """A trial that could not be run; the text says why."""
 
 
 @dataclass(slots=True)
 class Played:
-    """What a trial left behind for the judge. Moments are Unix seconds."""
+    """What a trial recorded, for the judge. Moments are Unix seconds."""
 
     trial: Trial
     began: float
@@ -55,11 +55,11 @@
     joined_at: float | None = None  # when all who run were joined, after the last fault
 
 
-class Ground:
-    """Everything that takes part. Ends all that it started, whatever happens."""
+class Testbed:
+    """All processes, stand-ins and relays of one trial; `close` ends everything that was started."""
 
     def __init__(self, trial: Trial, seed: int, folder: Path, more: str = "") -> None:
-        """Nothing runs yet. `more`: what else the operator's file of all routers says."""
+        """Starts no router yet. `more`: text added to the operator's file of each router."""
         self.trial, self.folder, self._more = trial, folder, more
         self.depot = self._depot()
         self.clients: ClosedLoopClients | OpenLoopClients | None = None
@@ -126,17 +126,17 @@
     # -- what a schedule does --
 
     def start(self, place: int) -> None:
-        """A new life of that router."""
+        """Starts a process of that router."""
         self.ways.up(place, self.listens[place])
         self.routers[place].start()
 
     def kill(self, place: int) -> None:
-        """Ends it without a word."""
+        """Kills the router's process with SIGKILL."""
         self.routers[place].kill()
         self.ways.down(place)
 
     def terminate(self, place: int) -> None:
-        """SIGTERM, and waits until it has ended."""
+        """Sends SIGTERM, and waits until the process has ended."""
         self.routers[place].signal(signal.SIGTERM)
         self._ended(place)
 
@@ -156,7 +156,7 @@
                 time.sleep(0.02)
 
     def joined(self) -> bool:
-        """Whether all who run have their whole share."""
+        """Whether all running routers have their full share."""
         found = [router.ask("swarm status") for router in self._awake()]
         return bool(found) and all(one is not None and one["status"]["joined"] for one in found)
 
@@ -174,7 +174,7 @@
         return [router for router in self.routers if router.running and not router.stopped]
 
     def until(self, holds: Any, patience: float) -> bool:
-        """Waits for a condition; says whether it came."""
+        """Waits up to `patience` seconds for a condition; returns whether it came true."""
         limit = time.monotonic() + patience
         while not holds():
             if time.monotonic() > limit:
@@ -183,7 +183,7 @@
         return True
 
     def do(self, fault: Fault) -> None:
-        """Carries a fault out; one that lasts is ended by `undo`."""
+        """Injects a fault; one that lasts is ended by `undo`."""
         now = time.time()
         match fault.do:
             case "kill":
@@ -221,9 +221,9 @@
             case "cold":
                 self._cold(self.depot.caches[fault.cache])
             case "drain":
-                box = self.depot.caches[fault.cache]
-                self.drains.append((now, now + fault.ends - fault.at, box.ident))
-                self.depot.tell_state(box, "draining")
+                cache = self.depot.caches[fault.cache]
+                self.drains.append((now, now + fault.ends - fault.at, cache.ident))
+                self.depot.tell_state(cache, "draining")
             case "purge":
                 self.purges.append(self.depot.tell_purge(GROUP))
             case "surge":
@@ -235,7 +235,7 @@
                     self.routers[place].set_clock(fault.shift)
 
     def undo(self, fault: Fault) -> None:
-        """Its end."""
+        """Ends a fault that lasts."""
         match fault.do:
             case "pause":
                 for place in fault.who:
@@ -276,14 +276,14 @@
         assert isinstance(self.depot, LoadedDepot)
         self.depot.pace = factor
 
-    def _cold(self, box: Cache) -> None:
-        """It starts anew, cold and empty, and the list tells so."""
-        box.forget()
-        self.colds.append((box.started / 1000.0, f"s-{box.ident:08x}", box.book))
-        self.depot.tell_state(box, "up")
+    def _cold(self, cache: Cache) -> None:
+        """Restarts a cache cold and empty, and updates the list."""
+        cache.forget()
+        self.colds.append((cache.started / 1000.0, f"s-{cache.ident:08x}", cache.book))
+        self.depot.tell_state(cache, "up")
 
     def _to_servers(self, fault: Fault, begins: bool) -> None:
-        """What breaks between routers and servers, or no longer does."""
+        """Begins or ends a fault between routers and servers."""
         assert self.streams is not None
         servers = [server for name in fault.of for server in self._named(name)]
         ways = [(place, server.port) for place in fault.who for server in servers]
@@ -305,17 +305,17 @@
 
         self.streams.change(ways, change)
         if fault.do == "down" and not begins:
-            for box in servers:
-                self._cold(box)
+            for server in servers:
+                self._cold(server)
 
     def _named(self, name: str) -> list[Cache]:
-        """The servers that a schedule calls so."""
+        """The servers that a schedule means by a name."""
         kind, _, number = name.partition("-")
         match kind:
             case "cache":
                 return [self.depot.caches[int(number)]]
             case "zone":
-                return [box for box in self.depot.caches if box.zone == int(number)]
+                return [cache for cache in self.depot.caches if cache.zone == int(number)]
             case "parent":
                 return [self.depot.parent]
             case "origin":
@@ -329,7 +329,7 @@
         self.ways.change(change)
 
     def _roll(self, places: tuple[int, ...]) -> None:
-        """One after the other ends in order and starts again; the next once it is ready."""
+        """A rolling restart: each router is terminated and started again, the next once it is ready."""
         for place in places:
             if not self._over.is_set():
                 self.terminate(place)
@@ -344,7 +344,7 @@
             time.sleep(STARVE)
 
     def _flood(self, place: int, until: float) -> None:
-        """Datagrams that nobody can read, from an address of a peer and from strangers."""
+        """Sends malformed datagrams from a peer's address and from unknown ones."""
         self.ways.flood(self.listens[place], place, FLOOD_RATE, until - time.time(), self._over)
 
     def _spawn(self, call: Any) -> None:
@@ -355,7 +355,7 @@
     # -- the whole --
 
     def play(self) -> Played:
-        """Plays the trial; raises TrialError if the routers did not even become ready."""
+        """Runs the trial; raises TrialError if the routers did not become ready, or did not join."""
         trial, places = self.trial, list(range(self.trial.routers))
         for place in places:
             self.start(place)
@@ -396,7 +396,7 @@
                       joined_at)  # fmt: skip
 
     def _faults(self, began: float) -> None:
-        """Beginnings and ends of all faults, in the order of time."""
+        """Begins and ends all faults in the order of time."""
         steps = [(fault.at, 1, fault) for fault in self.trial.faults]
         steps += [(fault.ends, 0, fault) for fault in self.trial.faults if fault.ends]
         for at, begins, fault in sorted(steps, key=lambda step: step[:2]):
@@ -407,7 +407,7 @@
                 self.undo(fault)
 
     def _recover(self, began: float) -> float | None:
-        """The rest of the load; when all who run were joined."""
+        """Waits for the end of the load; returns when all running routers had joined, or None."""
         joined_at = None
         while time.time() < began + self.trial.lasts:
             if self.trial.swarm and joined_at is None and self.joined():
@@ -422,7 +422,7 @@
                     samples.append((time.time(), self.routers.index(router), found))
 
     def close(self) -> None:
-        """Ends all that runs, the stopped ones too."""
+        """Ends all processes, threads and relays, stopped processes included."""
         self._over.set()
         for router in self.routers:
             if router.running:
--- a/tests/test_overload.py
+++ b/tests/test_overload.py
@@ -14,7 +14,7 @@
 )  # fmt: skip
 from stonecove.standins.depot import Depot
 from stonecove.standins.loaded import Bears, Line, LoadedDepot
-from stonecove.trial.ground import Ground
+from stonecove.trial.testbed import Testbed
 from stonecove.trial.judge import events_of, judge
 from stonecove.trial.schedule import trial_of
 
@@ -134,11 +134,11 @@
     """Open arrivals: nobody waits for another's answer, and what comes too late is told as late."""
     text = """title: "t", routers: 2, lasts: 4s, window: 300ms, rate: 60, crowd: {patience: 500ms}
         faults: [{at: 1s, do: "pause", who: [0], for: 2s}]"""
-    ground = Ground(trial_of(text, "t", 1), 5, tmp_path)
+    testbed = Testbed(trial_of(text, "t", 1), 5, tmp_path)
     try:
-        played = ground.play()
+        played = testbed.play()
     finally:
-        ground.close()
+        testbed.close()
     verdict = judge(played)
     book = Book(events_of(played))
     assert verdict.broken == [] and book.total("late") > 20
--- a/tests/test_swarm_beside.py
+++ b/tests/test_swarm_beside.py
@@ -15,7 +15,7 @@
 from keeper import ROUTERS, Keeper, operator_text
 from stonecove.standins.depot import Depot
 from stonecove.standins.webserver import settings
-from stonecove.trial.ground import WEIGHT, Ground
+from stonecove.trial.testbed import WEIGHT, Testbed
 from stonecove.trial.judge import cold_part
 from stonecove.trial.closed_loop import ClosedLoopClients
 from stonecove.trial.schedule import trial_of
@@ -38,48 +38,48 @@
     """Neither a session that outlives its router nor one that is lost under it makes the share too large."""
     presence = f'presence: {{path: "{ROUTERS}", shares: "derived", grow: 50ms, shrink: 200ms}}'
     trial = trial_of('title: "t", routers: 3, lasts: 1s, window: 300ms', "t", 1)
-    ground = Ground(trial, 5, tmp_path, operator_text(keeper, None, presence, "session_timeout: 3s"))
+    testbed = Testbed(trial, 5, tmp_path, operator_text(keeper, None, presence, "session_timeout: 3s"))
     client = keeper.client()
 
     def told(place: int) -> int:
-        return int(ground.routers[place].lines("swarm-share")[-1]["fleet"])
+        return int(testbed.routers[place].lines("swarm-share")[-1]["fleet"])
 
     def counted(place: int) -> int:
-        status = (ground.routers[place].ask("swarm status") or {"status": {"fleet": 0}})["status"]
+        status = (testbed.routers[place].ask("swarm status") or {"status": {"fleet": 0}})["status"]
         return int(status["fleet"])
 
     try:
         for place in range(3):
-            ground.start(place)
-        assert ground.until(ground.joined, 30.0)
-        assert ground.until(lambda: len(client.get_children(ROUTERS)) == 3, 30.0)
+            testbed.start(place)
+        assert testbed.until(testbed.joined, 30.0)
+        assert testbed.until(lambda: len(client.get_children(ROUTERS)) == 3, 30.0)
         assert told(0) == 3
         stranger = json.dumps({"name": "x", "zone": "edge-1", "state": "ready", "listen": "127.0.0.1:9"})
         client.create(f"{ROUTERS}/stranger", stranger.encode(), ephemeral=True)
-        assert ground.until(lambda: [told(place) for place in range(3)] == [4, 4, 4], 10.0)
+        assert testbed.until(lambda: [told(place) for place in range(3)] == [4, 4, 4], 10.0)
         assert counted(0) == 3  # the swarm itself knows of three
         client.delete(f"{ROUTERS}/stranger")
-        assert ground.until(lambda: [told(place) for place in range(3)] == [3, 3, 3], 10.0)
+        assert testbed.until(lambda: [told(place) for place in range(3)] == [3, 3, 3], 10.0)
         # Killed: the swarm knows it at once, the service holds its session for a while, and that holds.
-        ground.kill(2)
+        testbed.kill(2)
         killed = time.time()
-        assert ground.until(lambda: counted(0) == 2, 10.0)
+        assert testbed.until(lambda: counted(0) == 2, 10.0)
         known = time.time()
         assert told(0) == 3
-        assert ground.until(lambda: told(0) == 2, 20.0)
-        line = ground.routers[0].lines("swarm-share")[-1]
+        assert testbed.until(lambda: told(0) == 2, 20.0)
+        line = testbed.routers[0].lines("swarm-share")[-1]
         assert float(line["at"]) > known > killed
         # Stopped: the service loses its session, the swarm goes on to count it, and that holds.
-        ground.routers[1].pause()
-        assert ground.until(lambda: "edge-1" not in client.get_children(ROUTERS), 20.0)
+        testbed.routers[1].pause()
+        assert testbed.until(lambda: "edge-1" not in client.get_children(ROUTERS), 20.0)
         time.sleep(0.5)  # longer than the service's `shrink`
-        assert told(0) == 2 and ground.routers[0].ask("fleet") is not None
-        ground.routers[1].resume()
-        assert ground.until(ground.joined, 20.0)
+        assert told(0) == 2 and testbed.routers[0].ask("fleet") is not None
+        testbed.routers[1].resume()
+        assert testbed.until(testbed.joined, 20.0)
     finally:
         client.stop()
         client.close()
-        ground.close()
+        testbed.close()
 
 
 class Host:
--- a/tests/test_trial.py
+++ b/tests/test_trial.py
@@ -19,7 +19,7 @@
 from stonecove.explore.simulation import Simulation
 from stonecove.operator.grammar import OperatorError
 from stonecove.standins.depot import Fetched
-from stonecove.trial.ground import Ground, Played
+from stonecove.trial.testbed import Testbed, Played
 from stonecove.trial.judge import judge
 from stonecove.trial.schedule import Trial, read_trial, trial_of
 
@@ -30,15 +30,15 @@
 
 @pytest.fixture
 def play(tmp_path: Path) -> Iterator[Play]:
-    grounds = []
+    testbeds = []
 
     def played(trial: Trial) -> Played:
-        grounds.append(Ground(trial, 5, tmp_path))
-        return grounds[-1].play()
+        testbeds.append(Testbed(trial, 5, tmp_path))
+        return testbeds[-1].play()
 
     yield played
-    for ground in grounds:
-        ground.close()
+    for testbed in testbeds:
+        testbed.close()
 
 
 SHORT = [path for path in sorted(TRIALS.glob("*.cue")) if not path.stem.endswith("-long")]
@@ -122,35 +122,35 @@
 
 
 def test_people_are_told_how_the_swarm_stands(tmp_path: Path) -> None:
-    ground = Ground(trial_of(SMALL + "routers: 3", "t", 1), 5, tmp_path)
+    testbed = Testbed(trial_of(SMALL + "routers: 3", "t", 1), 5, tmp_path)
 
     def asked(*words: str) -> subprocess.CompletedProcess[str]:
         return subprocess.run(
-            [sys.executable, "-m", "stonecove", "swarm", "--socket", ground.routers[0].socket, *words],
+            [sys.executable, "-m", "stonecove", "swarm", "--socket", testbed.routers[0].socket, *words],
             capture_output=True, text=True, check=False,
         )  # fmt: skip
 
     try:
         for place in range(3):
-            ground.start(place)
-        assert ground.until(ground.joined, 30.0)
-        assert ground.until(lambda: "of 3 members" in asked("status").stdout, 30.0)
-        assert ground.until(lambda: asked("status").returncode == 0, 30.0)
+            testbed.start(place)
+        assert testbed.until(testbed.joined, 30.0)
+        assert testbed.until(lambda: "of 3 members" in asked("status").stdout, 30.0)
+        assert testbed.until(lambda: asked("status").returncode == 0, 30.0)
         assert "edge-1" in asked("explain", "edge-1").stdout
         assert asked("explain", "nobody").returncode == 1
-        ground.kill(1)
-        assert ground.until(lambda: "is gone" in asked("explain", "edge-1").stdout, 30.0)
+        testbed.kill(1)
+        assert testbed.until(lambda: "is gone" in asked("explain", "edge-1").stdout, 30.0)
         assert re.search("gone: (its address refused|told by)", asked("explain", "edge-1").stdout)
-        assert ground.until(lambda: len(asked("history").stdout.splitlines()) > 5, 30.0)
+        assert testbed.until(lambda: len(asked("history").stdout.splitlines()) > 5, 30.0)
         told = json.loads(asked("--json", "status").stdout)["status"]
         assert told["states"] == {"alive": 1, "gone": 1}
-        address = ":".join(map(str, ground.ways.address(0, 2)))
+        address = ":".join(map(str, testbed.ways.address(0, 2)))
         assert asked("gone", "--yes", "127.0.0.1:1").returncode == 1
         assert asked("gone", "--yes", address).returncode == 0
-        ground.kill(0)
+        testbed.kill(0)
         assert asked("status").returncode == 2
     finally:
-        ground.close()
+        testbed.close()
 
 
 @pytest.mark.parametrize(
@@ -198,19 +198,19 @@
 
 
 def test_a_router_that_was_stopped_says_so_and_one_that_ends_in_order_too(tmp_path: Path) -> None:
-    ground = Ground(trial_of(SMALL + "routers: 2", "t", 1), 5, tmp_path)
+    testbed = Testbed(trial_of(SMALL + "routers: 2", "t", 1), 5, tmp_path)
     try:
         for place in range(2):
-            ground.start(place)
-        assert ground.until(ground.joined, 30.0)
-        ground.routers[0].pause()
+            testbed.start(place)
+        assert testbed.until(testbed.joined, 30.0)
+        testbed.routers[0].pause()
         time.sleep(1.2)
-        ground.routers[0].resume()
-        assert ground.until(lambda: ground.routers[0].lines("swarm-stopped"), 30.0)
-        ground.routers[0].signal(signal.SIGTERM)
-        assert ground.routers[0].wait() == 0
-        stands = [line["stands"] for line in ground.routers[1].lines("swarm-member")]
-        assert ground.until(lambda: ground.routers[1].lines("swarm-member")[-1]["stands"] == "left", 30.0)
+        testbed.routers[0].resume()
+        assert testbed.until(lambda: testbed.routers[0].lines("swarm-stopped"), 30.0)
+        testbed.routers[0].signal(signal.SIGTERM)
+        assert testbed.routers[0].wait() == 0
+        stands = [line["stands"] for line in testbed.routers[1].lines("swarm-member")]
+        assert testbed.until(lambda: testbed.routers[1].lines("swarm-member")[-1]["stands"] == "left", 30.0)
         assert "leaving" in stands and "failed" not in stands
     finally:
-        ground.close()
+        testbed.close()
