--- a/benchmarks/swarm.py
+++ b/benchmarks/swarm.py
@@ -21,7 +21,7 @@
 
 from stonecove.trial import judge
 from stonecove.trial.testbed import Testbed
-from stonecove.trial.model import Model, Weather
+from stonecove.trial.model import SwarmModel, NetworkConditions
 from stonecove.trial.schedule import Trial, read_trial, trial_of
 
 TRIALS = Path(__file__).parent.parent / "stonecove" / "trial" / "trials"
@@ -74,8 +74,8 @@
     return ordered[min(len(ordered) - 1, int(part * len(ordered)))]
 
 
-def _calm(count: int, seed: int) -> Model:
-    model = Model(count, seed)
+def _calm(count: int, seed: int) -> SwarmModel:
+    model = SwarmModel(count, seed)
     for place in range(count):
         model.start(place)
     model.until(model.joined, 60.0)
@@ -86,7 +86,7 @@
 def simulated(count: int, kills: int, lose: float = 0.0) -> dict[str, float]:
     """Detection and load of the decisions alone."""
     model = _calm(count, 7)
-    model.weather = Weather(lose)
+    model.network = NetworkConditions(lose)
     before, began = model.sent, model.now
     model.run(10.0)
     load = (model.sent - before) / (model.now - began) / count
@@ -105,13 +105,13 @@
 def mass(count: int) -> dict[str, float]:
     """Seven in ten killed at once, started again 10 s later, each within a second."""
     model = _calm(count, 11)
-    numbers = [box.swarm.gossip.views.now.number for box in model.boxes if box.swarm is not None]
+    numbers = [router.swarm.gossip.views.now.number for router in model.routers if router.swarm is not None]
     gone = range(count * 7 // 10)
     for place in gone:
         model.kill(place)
     known = model.until(lambda: all(map(model.known_over, gone)), 30.0)
     model.run(6.0 - min(known, 6.0))
-    after = [box.swarm.gossip.views.now.number for box in model.here() if box.swarm is not None]
+    after = [router.swarm.gossip.views.now.number for router in model.here() if router.swarm is not None]
     views = max(after) - max(numbers)
     model.run(4.0)
     used, steps = 0.0, 0
@@ -215,7 +215,7 @@
     figures["datagrams_a_second"] = figures["sim_datagrams_20"]
     figures["share_used_joining"] = figures["share_used_joining_20"]
     if not short:
-        model = Model(2000, 3)
+        model = SwarmModel(2000, 3)
         for place in range(2000):
             model.start(place)
         began = time.monotonic()
--- a/stonecove/trial/model.py
+++ b/stonecove/trial/model.py
@@ -1,8 +1,8 @@
-"""Decisions alone: many swarms on one simulated clock, with a network that loses, delays, repeats and cuts.
+"""Simulates many swarm members on one clock, with a network that loses, delays, duplicates and partitions.
 
-Nothing here is the decisions' own: each router is a `Swarm` as the program runs it, its datagrams are the
-bytes of `wire.gossip`, and time passes only when nothing is left to be delivered. The sum of the shares that
-routers act upon is looked at after each step, over the window of the rule.
+The decisions are the program's own: each router runs a `Swarm`, its datagrams are the bytes of `wire.gossip`,
+and time passes only when nothing is left to be delivered. After each tick the shares that routers act
+upon are summed over the window of the rule; `worst` keeps the largest sum.
 """
 
 from __future__ import annotations
@@ -25,8 +25,8 @@
 
 
 @dataclass(slots=True)
-class Weather:
-    """What becomes of datagrams on their way."""
+class NetworkConditions:
+    """How the network treats datagrams: probabilities of loss and duplication, range of the delay."""
 
     lose: float = 0.0
     delay: tuple[float, float] = (0.0025, 0.019)  # seconds
@@ -34,13 +34,13 @@
 
 
 @dataclass(slots=True)
-class Box:
-    """One router's place: its address, which its lives use one after the other."""
+class SimulatedRouter:
+    """One router: its address is used by its processes one after the other, `swarm` is the present one."""
 
     place: int
     swarm: Swarm | None = None
     born: float = 0.0
-    due: float = math.inf  # when its life looks at the time next
+    due: float = math.inf  # when its next tick is due
     skew: float = 0.0  # seconds by which its clock is off
     stopped_until: float = 0.0
     waiting: list[tuple[int, bytes, bool]] = field(default_factory=list)  # while it is stopped
@@ -48,21 +48,21 @@
     shares: dict[int | None, deque[tuple[float, float]]] = field(default_factory=dict)
 
 
-class Model:
-    """A fleet. `cut(a, b)` says whether what a sends to b is swallowed; `weather` holds for all ways."""
+class SwarmModel:
+    """A fleet. `cuts` holds the pairs whose datagrams are dropped; `network` applies to all others."""
 
     def __init__(
         self, count: int, seed: int = 1, zones: int = 1, window: float = 3.0, figures: Figures | None = None
     ) -> None:
-        """Nobody is started yet; routers stand in zones in turn."""
+        """Starts no router yet; routers are assigned to zones in turn."""
         self.now = 0.0
         self.window = window
-        self.weather = Weather()
+        self.network = NetworkConditions()
         self.cuts: set[tuple[int, int]] = set()
         self.random = random.Random(seed)
         self.figures = figures or Figures()
         self.zones = zones
-        self.boxes = [Box(place) for place in range(count)]
+        self.routers = [SimulatedRouter(place) for place in range(count)]
         self.sent = 0
         self.worst = 0.0
         self.notes: list[tuple[float, int, str, dict[str, object]]] = []
@@ -74,40 +74,40 @@
     # -- what a schedule does --
 
     def start(self, place: int, name: str = "", skew: float = 0.0) -> None:
-        """A new life at that address; `skew`: seconds by which its clock is off."""
-        box = self.boxes[place]
-        if box.swarm is not None:
+        """Starts a process at that address; `skew`: seconds by which its clock is off."""
+        router = self.routers[place]
+        if router.swarm is not None:
             self.kill(place)
-        box.skew = skew
-        unix = self._unix(box)
-        by_zone = [len(range(zone, len(self.boxes), self.zones)) for zone in range(self.zones)]
+        router.skew = skew
+        unix = self._unix(router)
+        by_zone = [len(range(zone, len(self.routers), self.zones)) for zone in range(self.zones)]
         shares = Shares(
-            len(self.boxes) - 1,
+            len(self.routers) - 1,
             place % self.zones,
-            len(self.boxes),
+            len(self.routers),
             tuple(by_zone),
             self.window,
             self.now,
-            lease=self.figures.lease_of(len(self.boxes)),
+            lease=self.figures.lease_of(len(self.routers)),
         )
         me = Word(ident_of(name or f"router-{place}"), int(unix), 0, Standing.ALIVE, place % self.zones)
-        box.swarm = Swarm(me, shares, self.figures, self.random.getrandbits(32), self.now, unix)
-        box.born, box.stopped_until, box.waiting, box.due = self.now, 0.0, [], math.inf
-        self._due(box, self.random.random() * TICK)
+        router.swarm = Swarm(me, shares, self.figures, self.random.getrandbits(32), self.now, unix)
+        router.born, router.stopped_until, router.waiting, router.due = self.now, 0.0, [], math.inf
+        self._due(router, self.random.random() * TICK)
 
     def kill(self, place: int) -> None:
-        """Its process ends without a word, and its address refuses."""
-        box = self.boxes[place]
-        box.swarm = None
-        self._past += box.shares.items()
-        box.shares = {}
+        """Ends the process without notice; its address refuses from now on."""
+        router = self.routers[place]
+        router.swarm = None
+        self._past += router.shares.items()
+        router.shares = {}
 
     def stop(self, place: int, seconds: float) -> None:
-        """It is stopped, and goes on as if nothing had been."""
-        self.boxes[place].stopped_until = self.now + seconds
+        """Stops the process for so long; it continues without noticing."""
+        self.routers[place].stopped_until = self.now + seconds
 
     def cut(self, ones: Iterable[int], others: Iterable[int], both: bool = True) -> None:
-        """What the ones send to the others is swallowed, and the other way round too."""
+        """Drops what `ones` send to `others`, and with `both` the other direction too."""
         others = list(others)
         for one in ones:
             for other in others:
@@ -116,7 +116,7 @@
                     self.cuts.add((other, one))
 
     def run(self, seconds: float, each: Callable[[], None] | None = None) -> None:
-        """Lets time pass; `each` is called every TICK."""
+        """Lets time pass; calls `each` every TICK."""
         until = self.now + seconds
         while self._queue and self._queue[0][0] <= until:
             at, _, call = heapq.heappop(self._queue)
@@ -130,7 +130,7 @@
         self.now = until
 
     def until(self, holds: Callable[[], bool], most: float) -> float:
-        """Lets time pass until that holds; returns the seconds it took, or infinity."""
+        """Lets time pass until the condition holds; returns the seconds it took, or infinity after `most`."""
         began = self.now
         while self.now < began + most:
             if holds():
@@ -140,104 +140,106 @@
 
     # -- what there is to see --
 
-    def here(self) -> list[Box]:
-        """Those that run and are not stopped."""
-        return [box for box in self.boxes if box.swarm is not None and box.stopped_until <= self.now]
+    def here(self) -> list[SimulatedRouter]:
+        """The routers that run and are not stopped."""
+        return [
+            router for router in self.routers if router.swarm is not None and router.stopped_until <= self.now
+        ]
 
     def stands(self, of: int, by: int) -> str:
-        """How one router stands, as another believes."""
-        swarm = self.boxes[by].swarm
+        """The state of router `of` in the table of router `by`."""
+        swarm = self.routers[by].swarm
         member = swarm.gossip.table.get(ident_of(f"router-{of}")) if swarm is not None else None
         return "unknown" if member is None else member.told(self.now)
 
     def known_over(self, place: int) -> bool:
-        """Whether all who run hold that router for failed or gone."""
+        """Whether all other running routers consider that router failed or gone."""
         ident = ident_of(f"router-{place}")
         return all(
-            (member := box.swarm.gossip.table.get(ident)) is not None
+            (member := router.swarm.gossip.table.get(ident)) is not None
             and (member.word.standing is Standing.FAILED or over(member.word.standing))
-            for box in self.here()
-            if box.swarm is not None and box.place != place
+            for router in self.here()
+            if router.swarm is not None and router.place != place
         )
 
     def joined(self) -> bool:
-        """Whether all who run have their full share."""
-        return all(box.swarm.stand(self.now).joined for box in self.here() if box.swarm is not None)
+        """Whether all running routers have their full share."""
+        return all(router.swarm.stand(self.now).joined for router in self.here() if router.swarm is not None)
 
     def shares(self) -> float:
         """The sum of the shares that may be used now, of what a parent bears."""
-        return sum(box.swarm.stand(self.now).share() for box in self.here() if box.swarm is not None)
+        return sum(router.swarm.stand(self.now).share() for router in self.here() if router.swarm is not None)
 
     # -- within --
 
-    def _unix(self, box: Box) -> float:
-        return EPOCH + (self.now + box.skew) * 1000.0
+    def _unix(self, router: SimulatedRouter) -> float:
+        return EPOCH + (self.now + router.skew) * 1000.0
 
     def _at(self, when: float, call: Callable[[], None]) -> None:
         heapq.heappush(self._queue, (when, next(self._order), call))
 
-    def _due(self, box: Box, rest: float) -> None:
-        """Its life looks at the time after that rest, if not before."""
-        if self.now + rest < box.due:
-            box.due, life = self.now + rest, box.swarm
-            self._at(box.due, lambda: self._tick(box, life))
+    def _due(self, router: SimulatedRouter, rest: float) -> None:
+        """Schedules the next tick after `rest` seconds, unless one is due before."""
+        if self.now + rest < router.due:
+            router.due, life = self.now + rest, router.swarm
+            self._at(router.due, lambda: self._tick(router, life))
 
-    def _tick(self, box: Box, life: Swarm | None) -> None:
-        if life is None or box.swarm is not life or self.now < box.due:
+    def _tick(self, router: SimulatedRouter, life: Swarm | None) -> None:
+        if life is None or router.swarm is not life or self.now < router.due:
             return
-        if box.stopped_until > self.now:
-            self._at(box.stopped_until, lambda: self._tick(box, life))
+        if router.stopped_until > self.now:
+            self._at(router.stopped_until, lambda: self._tick(router, life))
             return
-        waiting, box.waiting = box.waiting, []
+        waiting, router.waiting = router.waiting, []
         for slot, data, refused in waiting:
-            self._take(box, life, slot, data, refused)
-        life.tick(self.now, self._unix(box))
-        self._flush(box, life)
-        box.due = math.inf
-        self._due(box, life.rest(self.now))
+            self._take(router, life, slot, data, refused)
+        life.tick(self.now, self._unix(router))
+        self._flush(router, life)
+        router.due = math.inf
+        self._due(router, life.rest(self.now))
 
-    def _take(self, box: Box, life: Swarm, slot: int, data: bytes, refused: bool) -> None:
+    def _take(self, router: SimulatedRouter, life: Swarm, slot: int, data: bytes, refused: bool) -> None:
         if refused:
             number = number_of(data)
             if number is not None:
                 life.refused(slot, number, self.now)
         else:
-            life.heard(slot, decode(data), self.now, self._unix(box))
+            life.heard(slot, decode(data), self.now, self._unix(router))
 
-    def _flush(self, box: Box, life: Swarm) -> None:
+    def _flush(self, router: SimulatedRouter, life: Swarm) -> None:
         out, life.gossip.out = life.gossip.out, []
         for slot, datagram in out:
-            self._carry(box.place, slot if slot < box.place else slot + 1, encode(datagram))
+            self._carry(router.place, slot if slot < router.place else slot + 1, encode(datagram))
         notes, life.gossip.notes = life.gossip.notes, []
-        self.notes += [(self.now, box.place, note.event, note.fields) for note in notes]
+        self.notes += [(self.now, router.place, note.event, note.fields) for note in notes]
 
     def _carry(self, source: int, to: int, data: bytes) -> None:
         self.sent += 1
-        for _ in range(1 + (self.random.random() < self.weather.repeat)):
-            if (source, to) not in self.cuts and self.random.random() >= self.weather.lose:
-                at = self.now + self.random.uniform(*self.weather.delay)
+        for _ in range(1 + (self.random.random() < self.network.repeat)):
+            if (source, to) not in self.cuts and self.random.random() >= self.network.lose:
+                at = self.now + self.random.uniform(*self.network.delay)
                 self._at(at, lambda: self._arrive(source, to, data))
 
     def _arrive(self, source: int, to: int, data: bytes) -> None:
-        box = self.boxes[to]
-        if box.swarm is None:
-            back = self.boxes[source]
+        router = self.routers[to]
+        if router.swarm is None:
+            back = self.routers[source]
             if back.swarm is not None and (to, source) not in self.cuts:
                 self._give(back, to, data, True)
             return
-        self._give(box, source, data, False)
+        self._give(router, source, data, False)
 
-    def _give(self, box: Box, other: int, data: bytes, refused: bool) -> None:
-        slot = other if other < box.place else other - 1
-        if box.stopped_until > self.now or box.swarm is None:
-            box.waiting.append((slot, data, refused))
+    def _give(self, router: SimulatedRouter, other: int, data: bytes, refused: bool) -> None:
+        slot = other if other < router.place else other - 1
+        if router.stopped_until > self.now or router.swarm is None:
+            router.waiting.append((slot, data, refused))
             return
-        self._take(box, box.swarm, slot, data, refused)
-        self._flush(box, box.swarm)
-        self._due(box, box.swarm.rest(self.now))
+        self._take(router, router.swarm, slot, data, refused)
+        self._flush(router, router.swarm)
+        self._due(router, router.swarm.rest(self.now))
 
     def _look(self) -> None:
-        """The largest share of late of each address, and their sum: what could be sent within one window."""
+        """Sums the largest recent share of each address: what could be sent within one window."""
         self._past = [(pool, kept) for pool, kept in self._past if kept and kept[-1][0] > self.now]
         for pool in (None, *range(self.zones)):
             total = 0.0
@@ -245,12 +247,12 @@
                 while of == pool and kept[0][0] <= self.now:
                     kept.popleft()
                 total += kept[0][1] if of == pool else 0.0
-            for box in self.boxes:
-                if pool is not None and box.place % self.zones != pool:
+            for router in self.routers:
+                if pool is not None and router.place % self.zones != pool:
                     continue
-                kept = box.shares.setdefault(pool, deque())
-                if box.swarm is not None and box.stopped_until <= self.now:
-                    share = box.swarm.stand(self.now).share(pool)
+                kept = router.shares.setdefault(pool, deque())
+                if router.swarm is not None and router.stopped_until <= self.now:
+                    share = router.swarm.stand(self.now).share(pool)
                     while kept and kept[-1][1] <= share:
                         kept.pop()
                     kept.append((self.now + self.window, share))
--- a/tests/test_swarm.py
+++ b/tests/test_swarm.py
@@ -14,7 +14,7 @@
 from stonecove.swarm.table import Table
 from stonecove.swarm.view import Views
 from stonecove.swarm.words import Datagram, Kind, Standing, Word, ident_of, over
-from stonecove.trial.model import Model, Weather
+from stonecove.trial.model import SwarmModel, NetworkConditions
 from stonecove.wire.gossip import MOST_BYTES, GossipError, decode, encode, number_of
 
 WORD = Word(7, 1_700_000_000_000, 3, Standing.SUSPECT, 2)
@@ -146,7 +146,7 @@
 @pytest.mark.parametrize(("number", "zones"), [(number, 1 + number % 3) for number in range(8)])
 def test_the_sum_of_shares_keeps_to_the_rule_through_random_faults(number: int, zones: int) -> None:
     """And all have all of it again, once the faults are over."""
-    model, chooser = Model(8, seed=number, zones=zones, window=1.0), random.Random(number)
+    model, chooser = SwarmModel(8, seed=number, zones=zones, window=1.0), random.Random(number)
     places = range(8)
     for place in places:
         model.start(place)
@@ -164,15 +164,17 @@
             case 6:
                 model.cuts.clear()
             case 7:
-                model.weather = Weather(chooser.choice((0.0, 0.3)), (0.0, chooser.choice((0.02, 1.0))), 0.2)
+                model.network = NetworkConditions(
+                    chooser.choice((0.0, 0.3)), (0.0, chooser.choice((0.02, 1.0))), 0.2
+                )
             case 8:
                 for other in chooser.sample(places, 5):
                     model.kill(other)
         model.run(chooser.uniform(0.05, 1.0))
     model.cuts.clear()
-    model.weather = Weather()
+    model.network = NetworkConditions()
     for place in places:
-        if model.boxes[place].swarm is None:
+        if model.routers[place].swarm is None:
             model.start(place)
     assert model.until(lambda: model.joined() and model.shares() > 0.999, 60.0) < 60.0
     assert model.worst <= 1.0 + 1e-9
@@ -184,8 +186,8 @@
 def test_the_sum_keeps_to_the_rule_where_leases_end_under_long_cuts_and_stops() -> None:
     freed = 0
     for number in range(8):
-        model, chooser = Model(4 + number % 4, number, 1 + number % 2, 1.0, BRIEF), random.Random(number)
-        places = range(len(model.boxes))
+        model, chooser = SwarmModel(4 + number % 4, number, 1 + number % 2, 1.0, BRIEF), random.Random(number)
+        places = range(len(model.routers))
         for place in places:
             model.start(place)
         for _ in range(60):
@@ -203,10 +205,10 @@
                     model.cuts = {way for way in sorted(model.cuts) if chooser.random() < 0.3}
             model.run(chooser.choice((0.05, 0.3, 1.0, 6.0)))
             freed += sum(
-                not box.swarm.gossip.shares.counts(slot, model.now) and one.over_at == math.inf
-                for box in model.here()
-                if box.swarm is not None
-                for slot, one in enumerate(box.swarm.gossip.shares.slots)
+                not router.swarm.gossip.shares.counts(slot, model.now) and one.over_at == math.inf
+                for router in model.here()
+                if router.swarm is not None
+                for slot, one in enumerate(router.swarm.gossip.shares.slots)
             )
         assert model.worst <= 1.0 + 1e-9, number
     assert freed  # or it would show nothing
@@ -215,8 +217,8 @@
 # -- the detector --
 
 
-def fleet(count: int, **options: object) -> Model:
-    model = Model(count, **options)  # type: ignore[arg-type]
+def fleet(count: int, **options: object) -> SwarmModel:
+    model = SwarmModel(count, **options)  # type: ignore[arg-type]
     for place in range(count):
         model.start(place)
     assert model.until(model.joined, 20.0) < 20.0
@@ -225,7 +227,7 @@
     return model
 
 
-def verdicts(model: Model) -> list[dict[str, object]]:
+def verdicts(model: SwarmModel) -> list[dict[str, object]]:
     return [
         fields
         for _, _, event, fields in model.notes
@@ -241,14 +243,14 @@
         model.kill(place)
     assert model.until(lambda: all(model.known_over(place) for place in range(4, 18)), 6.0) <= 6.0
     model.run(6.0)
-    views = {box.swarm.gossip.views.now[:2] for box in model.here() if box.swarm is not None}
+    views = {router.swarm.gossip.views.now[:2] for router in model.here() if router.swarm is not None}
     assert len(views) == 1 and views.pop()[0] <= 3
 
 
 @pytest.mark.parametrize("lost", [0.0, 0.3])
 def test_who_was_stopped_for_5_s_or_is_hard_to_hear_is_not_given_up_and_gives_nobody_up(lost: float) -> None:
     model = fleet(10)
-    model.weather = Weather(lost)
+    model.network = NetworkConditions(lost)
     model.stop(4, 5.0)
     model.run(30.0)
     assert verdicts(model) == []
@@ -297,7 +299,7 @@
         model.cut([2], range(5))
     model.run(70.0)
     model.run(0.01)
-    swarm = model.boxes[2].swarm
+    swarm = model.routers[2].swarm
     assert swarm is not None
     assert swarm.stand(model.now)[:2] == (False, 0.3)
     assert 0.8 <= model.shares() <= 1.0 + 1e-9
@@ -311,7 +313,7 @@
     model = fleet(3)
     model.cut([2], range(3))
     model.kill(2)
-    swarm = model.boxes[0].swarm
+    swarm = model.routers[0].swarm
     assert swarm is not None
     swarm.declared_over(1, model.now)
     model.run(3.5)
@@ -352,7 +354,7 @@
 
 
 def test_two_that_start_together_under_one_name_do_not_top_each_other_for_ever() -> None:
-    model = Model(4)
+    model = SwarmModel(4)
     for place in range(4):
         model.start(place, name="router-2" if place in (1, 2) else "")
     assert model.until(model.joined, 10.0) < 10.0
@@ -362,7 +364,7 @@
 
 def test_a_refusal_of_what_was_sent_before_the_last_word_proves_nothing() -> None:
     model = fleet(3)
-    swarm = model.boxes[0].swarm
+    swarm = model.routers[0].swarm
     assert swarm is not None
     number = swarm.gossip.send(0, Kind.PING, model.now)
     model.run(2.0)  # it is heard meanwhile
@@ -381,21 +383,21 @@
 
 def test_a_router_that_leaves_says_so_and_frees_its_share() -> None:
     model = fleet(4)
-    swarm = model.boxes[2].swarm
+    swarm = model.routers[2].swarm
     assert swarm is not None
     swarm.leaving(model.now)
     model.run(1.0)
     assert model.stands(2, by=0) == "leaving"
     swarm.left(model.now)
-    model._flush(model.boxes[2], swarm)
+    model._flush(model.routers[2], swarm)
     model.cut([2], range(4))  # its last word alone says it, no refusal
     model.kill(2)
     model.run(1.0)
     assert [model.stands(2, by=place) for place in (0, 1, 3)] == ["left"] * 3
     assert all(
-        over(box.swarm.gossip.table.members[ident_of("router-2")].word.standing)
-        for box in model.here()
-        if box.swarm is not None
+        over(router.swarm.gossip.table.members[ident_of("router-2")].word.standing)
+        for router in model.here()
+        if router.swarm is not None
     )
     model.run(3.0)
     assert model.shares() == pytest.approx(0.925)
