--- a/stonecove/commands/fleet.py
+++ b/stonecove/commands/fleet.py
@@ -283,7 +283,7 @@
 @fleet.command("leases")
 @click.pass_context
 def leases_command(context: click.Context) -> None:
-    """Tell what the instances share: by cold box what is lent, who asked, which limits refused."""
+    """Tell what the instances share: by cold cache what is lent, who asked, which limits refused."""
     leases = _ask(context, "status")["leases"]
     if leases is None:
         click.echo("stonecove fleet: fleet.leases is not set", err=True)
--- a/stonecove/explore/coordination.py
+++ b/stonecove/explore/coordination.py
@@ -1,8 +1,8 @@
 """The machine of sessions, lists and the merge: the program's own `Session`, `Tree`, `Roster`, `Merge`,
 `Registrar`.
 
-Made up are the servers (one that orders and answers, one that may lag), the boxes and the change log. What a
-server has queued is heard at once or lost with the connection; between any two of these steps a box may
+Made up are the servers (one that orders and answers, one that may lag), the caches and the change log. What a
+server has queued is heard at once or lost with the connection; between any two of these steps a cache may
 vanish, return, drain or take another's address, a session may end, a server may fall behind.
 """
 
@@ -31,7 +31,7 @@
 from stonecove.wire.zktree import Tree
 from stonecove.wire.zookeeper import Acl, Err, EventType, Op
 
-BOXES, ROUTERS, ME = "/b", "/r", "me"
+CACHES, ROUTERS, ME = "/b", "/r", "me"
 NAMES = Names(("hub", "edge"), ("box", "parent", "origin"))
 RULES = Rules(
     stale_for=4000.0,
@@ -45,7 +45,7 @@
     flap_longest=200.0,
 )
 LOG, ZK = Source("changelog", 0), Source("zookeeper", 1)
-BEGUN = 5.0  # `started` of the boxes of the beginning
+BEGUN = 5.0  # `started` of the caches of the beginning
 IDS = {"a": 1, "b": 2, "c": 3}
 PORTS = {"a": 1, "b": 2, "c": 1}  # c takes a's address
 ANYONE = (Acl(31, "world", "anyone"),)
@@ -63,11 +63,11 @@
     own: bool = False
     kinds: tuple[str, ...] = ("vanish", "return", "restart", "drain", "undrain", "reuse", "spoil")
     fault_kinds: tuple[str, ...] = ("drop", "expire-ours", "refuse", "other")
-    boxes: tuple[str, ...] = ("a", "b")
+    caches: tuple[str, ...] = ("a", "b")
 
 
 SCOPES = (
-    Bounds("zk-watch", 8, changes=2, faults=1, kinds=("vanish", "return", "drain", "undrain"), boxes=("a",)),
+    Bounds("zk-watch", 8, changes=2, faults=1, kinds=("vanish", "return", "drain", "undrain"), caches=("a",)),
     Bounds(
         "zk-behind",
         8,
@@ -75,7 +75,7 @@
         faults=2,
         kinds=("drain", "vanish"),
         fault_kinds=("drop", "other"),
-        boxes=("a",),
+        caches=("a",),
     ),
     Bounds(
         "zk-recursive",
@@ -84,15 +84,20 @@
         faults=1,
         recursive=True,
         kinds=("vanish", "return", "drain"),
-        boxes=("a",),
+        caches=("a",),
     ),
     Bounds("zk-mass", 8, changes=2, faults=1, kinds=("vanish",), fault_kinds=("drop",)),
-    Bounds("zk-return", 9, changes=4, kinds=("vanish", "return", "restart", "reuse", "spoil"), boxes=("a",)),
-    Bounds("zk-flap", 9, changes=4, kinds=("vanish", "return"), boxes=("a",)),
+    Bounds("zk-return", 9, changes=4, kinds=("vanish", "return", "restart", "reuse", "spoil"), caches=("a",)),
+    Bounds("zk-flap", 9, changes=4, kinds=("vanish", "return"), caches=("a",)),
     Bounds(
-        "zk-merge", 7, changes=2, log=2, kinds=("vanish", "return", "drain", "undrain", "reuse"), boxes=("a",)
+        "zk-merge",
+        7,
+        changes=2,
+        log=2,
+        kinds=("vanish", "return", "drain", "undrain", "reuse"),
+        caches=("a",),
     ),
-    Bounds("zk-say", 8, faults=1, log=3, fault_kinds=("drop",), boxes=("a",)),
+    Bounds("zk-say", 8, faults=1, log=3, fault_kinds=("drop",), caches=("a",)),
     Bounds(
         "zk-own",
         10,
@@ -101,13 +106,13 @@
         own=True,
         kinds=("state",),
         fault_kinds=("drop", "expire-ours", "other"),
-        boxes=(),
+        caches=(),
     ),
 )
 
 
 def record(name: str, started: float, state: str = "up") -> bytes:
-    """The record of a box."""
+    """The record of a cache."""
     return ujson.dumps(
         {
             "id": IDS[name],
@@ -282,7 +287,7 @@
         self.now = 1_000_000.0  # ms
         self.left = {"changes": bounds.changes, "faults": bounds.faults, "log": bounds.log}
         self.servers = Servers()
-        self.owners: dict[str, int] = {}  # by box: its session
+        self.owners: dict[str, int] = {}  # by cache: its session
         self.next_owner = 1
         self.session = Session((("s", 0), ("s", 1)), 1, Figures(timeout=10.0, jitter=0.0))
         self.session._servers = [
@@ -296,7 +301,7 @@
         self.number = 0
         self.log_says = True
         self.roster = Roster(NAMES, RULES, self._emit, self._confirm, self._say)
-        self.tree = Tree(BOXES, self._ask, self, bounds.recursive)
+        self.tree = Tree(CACHES, self._ask, self, bounds.recursive)
         self.registrar = Registrar(ROUTERS, ME, b"starting", self._ask, self._session, self._ours, self._say)
         self.own_record = b"starting"
         # The witness: what the frames that were heard have said.
@@ -305,7 +310,7 @@
         self.departed: list[float] = []
         self.unconfirmed = False  # all have departed within the window, and no list after a sync was heard
         self.synced = False
-        self.begun: dict[str, float] = {}  # by box: `started` that its claim must have
+        self.begun: dict[str, float] = {}  # by cache: `started` that its claim must have
         self._begin()
 
     # -- wiring --
@@ -367,10 +372,10 @@
     # -- the beginning: connected, all read --
 
     def _begin(self) -> None:
-        for path in (BOXES, ROUTERS):
+        for path in (CACHES, ROUTERS):
             self.servers.write(Wanted("create", path, b"", ANYONE), 0, self.now)
-        for name in self.bounds.boxes or ("a",):
-            self._box(name, BEGUN)
+        for name in self.bounds.caches or ("a",):
+            self._create_node(name, BEGUN)
         while self.servers.behind():
             self.servers.catch_up()
         self._quiet()
@@ -382,11 +387,11 @@
                 return
             self._step(step)
 
-    def _box(self, name: str, started: float, state: str = "up") -> None:
+    def _create_node(self, name: str, started: float, state: str = "up") -> None:
         self.next_owner += 1
         self.owners[name] = self.next_owner
         self.servers.write(
-            Wanted("create", f"{BOXES}/{name}", record(name, started, state), ANYONE, 1),
+            Wanted("create", f"{CACHES}/{name}", record(name, started, state), ANYONE, 1),
             self.next_owner,
             self.now,
         )
@@ -429,8 +434,8 @@
 
     def _changes(self) -> list[str]:
         found = ["state"] if "state" in self.bounds.kinds else []
-        for name in (*self.bounds.boxes, "c"):
-            node = self.servers.leader.replica.nodes.get(f"{BOXES}/{name}")
+        for name in (*self.bounds.caches, "c"):
+            node = self.servers.leader.replica.nodes.get(f"{CACHES}/{name}")
             if name == "c":
                 options = [] if node else ["reuse"]
             elif node is None:
@@ -522,13 +527,13 @@
         self.servers.end(self.owners[name], self.now)
 
     def _on_return(self, name: str) -> None:
-        self._box(name, BEGUN)
+        self._create_node(name, BEGUN)
 
     def _on_restart(self, name: str) -> None:
-        self._box(name, 0.0)
+        self._create_node(name, 0.0)
 
     def _on_reuse(self, name: str) -> None:
-        self._box(name, self.now)
+        self._create_node(name, self.now)
 
     def _on_drain(self, name: str) -> None:
         self._write(name, "draining")
@@ -540,7 +545,7 @@
         self.servers.write(
             Wanted(
                 "set",
-                f"{BOXES}/{name}",
+                f"{CACHES}/{name}",
                 record(name, self.begun[name] if self.begun[name] == BEGUN else 0.0, state),
             ),
             0,
@@ -548,7 +553,7 @@
         )
 
     def _on_spoil(self, name: str) -> None:
-        self.servers.write(Wanted("set", f"{BOXES}/{name}", b"{"), 0, self.now)
+        self.servers.write(Wanted("set", f"{CACHES}/{name}", b"{"), 0, self.now)
 
     def _log(self, state: NodeState) -> None:
         member = member_of(record("a", BEGUN), NAMES)
@@ -614,7 +619,7 @@
 
     def _heard(self, says: tuple[Any, ...]) -> None:
         kind = says[0]
-        if kind == "data" and parent_of(says[1]) == BOXES:
+        if kind == "data" and parent_of(says[1]) == CACHES:
             name = says[1].rpartition("/")[2]
             before = self.told.get(name, ("", 0))[1]
             if says[3] < before:
@@ -623,7 +628,7 @@
             self.told[name] = (state, says[3])
         elif kind == "error" and says[2] == "GET_DATA" and says[1] == Err.NO_NODE:
             self._gone([says[3].rpartition("/")[2]])
-        elif kind == "list" and says[1] == BOXES:
+        elif kind == "list" and says[1] == CACHES:
             if self.synced:
                 self.unconfirmed = self.synced = False
             self._gone([name for name in self.told if name not in says[2]])
@@ -717,7 +722,7 @@
 
     def _least_start(self, name: str) -> float:
         """`started` of the node whose data was heard last, if it is still the present one."""
-        node = self.servers.leader.replica.nodes.get(f"{BOXES}/{name}")
+        node = self.servers.leader.replica.nodes.get(f"{CACHES}/{name}")
         if node is None or node.mzxid != self.told[name][1]:
             return 0.0
         return self.begun[name]
@@ -767,26 +772,26 @@
         watchers = self.servers.replicas[link.server].watchers
         nodes = self.servers.leader.replica.nodes
         if self.bounds.recursive:
-            if link.fire not in watchers.recursive.get(BOXES, set()):
+            if link.fire not in watchers.recursive.get(CACHES, set()):
                 self.broken("watch-kept", "the recursive watch is lost")
             return
-        if link.fire not in watchers.child.get(BOXES, set()):
+        if link.fire not in watchers.child.get(CACHES, set()):
             self.broken("watch-kept", "the watch on the list is lost")
         for path in nodes:
-            if parent_of(path) == BOXES and link.fire not in watchers.data.get(path, set()):
+            if parent_of(path) == CACHES and link.fire not in watchers.data.get(path, set()):
                 self.broken("watch-kept", f"the watch on {path} is lost")
 
     def _check_truth(self) -> None:
-        """Without a word of the change log, a box is ready if its node says so and its address is its own."""
+        """A cache not in the change log is ready if its node says so and nobody else has its address."""
         up: dict[str, tuple[float, int]] = {}
         for name in IDS:
-            node = self.servers.leader.replica.nodes.get(f"{BOXES}/{name}")
+            node = self.servers.leader.replica.nodes.get(f"{CACHES}/{name}")
             if node is not None and node.data != b"{":
                 up[name] = (self.begun[name], node.czxid)
         for name, ident in IDS.items():
             if LOG in self.claims.get(ident, {}):
                 continue
-            node = self.servers.leader.replica.nodes.get(f"{BOXES}/{name}")
+            node = self.servers.leader.replica.nodes.get(f"{CACHES}/{name}")
             rivals = [other for other in up if other != name and PORTS[other] == PORTS[name]]
             alone = all(up[name] > up[other] for other in rivals) if name in up else False
             wanted = name in up and node is not None and b'"up"' in node.data and alone
--- a/stonecove/lifecycle/coordination.py
+++ b/stonecove/lifecycle/coordination.py
@@ -81,8 +81,8 @@
     )
 
 
-class BoxSink:
-    """The boxes' nodes of one ensemble, handed to a roster with the present time."""
+class CacheSink:
+    """Passes the nodes of caches, parents and origin in one ensemble to a roster, with the time."""
 
     def __init__(self, roster: Roster, clock: Clock, whole: Callable[[], None]) -> None:
         self._roster = roster
@@ -90,15 +90,15 @@
         self._whole = whole
 
     def put(self, name: str, data: bytes, stat: Stat) -> None:
-        """A box is there, or says something else."""
+        """A node was created, or its record changed."""
         self._roster.put(name, data, stat.czxid, float(stat.ctime), stat.ephemeral_owner, self._clock.now())
 
     def removed(self, names: Iterable[str]) -> None:
-        """Boxes are gone."""
+        """Nodes were removed."""
         self._roster.removed(names, self._clock.now())
 
     def whole(self, names: frozenset[str], confirmed: bool) -> None:
-        """The list was read."""
+        """The whole list was read; `confirmed`: after a sync with the ordering server."""
         self._roster.whole(names, confirmed, self._clock.now())
         self._whole()
 
@@ -142,7 +142,7 @@
 
 
 class Coordination:
-    """One ensemble: its session, the boxes below a path, and our own node."""
+    """One ensemble: its session, the caches' nodes below a path, and our own node."""
 
     def __init__(
         self,
@@ -162,7 +162,7 @@
         self.tree = Tree(
             source.path,
             self.ensemble.ask,
-            BoxSink(self.roster, owner.clock, self._whole),
+            CacheSink(self.roster, owner.clock, self._whole),
             source.watches == "recursive",
         )
         self.whole_once = trio.Event()
--- a/stonecove/membership/records.py
+++ b/stonecove/membership/records.py
@@ -1,4 +1,4 @@
-"""What a box writes into its ephemeral node: one JSON object, checked field by field. Knows no I/O.
+"""What a cache, parent or origin writes into its ephemeral node: a JSON object, checked by field. No I/O.
 
     {"id": "s-000000a1", "address": "10.1.0.9:6565", "zone": "edge-1", "kind": "small-box", "cell": 0,
      "weight": 20.0, "started": 1764576000123, "state": "up"}
--- a/stonecove/membership/roster.py
+++ b/stonecove/membership/roster.py
@@ -132,7 +132,7 @@
         bound = max(self.rules.mass_least, self.rules.mass_share * population)
         departed = len(self._departures) + len(counted)
         none_left = departed > 1 and len({self._ident(name) for name in counted}) == len(self._by_id)
-        # Guards against losing all boxes at once to trouble of the source's own, as when it forgets all
+        # Guards against losing all nodes at once to trouble of the source's own, as when it forgets all
         # sessions.
         if counted and (self._kept or none_left or departed > bound):
             if not self._kept:
