--- a/benchmarks/explore.py
+++ b/benchmarks/explore.py
@@ -12,10 +12,10 @@
 
 import numpy as np
 
-from stonecove.explore import hunt, search, seeds
+from stonecove.explore import runner, search, seeds
 from stonecove.explore.copying import DeepCopy, Pickle, Replay, Way, run
 from stonecove.explore.scope import SMALL, named
-from stonecove.explore.search import Crew, Options, Result
+from stonecove.explore.search import WorkerPool, Options, Result
 from stonecove.explore.trace import simulation_start
 from stonecove.explore.visited import FingerprintSet, PlainSet, Visited
 
@@ -23,9 +23,9 @@
 
 
 def _play(name: str, depth: int, processes: int = 1, **options: object) -> Result:
-    with Crew(processes) as crew:
-        hunt.explore(named(SMALL, name).with_bounds(depth=2), crew, Options())  # processes are up by now
-        return hunt.explore(named(SMALL, name).with_bounds(depth=depth), crew, Options(**options))  # type: ignore[arg-type]
+    with WorkerPool(processes) as pool:
+        runner.explore(named(SMALL, name).with_bounds(depth=2), pool, Options())  # processes are up by now
+        return runner.explore(named(SMALL, name).with_bounds(depth=depth), pool, Options(**options))  # type: ignore[arg-type]
 
 
 def _rates(result: Result) -> str:
@@ -113,7 +113,9 @@
         print(f"  {processes} processes {_rates(result)}  {one / result.seconds:.2f} times as fast")
     if not short:
         print("Time to each seeded fault, on one core each:")
-        for caught in hunt.catch_all([seed.name for seed in seeds.SEEDS], min(8, os.cpu_count() or 1)):
+        for caught in runner.find_seeded_faults(
+            [seed.name for seed in seeds.SEEDS], min(8, os.cpu_count() or 1)
+        ):
             print(
                 f"  {caught.name:32} {caught.seconds:6.2f} s {caught.states:6} states "
                 f"{len(caught.found.steps) if caught.found else 0:3} steps"
--- a/stonecove/commands/explore.py
+++ b/stonecove/commands/explore.py
@@ -92,14 +92,14 @@
     depth: int | None,
 ) -> None:
     """Explore a scope whole."""
-    from stonecove.explore.hunt import SMALL_MACHINES, explore_all, explore_machine
+    from stonecove.explore.runner import SMALL_MACHINES, explore_all, explore_machine
     from stonecove.explore.scope import SCOPES, named
-    from stonecove.explore.search import Crew, SavedError
+    from stonecove.explore.search import WorkerPool, SavedError
 
     if scope_name in SMALL_MACHINES:
         bounds = SMALL_MACHINES[scope_name]
-        with Crew(_processes(processes)) as crew:
-            result = explore_machine(bounds._replace(depth=depth or bounds.depth), crew)
+        with WorkerPool(_processes(processes)) as pool:
+            result = explore_machine(bounds._replace(depth=depth or bounds.depth), pool)
         _show(scope_name, result, (), None)
         click.echo(_line(scope_name, result))
         sys.exit(VIOLATED if result.found else HELD)
@@ -130,8 +130,8 @@
     began = time.monotonic()
     deeper = {"small": 0, "full": 1}.get(scope_name)
     try:
-        with Crew(_processes(processes)) as crew:
-            total = explore_all(scopes, crew, save, tell, save_every, deeper)
+        with WorkerPool(_processes(processes)) as pool:
+            total = explore_all(scopes, pool, save, tell, save_every, deeper)
     except SavedError as error:
         _unusable(str(error))
     total.seconds = time.monotonic() - began
@@ -144,14 +144,14 @@
 @click.option("--processes", default=0, type=click.IntRange(0, 64), help="0: all cores, at most 8.")
 def seeded_command(only: tuple[str, ...], processes: int) -> None:
     """Plant faults of one line, one after the other, and show by what each is found."""
-    from stonecove.explore.hunt import catch_all
+    from stonecove.explore.runner import find_seeded_faults
     from stonecove.explore.seeds import SEEDS
 
     names = [seed.name for seed in SEEDS]
     if unknown := [name for name in only if name not in names]:
         _unusable(f"no fault {unknown[0]!r}")
     began = time.monotonic()
-    found = catch_all(list(only) or names, _processes(processes))
+    found = find_seeded_faults(list(only) or names, _processes(processes))
     from rich.console import Console
     from rich.table import Table
 
@@ -192,12 +192,12 @@
 @click.option("--traces", type=click.Path(path_type=Path, file_okay=False), help="Keep counterexamples here.")
 def walk_command(walks: int, steps: int, seed: int, processes: int, traces: Path | None) -> None:
     """Walk at random beyond the bounds, seeded."""
-    from stonecove.explore.hunt import wander_all
+    from stonecove.explore.runner import run_walks_in_pool
     from stonecove.explore.scope import WALK
     from stonecove.explore.search import Result
 
     began = time.monotonic()
-    done = wander_all(seed, walks, steps, _processes(processes))
+    done = run_walks_in_pool(seed, walks, steps, _processes(processes))
     _show(WALK.name, Result(found=done.found), (WALK,), traces)
     click.echo(
         f"walks={done.walks} steps={done.steps} kinds={len(done.words)} violations={len(done.found)} "
--- a/stonecove/explore/reach.py
+++ b/stonecove/explore/reach.py
@@ -12,10 +12,10 @@
 import coverage
 
 import stonecove
-from stonecove.explore import hunt
+from stonecove.explore import runner
 from stonecove.explore.properties import PROPERTIES
 from stonecove.explore.scope import SMALL, WALK
-from stonecove.explore.search import Crew, Options
+from stonecove.explore.search import WorkerPool, Options
 from stonecove.explore.trace import simulation_start
 from stonecove.explore.walk import Walks, walk
 
@@ -150,11 +150,11 @@
     cover = coverage.Coverage(data_file=None, branch=True, include=[str(ROOT / name) for name in CORE])
     cover.start()
     try:
-        with Crew(1) as crew:
+        with WorkerPool(1) as pool:
             for scope in SMALL:
-                hunt.explore(scope.with_bounds(depth=min(depth, scope.depth)), crew, Options())
-            hunt.explore_channel(crew)
-        hunt.explore_codecs()
+                runner.explore(scope.with_bounds(depth=min(depth, scope.depth)), pool, Options())
+            runner.explore_channel(pool)
+        runner.explore_codecs()
         done = Walks()
         for chance in range(3):
             walk(simulation_start(WALK), WALK, chance, 1500, done)
--- a/stonecove/explore/hunt.py
+++ b/stonecove/explore/runner.py
@@ -1,4 +1,4 @@
-"""Runs whole explorations: a list of scopes, the small machines, the seeded faults, walks."""
+"""Runs whole explorations: lists of scopes, the small state machines, seeded faults, random walks."""
 
 from __future__ import annotations
 
@@ -12,16 +12,16 @@
 from stonecove.explore.channels import ChannelMachine
 from stonecove.explore.machine import Machine
 from stonecove.explore.scope import SMALL, WALK, Scope, named
-from stonecove.explore.search import Crew, Found, Options, Result, Start, breadth_first
+from stonecove.explore.search import WorkerPool, Found, Options, Result, Start, breadth_first
 from stonecove.explore.trace import Trace, shrink, simulation_start
 from stonecove.explore.walk import Walks, walk
 
 CHANNEL_DEPTH = 14
-PER_SCOPE = 400.0  # seconds after which a scope is given up, and told as incomplete
+PER_SCOPE = 400.0  # seconds after which a scope is given up and reported as incomplete
 
 
 def channel_start(seed: str = "") -> Start:
-    """What starts the machine of a connection's life, a seed planted."""
+    """Plants a seed, and returns what starts the state machine of a connection."""
     seeds.plant(seed)
 
     def start() -> Machine:
@@ -32,28 +32,28 @@
 
 def explore(
     scope: Scope,
-    crew: Crew,
+    pool: WorkerPool,
     options: Options | None = None,
     seed: str = "",  # noqa: B008
     progress: Callable[[Result, int], None] | None = None,
 ) -> Result:
-    """Plays all of a scope."""
+    """Explores a whole scope."""
     return breadth_first(
-        crew, simulation_start, (scope, seed), scope.depth, options or Options(), f"{scope}/{seed}", progress
+        pool, simulation_start, (scope, seed), scope.depth, options or Options(), f"{scope}/{seed}", progress
     )
 
 
 def explore_all(
     scopes: tuple[Scope, ...],
-    crew: Crew,
+    pool: WorkerPool,
     save: Path | None = None,
     tell: Callable[[str, Result], None] | None = None,
     save_every: float = 20.0,
     deeper: int | None = None,
 ) -> Result:
-    """Plays scopes one after the other, and the smaller machines: sessions and lists, a connection, codecs.
+    """Explores scopes, then the smaller machines: coordination, fleet, swarm, channel, codecs.
 
-    `deeper`: so many steps more in the scopes of the smaller machines; None leaves these out.
+    `deeper`: additional steps in the scopes of the smaller machines; None leaves these out.
 
     With `save`, each scope keeps its frontier in a file of that name and the scope's; what is done is marked
     there by its result, so that a later run goes on with the rest.
@@ -61,16 +61,16 @@
     total = Result()
     for scope in scopes:
         path = save.with_name(f"{save.name}.{scope.name}") if save else None
-        result = explore(scope, crew, Options(most_seconds=PER_SCOPE, save=path, save_every=save_every))
+        result = explore(scope, pool, Options(most_seconds=PER_SCOPE, save=path, save_every=save_every))
         total.add(result)
         if tell:
             tell(scope.name, result)
     for bounds in SMALL_MACHINES.values() if deeper is not None else ():
-        result = explore_machine(bounds._replace(depth=bounds.depth + (deeper or 0)), crew)
+        result = explore_machine(bounds._replace(depth=bounds.depth + (deeper or 0)), pool)
         total.add(result)
         if tell:
             tell(bounds.name, result)
-    for name, result in (("channel", explore_channel(crew)), ("codecs", explore_codecs())):
+    for name, result in (("channel", explore_channel(pool)), ("codecs", explore_codecs())):
         total.add(result)
         if tell:
             tell(name, result)
@@ -84,26 +84,26 @@
 
 
 def machine_start(bounds: Bounds, seed: str = "") -> Start:
-    """What starts the machine of sessions and lists, one of the fleet's or the swarm's, a seed planted."""
+    """Plants a seed, and returns what starts the coordination, fleet or swarm machine."""
     seeds.plant(seed)
     if isinstance(bounds, swarm.SwarmBounds):
         return swarm.starter(bounds)
     return coordination.starter(bounds) if isinstance(bounds, coordination.Bounds) else fleet.starter(bounds)
 
 
-def explore_machine(bounds: Bounds, crew: Crew, seed: str = "", stop_at_first: bool = False) -> Result:
-    """Plays one scope of sessions, lists and the merge, or of the fleet's or the swarm's decisions."""
+def explore_machine(bounds: Bounds, pool: WorkerPool, seed: str = "", stop_at_first: bool = False) -> Result:
+    """Explores one scope of the coordination, fleet or swarm machine."""
     options = Options(stop_at_first=stop_at_first, most_seconds=PER_SCOPE)
-    return breadth_first(crew, machine_start, (bounds, seed), bounds.depth, options)
+    return breadth_first(pool, machine_start, (bounds, seed), bounds.depth, options)
 
 
-def explore_channel(crew: Crew, seed: str = "", stop_at_first: bool = False) -> Result:
-    """Plays the life of a connection."""
-    return breadth_first(crew, channel_start, (seed,), CHANNEL_DEPTH, Options(stop_at_first=stop_at_first))
+def explore_channel(pool: WorkerPool, seed: str = "", stop_at_first: bool = False) -> Result:
+    """Explores the state machine of a connection."""
+    return breadth_first(pool, channel_start, (seed,), CHANNEL_DEPTH, Options(stop_at_first=stop_at_first))
 
 
 def explore_codecs(seed: str = "", short: bool = True) -> Result:
-    """Plays all cuts of the streams of both codecs; a stream counts as a state, a cut as a transition."""
+    """Decodes all splits of both codecs' streams; a stream counts as a state, a split as a transition."""
     began = time.monotonic()
     seeds.plant(seed)
     try:
@@ -116,8 +116,8 @@
 
 
 @dataclass(frozen=True)
-class Caught:
-    """What became of a seeded fault."""
+class SeededResult:
+    """Whether, where and how a seeded fault was found."""
 
     name: str
     breaks: str  # the property that it was to break
@@ -128,7 +128,7 @@
     crash: str = ""
 
     def trace(self) -> Trace | None:
-        """The counterexample, if the router's simulation found it."""
+        """The counterexample, if the simulation of the router found it."""
         if self.found is None or self.where in ("codecs", "channel", *SMALL_MACHINES):
             return None
         return Trace(
@@ -140,25 +140,25 @@
         )
 
 
-def catch(name: str) -> Caught:
-    """Looks for one seeded fault, in this process; takes it out again."""
+def find_seeded_fault(name: str) -> SeededResult:
+    """Looks for one seeded fault in this process, and removes it again."""
     seed = seeds.by_name(name)
     began, states = time.monotonic(), 0
     try:
-        with Crew(1) as crew:
+        with WorkerPool(1) as pool:
             for where in seed.scopes:
                 if where == "codecs":
                     result = explore_codecs(name)
                 elif where in SMALL_MACHINES:
-                    result = explore_machine(SMALL_MACHINES[where], crew, name, stop_at_first=True)
+                    result = explore_machine(SMALL_MACHINES[where], pool, name, stop_at_first=True)
                 elif where == "channel":
-                    result = explore_channel(crew, name, stop_at_first=True)
+                    result = explore_channel(pool, name, stop_at_first=True)
                 else:
-                    result = explore(named(SMALL, where), crew, Options(stop_at_first=True), name)
+                    result = explore(named(SMALL, where), pool, Options(stop_at_first=True), name)
                 states += result.states
                 if result.found:
                     right = [found for found in result.found if found.violation.prop == seed.breaks]
-                    return Caught(
+                    return SeededResult(
                         name,
                         seed.breaks,
                         where,
@@ -166,15 +166,17 @@
                         states,
                         time.monotonic() - began,
                     )
-        return Caught(name, seed.breaks, states=states, seconds=time.monotonic() - began)
+        return SeededResult(name, seed.breaks, states=states, seconds=time.monotonic() - began)
     except Exception as error:
-        return Caught(name, seed.breaks, states=states, seconds=time.monotonic() - began, crash=repr(error))
+        return SeededResult(
+            name, seed.breaks, states=states, seconds=time.monotonic() - began, crash=repr(error)
+        )
     finally:
         seeds.plant("")
 
 
-def wander(first: int, count: int, steps: int, scope: Scope = WALK, seed: str = "") -> Walks:
-    """Walks with the chance seeds from `first` on; stops at the first violation, shrunk."""
+def run_walks(first: int, count: int, steps: int, scope: Scope = WALK, seed: str = "") -> Walks:
+    """Random walks with the seeds from `first` on; stops at the first violation, whose trace is shrunk."""
     done = Walks()
     start = simulation_start(scope, seed)
     try:
@@ -189,23 +191,23 @@
     return done
 
 
-def catch_all(names: list[str], processes: int) -> list[Caught]:
-    """Looks for several faults, each in one process of a pool; in the order of the names."""
+def find_seeded_faults(names: list[str], processes: int) -> list[SeededResult]:
+    """Looks for several faults, each in one process of a pool; results come in the order of the names."""
     if processes == 1:
-        return list(map(catch, names))
+        return list(map(find_seeded_fault, names))
     with multiprocessing.get_context("spawn").Pool(processes) as pool:
-        return pool.map(catch, names, chunksize=1)
+        return pool.map(find_seeded_fault, names, chunksize=1)
 
 
-def wander_all(first: int, count: int, steps: int, processes: int) -> Walks:
-    """Walks on several processes; the same walks, whatever their number."""
+def run_walks_in_pool(first: int, count: int, steps: int, processes: int) -> Walks:
+    """Random walks on several processes; the walks do not depend on the number of processes."""
     spans = [(chance, 1, steps) for chance in range(first, first + count)]
     total = Walks()
     if processes == 1:
-        parts = list(map(wander_apart, spans))
+        parts = list(map(_run_walk_span, spans))
     else:
         with multiprocessing.get_context("spawn").Pool(processes) as pool:
-            parts = pool.map(wander_apart, spans, chunksize=1)
+            parts = pool.map(_run_walk_span, spans, chunksize=1)
     for part in parts:
         total.walks += part.walks
         total.steps += part.steps
@@ -215,6 +217,6 @@
     return total
 
 
-def wander_apart(span: tuple[int, int, int]) -> Walks:
-    """For a pool: (first, count, steps)."""
-    return wander(*span)
+def _run_walk_span(span: tuple[int, int, int]) -> Walks:
+    """`run_walks` for a pool; `span`: first seed, count, steps."""
+    return run_walks(*span)
--- a/stonecove/explore/search.py
+++ b/stonecove/explore/search.py
@@ -188,19 +188,19 @@
     return [_present[1].expand(entry) for entry in entries]
 
 
-class Crew:
-    """The processes that expand; one process means this one. What it starts, it ends."""
+class WorkerPool:
+    """The processes that expand states; with one, no process is started. Leaving the context ends them."""
 
     def __init__(self, processes: int = 1) -> None:
         self.processes = processes
         self._pool = multiprocessing.get_context("spawn").Pool(processes) if processes > 1 else None
 
     def expand(self, setup: Setup, entries: list[Entry]) -> Iterator[list[Expanded]]:
-        """What comes of the entries, in their order."""
+        """The expansions of the entries, in their order."""
         jobs = ((setup, some) for some in _chunks(entries))
         return self._pool.imap(_expand_all, jobs) if self._pool else map(_expand_all, jobs)
 
-    def __enter__(self) -> Crew:
+    def __enter__(self) -> WorkerPool:
         return self
 
     def __exit__(self, *error: object) -> None:
@@ -296,7 +296,7 @@
 
 
 def breadth_first(
-    crew: Crew,
+    pool: WorkerPool,
     make: Callable[..., Start],
     args: tuple[Any, ...],
     depth: int,
@@ -324,7 +324,7 @@
     setup = Setup(make, args, depth, options.reduce, options.copying)
     while front.entries:
         level, expanded = front.entries, []
-        for some in crew.expand(setup, level):
+        for some in pool.expand(setup, level):
             expanded += some
             if time.monotonic() - began > options.most_seconds:
                 break
--- a/stonecove/lifecycle/swarm.py
+++ b/stonecove/lifecycle/swarm.py
@@ -28,7 +28,7 @@
 from stonecove.swarm.health import GAP
 from stonecove.swarm.shares import Shares, Stand
 from stonecove.swarm.swarm import Swarm
-from stonecove.swarm.told import answer
+from stonecove.swarm.status import answer
 from stonecove.swarm.words import Standing, Word, ident_of
 from stonecove.wire.gossip import MOST_BYTES, GossipError, decode, encode, number_of
 
--- a/stonecove/swarm/told.py
+++ b/stonecove/swarm/status.py
@@ -1,4 +1,4 @@
-"""What people ask of a swarm: how it stands, who is there, and on what evidence."""
+"""Answers operators' questions about a swarm: status, members, the evidence on each, past views."""
 
 from __future__ import annotations
 
--- a/tests/test_explore.py
+++ b/tests/test_explore.py
@@ -13,12 +13,12 @@
 from pathlib import Path
 
 import pytest
-from stonecove.explore import hunt, scope, search, seeds
+from stonecove.explore import runner, scope, search, seeds
 from stonecove.explore.copying import DeepCopy, Pickle, Replay, Way, run
 from stonecove.explore.fingerprint import all_parts, check_fields
 from stonecove.explore.properties import PROPERTIES
 from stonecove.explore.reach import HARD_CASES, HARD_STEPS
-from stonecove.explore.search import Crew, Options, Result
+from stonecove.explore.search import WorkerPool, Options, Result
 from stonecove.explore.trace import Trace, shrink, simulation_start
 from stonecove.explore.visited import FingerprintSet, PlainSet
 from stonecove.explore.simulation import Simulation
@@ -66,8 +66,8 @@
 
 
 def explored(one: scope.Scope, processes: int = 4, seed: str = "", **options: object) -> Result:
-    with Crew(processes) as crew:
-        result = hunt.explore(one, crew, Options(**options), seed)  # type: ignore[arg-type]
+    with WorkerPool(processes) as pool:
+        result = runner.explore(one, pool, Options(**options), seed)  # type: ignore[arg-type]
     seeds.plant("")
     return result
 
@@ -262,7 +262,7 @@
 
 
 def test_every_seeded_fault_is_found_and_every_property_broken_by_one() -> None:
-    found = hunt.catch_all([seed.name for seed in seeds.SEEDS], min(8, os.cpu_count() or 1))
+    found = runner.find_seeded_faults([seed.name for seed in seeds.SEEDS], min(8, os.cpu_count() or 1))
     wrong = [
         (one.name, one.crash or one.found)
         for one in found
@@ -286,7 +286,7 @@
 
 
 def test_walks_hold_and_are_the_same_each_time() -> None:
-    one, other = hunt.wander(5, 2, 900), hunt.wander(5, 2, 900)
+    one, other = runner.run_walks(5, 2, 900), runner.run_walks(5, 2, 900)
     assert not one.found and one.steps > 1000
     assert one.words == other.words
 
