--- a/benchmarks/overload.py
+++ b/benchmarks/overload.py
@@ -34,8 +34,8 @@
     trial = trial_of(text, "overload", 1)
     with tempfile.TemporaryDirectory() as folder:
         _, verdict = judge.play(trial, 3, Path(folder))
-    for one in verdict.broken:
-        print(f"  BROKEN {one.told()}")
+    for one in verdict.violations:
+        print(f"  BROKEN {one.summary()}")
     print(f"{trial.title}: " + " ".join(f"{key}={value:.4g}" for key, value in verdict.figures.items()))
     return verdict.figures
 
--- a/benchmarks/swarm.py
+++ b/benchmarks/swarm.py
@@ -40,11 +40,11 @@
 def _play(trial: Trial, seed: int = 3) -> dict[str, float]:
     with tempfile.TemporaryDirectory() as folder:
         _, verdict = judge.play(trial, seed, Path(folder))
-    for one in verdict.broken:
-        print(f"  BROKEN {one.told()}")
+    for one in verdict.violations:
+        print(f"  BROKEN {one.summary()}")
     told = " ".join(f"{key}={value:.4g}" for key, value in verdict.figures.items())
     print(f"{trial.title} ({trial.routers} processes): {told}")
-    return {**verdict.figures, "broken": len(verdict.broken)}
+    return {**verdict.figures, "broken": len(verdict.violations)}
 
 
 def idle(seconds: float, swarm: bool) -> float:
--- a/stonecove/commands/trial.py
+++ b/stonecove/commands/trial.py
@@ -71,17 +71,17 @@
             click.echo(f"stonecove trial: {error}", err=True)
             sys.exit(UNUSABLE)
         if logs is not None:
-            _keep(logs, played, [fault.told() for fault in found.faults])
+            _keep(logs, played, [fault.summary() for fault in found.faults])
     if as_json:
-        click.echo(json.dumps(verdict.told()))
+        click.echo(json.dumps(verdict.as_dict()))
     else:
-        click.echo(f"{verdict.title}: {'BROKEN' if verdict.broken else 'all rules kept'}")
+        click.echo(f"{verdict.title}: {'BROKEN' if verdict.violations else 'all rules kept'}")
         for fault in found.faults:
-            click.echo(f"  {fault.told()}")
-        for one in verdict.broken:
-            click.echo(f"  BROKEN {one.told()}")
+            click.echo(f"  {fault.summary()}")
+        for one in verdict.violations:
+            click.echo(f"  BROKEN {one.summary()}")
         click.echo("  " + " ".join(f"{key}={value:.4g}" for key, value in verdict.figures.items()))
-    sys.exit(BROKEN if verdict.broken else GOOD)
+    sys.exit(BROKEN if verdict.violations else GOOD)
 
 
 def _keep(folder: Path, played: Played, faults: list[str]) -> None:
--- a/stonecove/trial/judge.py
+++ b/stonecove/trial/judge.py
@@ -1,4 +1,4 @@
-"""Whether a trial kept the rules: from the stand-ins' books, the clients' and the routers' logs."""
+"""Checks whether a trial kept the rules, from the records of stand-ins and clients and the routers' logs."""
 
 from __future__ import annotations
 
@@ -23,39 +23,39 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Broken:
-    """A rule that was broken, when (seconds after the load began) and by whom."""
+class RuleViolation:
+    """A rule that was broken: when (seconds after the load began), and by which processes."""
 
     rule: str
     at: float
     processes: tuple[str, ...]
     what: str
 
-    def told(self) -> str:
-        """A line."""
+    def summary(self) -> str:
+        """One line for people."""
         return f"{self.rule} at {self.at:.2f} s, {', '.join(self.processes) or 'nobody'}: {self.what}"
 
 
 @dataclass(slots=True)
 class Verdict:
-    """What the judge found."""
+    """The violations and figures of a trial."""
 
     title: str
-    broken: list[Broken] = field(default_factory=list)
+    violations: list[RuleViolation] = field(default_factory=list)
     figures: dict[str, float] = field(default_factory=dict)
 
-    def told(self) -> dict[str, Any]:
-        """For programs."""
+    def as_dict(self) -> dict[str, Any]:
+        """The JSON form that `stonecove trial run --json` prints."""
         return {
             "title": self.title,
-            "passed": not self.broken,
-            "broken": [asdict(one) for one in self.broken],
+            "passed": not self.violations,
+            "broken": [asdict(one) for one in self.violations],
             "figures": self.figures,
         }
 
 
 def play(trial: Trial, seed: int, folder: Path) -> tuple[Played, Verdict]:
-    """Plays a trial and judges it; raises TrialError or OSError if it can't be played."""
+    """Runs a trial and judges it; raises TrialError or OSError if it can't be run."""
     testbed = Testbed(trial, seed, folder)
     try:
         played = testbed.play()
@@ -65,7 +65,7 @@
 
 
 def judge(played: Played) -> Verdict:
-    """All rules over one trial."""
+    """Checks all rules on one trial."""
     verdict = Verdict(played.trial.title)
     _answers(played, verdict)
     _processes(played, verdict)
@@ -80,7 +80,7 @@
 
 
 def _answers(played: Played, verdict: Verdict) -> None:
-    """One final answer for all that was taken, and no write twice."""
+    """Each request that was accepted gets one final answer, and no write runs twice."""
     clients, expects = played.clients, played.trial.expects
     lost = [
         (at, place) for at, place in clients.lost
@@ -89,8 +89,8 @@
     ]  # fmt: skip
     if len(lost) > expects.lost:
         at, place = lost[0]
-        verdict.broken.append(
-            Broken(
+        verdict.violations.append(
+            RuleViolation(
                 "answer",
                 at - played.began,
                 (played.routers[place].name,),
@@ -98,8 +98,8 @@
             )
         )
     if played.repeated:
-        verdict.broken.append(
-            Broken(
+        verdict.violations.append(
+            RuleViolation(
                 "write",
                 played.ended - played.began,
                 (),
@@ -116,15 +116,17 @@
 
 
 def _processes(played: Played, verdict: Verdict) -> None:
-    """Nobody crashes, and nothing goes wrong within."""
+    """No router crashes or logs a bug."""
     for place, code in played.codes:
-        verdict.broken.append(
-            Broken("crash", played.ended - played.began, (played.routers[place].name,), f"ended with {code}")
+        verdict.violations.append(
+            RuleViolation(
+                "crash", played.ended - played.began, (played.routers[place].name,), f"ended with {code}"
+            )
         )
     for router in played.routers:
         if bugs := router.lines("bug"):
-            verdict.broken.append(
-                Broken(
+            verdict.violations.append(
+                RuleViolation(
                     "bug",
                     float(bugs[0]["at"]) - played.began,
                     (router.name,),
@@ -134,13 +136,13 @@
 
 
 def _cold(played: Played, verdict: Verdict) -> None:
-    """No cold cache is sent more than it bears, by all routers together. 1.0 is the rule."""
+    """All routers together send a cold cache no more than the rule allows; 1.0 is that bound."""
     worst = 0.0
     for started, cache, book in played.colds:
         at, part = cold_part(book, started, played.trial.window, played.trial.kb)
         if part > 1.0:
-            verdict.broken.append(
-                Broken(
+            verdict.violations.append(
+                RuleViolation(
                     "cold",
                     at - played.began,
                     tuple(r.name for r in played.routers),
@@ -152,7 +154,7 @@
 
 
 def cold_part(book: list[float], started: float, window: float, kb: float) -> tuple[float, float]:
-    """When most was sent to a cache that started then, and which part it was of what the rule lets it bear.
+    """When a cache that started then was sent most, and as a part of what the rule allows.
 
     `book`: Unix ms of each request, `kb` of work each; `started` and `window` in seconds.
     """
@@ -173,7 +175,7 @@
 
 
 def _list(played: Played, verdict: Verdict) -> None:
-    """Nothing to or from a drained cache after the grace, and nothing older than a purge."""
+    """After its grace a drained cache is not used, and no answer is older than a purge."""
     for since, until, ident in played.drains:
         grace = since + settings_of("rules", "drain_grace") / 1000.0 + SLACK + _told_late(played, since)
         asked = [
@@ -182,8 +184,8 @@
             if grace < one.at / 1000.0 < until and (one.cache == ident or one.source == f"s-{ident:08x}")
         ]
         if asked:
-            verdict.broken.append(
-                Broken(
+            verdict.violations.append(
+                RuleViolation(
                     "drain",
                     asked[0].at / 1000.0 - played.began,
                     (),
@@ -194,8 +196,8 @@
         late = SLACK + _told_late(played, moment / 1000.0)
         grace = settings_of("domain", "heed_within") + late * 1000.0
         if old := played.depot.too_old(moment, grace):
-            verdict.broken.append(
-                Broken(
+            verdict.violations.append(
+                RuleViolation(
                     "purge",
                     moment / 1000.0 - played.began,
                     (),
@@ -205,7 +207,7 @@
 
 
 def events_of(played: Played) -> list[Event]:
-    """All that requests led to, from the books of clients and servers; seconds since the load began."""
+    """All events that requests caused, as recorded by clients and servers; seconds since the load began."""
     depot, found, seen = played.depot, list[Event](), set[str]()
     if isinstance(played.clients, OpenLoopClients):
         found += [event._replace(at=event.at - played.began) for event in played.clients.events]
@@ -223,7 +225,7 @@
 
 
 def _open_loop(played: Played, clients: OpenLoopClients, verdict: Verdict) -> None:
-    """What came of what clients meant, and whether service came back."""
+    """How many intended requests were served, and whether service recovered."""
     expects, book = played.trial.expects, Book(events_of(played))
     first, last = played.trial.span
     at, attempts = book.worst(ATTEMPT)
@@ -237,18 +239,24 @@
         "origin_stops": len(played.depot.stops) if isinstance(played.depot, LoadedDepot) else 0,
     }  # fmt: skip
     if expects.amplification is not None and attempts > expects.amplification:
-        verdict.broken.append(
-            Broken("amplification", float(at), (), f"{attempts:.2f} attempts for each request that was meant")
+        verdict.violations.append(
+            RuleViolation(
+                "amplification", float(at), (), f"{attempts:.2f} attempts for each request that was meant"
+            )
         )
     if expects.recovers_within is not None and back > expects.recovers_within:
         sustained = ", ".join(f"{cause} {times:.1f} times" for cause, times in book.sustained_by(last, first))
-        verdict.broken.append(Broken("recovery", last, (), f"good again after {back:.1f} s; {sustained}"))
+        verdict.violations.append(
+            RuleViolation("recovery", last, (), f"good again after {back:.1f} s; {sustained}")
+        )
     if expects.valued is not None and valued < expects.valued:
-        verdict.broken.append(Broken("valued", 0.0, (), f"{valued:.3f} of the valued class was served"))
+        verdict.violations.append(
+            RuleViolation("valued", 0.0, (), f"{valued:.3f} of the valued class was served")
+        )
 
 
 def _told_late(played: Played, at: float) -> float:
-    """Seconds by which an event of then may come late, since a change log was cut off."""
+    """Seconds by which an event of that moment may arrive late because a change log was cut off."""
     cuts = [
         played.began + fault.ends
         for fault in played.trial.faults
@@ -264,7 +272,7 @@
 
 
 def _shares(played: Played, verdict: Verdict) -> None:
-    """Within any window, the shares that routers act upon add up to 1 at the most."""
+    """Within any window, the shares that routers act upon add up to 1 at most."""
     window = played.trial.window
     # from, to, share, router, its life; with the window after it
     spans: list[tuple[float, float, float, str, float]] = []
@@ -295,12 +303,14 @@
         if sum(most.values()) > worst:
             worst, moment, who = sum(most.values()), at, tuple(sorted({name for name, _ in most}))
     if worst > 1.0 + len(played.routers) * 0.001:  # the log has three digits
-        verdict.broken.append(Broken("shares", moment - played.began, who, f"add up to {worst:.3f}"))
+        verdict.violations.append(
+            RuleViolation("shares", moment - played.began, who, f"add up to {worst:.3f}")
+        )
     verdict.figures["rule_worst"] = min(worst, 1.0) if worst <= 1.0 + len(played.routers) * 0.001 else worst
 
 
 def _members(played: Played, verdict: Verdict) -> None:
-    """Who was declared failed, how soon after its end, and in how many steps."""
+    """Which routers were declared failed, how soon after their end, and in how many views."""
     expects, places = played.trial.expects, {ident: place for place, ident in enumerate(played.ids)}
     falsely: list[tuple[float, str, str]] = []
     known: dict[tuple[int, str], list[float]] = {}
@@ -326,8 +336,8 @@
                 falsely.append((at, router.name, played.routers[place].name))
     if len(falsely) > expects.false_failed:
         at, by, of = falsely[0]
-        verdict.broken.append(
-            Broken(
+        verdict.violations.append(
+            RuleViolation(
                 "failed",
                 at - played.began,
                 (by, of),
@@ -345,15 +355,15 @@
         after = math.inf if played.joined_at is None else played.joined_at - played.began - last
         verdict.figures["joined_s"] = after
         if after > expects.joined_within:
-            verdict.broken.append(
-                Broken(
+            verdict.violations.append(
+                RuleViolation(
                     "joined", played.trial.lasts, (), f"all were joined {after:.1f} s after the last fault"
                 )
             )
 
 
 def _detected(played: Played, known: dict[tuple[int, str], list[float]]) -> list[float]:
-    """Seconds from each kill until each router that runs all the while knew of it; infinite if never."""
+    """Seconds from each kill until each router that kept running knew of it; infinite if it never did."""
     took = []
     for since, _, place, what in played.troubled:
         if what not in ("kill", "restart"):
@@ -388,8 +398,8 @@
             most, whose = count, router.name
     verdict.figures["views"] = most
     if expects.views is not None and most > expects.views:
-        verdict.broken.append(
-            Broken(
+        verdict.violations.append(
+            RuleViolation(
                 "views",
                 played.trial.lasts,
                 (whose,),
--- a/stonecove/trial/schedule.py
+++ b/stonecove/trial/schedule.py
@@ -50,7 +50,7 @@
     shift: float = 0.0
     factor: float = 1.0
 
-    def told(self) -> str:
+    def summary(self) -> str:
         """In a few words."""
         whom = ",".join(map(str, self.who)) or "all ways"
         to = f" {'and' if self.both else 'to'} {','.join(map(str, self.to))}" if self.to else ""
--- a/tests/test_overload.py
+++ b/tests/test_overload.py
@@ -141,6 +141,6 @@
         testbed.close()
     verdict = judge(played)
     book = Book(events_of(played))
-    assert verdict.broken == [] and book.total("late") > 20
+    assert verdict.violations == [] and book.total("late") > 20
     meant = [book.seconds[second].meant for second in range(4)]
     assert min(meant) > 30  # also while half of all answers are late
--- a/tests/test_trial.py
+++ b/tests/test_trial.py
@@ -49,7 +49,7 @@
     """Stops, loss, one-sided and whole cuts, a mass kill, a roll, late words, twins, a flood, 20 starts."""
     played = play(read_trial(path, 5))
     verdict = judge(played)
-    assert [one.told() for one in verdict.broken] == []
+    assert [one.summary() for one in verdict.violations] == []
     assert verdict.figures["answers"] > 0
     if path.stem == "twins":
         assert all(router.lines("swarm-name-twice") for router in played.routers[1:3])
@@ -97,7 +97,7 @@
 def test_the_judge_names_rule_time_and_process(play: Play) -> None:
     """Each rule is broken in what a real trial left behind, and found."""
     played = play(trial_of(SMALL + "routers: 2", "t", 1))
-    assert judge(played).broken == []
+    assert judge(played).violations == []
     now = played.began + 1.0
     with played.routers[0].log.open("a") as log:
         log.write(f"{now:.3f} swarm-share joined=True own=1.000 fleet=1 by_zone=0,1 view=1\n")
@@ -115,7 +115,7 @@
     for _ in range(2):  # the second, once the grace is over, is the copy of before
         played.depot.answer(played.depot.caches[0], "2", item)
         time.sleep(1.1)
-    found = {one.rule: one for one in judge(played).broken}
+    found = {one.rule: one for one in judge(played).violations}
     assert set(found) == {"answer", "write", "crash", "bug", "cold", "shares", "failed", "drain", "purge"}
     assert found["failed"].processes == ("edge-0", "edge-1")
     assert 0.9 <= found["shares"].at <= 1.1
