--- a/benchmarks/run_cost.py
+++ b/benchmarks/run_cost.py
@@ -14,8 +14,8 @@
 from pathlib import Path
 from statistics import median
 
-from stonecove.commands.demo import free_port, wait_ready
-from stonecove.standins.webserver import Asker, settings
+from stonecove.commands.demo import free_port, router_config, wait_ready
+from stonecove.standins.webserver import Asker
 from stonecove.standins.depot import Depot
 
 HERE = Path(__file__).parent.parent
@@ -35,15 +35,7 @@
 def once(checkout: Path, requests: int) -> tuple[float, float]:
     """Microseconds of CPU a request, and MB at ready."""
     depot, port = Depot(caches=3), free_port()
-    config = {
-        "name": "cost",
-        "listen": f"127.0.0.1:{port}",
-        "seed": "7",
-        "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 512},
-        "changelog": f"127.0.0.1:{depot.log_port}",
-        "known": depot.known(),
-        "settings": settings(),
-    }
+    config = router_config("cost", depot, port)
     with tempfile.TemporaryDirectory() as folder:
         path = Path(folder, "config.json")
         path.write_text(json.dumps(config))
--- a/stonecove/access/formats.py
+++ b/stonecove/access/formats.py
@@ -356,6 +356,15 @@
 }
 
 
+def _jws_token(
+    grant: Grant, header: dict[str, Any], message: bytes, signature: bytes, text: str, bare_url: str
+) -> Token:
+    """A token in compact form, with key and algorithm from its header; raises TokenError."""
+    return Token(
+        grant, _text(header.get("kid"), "kid"), str(header["alg"]), message, signature, text, bare_url
+    )
+
+
 def _compact(text: str) -> tuple[dict[str, Any], dict[str, Any], bytes, bytes]:
     """Header, claims, what is signed, the signature; raises TokenError."""
     if text.count(".") != 2:
@@ -403,15 +412,7 @@
         _text(claims.get("jti"), "jti"),
         once,
     )
-    return Token(
-        grant,
-        _text(header.get("kid"), "kid"),
-        str(header["alg"]),
-        message,
-        signature,
-        text,
-        without(request, ()),
-    )
+    return _jws_token(grant, header, message, signature, text, without(request, ()))
 
 
 def cdni(request: Request, text: str) -> Token:
@@ -454,15 +455,7 @@
         renewal=renewal,
         renews=renews,
     )
-    return Token(
-        grant,
-        _text(header.get("kid"), "kid"),
-        str(header["alg"]),
-        message,
-        signature,
-        text,
-        without(request, (CDNI_NAME,)),
-    )
+    return _jws_token(grant, header, message, signature, text, without(request, (CDNI_NAME,)))
 
 
 def _container(text: str) -> Resource:
--- a/stonecove/commands/config.py
+++ b/stonecove/commands/config.py
@@ -8,19 +8,13 @@
 
 import click
 
+from stonecove.commands.options import operator_option
+
 if TYPE_CHECKING:
     from stonecove.operator.reader import Read
 
 GOOD, NONE, UNUSABLE = 0, 1, 2
-_file = click.option(
-    "--operator",
-    "file",
-    default="deploy/operator.cue",
-    show_default=True,
-    type=click.Path(path_type=Path),
-    envvar="STONECOVE_OPERATOR",
-    help="The operator's file.",
-)
+_file = operator_option(parameter="file")
 
 
 @click.group()
--- a/stonecove/commands/demo.py
+++ b/stonecove/commands/demo.py
@@ -14,6 +14,7 @@
 import time
 from collections import Counter
 from pathlib import Path
+from typing import Any
 
 from stonecove.standins.depot import Depot
 from stonecove.standins.webserver import Asker, settings
@@ -49,12 +50,10 @@
     raise RuntimeError("the router did not become ready")
 
 
-def play(count: int) -> int:
-    """Runs the whole demonstration; 0 if each request got its one answer and all rules shown held."""
-    depot = Depot(caches=3)
-    port = free_port()
-    config = {
-        "name": "demo",
+def router_config(name: str, depot: Depot, port: int) -> dict[str, Any]:
+    """The configuration of one router on that loopback port, before the stand-ins of `depot`."""
+    return {
+        "name": name,
         "listen": f"127.0.0.1:{port}",
         "seed": "7",
         "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 512},
@@ -62,6 +61,13 @@
         "known": depot.known(),
         "settings": settings(),
     }
+
+
+def play(count: int) -> int:
+    """Runs the whole demonstration; 0 if each request got its one answer and all rules shown held."""
+    depot = Depot(caches=3)
+    port = free_port()
+    config = router_config("demo", depot, port)
     with tempfile.TemporaryDirectory() as folder:
         path = Path(folder, "config.json")
         path.write_text(json.dumps(config))
--- a/stonecove/commands/fleet.py
+++ b/stonecove/commands/fleet.py
@@ -12,19 +12,14 @@
 
 import click
 
+from stonecove.commands.options import operator_option
+
 GOOD, FAILED, UNUSABLE, LATE = 0, 1, 2, 3
 _ready = ("ready", "held", "stopped")
 
 
 @click.group()
-@click.option(
-    "--operator",
-    type=click.Path(path_type=Path),
-    envvar="STONECOVE_OPERATOR",
-    default="deploy/operator.cue",
-    show_default=True,
-    help="The operator's file, which names the fleet.",
-)
+@operator_option("The operator's file, which names the fleet.")
 @click.option("--folder", type=click.Path(path_type=Path), help="The fleet's folder, without the file.")
 @click.option("--json", "as_json", is_flag=True, help="For programs.")
 @click.pass_context
--- a/stonecove/commands/members.py
+++ b/stonecove/commands/members.py
@@ -11,6 +11,8 @@
 
 import click
 
+from stonecove.commands.options import operator_option
+
 GOOD, NONE, UNUSABLE = 0, 1, 2
 PATIENCE = 5.0
 
@@ -20,13 +22,7 @@
 
     @click.group(name, help=what)
     @click.option("--socket", "path", help="The router's members.socket; else that of the operator's file.")
-    @click.option(
-        "--operator",
-        type=click.Path(path_type=Path),
-        envvar="STONECOVE_OPERATOR",
-        default="deploy/operator.cue",
-        show_default=True,
-    )
+    @operator_option(None)
     @click.option("--json", "as_json", is_flag=True, help="For programs.")
     @click.pass_context
     def group(context: click.Context, path: str | None, operator: Path, as_json: bool) -> None:
--- /dev/null
+++ b/stonecove/commands/options.py
@@ -0,0 +1,28 @@
+"""Options that several groups of commands share."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from pathlib import Path
+from typing import TypeVar
+
+import click
+
+Command = TypeVar("Command", bound=Callable[..., object])
+
+DEFAULT_OPERATOR_FILE = "deploy/operator.cue"
+
+
+def operator_option(
+    help_text: str | None = "The operator's file.", parameter: str = "operator"
+) -> Callable[[Command], Command]:
+    """The option --operator, by default from STONECOVE_OPERATOR; `parameter` is what the command calls it."""
+    return click.option(
+        "--operator",
+        parameter,
+        type=click.Path(path_type=Path),
+        envvar="STONECOVE_OPERATOR",
+        default=DEFAULT_OPERATOR_FILE,
+        show_default=True,
+        help=help_text,
+    )
--- a/stonecove/commands/token.py
+++ b/stonecove/commands/token.py
@@ -12,6 +12,8 @@
 
 import click
 
+from stonecove.commands.options import operator_option
+
 GOOD, REFUSED, UNUSABLE = 0, 1, 2
 FORMATS = ("cloudfront", "edge-auth", "cdni", "bearer")
 
@@ -188,9 +190,7 @@
     return gate.check(request, item, time.time(), time.monotonic()), routes.find(request.path)
 
 
-_operator_option = click.option(
-    "--operator", type=click.Path(path_type=Path), envvar="STONECOVE_OPERATOR", default="deploy/operator.cue",
-    show_default=True, help="The operator's file.")  # fmt: skip
+_operator_option = operator_option()
 
 
 @token.command("verify")
--- a/stonecove/explore/coordination.py
+++ b/stonecove/explore/coordination.py
@@ -21,7 +21,7 @@
 from stonecove.membership.merge import Merge, Source, Told, merged
 from stonecove.membership.records import Names, member_of
 from stonecove.membership.roster import Claim, Roster, Rules
-from stonecove.standins.zkdata import Leader, Replica, Wanted, ZkError, parent_of
+from stonecove.standins.zkdata import Leader, Replica, Wanted, ZkError, parent_of, watch_event
 from stonecove.wire import jute
 from stonecove.wire import zookeeper as zk
 from stonecove.wire.buffer import Buffer
@@ -136,15 +136,7 @@
 
     def fire(self, kind: EventType, path: str) -> None:
         """A watch fires."""
-        payload = (
-            jute.int_(zk.XID_EVENT)
-            + jute.long(-1)
-            + jute.int_(0)
-            + jute.int_(kind)
-            + jute.int_(3)
-            + jute.string(path)
-        )
-        self.frames.append((payload, ("event", int(kind), path)))
+        self.frames.append((watch_event(kind, path), ("event", int(kind), path)))
 
 
 class Servers:
--- a/stonecove/standins/zkdata.py
+++ b/stonecove/standins/zkdata.py
@@ -13,12 +13,14 @@
 from dataclasses import dataclass, field
 from typing import NamedTuple
 
-from stonecove.wire.zookeeper import ANY_VERSION, Acl, Err, EventType, Stat
+from stonecove.wire import jute
+from stonecove.wire.zookeeper import ANY_VERSION, XID_EVENT, Acl, Err, EventType, Stat
 
 READ, WRITE, CREATE, DELETE, ADMIN = 1, 2, 4, 8, 16
 EPHEMERAL, SEQUENTIAL, CONTAINER = 1, 2, 4
 Fire = Callable[[EventType, str], None]
 Identity = tuple[str, str]
+STATE_CONNECTED = 3  # of a session, as an event tells it
 
 
 class ZkError(Exception):
@@ -82,6 +84,12 @@
     changes: tuple[Change, ...]
 
 
+def watch_event(kind: EventType, path: str) -> bytes:
+    """What a server sends when a watch fires: a reply header without a zxid, then kind, state and path."""
+    header = jute.int_(XID_EVENT) + jute.long(-1) + jute.int_(0)
+    return header + jute.int_(kind) + jute.int_(STATE_CONNECTED) + jute.string(path)
+
+
 def parent_of(path: str) -> str:
     """The path above."""
     return path.rpartition("/")[0] or "/"
--- a/stonecove/standins/zookeeper.py
+++ b/stonecove/standins/zookeeper.py
@@ -28,7 +28,17 @@
 
 import trio
 
-from stonecove.standins.zkdata import READ, Identity, Leader, Replica, Wanted, ZkError, allowed, digest
+from stonecove.standins.zkdata import (
+    READ,
+    Identity,
+    Leader,
+    Replica,
+    Wanted,
+    ZkError,
+    allowed,
+    digest,
+    watch_event,
+)
 from stonecove.wire import jute, zookeeper as zk
 from stonecove.wire.buffer import Buffer
 from stonecove.wire.jute import JuteError, Reader
@@ -83,14 +93,7 @@
         self.push(jute.int_(xid) + jute.long(told) + jute.int_(error) + (body if error is Err.OK else b""))
 
     def _fire(self, kind: EventType, path: str) -> None:
-        self.push(
-            jute.int_(zk.XID_EVENT)
-            + jute.long(-1)
-            + jute.int_(0)
-            + jute.int_(kind)
-            + jute.int_(3)
-            + jute.string(path)
-        )
+        self.push(watch_event(kind, path))
 
     def close(self) -> None:
         """Resets the connection."""
