--- a/stonecove/sharing/credit.py
+++ b/stonecove/sharing/credit.py
@@ -8,7 +8,7 @@
 
 
 class LeasedCredit:
-    """Pieces of what the directors of a host share. Danger: one that is spent after its time, or twice."""
+    """Pieces of what the directors of a host share; each is spent once, and not after it has expired."""
 
     def __init__(self) -> None:
         self.pieces: dict[NodeId, dict[int, list[float]]] = {}  # by node and number: until when, what is left
--- a/stonecove/swarm/rumours.py
+++ b/stonecove/swarm/rumours.py
@@ -10,7 +10,7 @@
 
 
 class Rumours:
-    """What is still to be told. Danger: a word that is told for ever, or one that crowds out the rest."""
+    """Updates still to be sent. Each is sent a bounded number of times, so that none displaces the others."""
 
     def __init__(self) -> None:
         self._left: dict[int, tuple[int, Word]] = {}  # by router: how often it was sent, and the word
--- a/stonecove/swarm/shares.py
+++ b/stonecove/swarm/shares.py
@@ -97,7 +97,7 @@
 
 
 class Shares:
-    """One router's side of the sum. Danger: a sum over 1, whoever is cut off, stopped or started anew."""
+    """One router's share. The sum over all stays at most 1, whoever is cut off, stopped or restarted."""
 
     def __init__(
         self,
--- a/stonecove/swarm/view.py
+++ b/stonecove/swarm/view.py
@@ -27,7 +27,7 @@
 
 
 class Views:
-    """The view that stands, and those before it. Danger: a hundred steps where one thing happened."""
+    """The present view and earlier ones. Changes are batched, so that one event leads to few views."""
 
     def __init__(self, now: float, settle: float, most_settle: float) -> None:
         self.now = View(0, 0, now, frozenset())
