--- a/stonecove/explore/coordination.py
+++ b/stonecove/explore/coordination.py
@@ -131,7 +131,7 @@
     def __init__(self, server: int) -> None:
         self.server = server
         self.requests: deque[bytes] = deque()
-        self.frames: deque[tuple[bytes, tuple[Any, ...]]] = deque()  # with what each says, for the witness
+        self.frames: deque[tuple[bytes, tuple[Any, ...]]] = deque()  # with what each says, for the checks
         self.greeted = False
 
     def fire(self, kind: EventType, path: str) -> None:
@@ -296,7 +296,7 @@
         self.tree = Tree(CACHES, self._ask, self, bounds.recursive)
         self.registrar = Registrar(ROUTERS, ME, b"starting", self._ask, self._session, self._ours, self._say)
         self.own_record = b"starting"
-        # The witness: what the frames that were heard have said.
+        # For the checks: what the frames that were heard have said.
         self.told: dict[str, tuple[str, int]] = {}  # by name: up, draining, bad or gone; and the transaction
         self.newest = 0  # transaction of any reply that was taken
         self.departed: list[float] = []
@@ -607,7 +607,7 @@
         if self.bounds.own:
             self.registrar.feed(event)
 
-    # -- the witness --
+    # -- the checks --
 
     def _heard(self, says: tuple[Any, ...]) -> None:
         kind = says[0]
--- a/stonecove/explore/fingerprint.py
+++ b/stonecove/explore/fingerprint.py
@@ -17,7 +17,7 @@
 
 from stonecove import choice
 from stonecove.explore import peers
-from stonecove.explore.properties import Witness
+from stonecove.explore.properties import PropertyMonitor
 from stonecove.explore.scope import Scope
 from stonecove.runtime.timers import Timers
 from stonecove.interface import Get, Node, NodeState
@@ -161,7 +161,7 @@
             "_caches": DERIVED,
             "_pause": FIXED,
             "_handlers": FIXED,
-            "handle": "the witness's own",
+            "handle": "the monitor's own",
             "_burst": FIXED,
             "_answered": "all requests of a class are of one size here, whose share is that of all",
             "_credit": "nobody lends in the explorer's installation; its machine is explore.fleet",
@@ -310,7 +310,7 @@
         """Whether the drain is over."""
 
     @property
-    def witness(self) -> Witness:
+    def monitor(self) -> PropertyMonitor:
         """What was observed, for the properties."""
 
 
@@ -601,7 +601,7 @@
             tuple(sorted(held.bad_sources)),
         )
 
-    # -- peers and the witness --
+    # -- peers and the monitor --
 
     def around(self) -> tuple[Any, ...]:
         """Clients, list, log and limits."""
@@ -658,14 +658,14 @@
             simulation.expired,
         )
 
-    def witness(self) -> tuple[Any, ...]:
-        """What the witness has to remember."""
-        witness = self._simulation.witness
+    def monitor(self) -> tuple[Any, ...]:
+        """What the monitor has to remember."""
+        monitor = self._simulation.monitor
         purges = tuple(
-            (self.time(told), self.time(at), group, key) for told, at, group, key in witness.purges
+            (self.time(told), self.time(at), group, key) for told, at, group, key in monitor.purges
         )
         seen = []
-        for txn, one in witness.seen.items():
+        for txn, one in monitor.seen.items():
             over = one.state != "open" and self._simulation.route.requests._txns.get(txn) is None
             sent = (
                 ()
@@ -694,7 +694,7 @@
         encoder.timers(),
         encoder.director(),
         encoder.around(),
-        encoder.witness(),
+        encoder.monitor(),
     )
     return marshal.dumps(state, 2)
 
--- a/stonecove/explore/peers.py
+++ b/stonecove/explore/peers.py
@@ -7,7 +7,7 @@
 from collections.abc import Callable
 from typing import Protocol
 
-from stonecove.explore.properties import Witness
+from stonecove.explore.properties import PropertyMonitor
 from stonecove.memory.budget import Budget
 from stonecove.runtime.clock import Clock
 from stonecove.stages.send import Link
@@ -28,7 +28,7 @@
         """The simulated clock."""
 
     @property
-    def witness(self) -> Witness:
+    def monitor(self) -> PropertyMonitor:
         """Takes note of properties that are violated."""
 
     def first_byte(self, channel: ServerChannel, txn: str, fields: dict[str, str]) -> None:
@@ -57,9 +57,9 @@
             self.room -= count
         first = not self._midway
         if first and self.dead:
-            self._observer.witness.broken("not-into-ended", "a command begins after the server's end")
+            self._observer.monitor.broken("not-into-ended", "a command begins after the server's end")
         if not first and bytes(data) != self._midway:
-            self._observer.witness.broken("order-kept", "a command is not written to its end")
+            self._observer.monitor.broken("order-kept", "a command is not written to its end")
         if first:
             self._command = bytes(data)
         self._midway = bytes(data[count:])
@@ -117,7 +117,7 @@
             self.over = True
             self._why = str(error)
         except Exception as error:  # the program would tell of a bug, and end the connection
-            self.observer.witness.broken("no-slip", repr(error))
+            self.observer.monitor.broken("no-slip", repr(error))
             self.over = True
 
 
--- a/stonecove/explore/properties.py
+++ b/stonecove/explore/properties.py
@@ -1,6 +1,6 @@
 """What must hold in every state, each property a unit with its source.
 
-The `Witness` sees only what passes on the sockets, what the list has told, and the two borders of the
+The `PropertyMonitor` sees only what passes on the sockets, what the list has told, and the two borders of the
 decision module. What it concludes about an attempt is its own: it asks nothing of the stages' books.
 """
 
@@ -188,8 +188,8 @@
     words: dict[int, str] = field(default_factory=dict)  # by attempt: the word that reached the router
 
 
-class Witness:
-    """Watches a run and notes what must not be."""
+class PropertyMonitor:
+    """Observes a run, and records each property that is violated."""
 
     def __init__(self, classes: dict[str, ClassSettings], most_attempts: int) -> None:
         self._classes = classes
@@ -200,7 +200,7 @@
         self.seen: dict[str, Seen] = {}
 
     def broken(self, prop: str, why: str) -> None:
-        """Notes a violation."""
+        """Records a violation."""
         assert prop in PROPERTIES, prop
         if len(self.violations) < 8:
             self.violations.append(Violation(prop, why))
--- a/stonecove/explore/simulation.py
+++ b/stonecove/explore/simulation.py
@@ -1,7 +1,7 @@
-"""The router's own core in a made-up depot, where every choice of a peer, and of time, is a step.
+"""Runs the router's core in a simulated environment, where each choice of a peer, and of time, is a step.
 
 Nothing of the router is modelled: front, session and channel, codecs, stages and the decision module are the
-program's. Made up are the sockets, the servers behind them, the clients, the change log and the clock.
+program's. Simulated are the sockets, the servers behind them, the clients, the change log and the clock.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 from stonecove.explore.fingerprint import encode_state
 from stonecove.explore.machine import Violation
 from stonecove.explore.peers import ClientSession, ClientSocket, ServerChannel, request_bytes
-from stonecove.explore.properties import Witness
+from stonecove.explore.properties import PropertyMonitor
 from stonecove.explore.scope import ANSWERS, CACHE, CLASSES, ORIGIN, PARENT, Scope
 from stonecove.runtime import log as runtime_log
 from stonecove.runtime.clock import Clock, CpuCredit
@@ -48,8 +48,8 @@
 _KINDS = {"c": CACHE, "p": PARENT, "o": ORIGIN, "n": CACHE}
 
 
-class Even:
-    """The middle of every range, so that chance adds no states."""
+class FixedRandom:
+    """A random source that always gives the middle of the range, so that chance adds no states."""
 
     def random(self) -> float:
         """The middle of 0 and 1."""
@@ -60,8 +60,8 @@
         return (least + most) / 2
 
 
-class Credit(CpuCredit):
-    """CPU credit that is set from outside."""
+class FixedCredit(CpuCredit):
+    """CPU credit whose value is set by steps."""
 
     def __init__(self) -> None:
         self.saved = 0.0
@@ -85,7 +85,7 @@
 
 
 class Simulation:
-    """One router and all that is around it."""
+    """One router and its environment; steps are named by strings, as in `up c1.0`."""
 
     def __init__(self, scope: Scope) -> None:
         global _current
@@ -100,13 +100,13 @@
         self.budget.most = MEMORY
         settings = bounds.settings(scope.attempts, scope.cancel)
         self.settings = settings
-        self.witness = Witness(CLASSES, scope.attempts)
+        self.monitor = PropertyMonitor(CLASSES, scope.attempts)
         self.channels: list[ServerChannel] = []  # those of which the router has not been told the end
         self.route = Route(settings, 7, self.clock, self.timers, self.budget, 0.0, self._connect)
-        self.route.admit.cpu = Credit()
+        self.route.admit.cpu = FixedCredit()
         for chooser in (self.route.admit, self.route._director):
-            setattr(chooser, "_random", Even())  # noqa: B010
-        setattr(self.route._director, "handle", Watched(self))  # noqa: B010
+            setattr(chooser, "_random", FixedRandom())  # noqa: B010
+        setattr(self.route._director, "handle", MonitoredHandle(self))  # noqa: B010
         self.route.send.most_links = connection_limit(SOCKETS)
         self.front = Front(settings, self.route)
         self.front.ready = True
@@ -151,8 +151,8 @@
 
     @property
     def violations(self) -> list[Violation]:
-        """What was found not to hold."""
-        return self.witness.violations
+        """Properties that were violated."""
+        return self.monitor.violations
 
     def _connect(self, owner: Any, address: tuple[str, int], patience: float) -> ServerChannel:
         assert isinstance(owner, Link)
@@ -161,9 +161,9 @@
         return channel
 
     def _handle(self, event: Event) -> None:
-        """Looks at an event on its way into the decision module."""
+        """Reports the end of an attempt to the monitor before the decision module sees it."""
         if isinstance(event, Ended) and (txn := self.txn_of(event.req)):
-            self.witness.ended(txn, event.attempt, event.outcome)
+            self.monitor.ended(txn, event.attempt, event.outcome)
 
     def txn_of(self, req: int) -> str:
         """The id of an open request; empty for one that is over."""
@@ -171,11 +171,11 @@
         return request.asked.txn if request is not None else ""
 
     def logged(self, event: str, fields: dict[str, object]) -> None:
-        """A line of the log."""
+        """Called for each line that the router logs."""
         if event == "bug":
-            self.witness.broken("no-slip", f"{fields.get('where')}: {fields.get('error')}")
+            self.monitor.broken("no-slip", f"{fields.get('where')}: {fields.get('error')}")
         elif event == "backstop" and not self.expired:
-            self.witness.broken("decided", f"request {fields.get('req')} was left to the backstop")
+            self.monitor.broken("decided", f"request {fields.get('req')} was left to the backstop")
 
     # -- the list and its log --
 
@@ -223,22 +223,22 @@
         return all(self.follower.take(frame, self) for frame in frames(buffer))
 
     def told(self, event: Told) -> None:
-        """What the follower passes on: the witness hears of it first."""
+        """Called by the follower with each event; reports it to the monitor, then to the router."""
         self.told_events += 1
         if isinstance(event, MembersUpdate):
-            self.witness.listed(tuple(member.node for member in event.members), event.whole)
+            self.monitor.listed(tuple(member.node for member in event.members), event.whole)
         elif isinstance(event, PurgeUpdate):
-            self.witness.purges.append((self.now, event.time, event.group, event.key))
+            self.monitor.purges.append((self.now, event.time, event.group, event.key))
         self.route.told(event)
 
-    # -- the client's side --
+    # -- clients --
 
     def txn(self, place: int) -> str:
         """The id of a request of the scope."""
         return f"{place + 1:016x}"
 
     def _record(self, kind: int, ident: int, content: bytes) -> None:
-        """A record has reached the client."""
+        """Called with each FastCGI record that reaches the client."""
         if kind == fastcgi.STDOUT:
             self.heads[ident] = self.heads.get(ident, b"") + content
         elif kind == fastcgi.END:
@@ -246,15 +246,15 @@
             head, _, body = text.partition(b"\r\n\r\n")
             if not text:
                 if content[4] == fastcgi.OVERLOADED:
-                    self.witness.answered(self.txn(ident - 1), "refused", b"", self.now)
+                    self.monitor.answered(self.txn(ident - 1), "refused", b"", self.now)
                 return  # the end of a request that was aborted
             verdict = _VERDICTS.get(head.decode("latin-1")[:11], "failed")
             if b"X-Notmod" in head:
                 verdict = "unchanged"
-            self.witness.answered(self.txn(ident - 1), verdict, body, self.now)
+            self.monitor.answered(self.txn(ident - 1), verdict, body, self.now)
 
     def first_byte(self, channel: ServerChannel, txn: str, fields: dict[str, str]) -> None:
-        """The first byte of a fetch goes out."""
+        """Called as the first byte of a fetch is written."""
         number = next(
             (
                 attempt.number
@@ -264,12 +264,12 @@
             -1,
         )
         if txn in channel.asked:
-            self.witness.broken(
-                "one-id", f"id of {self.witness.seen[txn].cls} is open already on {self._name(channel)}"
+            self.monitor.broken(
+                "one-id", f"id of {self.monitor.seen[txn].cls} is open already on {self._name(channel)}"
             )
         source = int(fields["from"].removeprefix("s-"), 16) if "from" in fields else None
         channel.numbers[txn] = number
-        self.witness.first_byte(txn, number, channel.link.node, source, self.now)
+        self.monitor.first_byte(txn, number, channel.link.node, source, self.now)
 
     # -- the steps --
 
@@ -283,7 +283,7 @@
         return next(channel for channel in self.channels if self._name(channel) == name)
 
     def urgent(self) -> list[str]:
-        """The router's own turns that come before any time passes."""
+        """The router's own steps that are due before time may pass."""
         steps = []
         for channel in self.channels:
             if channel.over or (channel.up and channel.sock.dead):
@@ -326,7 +326,7 @@
                 same = [other for other in self.requests[:place] if other == (cls, "unasked")]
                 if not same and (self.session.finished or not self.session.closing) and not self.expired:
                     steps.append(f"ask {place}")
-            elif left and (seen := self.witness.seen.get(self.txn(place))):
+            elif left and (seen := self.monitor.seen.get(self.txn(place))):
                 if "abort" in kinds and seen.state == "open" and not self.session.closing:
                     steps.append(f"abort {place}")
                 if (
@@ -417,7 +417,7 @@
                 steps.append("gap")
         steps += [kind for kind in ("purge", "purgeall") if kind in kinds]
         if not self.session.closing:
-            if "leave" in kinds and self.witness.seen:
+            if "leave" in kinds and self.monitor.seen:
                 steps.append("leave")
             if "stall" in kinds and self.session.sock.room is None:
                 steps.append("stall")
@@ -474,12 +474,12 @@
             word, _, rest = own[0].partition(" ")
             self._one(word, rest.split())
         if self.session.sock.room is None:
-            self.witness.overdue(self.now)
+            self.monitor.overdue(self.now)
         self._look()
 
     def _look(self) -> None:
         """What must hold between any two steps."""
-        broken = self.witness.broken
+        broken = self.monitor.broken
         if self.log_up and not self.follower.last == self.told_events == len(self.log):
             broken(
                 "log-followed",
@@ -537,7 +537,7 @@
 
     def _do_endsession(self) -> None:
         self.session.finished = True
-        for seen in self.witness.seen.values():
+        for seen in self.monitor.seen.values():
             if seen.state == "open":
                 seen.state = "left"
         self.session.ended()
@@ -548,7 +548,7 @@
         cls, _ = self.requests[int(place)]
         self.requests[int(place)] = (cls, "asked")
         now, txn = self.now, self.txn(int(place))
-        self.witness.taken(txn, cls, now, min(now + TTL - MARGIN, self.route.admit.latest) + BACKSTOP)
+        self.monitor.taken(txn, cls, now, min(now + TTL - MARGIN, self.route.admit.latest) + BACKSTOP)
         if self.session.finished:
             self.session = ClientSession(ClientSocket(self._record), self.front, self.clock.now, self.budget)
         body = b"b" * 8 if CLASSES[cls].never_kept else b""
@@ -557,7 +557,7 @@
 
     def _do_abort(self, place: str) -> None:
         if (self.session, int(place) + 1) in self.front._open:
-            self.witness.left(self.txn(int(place)))  # else the abort crosses an answer that is on its way
+            self.monitor.left(self.txn(int(place)))  # else the abort crosses an answer that is on its way
         self.session.feed(fastcgi.record(fastcgi.ABORT, int(place) + 1))
 
     def _do_retry(self, place: str) -> None:
@@ -569,7 +569,7 @@
     def _do_leave(self) -> None:
         self.session.sock.gone = True
         self.session.closing = True
-        for seen in self.witness.seen.values():
+        for seen in self.monitor.seen.values():
             if seen.state == "open":
                 seen.state = "left"
 
@@ -634,7 +634,7 @@
         txn = self.txn(place)
         data, body, born = self._reply(word, txn, channel.link.node, self.requests[place][0])
         self._answered(channel, txn, data)
-        self.witness.word(txn, channel.numbers.get(txn, -1), ANSWERS[word][0], body, born)
+        self.monitor.word(txn, channel.numbers.get(txn, -1), ANSWERS[word][0], body, born)
         channel.deliver(data)
 
     def _answered(self, channel: ServerChannel, txn: str, data: bytes) -> None:
@@ -678,7 +678,7 @@
         channel = self._channel(name)
         data, channel.halfway = channel.halfway, b""
         txn, body, born = channel.owed
-        self.witness.word(txn, channel.numbers.get(txn, -1), "200", body, born)
+        self.monitor.word(txn, channel.numbers.get(txn, -1), "200", body, born)
         channel.deliver(data)
 
     # the list
@@ -726,7 +726,7 @@
     def _do_relief(self) -> None:
         self.budget.most = MEMORY
         self.route.send.most_links = connection_limit(SOCKETS)
-        assert isinstance(self.route.admit.cpu, Credit)
+        assert isinstance(self.route.admit.cpu, FixedCredit)
         self.route.admit.cpu.saved = 0.0
 
     def _do_purge(self) -> None:
@@ -764,7 +764,7 @@
         self.budget.most = 0.0
 
     def _do_nocpu(self) -> None:
-        assert isinstance(self.route.admit.cpu, Credit)
+        assert isinstance(self.route.admit.cpu, FixedCredit)
         self.route.admit.cpu.saved = -1.0
 
     def _do_nolinks(self) -> None:
@@ -773,7 +773,7 @@
     # -- towards the end --
 
     def default(self) -> str | None:
-        """What happens if no peer does anything more."""
+        """The step that happens if no peer does anything more; None if nothing is left to do."""
         urgent = self.urgent()
         return urgent[0] if urgent else None if self.idle() else "wait"
 
@@ -787,12 +787,12 @@
                 break
             self.do(step)
         else:
-            self.witness.broken("ends", f"not quiet after {MOST_SETTLE} steps")
+            self.monitor.broken("ends", f"not quiet after {MOST_SETTLE} steps")
         if self.violations:
             return
-        for seen in self.witness.seen.values():
+        for seen in self.monitor.seen.values():
             if seen.state == "open":
-                self.witness.broken("ends", f"{seen.cls} is open, and nothing more will happen")
+                self.monitor.broken("ends", f"{seen.cls} is open, and nothing more will happen")
         self._leaks()
 
     def _leaks(self) -> None:
@@ -815,7 +815,7 @@
         }
         for name, count in held.items():
             if count:
-                self.witness.broken("no-leak", f"{name}: {count} when all is quiet")
+                self.monitor.broken("no-leak", f"{name}: {count} when all is quiet")
 
     def encode(self) -> bytes:
         """The state in its canonical form."""
@@ -826,12 +826,12 @@
 
 
 def _logged(event: str, fields: dict[str, object]) -> None:
-    if _current is not None and hasattr(_current, "witness"):
+    if _current is not None and hasattr(_current, "monitor"):
         _current.logged(event, fields)
 
 
-class Watched:
-    """The decision module's `handle`, with the witness looking on."""
+class MonitoredHandle:
+    """The decision module's `handle`; reports its orders to the monitor."""
 
     def __init__(self, simulation: Simulation) -> None:
         self._simulation = simulation
@@ -842,5 +842,5 @@
         actions = type(self._director).handle(self._director, now, event)
         for act in actions:
             if isinstance(act, Get) and (txn := self._simulation.txn_of(act.req)):
-                self._simulation.witness.ordered(txn)
+                self._simulation.monitor.ordered(txn)
         return actions
