--- a/stonecove/commands/trial.py
+++ b/stonecove/commands/trial.py
@@ -14,7 +14,7 @@
 from stonecove.commands.overload import BOOK
 
 if TYPE_CHECKING:
-    from stonecove.trial.testbed import Played
+    from stonecove.trial.testbed import TrialRecord
 
 GOOD, BROKEN, UNUSABLE = 0, 1, 2
 
@@ -84,7 +84,7 @@
     sys.exit(BROKEN if verdict.violations else GOOD)
 
 
-def _keep(folder: Path, played: Played, faults: list[str]) -> None:
+def _keep(folder: Path, played: TrialRecord, faults: list[str]) -> None:
     """What `trial plot` and `overload report` read."""
     from stonecove.trial.judge import events_of
 
--- a/stonecove/trial/judge.py
+++ b/stonecove/trial/judge.py
@@ -12,7 +12,7 @@
 from stonecove.standins.loaded import LoadedDepot
 from stonecove.standins.webserver import settings
 from stonecove.trial.open_loop import OpenLoopClients, meaning_of
-from stonecove.trial.testbed import WEIGHT, Testbed, Played
+from stonecove.trial.testbed import WEIGHT, Testbed, TrialRecord
 from stonecove.trial.schedule import PACE, Trial
 
 GRACE = 25.0  # seconds after a kill or a pause within which a request is lost to it: clients wait so long
@@ -54,7 +54,7 @@
         }
 
 
-def play(trial: Trial, seed: int, folder: Path) -> tuple[Played, Verdict]:
+def play(trial: Trial, seed: int, folder: Path) -> tuple[TrialRecord, Verdict]:
     """Runs a trial and judges it; raises TrialError or OSError if it can't be run."""
     testbed = Testbed(trial, seed, folder)
     try:
@@ -64,7 +64,7 @@
     return played, judge(played)
 
 
-def judge(played: Played) -> Verdict:
+def judge(played: TrialRecord) -> Verdict:
     """Checks all rules on one trial."""
     verdict = Verdict(played.trial.title)
     _answers(played, verdict)
@@ -79,7 +79,7 @@
     return verdict
 
 
-def _answers(played: Played, verdict: Verdict) -> None:
+def _answers(played: TrialRecord, verdict: Verdict) -> None:
     """Each request that was accepted gets one final answer, and no write runs twice."""
     clients, expects = played.clients, played.trial.expects
     lost = [
@@ -115,7 +115,7 @@
     }  # fmt: skip
 
 
-def _processes(played: Played, verdict: Verdict) -> None:
+def _processes(played: TrialRecord, verdict: Verdict) -> None:
     """No router crashes or logs a bug."""
     for place, code in played.codes:
         verdict.violations.append(
@@ -135,7 +135,7 @@
             )
 
 
-def _cold(played: Played, verdict: Verdict) -> None:
+def _cold(played: TrialRecord, verdict: Verdict) -> None:
     """All routers together send a cold cache no more than the rule allows; 1.0 is that bound."""
     worst = 0.0
     for started, cache, book in played.colds:
@@ -174,7 +174,7 @@
     return most
 
 
-def _list(played: Played, verdict: Verdict) -> None:
+def _list(played: TrialRecord, verdict: Verdict) -> None:
     """After its grace a drained cache is not used, and no answer is older than a purge."""
     for since, until, ident in played.drains:
         grace = since + settings_of("rules", "drain_grace") / 1000.0 + SLACK + _told_late(played, since)
@@ -206,7 +206,7 @@
             )
 
 
-def events_of(played: Played) -> list[Event]:
+def events_of(played: TrialRecord) -> list[Event]:
     """All events that requests caused, as recorded by clients and servers; seconds since the load began."""
     depot, found, seen = played.depot, list[Event](), set[str]()
     if isinstance(played.clients, OpenLoopClients):
@@ -224,7 +224,7 @@
     return [event for event in found if event.at >= 0]
 
 
-def _open_loop(played: Played, clients: OpenLoopClients, verdict: Verdict) -> None:
+def _open_loop(played: TrialRecord, clients: OpenLoopClients, verdict: Verdict) -> None:
     """How many intended requests were served, and whether service recovered."""
     expects, book = played.trial.expects, Book(events_of(played))
     first, last = played.trial.span
@@ -255,7 +255,7 @@
         )
 
 
-def _told_late(played: Played, at: float) -> float:
+def _told_late(played: TrialRecord, at: float) -> float:
     """Seconds by which an event of that moment may arrive late because a change log was cut off."""
     cuts = [
         played.began + fault.ends
@@ -271,7 +271,7 @@
     return float(table[name])
 
 
-def _shares(played: Played, verdict: Verdict) -> None:
+def _shares(played: TrialRecord, verdict: Verdict) -> None:
     """Within any window, the shares that routers act upon add up to 1 at most."""
     window = played.trial.window
     # from, to, share, router, its life; with the window after it
@@ -309,7 +309,7 @@
     verdict.figures["rule_worst"] = min(worst, 1.0) if worst <= 1.0 + len(played.routers) * 0.001 else worst
 
 
-def _members(played: Played, verdict: Verdict) -> None:
+def _members(played: TrialRecord, verdict: Verdict) -> None:
     """Which routers were declared failed, how soon after their end, and in how many views."""
     expects, places = played.trial.expects, {ident: place for place, ident in enumerate(played.ids)}
     falsely: list[tuple[float, str, str]] = []
@@ -362,7 +362,7 @@
             )
 
 
-def _detected(played: Played, known: dict[tuple[int, str], list[float]]) -> list[float]:
+def _detected(played: TrialRecord, known: dict[tuple[int, str], list[float]]) -> list[float]:
     """Seconds from each kill until each router that kept running knew of it; infinite if it never did."""
     took = []
     for since, _, place, what in played.troubled:
@@ -386,7 +386,7 @@
     return took
 
 
-def _views(played: Played, verdict: Verdict) -> None:
+def _views(played: TrialRecord, verdict: Verdict) -> None:
     expects, most, whose = played.trial.expects, 0, ""
     first = played.trial.span[0] + played.began
     for router in played.routers:
--- a/stonecove/trial/relay.py
+++ b/stonecove/trial/relay.py
@@ -1,8 +1,8 @@
-"""Relays between the routers under trial: each directed way can lose, delay, repeat, reorder and be cut.
+"""UDP relays between the routers under trial, which can lose, delay, duplicate, reorder or drop datagrams.
 
 Each router has an address of its own for each other one: what it sends there comes out at the other, from the
-address by which that one knows the sender. While a router's process is down, and the ways between are open,
-its addresses refuse, as those of a process that has ended do; a cut way swallows, and gives no refusals back.
+address by which that one knows the sender. While a router's process is down and both directions are open, its
+addresses refuse, as those of a process that has ended do; a direction that is cut drops all, refusals too.
 """
 
 from __future__ import annotations
@@ -27,7 +27,7 @@
 
 @dataclass(slots=True)
 class Faults:
-    """What becomes of datagrams on one way."""
+    """Faults injected into the datagrams of one direction between two routers."""
 
     lose: float = 0.0
     delay: tuple[float, float] = (0.0, 0.0)  # seconds; where they differ, datagrams overtake each other
@@ -36,17 +36,17 @@
 
 
 def _own_address(viewer: int, viewed: int) -> str:
-    """A loopback address that no other way uses, so that nobody takes its port while it is closed."""
+    """A loopback address that no other pair uses, so that nobody takes its port while it is closed."""
     return f"127.{64 + viewer}.{1 + viewed}.7"
 
 
-class Ways(TrioThread):
-    """All ways between so many routers."""
+class DatagramRelays(TrioThread):
+    """Relays in both directions between all pairs of `count` routers."""
 
     def __init__(self, count: int, seed: int) -> None:
-        """Every router is down at first."""
+        """All routers count as down at first."""
         self.count = count
-        self.weather = Faults()  # for all ways, beside what holds for each
+        self.weather = Faults()  # of all directions, in addition to their own
         self.faults = {(a, b): Faults() for a in range(count) for b in range(count) if a != b}
         self.counts: Counter[str] = Counter()
         self._random = random.Random(seed)
@@ -61,11 +61,11 @@
         super().__init__()
 
     def address(self, viewer: int, viewed: int) -> Address:
-        """By which one router knows another."""
+        """The address by which one router knows another."""
         return _own_address(viewer, viewed), self._ports[viewer, viewed]
 
     def up(self, place: int, listen: Address) -> None:
-        """That router's process is about to start, and will listen there."""
+        """The router's process is about to start, and will listen at that address."""
         self._call(partial(self._set_up, place, listen))
 
     def down(self, place: int) -> None:
@@ -73,7 +73,7 @@
         self._call(partial(self._set_up, place, None))
 
     def change(self, change: Callable[[], None]) -> None:
-        """Makes a change of faults, and lets it hold."""
+        """Applies a change of the faults."""
 
         def both() -> None:
             change()
@@ -91,7 +91,7 @@
         self._settle()
 
     def _settle(self) -> None:
-        """Opens and closes addresses: one refuses if its router is down and both ways are open."""
+        """Opens and closes addresses: one refuses if its router is down and both directions are open."""
         for (viewer, viewed), faults in self.faults.items():
             cut = faults.cut or self.faults[viewed, viewer].cut
             wanted, key = viewed in self._up or cut, (viewer, viewed)
@@ -158,7 +158,7 @@
             self.counts["undelivered"] += 1
 
     def flood(self, listen: Address, place: int, rate: float, seconds: float, over: threading.Event) -> None:
-        """Sends that router what nobody can read, from one peer's address and from a stranger's."""
+        """Sends malformed datagrams to a router, from a peer's address and from an unknown one."""
         chooser = random.Random(7)
         peer = next(viewer for viewer, viewed in self._sockets if viewer == place)
         known = next(sock for key, sock in self._sockets.items() if key[0] == peer)
--- a/stonecove/trial/streams.py
+++ b/stonecove/trial/streams.py
@@ -1,8 +1,8 @@
-"""Relays for TCP between each router and each server of the depot: silence, lost answers, resets, refusals.
+"""TCP relays between each router and each server: silence, lost answers, resets and refusals.
 
 Each router knows the servers at a loopback address of its own, by their own ports. What it opens there goes
-on to the server. A way that is cut acts as a network does: what is open stays open and quiet, new connections
-never come up, and what was sent comes late once the cut has ended.
+on to the server. A path that is cut acts as a network does: what is open stays open and quiet, no new
+connection comes up, and what was sent comes late once the cut has ended.
 """
 
 from __future__ import annotations
@@ -34,18 +34,18 @@
 
 @dataclass(slots=True)
 class StreamFaults:
-    """What becomes of connections on one way. `lose`: the part of pieces that come a repeat later."""
+    """What becomes of connections on one path. `lose`: the part of pieces that come a repeat later."""
 
     cut: bool = False
     swallow: bool = False  # answers never come back
     down: bool = False  # refuses, and resets what is open
-    delay: tuple[float, float] = (0.0, 0.0)  # seconds, each way; the order stays
+    delay: tuple[float, float] = (0.0, 0.0)  # seconds, in each direction; the order stays
     lose: float = 0.0
 
 
 @dataclass(slots=True)
-class _Way:
-    """One router's way to one server."""
+class _StreamPath:
+    """One router's path to one server."""
 
     listen: Address
     server: Address
@@ -57,106 +57,106 @@
     scope: trio.CancelScope = field(default_factory=trio.CancelScope)
 
 
-class Streams(TrioThread):
-    """All ways between routers and servers. Servers are called by their ports."""
+class StreamRelays(TrioThread):
+    """All paths between routers and servers. Servers are called by their ports."""
 
     def __init__(self, routers: int, servers: Iterable[Address], seed: int) -> None:
-        """All ways are open."""
+        """All paths are open."""
         super().__init__()
         self.counts: Counter[str] = Counter()
         self._random = random.Random(seed)
-        self._ways = {(router, port): _Way((host_of(router), port), (host, port))
+        self._paths = {(router, port): _StreamPath((host_of(router), port), (host, port))
                       for router in range(routers) for host, port in servers}  # fmt: skip
-        self._each(self._ways.values(), self._listen)
+        self._each(self._paths.values(), self._listen)
 
-    def change(self, ways: Iterable[tuple[int, int]], change: Callable[[StreamFaults], None]) -> None:
-        """Changes what becomes of connections on these ways, each from a router to a port."""
+    def change(self, paths: Iterable[tuple[int, int]], change: Callable[[StreamFaults], None]) -> None:
+        """Changes what becomes of connections on these paths, each from a router to a port."""
 
-        def both(way: _Way) -> None:
-            change(way.faults)
-            self._settle(way)
+        def both(path: _StreamPath) -> None:
+            change(path.faults)
+            self._settle(path)
 
-        self._each([self._ways[way] for way in ways], both)
+        self._each([self._paths[path] for path in paths], both)
 
-    def reset(self, ways: Iterable[tuple[int, int]]) -> None:
+    def reset(self, paths: Iterable[tuple[int, int]]) -> None:
         """Resets what is open on these, on both sides."""
-        self._each([self._ways[way] for way in ways], self._reset)
+        self._each([self._paths[path] for path in paths], self._reset)
 
-    def _each(self, ways: Iterable[_Way], call: Callable[[_Way], None]) -> None:
+    def _each(self, paths: Iterable[_StreamPath], call: Callable[[_StreamPath], None]) -> None:
         def all_() -> None:
-            for way in ways:
-                call(way)
+            for path in paths:
+                call(path)
 
         self._call(all_)
 
     # -- within its thread --
 
-    def _listen(self, way: _Way) -> None:
-        way.sock = socket.socket()
-        way.sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-        way.sock.setblocking(False)
-        way.sock.bind(way.listen)
-        way.sock.listen(BACKLOG)
-        way.scope = trio.CancelScope()
-        way.open.set()
-        self._nursery.start_soon(self._accept, way, way.sock, way.scope)
-
-    def _settle(self, way: _Way) -> None:
-        if way.faults.down and way.sock is not None:
-            way.scope.cancel()
-            way.sock.close()
-            way.sock = None
-            self._reset(way)
-        elif not way.faults.down and way.sock is None:
-            self._listen(way)
-        if way.faults.cut and way.open.is_set():
-            way.open = trio.Event()
-            if way.sock is not None:
+    def _listen(self, path: _StreamPath) -> None:
+        path.sock = socket.socket()
+        path.sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
+        path.sock.setblocking(False)
+        path.sock.bind(path.listen)
+        path.sock.listen(BACKLOG)
+        path.scope = trio.CancelScope()
+        path.open.set()
+        self._nursery.start_soon(self._accept, path, path.sock, path.scope)
+
+    def _settle(self, path: _StreamPath) -> None:
+        if path.faults.down and path.sock is not None:
+            path.scope.cancel()
+            path.sock.close()
+            path.sock = None
+            self._reset(path)
+        elif not path.faults.down and path.sock is None:
+            self._listen(path)
+        if path.faults.cut and path.open.is_set():
+            path.open = trio.Event()
+            if path.sock is not None:
                 # A queue of one that is full lets nobody else come up.
-                way.sock.listen(0)
-                way.fillers = [socket.socket() for _ in range(2)]
-                for filler in way.fillers:
+                path.sock.listen(0)
+                path.fillers = [socket.socket() for _ in range(2)]
+                for filler in path.fillers:
                     filler.setblocking(False)
-                    filler.connect_ex(way.listen)
-        elif not way.faults.cut and not way.open.is_set():
-            for filler in way.fillers:
+                    filler.connect_ex(path.listen)
+        elif not path.faults.cut and not path.open.is_set():
+            for filler in path.fillers:
                 filler.close()
-            way.fillers = []
-            if way.sock is not None:
-                way.sock.listen(BACKLOG)
-            way.open.set()
+            path.fillers = []
+            if path.sock is not None:
+                path.sock.listen(BACKLOG)
+            path.open.set()
 
-    def _reset(self, way: _Way) -> None:
-        for pair in way.pairs:
+    def _reset(self, path: _StreamPath) -> None:
+        for pair in path.pairs:
             for sock in pair:
                 with contextlib.suppress(OSError):
                     sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, _RESET)
                 _closed(sock)
-        self.counts["reset"] += len(way.pairs)
-        way.pairs = []
+        self.counts["reset"] += len(path.pairs)
+        path.pairs = []
 
-    async def _accept(self, way: _Way, sock: socket.socket, scope: trio.CancelScope) -> None:
+    async def _accept(self, path: _StreamPath, sock: socket.socket, scope: trio.CancelScope) -> None:
         with scope, contextlib.suppress(trio.ClosedResourceError):
             while True:
                 await trio.lowlevel.wait_readable(sock)
-                if way.faults.cut:
-                    await way.open.wait()
+                if path.faults.cut:
+                    await path.open.wait()
                     continue
                 try:
                     client, _ = sock.accept()
                 except OSError:
                     continue
                 client.setblocking(False)
-                self._nursery.start_soon(self._serve, way, client)
+                self._nursery.start_soon(self._serve, path, client)
 
-    async def _serve(self, way: _Way, client: socket.socket) -> None:
+    async def _serve(self, path: _StreamPath, client: socket.socket) -> None:
         """One connection, until both sides have ended."""
         server = socket.socket()
         server.setblocking(False)
         pair = client, server
-        way.pairs.append(pair)
+        path.pairs.append(pair)
         with client, server:
-            code = server.connect_ex(way.server)
+            code = server.connect_ex(path.server)
             if code == errno.EINPROGRESS:
                 with contextlib.suppress(trio.ClosedResourceError):
                     await trio.lowlevel.wait_writable(server)
@@ -164,14 +164,14 @@
             if code == 0:
                 self.counts["opened"] += 1
                 async with trio.open_nursery() as nursery:
-                    nursery.start_soon(self._pump, way, client, server, False)
-                    nursery.start_soon(self._pump, way, server, client, True)
-            if pair in way.pairs:
-                way.pairs.remove(pair)
+                    nursery.start_soon(self._pump, path, client, server, False)
+                    nursery.start_soon(self._pump, path, server, client, True)
+            if pair in path.pairs:
+                path.pairs.remove(pair)
             _closed(client)
             _closed(server)
 
-    async def _pump(self, way: _Way, source: socket.socket, to: socket.socket, answers: bool) -> None:
+    async def _pump(self, path: _StreamPath, source: socket.socket, to: socket.socket, answers: bool) -> None:
         with contextlib.suppress(trio.ClosedResourceError):
             while True:
                 await trio.lowlevel.wait_readable(source)
@@ -184,8 +184,8 @@
                         to.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, _RESET)
                     _closed(to)
                     return
-                await self._on_the_way(way)
-                if answers and way.faults.swallow:
+                await self._delayed(path)
+                if answers and path.faults.swallow:
                     self.counts["swallowed"] += len(data)
                     if data:
                         continue
@@ -197,17 +197,17 @@
                     _closed(source)
                     return
 
-    async def _on_the_way(self, way: _Way) -> None:
+    async def _delayed(self, path: _StreamPath) -> None:
         """As long as the network takes."""
-        while not way.open.is_set():
-            await way.open.wait()
-        delay = self._random.uniform(*way.faults.delay)
-        while self._random.random() < way.faults.lose:
+        while not path.open.is_set():
+            await path.open.wait()
+        delay = self._random.uniform(*path.faults.delay)
+        while self._random.random() < path.faults.lose:
             delay += AGAIN
         if delay > 0:
             await trio.sleep(delay)
-        while not way.open.is_set():
-            await way.open.wait()
+        while not path.open.is_set():
+            await path.open.wait()
 
 
 async def _sent(to: socket.socket, data: bytes) -> bool:
--- a/stonecove/trial/testbed.py
+++ b/stonecove/trial/testbed.py
@@ -17,9 +17,9 @@
 from stonecove.trial.open_loop import OpenLoopClients
 from stonecove.trial.closed_loop import ClosedLoopClients
 from stonecove.trial.processes import RouterProcess, free_address
-from stonecove.trial.relay import Faults, Ways
+from stonecove.trial.relay import Faults, DatagramRelays
 from stonecove.trial.schedule import Fault, Trial
-from stonecove.trial.streams import StreamFaults, Streams, host_of
+from stonecove.trial.streams import StreamFaults, StreamRelays, host_of
 
 SAMPLE = 0.25  # seconds between two looks at what routers hold of each other
 STARVE = 0.05  # seconds stopped, and as long running, in turn
@@ -35,7 +35,7 @@
 
 
 @dataclass(slots=True)
-class Played:
+class TrialRecord:
     """What a trial recorded, for the judge. Moments are Unix seconds."""
 
     trial: Trial
@@ -65,7 +65,7 @@
         self.clients: ClosedLoopClients | OpenLoopClients | None = None
         self._log_ports = [self.depot.log_port] * trial.routers
         self.streams = self._streams(seed) if trial.relayed else None
-        self.ways = Ways(trial.routers, seed)
+        self.relays = DatagramRelays(trial.routers, seed)
         self.names = [f"edge-{place}" for place in range(trial.routers)]
         for twin in trial.twins[1:]:
             self.names[twin] = self.names[trial.twins[0]]
@@ -99,7 +99,7 @@
             "settings": made,
             "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 256},
             "peer_listen": ":".join(map(str, self.listens[place])),
-            "peers": [":".join(map(str, self.ways.address(place, other))) for other in others],
+            "peers": [":".join(map(str, self.relays.address(place, other))) for other in others],
         }  # fmt: skip
         router = RouterProcess(
             self.folder / f"edge-{place}",
@@ -117,23 +117,23 @@
             return Depot(trial.caches, WEIGHT, trial.zones)
         return LoadedDepot(trial.caches, float(trial.bears.places), trial.zones, trial.bears)
 
-    def _streams(self, seed: int) -> Streams:
+    def _streams(self, seed: int) -> StreamRelays:
         """Relays to all servers, and a change log for each router that tells its own addresses of them."""
         self._log_ports = [self.depot.log_for(host_of(place)) for place in range(self.trial.routers)]
         ports = [*(server.port for server in self.depot.servers), *self._log_ports]
-        return Streams(self.trial.routers, [(HOST, port) for port in ports], seed)
+        return StreamRelays(self.trial.routers, [(HOST, port) for port in ports], seed)
 
     # -- what a schedule does --
 
     def start(self, place: int) -> None:
         """Starts a process of that router."""
-        self.ways.up(place, self.listens[place])
+        self.relays.up(place, self.listens[place])
         self.routers[place].start()
 
     def kill(self, place: int) -> None:
         """Kills the router's process with SIGKILL."""
         self.routers[place].kill()
-        self.ways.down(place)
+        self.relays.down(place)
 
     def terminate(self, place: int) -> None:
         """Sends SIGTERM, and waits until the process has ended."""
@@ -142,7 +142,7 @@
 
     def _ended(self, place: int) -> None:
         code = self.routers[place].wait()
-        self.ways.down(place)
+        self.relays.down(place)
         if code:
             self.codes.append((place, code))
 
@@ -262,11 +262,11 @@
             for one in fault.who:
                 for other in fault.to:
                     if one != other:
-                        self.ways.faults[one, other].cut = cut
+                        self.relays.faults[one, other].cut = cut
                         if fault.both:
-                            self.ways.faults[other, one].cut = cut
+                            self.relays.faults[other, one].cut = cut
 
-        self.ways.change(change)
+        self.relays.change(change)
 
     def _pace(self, factor: float) -> None:
         assert isinstance(self.clients, OpenLoopClients)
@@ -324,9 +324,9 @@
 
     def _weather(self, lose: float, delay: tuple[float, float], repeat: float) -> None:
         def change() -> None:
-            self.ways.weather = Faults(lose, delay, repeat)
+            self.relays.weather = Faults(lose, delay, repeat)
 
-        self.ways.change(change)
+        self.relays.change(change)
 
     def _roll(self, places: tuple[int, ...]) -> None:
         """A rolling restart: each router is terminated and started again, the next once it is ready."""
@@ -345,7 +345,7 @@
 
     def _flood(self, place: int, until: float) -> None:
         """Sends malformed datagrams from a peer's address and from unknown ones."""
-        self.ways.flood(self.listens[place], place, FLOOD_RATE, until - time.time(), self._over)
+        self.relays.flood(self.listens[place], place, FLOOD_RATE, until - time.time(), self._over)
 
     def _spawn(self, call: Any) -> None:
         thread = threading.Thread(target=call)
@@ -354,7 +354,7 @@
 
     # -- the whole --
 
-    def play(self) -> Played:
+    def play(self) -> TrialRecord:
         """Runs the trial; raises TrialError if the routers did not become ready, or did not join."""
         trial, places = self.trial, list(range(self.trial.routers))
         for place in places:
@@ -391,9 +391,23 @@
             self.routers[place].signal(signal.SIGTERM)
         for place in running:
             self._ended(place)
-        return Played(trial, began, ended, self.routers, self.ids, clients, self.depot, self.depot.repeated(),
-                      self.colds, self.troubled, self.codes, samples, self.drains, self.purges,
-                      joined_at)  # fmt: skip
+        return TrialRecord(
+            trial,
+            began,
+            ended,
+            self.routers,
+            self.ids,
+            clients,
+            self.depot,
+            self.depot.repeated(),
+            self.colds,
+            self.troubled,
+            self.codes,
+            samples,
+            self.drains,
+            self.purges,
+            joined_at,
+        )
 
     def _faults(self, began: float) -> None:
         """Begins and ends all faults in the order of time."""
@@ -430,7 +444,7 @@
                     router.kill()
         for thread in self._threads:
             thread.join()
-        self.ways.close()
+        self.relays.close()
         if self.streams is not None:
             self.streams.close()
         self.depot.close()
--- a/tests/test_trial.py
+++ b/tests/test_trial.py
@@ -19,20 +19,20 @@
 from stonecove.explore.simulation import Simulation
 from stonecove.operator.grammar import OperatorError
 from stonecove.standins.depot import Fetched
-from stonecove.trial.testbed import Testbed, Played
+from stonecove.trial.testbed import Testbed, TrialRecord
 from stonecove.trial.judge import judge
 from stonecove.trial.schedule import Trial, read_trial, trial_of
 
 TRIALS = Path(__file__).parent.parent / "stonecove" / "trial" / "trials"
 SMALL = 'title: "t", lasts: 4s, window: 300ms, rate: 30\n'
-Play = Callable[[Trial], Played]
+Play = Callable[[Trial], TrialRecord]
 
 
 @pytest.fixture
 def play(tmp_path: Path) -> Iterator[Play]:
     testbeds = []
 
-    def played(trial: Trial) -> Played:
+    def played(trial: Trial) -> TrialRecord:
         testbeds.append(Testbed(trial, 5, tmp_path))
         return testbeds[-1].play()
 
@@ -144,7 +144,7 @@
         assert testbed.until(lambda: len(asked("history").stdout.splitlines()) > 5, 30.0)
         told = json.loads(asked("--json", "status").stdout)["status"]
         assert told["states"] == {"alive": 1, "gone": 1}
-        address = ":".join(map(str, testbed.ways.address(0, 2)))
+        address = ":".join(map(str, testbed.relays.address(0, 2)))
         assert asked("gone", "--yes", "127.0.0.1:1").returncode == 1
         assert asked("gone", "--yes", address).returncode == 0
         testbed.kill(0)
