--- a/benchmarks/explore.py
+++ b/benchmarks/explore.py
@@ -12,20 +12,20 @@
 
 import numpy as np
 
-from stonecove.explore import hunt, search, seeds
+from stonecove.explore import runner, search, seeds
 from stonecove.explore.copying import DeepCopy, Pickle, Replay, Way, run
 from stonecove.explore.scope import SMALL, named
-from stonecove.explore.search import Crew, Options, Result
-from stonecove.explore.trace import world_start
+from stonecove.explore.search import WorkerPool, Options, Result
+from stonecove.explore.trace import simulation_start
 from stonecove.explore.visited import FingerprintSet, PlainSet, Visited
 
 DEPTHS = {"links": (6, 8), "clients": (6, 7), "drain": (5, 7), "confirm": (7, 9)}
 
 
 def _play(name: str, depth: int, processes: int = 1, **options: object) -> Result:
-    with Crew(processes) as crew:
-        hunt.explore(named(SMALL, name).with_bounds(depth=2), crew, Options())  # processes are up by now
-        return hunt.explore(named(SMALL, name).with_bounds(depth=depth), crew, Options(**options))  # type: ignore[arg-type]
+    with WorkerPool(processes) as pool:
+        runner.explore(named(SMALL, name).with_bounds(depth=2), pool, Options())  # processes are up by now
+        return runner.explore(named(SMALL, name).with_bounds(depth=depth), pool, Options(**options))  # type: ignore[arg-type]
 
 
 def _rates(result: Result) -> str:
@@ -39,7 +39,7 @@
 def copies() -> dict[str, float]:
     """Microseconds to come back to a state, by way and depth."""
     found = {}
-    start = world_start(named(SMALL, "links"))
+    start = simulation_start(named(SMALL, "links"))
     for steps in (("ask 0",), ("ask 0", "decide", "up c1.0", "wait", "fire", "up c1.1")):
         ways: dict[str, Way] = {"replay": Replay(start), "deepcopy": DeepCopy(), "pickle": Pickle()}
         for name, way in ways.items():
@@ -99,7 +99,7 @@
             print(f"  {name:8} replay {_rates(replayed)}")
             figures["pickle_over_replay"] = replayed.seconds / on.seconds
             figures["states_per_s"] = on.states / on.seconds
-            deep = search.depth_first(world_start(named(SMALL, name)), depth)
+            deep = search.depth_first(simulation_start(named(SMALL, name)), depth)
             print(f"  {name:8} depth  {_rates(deep)}")
     figures["sleep_saved_percent"] = 100 * sum(saved) / len(saved)
     print("Cores:")
@@ -113,7 +113,9 @@
         print(f"  {processes} processes {_rates(result)}  {one / result.seconds:.2f} times as fast")
     if not short:
         print("Time to each seeded fault, on one core each:")
-        for caught in hunt.catch_all([seed.name for seed in seeds.SEEDS], min(8, os.cpu_count() or 1)):
+        for caught in runner.find_seeded_faults(
+            [seed.name for seed in seeds.SEEDS], min(8, os.cpu_count() or 1)
+        ):
             print(
                 f"  {caught.name:32} {caught.seconds:6.2f} s {caught.states:6} states "
                 f"{len(caught.found.steps) if caught.found else 0:3} steps"
--- a/stonecove/commands/fleet.py
+++ b/stonecove/commands/fleet.py
@@ -12,19 +12,14 @@
 
 import click
 
+from stonecove.commands.options import operator_option
+
 GOOD, FAILED, UNUSABLE, LATE = 0, 1, 2, 3
 _ready = ("ready", "held", "stopped")
 
 
 @click.group()
-@click.option(
-    "--operator",
-    type=click.Path(path_type=Path),
-    envvar="STONECOVE_OPERATOR",
-    default="deploy/operator.cue",
-    show_default=True,
-    help="The operator's file, which names the fleet.",
-)
+@operator_option("The operator's file, which names the fleet.")
 @click.option("--folder", type=click.Path(path_type=Path), help="The fleet's folder, without the file.")
 @click.option("--json", "as_json", is_flag=True, help="For programs.")
 @click.pass_context
@@ -283,7 +278,7 @@
 @fleet.command("leases")
 @click.pass_context
 def leases_command(context: click.Context) -> None:
-    """Tell what the instances share: by cold box what is lent, who asked, which limits refused."""
+    """Tell what the instances share: by cold cache what is lent, who asked, which limits refused."""
     leases = _ask(context, "status")["leases"]
     if leases is None:
         click.echo("stonecove fleet: fleet.leases is not set", err=True)
--- a/stonecove/commands/trial.py
+++ b/stonecove/commands/trial.py
@@ -14,7 +14,7 @@
 from stonecove.commands.overload import BOOK
 
 if TYPE_CHECKING:
-    from stonecove.trial.ground import Played
+    from stonecove.trial.testbed import TrialRecord
 
 GOOD, BROKEN, UNUSABLE = 0, 1, 2
 
@@ -52,7 +52,7 @@
 def run_command(name: str, seed: int, as_json: bool, logs: Path | None) -> None:
     """Play a trial file, or one of those that come along, and judge it."""
     from stonecove.operator.grammar import OperatorError
-    from stonecove.trial.ground import TrialError
+    from stonecove.trial.testbed import TrialError
     from stonecove.trial.judge import play
     from stonecove.trial.schedule import read_trial
 
@@ -71,27 +71,27 @@
             click.echo(f"stonecove trial: {error}", err=True)
             sys.exit(UNUSABLE)
         if logs is not None:
-            _keep(logs, played, [fault.told() for fault in found.faults])
+            _keep(logs, played, [fault.summary() for fault in found.faults])
     if as_json:
-        click.echo(json.dumps(verdict.told()))
+        click.echo(json.dumps(verdict.as_dict()))
     else:
-        click.echo(f"{verdict.title}: {'BROKEN' if verdict.broken else 'all rules kept'}")
+        click.echo(f"{verdict.title}: {'BROKEN' if verdict.violations else 'all rules kept'}")
         for fault in found.faults:
-            click.echo(f"  {fault.told()}")
-        for one in verdict.broken:
-            click.echo(f"  BROKEN {one.told()}")
+            click.echo(f"  {fault.summary()}")
+        for one in verdict.violations:
+            click.echo(f"  BROKEN {one.summary()}")
         click.echo("  " + " ".join(f"{key}={value:.4g}" for key, value in verdict.figures.items()))
-    sys.exit(BROKEN if verdict.broken else GOOD)
+    sys.exit(BROKEN if verdict.violations else GOOD)
 
 
-def _keep(folder: Path, played: Played, faults: list[str]) -> None:
+def _keep(folder: Path, played: TrialRecord, faults: list[str]) -> None:
     """What `trial plot` and `overload report` read."""
     from stonecove.trial.judge import events_of
 
     told = [{"at": at - played.began, "by": place, **found} for at, place, found in played.samples]
     samples = {"ids": played.ids, "faults": faults, "samples": told}
     (folder / "samples.json").write_text(json.dumps(samples))
-    if played.trial.crowd is not None:
+    if played.trial.open_loop is not None:
         first, last = played.trial.span
         book = {"title": played.trial.title, "faults": faults, "first": first, "last": last,
                 "events": events_of(played)}  # fmt: skip
--- a/stonecove/trial/ground.py
+++ b/stonecove/trial/testbed.py
@@ -1,4 +1,4 @@
-"""One trial on real processes: routers, their depot, the ways between them, load, and faults in time."""
+"""Runs one trial on real processes: routers, caches, relays between them, load, and faults at set times."""
 
 from __future__ import annotations
 
@@ -14,12 +14,12 @@
 from stonecove.standins.depot import HOST, Cache, Depot
 from stonecove.standins.loaded import LoadedDepot
 from stonecove.swarm.words import ident_of, shown
-from stonecove.trial.crowd import Crowd
-from stonecove.trial.load import Front
+from stonecove.trial.open_loop import OpenLoopClients
+from stonecove.trial.closed_loop import ClosedLoopClients
 from stonecove.trial.processes import RouterProcess, free_address
-from stonecove.trial.relay import Faults, Ways
+from stonecove.trial.relay import Faults, DatagramRelays
 from stonecove.trial.schedule import Fault, Trial
-from stonecove.trial.streams import StreamFaults, Streams, host_of
+from stonecove.trial.streams import StreamFaults, StreamRelays, host_of
 
 SAMPLE = 0.25  # seconds between two looks at what routers hold of each other
 STARVE = 0.05  # seconds stopped, and as long running, in turn
@@ -31,19 +31,19 @@
 
 
 class TrialError(Exception):
-    """A trial that could not be played; the text says why."""
+    """A trial that could not be run; the text says why."""
 
 
 @dataclass(slots=True)
-class Played:
-    """What a trial left behind for the judge. Moments are Unix seconds."""
+class TrialRecord:
+    """What a trial recorded, for the judge. Moments are Unix seconds."""
 
     trial: Trial
     began: float
     ended: float
     routers: list[RouterProcess]
     ids: list[str]
-    front: Front | Crowd
+    clients: ClosedLoopClients | OpenLoopClients
     depot: Depot
     repeated: int
     colds: list[tuple[float, str, list[float]]]  # start, cache, when it was asked
@@ -55,17 +55,17 @@
     joined_at: float | None = None  # when all who run were joined, after the last fault
 
 
-class Ground:
-    """Everything that takes part. Ends all that it started, whatever happens."""
+class Testbed:
+    """All processes, stand-ins and relays of one trial; `close` ends everything that was started."""
 
     def __init__(self, trial: Trial, seed: int, folder: Path, more: str = "") -> None:
-        """Nothing runs yet. `more`: what else the operator's file of all routers says."""
+        """Starts no router yet. `more`: text added to the operator's file of each router."""
         self.trial, self.folder, self._more = trial, folder, more
         self.depot = self._depot()
-        self.front: Front | Crowd | None = None
+        self.clients: ClosedLoopClients | OpenLoopClients | None = None
         self._log_ports = [self.depot.log_port] * trial.routers
         self.streams = self._streams(seed) if trial.relayed else None
-        self.ways = Ways(trial.routers, seed)
+        self.relays = DatagramRelays(trial.routers, seed)
         self.names = [f"edge-{place}" for place in range(trial.routers)]
         for twin in trial.twins[1:]:
             self.names[twin] = self.names[trial.twins[0]]
@@ -99,7 +99,7 @@
             "settings": made,
             "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 256},
             "peer_listen": ":".join(map(str, self.listens[place])),
-            "peers": [":".join(map(str, self.ways.address(place, other))) for other in others],
+            "peers": [":".join(map(str, self.relays.address(place, other))) for other in others],
         }  # fmt: skip
         router = RouterProcess(
             self.folder / f"edge-{place}",
@@ -117,32 +117,32 @@
             return Depot(trial.caches, WEIGHT, trial.zones)
         return LoadedDepot(trial.caches, float(trial.bears.places), trial.zones, trial.bears)
 
-    def _streams(self, seed: int) -> Streams:
+    def _streams(self, seed: int) -> StreamRelays:
         """Relays to all servers, and a change log for each router that tells its own addresses of them."""
         self._log_ports = [self.depot.log_for(host_of(place)) for place in range(self.trial.routers)]
         ports = [*(server.port for server in self.depot.servers), *self._log_ports]
-        return Streams(self.trial.routers, [(HOST, port) for port in ports], seed)
+        return StreamRelays(self.trial.routers, [(HOST, port) for port in ports], seed)
 
     # -- what a schedule does --
 
     def start(self, place: int) -> None:
-        """A new life of that router."""
-        self.ways.up(place, self.listens[place])
+        """Starts a process of that router."""
+        self.relays.up(place, self.listens[place])
         self.routers[place].start()
 
     def kill(self, place: int) -> None:
-        """Ends it without a word."""
+        """Kills the router's process with SIGKILL."""
         self.routers[place].kill()
-        self.ways.down(place)
+        self.relays.down(place)
 
     def terminate(self, place: int) -> None:
-        """SIGTERM, and waits until it has ended."""
+        """Sends SIGTERM, and waits until the process has ended."""
         self.routers[place].signal(signal.SIGTERM)
         self._ended(place)
 
     def _ended(self, place: int) -> None:
         code = self.routers[place].wait()
-        self.ways.down(place)
+        self.relays.down(place)
         if code:
             self.codes.append((place, code))
 
@@ -156,7 +156,7 @@
                 time.sleep(0.02)
 
     def joined(self) -> bool:
-        """Whether all who run have their whole share."""
+        """Whether all running routers have their full share."""
         found = [router.ask("swarm status") for router in self._awake()]
         return bool(found) and all(one is not None and one["status"]["joined"] for one in found)
 
@@ -174,7 +174,7 @@
         return [router for router in self.routers if router.running and not router.stopped]
 
     def until(self, holds: Any, patience: float) -> bool:
-        """Waits for a condition; says whether it came."""
+        """Waits up to `patience` seconds for a condition; returns whether it came true."""
         limit = time.monotonic() + patience
         while not holds():
             if time.monotonic() > limit:
@@ -183,7 +183,7 @@
         return True
 
     def do(self, fault: Fault) -> None:
-        """Carries a fault out; one that lasts is ended by `undo`."""
+        """Injects a fault; one that lasts is ended by `undo`."""
         now = time.time()
         match fault.do:
             case "kill":
@@ -221,9 +221,9 @@
             case "cold":
                 self._cold(self.depot.caches[fault.cache])
             case "drain":
-                box = self.depot.caches[fault.cache]
-                self.drains.append((now, now + fault.ends - fault.at, box.ident))
-                self.depot.tell_state(box, "draining")
+                cache = self.depot.caches[fault.cache]
+                self.drains.append((now, now + fault.ends - fault.at, cache.ident))
+                self.depot.tell_state(cache, "draining")
             case "purge":
                 self.purges.append(self.depot.tell_purge(GROUP))
             case "surge":
@@ -235,7 +235,7 @@
                     self.routers[place].set_clock(fault.shift)
 
     def undo(self, fault: Fault) -> None:
-        """Its end."""
+        """Ends a fault that lasts."""
         match fault.do:
             case "pause":
                 for place in fault.who:
@@ -262,28 +262,28 @@
             for one in fault.who:
                 for other in fault.to:
                     if one != other:
-                        self.ways.faults[one, other].cut = cut
+                        self.relays.faults[one, other].cut = cut
                         if fault.both:
-                            self.ways.faults[other, one].cut = cut
+                            self.relays.faults[other, one].cut = cut
 
-        self.ways.change(change)
+        self.relays.change(change)
 
     def _pace(self, factor: float) -> None:
-        assert isinstance(self.front, Crowd)
-        self.front.rate = self.trial.rate * factor
+        assert isinstance(self.clients, OpenLoopClients)
+        self.clients.rate = self.trial.rate * factor
 
     def _slow(self, factor: float) -> None:
         assert isinstance(self.depot, LoadedDepot)
         self.depot.pace = factor
 
-    def _cold(self, box: Cache) -> None:
-        """It starts anew, cold and empty, and the list tells so."""
-        box.forget()
-        self.colds.append((box.started / 1000.0, f"s-{box.ident:08x}", box.book))
-        self.depot.tell_state(box, "up")
+    def _cold(self, cache: Cache) -> None:
+        """Restarts a cache cold and empty, and updates the list."""
+        cache.forget()
+        self.colds.append((cache.started / 1000.0, f"s-{cache.ident:08x}", cache.book))
+        self.depot.tell_state(cache, "up")
 
     def _to_servers(self, fault: Fault, begins: bool) -> None:
-        """What breaks between routers and servers, or no longer does."""
+        """Begins or ends a fault between routers and servers."""
         assert self.streams is not None
         servers = [server for name in fault.of for server in self._named(name)]
         ways = [(place, server.port) for place in fault.who for server in servers]
@@ -305,17 +305,17 @@
 
         self.streams.change(ways, change)
         if fault.do == "down" and not begins:
-            for box in servers:
-                self._cold(box)
+            for server in servers:
+                self._cold(server)
 
     def _named(self, name: str) -> list[Cache]:
-        """The servers that a schedule calls so."""
+        """The servers that a schedule means by a name."""
         kind, _, number = name.partition("-")
         match kind:
             case "cache":
                 return [self.depot.caches[int(number)]]
             case "zone":
-                return [box for box in self.depot.caches if box.zone == int(number)]
+                return [cache for cache in self.depot.caches if cache.zone == int(number)]
             case "parent":
                 return [self.depot.parent]
             case "origin":
@@ -324,12 +324,12 @@
 
     def _weather(self, lose: float, delay: tuple[float, float], repeat: float) -> None:
         def change() -> None:
-            self.ways.weather = Faults(lose, delay, repeat)
+            self.relays.weather = Faults(lose, delay, repeat)
 
-        self.ways.change(change)
+        self.relays.change(change)
 
     def _roll(self, places: tuple[int, ...]) -> None:
-        """One after the other ends in order and starts again; the next once it is ready."""
+        """A rolling restart: each router is terminated and started again, the next once it is ready."""
         for place in places:
             if not self._over.is_set():
                 self.terminate(place)
@@ -344,8 +344,8 @@
             time.sleep(STARVE)
 
     def _flood(self, place: int, until: float) -> None:
-        """Datagrams that nobody can read, from an address of a peer and from strangers."""
-        self.ways.flood(self.listens[place], place, FLOOD_RATE, until - time.time(), self._over)
+        """Sends malformed datagrams from a peer's address and from unknown ones."""
+        self.relays.flood(self.listens[place], place, FLOOD_RATE, until - time.time(), self._over)
 
     def _spawn(self, call: Any) -> None:
         thread = threading.Thread(target=call)
@@ -354,8 +354,8 @@
 
     # -- the whole --
 
-    def play(self) -> Played:
-        """Plays the trial; raises TrialError if the routers did not even become ready."""
+    def play(self) -> TrialRecord:
+        """Runs the trial; raises TrialError if the routers did not become ready, or did not join."""
         trial, places = self.trial, list(range(self.trial.routers))
         for place in places:
             self.start(place)
@@ -364,12 +364,12 @@
             raise TrialError("the routers did not count each other in time")
         addresses = [router.address for router in self.routers]
         began = time.time()
-        front: Front | Crowd
-        if trial.crowd is None:
-            front = Front(addresses, trial.rate, kb=trial.kb, writes=trial.writes)
+        clients: ClosedLoopClients | OpenLoopClients
+        if trial.open_loop is None:
+            clients = ClosedLoopClients(addresses, trial.rate, kb=trial.kb, writes=trial.writes)
         else:
-            front = Crowd(addresses, trial.rate, trial.crowd)
-        self.front = front
+            clients = OpenLoopClients(addresses, trial.rate, trial.open_loop)
+        self.clients = clients
         samples: list[tuple[float, int, dict[str, Any]]] = []
         try:
             if trial.swarm:
@@ -378,7 +378,7 @@
             joined_at = self._recover(began)
         finally:
             self._over.set()
-            front.end()
+            clients.end()
         for thread in self._threads:
             thread.join()
         time.sleep(SETTLES)
@@ -391,12 +391,26 @@
             self.routers[place].signal(signal.SIGTERM)
         for place in running:
             self._ended(place)
-        return Played(trial, began, ended, self.routers, self.ids, front, self.depot, self.depot.repeated(),
-                      self.colds, self.troubled, self.codes, samples, self.drains, self.purges,
-                      joined_at)  # fmt: skip
+        return TrialRecord(
+            trial,
+            began,
+            ended,
+            self.routers,
+            self.ids,
+            clients,
+            self.depot,
+            self.depot.repeated(),
+            self.colds,
+            self.troubled,
+            self.codes,
+            samples,
+            self.drains,
+            self.purges,
+            joined_at,
+        )
 
     def _faults(self, began: float) -> None:
-        """Beginnings and ends of all faults, in the order of time."""
+        """Begins and ends all faults in the order of time."""
         steps = [(fault.at, 1, fault) for fault in self.trial.faults]
         steps += [(fault.ends, 0, fault) for fault in self.trial.faults if fault.ends]
         for at, begins, fault in sorted(steps, key=lambda step: step[:2]):
@@ -407,7 +421,7 @@
                 self.undo(fault)
 
     def _recover(self, began: float) -> float | None:
-        """The rest of the load; when all who run were joined."""
+        """Waits for the end of the load; returns when all running routers had joined, or None."""
         joined_at = None
         while time.time() < began + self.trial.lasts:
             if self.trial.swarm and joined_at is None and self.joined():
@@ -422,7 +436,7 @@
                     samples.append((time.time(), self.routers.index(router), found))
 
     def close(self) -> None:
-        """Ends all that runs, the stopped ones too."""
+        """Ends all processes, threads and relays, stopped processes included."""
         self._over.set()
         for router in self.routers:
             if router.running:
@@ -430,7 +444,7 @@
                     router.kill()
         for thread in self._threads:
             thread.join()
-        self.ways.close()
+        self.relays.close()
         if self.streams is not None:
             self.streams.close()
         self.depot.close()
--- a/tests/test_trial.py
+++ b/tests/test_trial.py
@@ -15,30 +15,30 @@
 from stand import Stand, free_address
 from stonecove.explore import scope
 from stonecove.explore.copying import run
-from stonecove.explore.trace import world_start
-from stonecove.explore.world import World
+from stonecove.explore.trace import simulation_start
+from stonecove.explore.simulation import Simulation
 from stonecove.operator.grammar import OperatorError
 from stonecove.standins.depot import Fetched
-from stonecove.trial.ground import Ground, Played
+from stonecove.trial.testbed import Testbed, TrialRecord
 from stonecove.trial.judge import judge
 from stonecove.trial.schedule import Trial, read_trial, trial_of
 
 TRIALS = Path(__file__).parent.parent / "stonecove" / "trial" / "trials"
 SMALL = 'title: "t", lasts: 4s, window: 300ms, rate: 30\n'
-Play = Callable[[Trial], Played]
+Play = Callable[[Trial], TrialRecord]
 
 
 @pytest.fixture
 def play(tmp_path: Path) -> Iterator[Play]:
-    grounds = []
+    testbeds = []
 
-    def played(trial: Trial) -> Played:
-        grounds.append(Ground(trial, 5, tmp_path))
-        return grounds[-1].play()
+    def played(trial: Trial) -> TrialRecord:
+        testbeds.append(Testbed(trial, 5, tmp_path))
+        return testbeds[-1].play()
 
     yield played
-    for ground in grounds:
-        ground.close()
+    for testbed in testbeds:
+        testbed.close()
 
 
 SHORT = [path for path in sorted(TRIALS.glob("*.cue")) if not path.stem.endswith("-long")]
@@ -49,7 +49,7 @@
     """Stops, loss, one-sided and whole cuts, a mass kill, a roll, late words, twins, a flood, 20 starts."""
     played = play(read_trial(path, 5))
     verdict = judge(played)
-    assert [one.told() for one in verdict.broken] == []
+    assert [one.summary() for one in verdict.violations] == []
     assert verdict.figures["answers"] > 0
     if path.stem == "twins":
         assert all(router.lines("swarm-name-twice") for router in played.routers[1:3])
@@ -97,13 +97,13 @@
 def test_the_judge_names_rule_time_and_process(play: Play) -> None:
     """Each rule is broken in what a real trial left behind, and found."""
     played = play(trial_of(SMALL + "routers: 2", "t", 1))
-    assert judge(played).broken == []
+    assert judge(played).violations == []
     now = played.began + 1.0
     with played.routers[0].log.open("a") as log:
         log.write(f"{now:.3f} swarm-share joined=True own=1.000 fleet=1 by_zone=0,1 view=1\n")
         log.write(f"{now:.3f} swarm-member member={played.ids[1]} stands=failed life=9999999999999\n")
         log.write(f"{now:.3f} bug where=x\n")
-    played.front.lost.append((now, 1))
+    played.clients.lost.append((now, 1))
     played.repeated = 1
     played.codes.append((0, -6))
     played.colds.append((now, "s-1", [now * 1000.0 + 5.0] * 4000))
@@ -115,42 +115,42 @@
     for _ in range(2):  # the second, once the grace is over, is the copy of before
         played.depot.answer(played.depot.caches[0], "2", item)
         time.sleep(1.1)
-    found = {one.rule: one for one in judge(played).broken}
+    found = {one.rule: one for one in judge(played).violations}
     assert set(found) == {"answer", "write", "crash", "bug", "cold", "shares", "failed", "drain", "purge"}
     assert found["failed"].processes == ("edge-0", "edge-1")
     assert 0.9 <= found["shares"].at <= 1.1
 
 
 def test_people_are_told_how_the_swarm_stands(tmp_path: Path) -> None:
-    ground = Ground(trial_of(SMALL + "routers: 3", "t", 1), 5, tmp_path)
+    testbed = Testbed(trial_of(SMALL + "routers: 3", "t", 1), 5, tmp_path)
 
     def asked(*words: str) -> subprocess.CompletedProcess[str]:
         return subprocess.run(
-            [sys.executable, "-m", "stonecove", "swarm", "--socket", ground.routers[0].socket, *words],
+            [sys.executable, "-m", "stonecove", "swarm", "--socket", testbed.routers[0].socket, *words],
             capture_output=True, text=True, check=False,
         )  # fmt: skip
 
     try:
         for place in range(3):
-            ground.start(place)
-        assert ground.until(ground.joined, 30.0)
-        assert ground.until(lambda: "of 3 members" in asked("status").stdout, 30.0)
-        assert ground.until(lambda: asked("status").returncode == 0, 30.0)
+            testbed.start(place)
+        assert testbed.until(testbed.joined, 30.0)
+        assert testbed.until(lambda: "of 3 members" in asked("status").stdout, 30.0)
+        assert testbed.until(lambda: asked("status").returncode == 0, 30.0)
         assert "edge-1" in asked("explain", "edge-1").stdout
         assert asked("explain", "nobody").returncode == 1
-        ground.kill(1)
-        assert ground.until(lambda: "is gone" in asked("explain", "edge-1").stdout, 30.0)
+        testbed.kill(1)
+        assert testbed.until(lambda: "is gone" in asked("explain", "edge-1").stdout, 30.0)
         assert re.search("gone: (its address refused|told by)", asked("explain", "edge-1").stdout)
-        assert ground.until(lambda: len(asked("history").stdout.splitlines()) > 5, 30.0)
+        assert testbed.until(lambda: len(asked("history").stdout.splitlines()) > 5, 30.0)
         told = json.loads(asked("--json", "status").stdout)["status"]
         assert told["states"] == {"alive": 1, "gone": 1}
-        address = ":".join(map(str, ground.ways.address(0, 2)))
+        address = ":".join(map(str, testbed.relays.address(0, 2)))
         assert asked("gone", "--yes", "127.0.0.1:1").returncode == 1
         assert asked("gone", "--yes", address).returncode == 0
-        ground.kill(0)
+        testbed.kill(0)
         assert asked("status").returncode == 2
     finally:
-        ground.close()
+        testbed.close()
 
 
 @pytest.mark.parametrize(
@@ -187,30 +187,30 @@
 
 def test_what_was_decided_before_a_stop_is_decided_anew() -> None:
     """The last look before the first byte: an attempt that has outlived its share never goes."""
-    world = run(world_start(scope.named(scope.SMALL, "links")), ("ask 0", "decide"))
-    assert isinstance(world, World)
+    simulation = run(simulation_start(scope.named(scope.SMALL, "links")), ("ask 0", "decide"))
+    assert isinstance(simulation, Simulation)
     outlived = [True]
-    world.route.send.outlived = lambda attempt: bool(outlived) and outlived.pop()
-    world.do("up c1.0")
-    (request,) = world.route.requests
+    simulation.route.send.outlived = lambda attempt: bool(outlived) and outlived.pop()
+    simulation.do("up c1.0")
+    (request,) = simulation.route.requests
     assert [(one.ended, one.written_at > 0) for one in request.attempts] == [(True, False), (False, False)]
-    assert world.route.book.counts["moot"] == 1
+    assert simulation.route.book.counts["moot"] == 1
 
 
 def test_a_router_that_was_stopped_says_so_and_one_that_ends_in_order_too(tmp_path: Path) -> None:
-    ground = Ground(trial_of(SMALL + "routers: 2", "t", 1), 5, tmp_path)
+    testbed = Testbed(trial_of(SMALL + "routers: 2", "t", 1), 5, tmp_path)
     try:
         for place in range(2):
-            ground.start(place)
-        assert ground.until(ground.joined, 30.0)
-        ground.routers[0].pause()
+            testbed.start(place)
+        assert testbed.until(testbed.joined, 30.0)
+        testbed.routers[0].pause()
         time.sleep(1.2)
-        ground.routers[0].resume()
-        assert ground.until(lambda: ground.routers[0].lines("swarm-stopped"), 30.0)
-        ground.routers[0].signal(signal.SIGTERM)
-        assert ground.routers[0].wait() == 0
-        stands = [line["stands"] for line in ground.routers[1].lines("swarm-member")]
-        assert ground.until(lambda: ground.routers[1].lines("swarm-member")[-1]["stands"] == "left", 30.0)
+        testbed.routers[0].resume()
+        assert testbed.until(lambda: testbed.routers[0].lines("swarm-stopped"), 30.0)
+        testbed.routers[0].signal(signal.SIGTERM)
+        assert testbed.routers[0].wait() == 0
+        stands = [line["stands"] for line in testbed.routers[1].lines("swarm-member")]
+        assert testbed.until(lambda: testbed.routers[1].lines("swarm-member")[-1]["stands"] == "left", 30.0)
         assert "leaving" in stands and "failed" not in stands
     finally:
-        ground.close()
+        testbed.close()
