--- a/stonecove/choice.py
+++ b/stonecove/choice.py
@@ -15,10 +15,10 @@
 from functools import lru_cache
 from typing import TYPE_CHECKING, Any
 
-from stonecove.interface import (RETRIES, Action, Cancel, ClassSettings, Due, Effect, Ended, Event, Fail, Get,
-                                 How, KeyGroup, Left, Listed, ListKind, Log, Node, NodeId, NodeState, Note,
-                                 Outcome, Peers, Piece, Purged, Refuse, Request, Settings, Terms, Timer,
-                                 Want, Watch)
+from stonecove.interface import (NOT_RUN, RETRIES, Action, Cancel, ClassSettings, Due, Effect, Ended, Event,
+                                 Fail, Get, How, KeyGroup, Left, Listed, ListKind, Log, Node, NodeId,
+                                 NodeState, Note, Outcome, Peers, Piece, Purged, Reconfigured, Refuse,
+                                 Request, Settings, Terms, Timer, Want, Watch)
 
 if TYPE_CHECKING:
     from stonecove.sharing.credit import LeasedCredit
@@ -57,7 +57,6 @@
 TICK = 0.001  # the least age: an age of 0 would mean the default
 
 _MASK = (1 << 64) - 1
-_RAN_NOT = frozenset((Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.MOOT, Outcome.MISS))
 _UNSEEN = frozenset((Outcome.CONNECT_FAILED, Outcome.MOOT))
 _SOURCE_NOTES = frozenset((Note.SOURCE_REFUSED, Note.SOURCE_BROKE, Note.SOURCE_LACKS))
 
@@ -74,15 +73,12 @@
 class Popularity:
     """Bounded, aged counts; from them the top set (admission) and the densities (ranks)."""
 
-    def __init__(self, half_life: float) -> None:
+    def __init__(self, half_life: float = 1.0) -> None:
         self._half_life = max(half_life, 1.0)
         self._table: dict[int, Counted] = {}
-        self._total = 0.0
-        self._bytes = 0.0
-        self._origin = 0.0
+        self._total = self._bytes = self._least = self._origin = 0.0
         self._seen = 0
         self._rebuild_at = REBUILD_EVERY
-        self._least = 0.0
         self._cuts = (math.inf, math.inf)
 
     def _weight(self, now: float) -> float:
@@ -96,10 +92,14 @@
     def _rescale(self, factor: float) -> None:
         for item in self._table.values():
             item.count *= factor
-        self._total *= factor
-        self._bytes *= factor
+        self._total, self._bytes = self._total * factor, self._bytes * factor
         self._least *= factor
 
+    def change(self, now: float, half_life: float) -> None:
+        """Counts halve in another time from now on; what they are worth by now stays."""
+        before, self._half_life = self._half_life, max(half_life, 1.0)
+        self._origin = now - (now - self._origin) * (self._half_life / before)
+
     def note(self, now: float, key: int, size: float, part: int) -> None:
         weight = self._weight(now)
         item = self._table.get(key)
@@ -157,7 +157,8 @@
         return 3 if density > self._cuts[0] else 2 if density > self._cuts[1] else 1
 
     def byte_share(self, key: int) -> float:
-        item = self._table.get(key)
+        """The part of all bytes that are asked of one part of an object of the top set."""
+        item = self._table.get(key) if not self.fresh() and self.admitted(key) else None
         return item.count * item.size / item.parts / self._bytes if item and self._bytes > 0 else 0.0
 
 
@@ -228,16 +229,17 @@
 class ColdBudget:
     """Danger: a cold node pushed over by all directors together. This director's share of what it bears."""
 
-    def __init__(self, cold_from: float, warm_up: float, multiple: float, window: float) -> None:
-        self._from = cold_from
-        self._warm_up = warm_up
-        self._multiple = multiple
+    def __init__(self, window: float) -> None:
         self._window = window
         self.sent: dict[NodeId, deque[list[float]]] = {}
         self.room: dict[NodeId, float] = {}  # what was left of the own part when it was last looked at
         self.own = 1.0  # part of the share that is spent without asking
         self.credit: LeasedCredit | None = None
 
+    def change(self, cold_from: float, warm_up: float, multiple: float) -> None:
+        """Other figures from now on. Danger: bookings that are forgotten, and so a second budget at once."""
+        self._from, self._warm_up, self._multiple = cold_from, warm_up, multiple
+
     def present(self, now: float, started: float) -> float:
         """The least part of its capacity that the node has now; 1 once it is surely warm."""
         age = now - started
@@ -282,25 +284,30 @@
 class Purges:
     """Danger: an answer from a copy older than a purge. Moments of purges until all copies have gone."""
 
-    def __init__(self, lasts: float) -> None:
-        self._lasts = lasts
+    def __init__(self) -> None:
+        self._lasts = self._wanted = 0.0
         self._moments: dict[tuple[int, int], float] = {}
         self._next_sweep = -math.inf
 
+    def change(self, now: float, lasts: float) -> None:
+        """Old copies last so long now, and those purged before for as long as they may; then it is swept."""
+        if lasts != self._wanted:
+            self._wanted, self._lasts = lasts, max(self._lasts, lasts)
+            self._next_sweep = now + self._lasts
+
     def told(self, now: float, event: Purged) -> None:
         """Notes a purge of an object (group -1) or, with no object, of a group."""
         name = (event.key, -1) if event.key else (0, event.group)
         self._moments[name] = max(now - event.age, self._moments.get(name, -math.inf))
         if now >= self._next_sweep:
+            self._lasts = self._wanted
             self._next_sweep = now + self._lasts
             self._moments = {n: m for n, m in self._moments.items() if m + self._lasts > now}
 
     def limit(self, now: float, key: int, group: int) -> float:
         """The oldest copy that will do now; infinite where nothing was purged lately."""
         moment = max(self._moments.get((key, -1), -math.inf), self._moments.get((0, group), -math.inf))
-        if now - moment >= self._lasts:
-            return math.inf
-        return max(now - moment - TICK, TICK)
+        return math.inf if now - moment >= self._lasts else max(now - moment - TICK, TICK)
 
 
 @dataclass(slots=True)
@@ -333,6 +340,11 @@
         spare = self.room * min(1.0, max(0.0, 2.0 - slowed))
         return max(1.0, (self.out + 1) / (self.carries + spare), slowed)
 
+    def change(self, before: tuple[float, float], after: tuple[float, float], span: float) -> None:
+        """Size and share are others now; what was learned of what it carries stays in proportion."""
+        told, self.room, self.span = Load.of(*before, span).carries, Load.of(*after, span).room, span
+        self.carries = max(1.0, self.carries * (Load.of(*after, span).carries / told))
+
     @classmethod
     def of(cls, size: float, share: float, span: float) -> Load:
         """A director's part of a link for so many transfers at once."""
@@ -375,8 +387,7 @@
         self.request, self.cls = request, cls
         self.told = mean > 0  # its size is, and so the mean work of its class
         self.tier = min(2, int(work / mean)) if self.told else 0  # 0: up to the mean, 1: up to twice that
-        self.work = work
-        self.deadline = now + request.grace
+        self.work, self.deadline = work, now + request.grace
         self.aim = min(cls.aim + cls.aim_stretch * work, cls.deadline)
         self.attempts: list[Attempt] = []
         self.missed = False
@@ -395,39 +406,28 @@
     def __init__(self, settings: Settings, entropy: int) -> None:
         if not settings.classes:
             raise ValueError("settings lack 'classes'")
-        self._set = settings
-        self._pace = settings.client_pace if settings.client_pace > 0 else math.inf
-        self._shortest = max(TICK, min(cls.aim for cls in settings.classes))
         self._random = random.Random(entropy)
-        zone, links = settings.zone, settings.zone_link
-        self._shares()
-        self._link_size = (links[zone] if 0 <= zone < len(links) else 0.0) / self._pace  # transfers at once
         self._out: list[Action] = []
         self._listed: dict[NodeId, Node] = {}
-        self._rings()
-        self._popularity = Popularity(HALF_LIFE * max(settings.warm_up, settings.purge_done))
-        self._cache_health: Healths = defaultdict(Health)
-        self._source_health: Healths = defaultdict(Health)
-        self._cold_caches = ColdBudget(settings.cold_from, settings.warm_up, settings.fall_multiple,
-                                       settings.fall_window)
-        self._cold_parents = ColdBudget(settings.parent_cold_from, settings.parent_warm_up,
-                                        settings.parent_fall_multiple, settings.fall_window)
-        self._purges = Purges(settings.purge_done * PURGE_MARGIN + settings.purge_grace)
+        self._popularity = Popularity()
+        self._cache_health, self._source_health = Healths(Health), Healths(Health)
+        self._cold_caches, self._cold_parents = (ColdBudget(settings.fall_window) for _ in range(2))
+        self._purges = Purges()
         self._held: dict[int, Held] = {}
         self._loads: dict[NodeId, Load] = {}
         self._wait = 0.0  # how long fills lately waited for their first byte; a failed one, its wanted time
-        self._origin = Load.of(1.0, 1.0, self._shortest)  # fetches asked of it against those it answered
-        self._link = Load.of(self._link_size, self._zone_share, self._shortest)
         self._copies: dict[tuple[int, int, NodeId], float] = {}
-        self._mean_work = [[0.0, cls.aim] for cls in settings.classes]  # the aim, until one is known
-        self._answered = [[1.0] * 4 for _ in settings.classes]  # shares of late: of three sizes, and of all
+        self._mean_work: list[list[float]] = []  # how many, and their mean: the aim, until one is known
+        self._answered: list[list[float]] = []  # shares of late: of three sizes, and of all
         self._hedges = self._burst = HEDGE_BURST
         self._credit: LeasedCredit | None = None
-        self._pause = PAUSE * max(settings.connect_timeout, 1.0)
+        self._take_over(0.0, settings)
+        self._origin = Load.of(1.0, 1.0, self._shortest)  # fetches asked of it against those it answered
+        self._link = Load.of(self._link_size, self._zone_share, self._shortest)
         self._handlers: dict[type, Callable[[float, Any], None]] = {
             Listed: self._on_list, Request: self._on_request, Ended: self._on_end, Left: self._on_left,
-            Due: self._on_due, Purged: self._purges.told, Peers: self._on_peers,
-            Terms: self._on_terms, Piece: self._on_piece}
+            Due: self._on_due, Purged: self._purges.told, Peers: self._on_settings,
+            Terms: self._on_terms, Piece: self._on_piece, Reconfigured: self._on_settings}
 
     def handle(self, now: float, event: Event) -> list[Action]:
         """Takes one event; returns what is to be done, in order. Streams go on by themselves."""
@@ -436,10 +436,37 @@
             handler(now, event)
         return self._out
 
-    def _shares(self) -> None:
-        zone, directors = self._set.zone, self._set.zone_directors
-        self._zone_share = 1.0 / max(1, directors[zone] if 0 <= zone < len(directors) else self._set.fleet)
+    def _take_over(self, now: float, settings: Settings) -> None:
+        """All that follows from the settings; what is learned is kept."""
+        self._set = settings
+        self._pace = settings.client_pace if settings.client_pace > 0 else math.inf
+        self._shortest = max(TICK, min(cls.aim for cls in settings.classes))
+        self._pause = PAUSE * max(settings.connect_timeout, 1.0)
+        zone, links, directors = settings.zone, settings.zone_link, settings.zone_directors
+        self._zone_share = 1.0 / max(1, directors[zone] if 0 <= zone < len(directors) else settings.fleet)
         self._crowded_at = CROWDED[0] + (CROWDED[1] - CROWDED[0]) * self._zone_share  # others add work unseen
+        self._link_size = (links[zone] if 0 <= zone < len(links) else 0.0) / self._pace  # transfers at once
+        self._popularity.change(now, HALF_LIFE * max(settings.warm_up, settings.purge_done))
+        self._cold_caches.change(settings.cold_from, settings.warm_up, settings.fall_multiple)
+        self._cold_parents.change(settings.parent_cold_from, settings.parent_warm_up,
+                                  settings.parent_fall_multiple)
+        self._purges.change(now, settings.purge_done * PURGE_MARGIN + settings.purge_grace)
+        known = {kind: mean for kind, mean in enumerate(self._mean_work) if mean[0]}
+        self._mean_work = [known.get(kind, [0.0, cls.aim]) for kind, cls in enumerate(settings.classes)]
+        self._answered += [[1.0] * 4 for _ in settings.classes[len(self._answered):]]
+        self._rings()
+
+    def _on_settings(self, now: float, event: Reconfigured | Peers) -> None:
+        """Other settings, or other numbers of directors, hold from now on. Open requests keep their class."""
+        settings = event.settings if isinstance(event, Reconfigured) else replace(
+            self._set, fleet=event.fleet, zone_directors=event.by_zone)
+        nodes = [self._listed[node] for node in self._loads if node in self._listed]
+        link, bears = (self._link_size, self._zone_share), [self._bears(node) for node in nodes]
+        self._take_over(now, settings)
+        self._link.change(link, (self._link_size, self._zone_share), self._shortest)
+        for node, before in zip(nodes, bears, strict=True):
+            self._loads[node.node].change(before, self._bears(node), self._shortest)
+        self._origin.span = self._shortest
 
     def _on_terms(self, now: float, event: Terms) -> None:
         """A part of what cold nodes bear, and of retries, is ours; the rest comes in pieces."""
@@ -463,15 +490,6 @@
             rule, later = cold.rule(now, node, size), cold.rule(now + 1000.0, node, size)
             self._out.append(Want(node.node, work, rule, later - rule, share, cold is self._cold_caches))
 
-    def _on_peers(self, now: float, event: Peers) -> None:
-        """Our share of links and nodes is another one; what was learned of them is kept in proportion."""
-        before = self._zone_share
-        self._set = replace(self._set, fleet=event.fleet, zone_directors=event.by_zone)
-        self._shares()
-        for load in (self._link, *self._loads.values()):
-            load.carries = max(1.0, load.carries * self._zone_share / before)
-        self._link.room = Load.of(self._link_size, self._zone_share, self._shortest).room
-
     def _on_list(self, now: float, event: Listed) -> None:
         if event.form is ListKind.FAILED:
             return
@@ -484,10 +502,8 @@
             if known is not None and node.started != known.started:
                 self._cache_health.pop(node.node, None)
                 self._source_health.pop(node.node, None)
-            if node.state is NodeState.GONE:
-                self._listed.pop(node.node, None)
-            else:
-                self._listed[node.node] = node
+            self._listed[node.node] = node
+        self._listed = {key: node for key, node in self._listed.items() if node.state is not NodeState.GONE}
         self._forget()
         self._rings()
 
@@ -542,11 +558,8 @@
         look = not held.cls.never_kept and (look or self._link_crowded(now, held))
         if held.missed and (look or held.spares):
             return False
-        for node in self._cache_choices(now, held):
-            for source in (node,) if look else self._source_choices(now, held, node):
-                if self._leave(now, held, node, source):
-                    return True
-        return False
+        return any(self._leave(now, held, node, source) for node in self._cache_choices(now, held)
+                   for source in ((node,) if look else self._source_choices(now, held, node)))
 
     def _cache_choices(self, now: float, held: Held) -> Iterator[NodeId]:
         """The home, spread for a hot object, then the rest in hash order; doubtful caches come last."""
@@ -585,22 +598,18 @@
     def _link_crowded(self, now: float, held: Held) -> bool:
         """Whether the answer would come too late if it had to be filled."""
         late = self._wait + held.work * self._link.pace(now) > self._bearable(held)
-        if late:
-            self._wait *= 1 - LEARN  # each request held off lets the next ones try a little sooner
+        self._wait *= 1 - LEARN * late  # each request held off lets the next ones try a little sooner
         return late
 
     def _has_copy(self, now: float, held: Held, node: NodeId) -> bool:
         """Whether the cache probably holds the object, as this director had it kept there lately."""
         request = held.request
         since = self._copies.get((request.key, request.part, node), -math.inf)
-        purged = self._purges.limit(now, request.key, request.group)
-        late = now - since > min(KEPT_FOR * self._set.warm_up, purged)
-        return not late and since >= self._caches.nodes[node].started
+        lasts = min(KEPT_FOR * self._set.warm_up, self._purges.limit(now, request.key, request.group))
+        return now - since <= lasts and since >= self._caches.nodes[node].started
 
     def _spread(self, key: int, caches: int) -> int:
         """Over how many caches an object of the top set goes, by its heat against a cache's fair share."""
-        if self._popularity.fresh() or not self._popularity.admitted(key):
-            return 1
         return 1 + int(self._popularity.byte_share(key) * caches / SPREAD_AT)
 
     @staticmethod
@@ -653,11 +662,10 @@
         return True
 
     def _load(self, node: NodeId) -> Load:
-        load = self._loads.get(node)
-        if load is None:
+        if node not in self._loads:
             size, share = self._bears(self._listed[node]) if node in self._listed else (1.0, 1.0)
-            load = self._loads[node] = Load.of(size, share, self._shortest)
-        return load
+            self._loads[node] = Load.of(size, share, self._shortest)
+        return self._loads[node]
 
     def _may_repeat(self, now: float, held: Held, cache: Node) -> bool:
         """Danger: an effect that happens twice."""
@@ -695,11 +703,9 @@
 
     def _on_end(self, now: float, event: Ended) -> None:
         held = self._held.get(event.req)
-        if held is None or event.attempt >= len(held.attempts):
+        if held is None or event.attempt >= len(held.attempts) or not held.attempts[event.attempt].pending:
             return
         attempt = held.attempts[event.attempt]
-        if not attempt.pending:
-            return
         self._ended(held, attempt)
         self._judge(now, held, attempt, event)
         if event.closed or event.outcome is Outcome.OK:
@@ -708,7 +714,7 @@
             self._count(held, event.outcome is Outcome.OK)
             self._close(held)
             return
-        attempt.may_have_run = event.outcome not in _RAN_NOT
+        attempt.may_have_run = event.outcome not in NOT_RUN
         held.missed |= event.outcome is Outcome.MISS
         # What no cache has seen adds no work when it is tried again; a break is made good once a request.
         free = event.outcome in _UNSEEN or (event.outcome is Outcome.RESET and len(held.attempts) == 1)
@@ -761,6 +767,7 @@
             if not held.told and note in (Note.HIT, Note.NONE):
                 self._learn_work(held.request.kind, event.took)
             if note == Note.HIT:
+                attempt.budget[1] = 0.0  # it never reached the parent
                 attempt.load.felt(now, event.took, held.work)
                 if not self._set.weighted and held.work > 0:
                     attempt.load.learn(attempt.beside, event.took / held.work)
@@ -774,8 +781,6 @@
                 for place, load in enumerate(ways):
                     others = max(felt[:place] + felt[place + 1:])
                     load.felt(now, came, max(held.work, min(came, held.work * others)))
-            elif note == Note.HIT:
-                attempt.budget[1] = 0.0  # it never reached the parent
             if note in (Note.FILLED, Note.FILLED_BY_ORIGIN) or (attempt.fills and not note):  # untold
                 self._source_health[attempt.source].good(now)
             return
@@ -786,8 +791,9 @@
             self._cache_health[attempt.node].good(now)
             if note == Note.SOURCE_BROKE:
                 self._bad(self._source_health, attempt.source, now, attempt.sent, 1)
-        elif outcome is Outcome.CONNECT_FAILED:
-            self._bad(self._cache_health, attempt.node, now, attempt.sent, SILENT_AFTER)
+        elif outcome in (Outcome.CONNECT_FAILED, Outcome.ERROR):
+            marks = SILENT_AFTER if outcome is Outcome.CONNECT_FAILED else 1
+            self._bad(self._cache_health, attempt.node, now, attempt.sent, marks)
         elif outcome is Outcome.RESET:  # danger: a cache ejected for one connection, with all that was on it
             health = self._cache_health[attempt.node]
             if attempt.sent > health.broke:
@@ -795,8 +801,6 @@
                 self._bad(self._cache_health, attempt.node, now, attempt.sent, BREAK_MARK)
             if health.usable(now):
                 held.tried.discard(attempt.node)  # it may well hold the object, unlike the next one
-        elif outcome is Outcome.ERROR:
-            self._bad(self._cache_health, attempt.node, now, attempt.sent, 1)
 
     def _copied(self, now: float, copy: tuple[int, int, NodeId]) -> None:
         """Notes where a copy is; those too old to be thought there any more go first."""
--- a/stonecove/explore/fingerprint.py
+++ b/stonecove/explore/fingerprint.py
@@ -67,10 +67,12 @@
             "_budget": WIRING,
             "_most": FIXED,
             "_bytes_per_kb": FIXED,
+            "_classes": FIXED,
+            "_pace": FIXED,
         },
     ),
     Book: ("", {"_clock": WIRING, "_admit": WIRING, "_post": WIRING, "counts": SAID}),
-    relay.Relay: ("", {"_settings": FIXED, "_book": WIRING}),
+    relay.Relay: ("", {"_report_fields": FIXED, "_book": WIRING}),
     send.Send: (
         "most_links _links _where",
         {
@@ -92,7 +94,7 @@
     requests.OpenRequests: ("_open _txns", {"_next": "numbers are told by place"}),
     requests.OpenRequest: (
         "asked deadline holds answered backstop expired attempts",
-        {"req": "numbers are told by place"},
+        {"req": "numbers are told by place", "cls": "that of the settings, which stay as they are here"},
     ),
     requests.Attempt: (
         "number order ordered_at written_at outdated ended not_run moved alarm",
@@ -191,7 +193,7 @@
     ),
     choice.Purges: (
         "_moments",
-        {"_lasts": FIXED, "_next_sweep": "when what is over is dropped; it has no effect"},
+        {"_lasts": FIXED, "_wanted": FIXED, "_next_sweep": "when what is over is dropped; it has no effect"},
     ),
     choice.Popularity: (
         "_table _total _bytes _origin _seen _rebuild_at _least _cuts",
--- a/stonecove/explore/reach.py
+++ b/stonecove/explore/reach.py
@@ -60,6 +60,11 @@
         "_on_list|_on_request|Director.__init__|handle",
         "lists by asking and unknown classes, which the simulator alone has",
     ),
+    (
+        "choice.py",
+        "change|_take_over|_on_settings",
+        "settings that change, and numbers of directors: tests/test_reconfigured.py",
+    ),
     ("choice.py", "_leave|_may_repeat|_copy_wanted", "cold budgets, no second copies, stale times"),
     ("choice.py", "_on_end", "guards against late events, which the stages never send"),
     ("exchange.py", "__init__", "bad requests: tests/test_router.py"),
@@ -95,6 +100,7 @@
         "",
         "a whole core is never overdrawn by waiting in the scopes; the load day plays it",
     ),
+    ("", "reconfigure", "settings that change: tests/test_settings_change.py"),
     ("", "__len__|line|stats", "counts told to people"),
 )
 
--- a/stonecove/explore/seeds.py
+++ b/stonecove/explore/seeds.py
@@ -389,7 +389,7 @@
         "error-proves-nothing-ran",
         choice.Director,
         "_on_end",
-        "attempt.may_have_run = event.outcome not in _RAN_NOT",
+        "attempt.may_have_run = event.outcome not in NOT_RUN",
         "attempt.may_have_run = event.outcome is Outcome.TIMEOUT",
         ("confirm", "keyed"),
         "no-repeat",
--- a/stonecove/interface.py
+++ b/stonecove/interface.py
@@ -224,6 +224,16 @@
     by_zone: tuple[int, ...]
 
 
+class Reconfigured(NamedTuple):
+    """Other settings hold from now on, in which classes may only have been appended.
+
+    `zone`, the two kinds, `client_pace`, `fall_window` and `list_by_asking` are those of the start. Requests
+    that are open keep what their class was.
+    """
+
+    settings: Settings
+
+
 class Probed(NamedTuple):
     """The result of a probe."""
 
@@ -252,7 +262,9 @@
     until: float
 
 
-Event = Listed | Request | Ended | Started | Left | Due | Purged | Probed | Peers | Terms | Piece
+Event = (
+    Listed | Request | Ended | Started | Left | Due | Purged | Probed | Peers | Reconfigured | Terms | Piece
+)
 
 
 class How(IntEnum):
--- a/stonecove/memory/requests.py
+++ b/stonecove/memory/requests.py
@@ -5,7 +5,7 @@
 from collections.abc import Iterator
 from dataclasses import dataclass, field
 
-from stonecove.interface import Get
+from stonecove.interface import ClassSettings, Get
 from stonecove.runtime.timers import Alarm
 from stonecove.exchange import ClientRequest
 
@@ -32,6 +32,7 @@
 
     req: int
     asked: ClientRequest
+    cls: ClassSettings  # as it was when the request was taken in
     deadline: float
     holds: int = 0  # bytes that are set aside for it and its answer
     answered: bool = False
@@ -54,10 +55,10 @@
     def __iter__(self) -> Iterator[OpenRequest]:
         return iter(list(self._open.values()))
 
-    def add(self, asked: ClientRequest, deadline: float, holds: int) -> OpenRequest:
+    def add(self, asked: ClientRequest, cls: ClassSettings, deadline: float, holds: int) -> OpenRequest:
         """Takes a request in, under a new number below 2^32."""
         self._next = self._next % 0xFFFFFFFF + 1
-        request = self._open[self._next] = OpenRequest(self._next, asked, deadline, holds)
+        request = self._open[self._next] = OpenRequest(self._next, asked, cls, deadline, holds)
         self._txns[asked.txn] = request
         return request
 
--- a/stonecove/stages/admit.py
+++ b/stonecove/stages/admit.py
@@ -28,6 +28,15 @@
         """The pace is that of one transfer, in bytes a second; 0 if it is not told."""
         self.cpu = CpuCredit()
         self._random = random.Random(seed)
+        self._requests = requests
+        self._budget = budget
+        self._pace = pace
+        self.latest = float("inf")  # once the router stops, all is answered by this Unix millisecond
+        self.reconfigure(settings)
+
+    def reconfigure(self, settings: Settings) -> None:
+        """These settings hold for requests that come from now on."""
+        self._classes = settings.classes
         self._longest_pause = settings.longest_pause if settings.may_pause else 0.0
         mean = sum(cls.worth for cls in settings.classes) / max(1, len(settings.classes))
         self._priority = [min(2.0, cls.worth / mean) if mean > 0 else 1.0 for cls in settings.classes]
@@ -35,12 +44,10 @@
             max(LEAST_PATIENCE, PATIENCE * priority * cls.aim)
             for priority, cls in zip(self._priority, settings.classes, strict=True)
         ]
-        self._requests = requests
-        self._budget = budget
         self._longest = max(LONGEST, *(cls.deadline for cls in settings.classes))
         self._most = min(settings.most_held, MOST_OPEN)
-        self._bytes_per_kb = pace / settings.client_pace if settings.client_pace > 0 and pace > 0 else 1000.0
-        self.latest = float("inf")  # once the router stops, all is answered by this Unix millisecond
+        told = settings.client_pace > 0 and self._pace > 0
+        self._bytes_per_kb = self._pace / settings.client_pace if told else 1000.0
 
     def enter(self, now: float, asked: ClientRequest) -> OpenRequest | None:
         """The request, now open; None if there is no room for it and its answer."""
@@ -49,7 +56,7 @@
             return None
         self._budget.take(holds)
         deadline = min(now + max(1.0, min(asked.ttl, self._longest) - MARGIN), self.latest)
-        return self._requests.add(asked, deadline, holds)
+        return self._requests.add(asked, self._classes[asked.kind], deadline, holds)
 
     def too_much(self, now: float, since: float, kind: int) -> bool:
         """Whether a request that came then is to be refused, as there is more to do than we can.
--- a/stonecove/stages/relay.py
+++ b/stonecove/stages/relay.py
@@ -56,8 +56,12 @@
     """The way back to the client."""
 
     def __init__(self, settings: Settings, book: Book) -> None:
-        self._settings = settings
         self._book = book
+        self.reconfigure(settings)
+
+    def reconfigure(self, settings: Settings) -> None:
+        """These settings hold from now on; each request keeps the class it came under."""
+        self._report_fields = settings.report_fields
 
     def answer(self, request: OpenRequest, answer: Answer) -> None:
         """The final answer; only the first counts."""
@@ -85,7 +89,7 @@
             return "an error with bytes" if reply.body else ""
         if len(reply.body) > MOST_BODY:
             return f"an answer of {len(reply.body)} bytes"
-        kept = not self._settings.classes[attempt.request.asked.kind].never_kept
+        kept = not attempt.request.cls.never_kept
         tag, born = (reply.fields.get(name, "") for name in ("ver", "born"))
         if kept and not (_TAG.fullmatch(tag) and _number(born)):
             return "a copy without a tag or an age"
@@ -119,8 +123,7 @@
 
     def _wrong(self, attempt: Attempt, reply: Reply) -> str:
         """What is wrong with an answer that says ok. Guards against passing on a copy that won't do."""
-        asked = attempt.request.asked
-        cls = self._settings.classes[asked.kind]
+        asked, cls = attempt.request.asked, attempt.request.cls
         if reply.word == "304" and (not asked.seen or reply.fields.get("ver") != asked.seen):
             return "unchanged, but not the client's copy"
         if reply.word == "304" and reply.body:
@@ -142,5 +145,5 @@
         Guards against a figure that can't be read passing for an idle cache.
         """
         told = dict(pair.split(":", 1) for pair in meter.split(";") if ":" in pair)
-        figures = [_number(told.get(name, "")) for name in self._settings.report_fields]
+        figures = [_number(told.get(name, "")) for name in self._report_fields]
         return tuple(figure for figure in figures if figure is not None) if None not in figures else ()
--- a/stonecove/stages/route.py
+++ b/stonecove/stages/route.py
@@ -21,6 +21,7 @@
     Log,
     Outcome,
     Purged,
+    Reconfigured,
     Refuse,
     Request,
     Settings,
@@ -90,6 +91,19 @@
         """What is done with actions of a kind that only some installations have."""
         self._carry[action] = call
 
+    def reconfigure(self, settings: Settings) -> None:
+        """These settings hold from now on, everywhere in one step; not to be called from within a decision.
+
+        What was taken in before is decided by the settings before: guards against a request that is decided
+        as of a class that it was not checked for.
+        """
+        while self.decide():
+            pass
+        self.post(Reconfigured(settings))
+        self.admit.reconfigure(settings)
+        self.relay.reconfigure(settings)
+        self.send.reconfigure(settings)
+
     # -- what comes in --
 
     def asked(self, asked: ClientRequest) -> OpenRequest | None:
--- a/stonecove/stages/send.py
+++ b/stonecove/stages/send.py
@@ -175,7 +175,8 @@
         relay: Relay,
         connect: Connect,
     ) -> None:
-        self._clock, self._timers, self._nodes, self._settings = clock, timers, nodes, settings
+        self._clock, self._timers, self._nodes = clock, timers, nodes
+        self._settings = settings
         self._book, self._relay, self._connect = book, relay, connect
         self.most_links = 0
         # whether what was decided of an attempt does not hold any more, where shares are leased
@@ -186,6 +187,10 @@
         self._where: dict[Attempt, Link] = {}
         self._timers.at(clock.now() + SWEEP, self._sweep)
 
+    def reconfigure(self, settings: Settings) -> None:
+        """These settings hold from now on, for connections that are open as well."""
+        self._settings = settings
+
     def links(self) -> int:
         """How many connections there are."""
         return sum(map(len, self._links.values()))
@@ -237,9 +242,7 @@
         requests there.
         """
         node, txn = attempt.order.node, attempt.request.asked.txn
-        shares = self._settings.handshakes_priced and (
-            self._settings.classes[attempt.request.asked.kind].effect is Effect.SAFE
-        )
+        shares = self._settings.handshakes_priced and attempt.request.cls.effect is Effect.SAFE
         few = min(SHARED, self._settings.streams) if shares else 1
         silence = SILENT * max(self._settings.connect_timeout, 100.0)
         address, links = self._nodes.address(node), self._links.get(node, [])
@@ -315,7 +318,7 @@
 
         Whichever was ordered first: the other may have been written before it.
         """
-        cls = self._settings.classes[attempt.request.asked.kind]
+        cls = attempt.request.cls
         return cls.effect is Effect.KEYED and any(
             other.written_at and not other.not_run and self._clock.now() - other.written_at >= cls.window
             for other in attempt.request.attempts
--- a/stonecove/wire/front.py
+++ b/stonecove/wire/front.py
@@ -75,6 +75,10 @@
         self.ready = False
         self.desk: Desk | None = None  # where tokens are checked, if the operator wants it here too
 
+    def reconfigure(self, settings: Settings) -> None:
+        """These settings hold for requests that are whole from now on."""
+        self._intake = Intake(settings)
+
     def request(self, connection: Session, ident: int, params: dict[str, str], body: bytes, bad: str) -> bool:
         """A request has come in; says whether it could be taken."""
         path = params.get("SCRIPT_NAME", "") + params.get("PATH_INFO", "")
--- a/stonecove/wire/httpfront.py
+++ b/stonecove/wire/httpfront.py
@@ -17,7 +17,7 @@
 from stonecove.exchange import Answer, ClientRequest, BadRequestError, Verdict
 from stonecove.runtime.clock import Clock
 from stonecove.runtime.log import log_some
-from stonecove.interface import Settings
+from stonecove.interface import ClassSettings, Settings
 from stonecove.memory.requests import OpenRequest
 from stonecove.stages.intake import Intake
 from stonecove.stages.route import Route
@@ -44,12 +44,16 @@
         self, settings: Settings, route: Route, clock: Clock, desk: Desk | None, scheme: str
     ) -> None:
         """Without a desk, nothing is asked of anybody."""
-        self._settings, self._route, self._clock = settings, route, clock
-        self._intake = Intake(settings)
-        self._kinds = {cls.name: cls for cls in settings.classes}
+        self._route, self._clock = route, clock
         self.desk = desk
         self._scheme = scheme
         self.ready = False
+        self.reconfigure(settings)
+
+    def reconfigure(self, settings: Settings) -> None:
+        """These settings hold for requests that are whole from now on."""
+        self._intake = Intake(settings)
+        self._kinds = {cls.name: cls for cls in settings.classes}
 
     def door(self, request: HttpRequest, source: str) -> Decision | None:
         """What the head alone decides; None if nothing is asked of it. Raises BadRequestError."""
@@ -101,7 +105,7 @@
         }
         if key := request.fields.get("x-txn-key"):
             fields["X-Txn-Key"] = key
-        answer = partial(self._answer, request, decision, reply)
+        answer = partial(self._answer, request, known, decision, reply)
         asked: ClientRequest = self._intake.take(f"/svc/{cls}", fields, request.body, answer)
         asked.gone = partial(self.over, decision, ran=True)
         asked.client = decision.subject if decision is not None and decision.subject else source
@@ -114,12 +118,19 @@
         if decision is not None and self.desk is not None:
             self.desk.over(decision, ran)
 
-    def _answer(self, request: HttpRequest, decision: Decision | None, reply: Reply, answer: Answer) -> None:
+    def _answer(
+        self,
+        request: HttpRequest,
+        cls: ClassSettings,
+        decision: Decision | None,
+        reply: Reply,
+        answer: Answer,
+    ) -> None:
         self.over(decision, ran=answer.verdict is not Verdict.REFUSED)
-        reply(*self._made(request, decision, answer))
+        reply(*self._made(request, cls, decision, answer))
 
     def _made(
-        self, request: HttpRequest, decision: Decision | None, answer: Answer
+        self, request: HttpRequest, cls: ClassSettings, decision: Decision | None, answer: Answer
     ) -> tuple[int, Fields, bytes]:
         """Status, fields and body of an answer."""
         if answer.verdict is Verdict.REFUSED:
@@ -127,7 +138,6 @@
         if answer.verdict is Verdict.FAILED:
             return 502, [("Cache-Control", "no-store")], b""
         fields: Fields = []
-        cls = self._kinds[request.path.split("/")[2]]
         if cls.never_kept:
             fields.append(("Cache-Control", "no-store"))
         else:
