--- a/stonecove/commands/members.py
+++ b/stonecove/commands/members.py
@@ -172,6 +172,19 @@
         click.echo(f"  {name} {value}")
 
 
+@members.command("configuration")
+@click.pass_context
+def configuration_command(context: click.Context) -> None:
+    """Tell which version of the settings is in force, and what was refused last."""
+    answer = ask(context, "configuration")["configuration"]
+    click.echo(f"version {answer['version']} in force since {_moment(answer['in_force_since_ms'])}")
+    if answer["refused"] is not None:
+        version = answer["refused"]["version"]
+        click.echo(
+            f"refused {'a file' if version is None else f'version {version}'}: {answer['refused']['why']}"
+        )
+
+
 @members.command("fleet")
 @click.pass_context
 def fleet_command(context: click.Context) -> None:
--- a/stonecove/lifecycle/config.py
+++ b/stonecove/lifecycle/config.py
@@ -40,6 +40,7 @@
     settings: Settings
     peers: tuple[str, ...] = ()  # addresses of the other routers, as they are told
     peer_listen: str = ""
+    version: int = 0  # of the settings, where who writes the file counts its changes
 
 
 def address_of(text: Any) -> tuple[str, int]:
@@ -50,6 +51,11 @@
     return host, int(port)
 
 
+def _version(told: Any) -> int:
+    """The version, where one is told. It decides nothing: guards against a start that fails for it."""
+    return told if isinstance(told, int) and not isinstance(told, bool) and told >= 0 else 0
+
+
 def config_from(table: dict[str, Any], env: Mapping[str, str]) -> Config:
     """The typed configuration; the environment names the listening address if the table does not."""
     try:
@@ -71,6 +77,7 @@
             # read by the swarm alone: guards against a start that fails for what nobody uses
             peers=tuple(map(str, peers)) if isinstance(peers, (list, tuple)) else (),
             peer_listen=str(table.get("peer_listen") or ""),
+            version=_version(table.get("version")),
         )
     except KeyError as error:
         raise ConfigError(f"the configuration lacks {error}") from error
--- a/stonecove/lifecycle/leases.py
+++ b/stonecove/lifecycle/leases.py
@@ -107,6 +107,7 @@
         self._asked_at: dict[tuple[str, str, str], float] = {}
         self._send, self._outgoing = trio.open_memory_channel[dict[str, Any]](MOST_WAITING)
         self._here = False
+        self._talking = trio.CancelScope()
         self._own = file.own
         self._scale = 1.0  # of it, as long as the routers among themselves say so
         route.carries(Want, self._want)
@@ -128,6 +129,16 @@
             await trio.sleep(left)
         self._post_terms()
 
+    def objection(self, settings: Settings) -> str:
+        """There is none: what is lent goes by the parts that we tell."""
+        return ""
+
+    def reconfigure(self, settings: Settings) -> None:
+        """These settings hold from now on; the lessor is told other parts in a new connection."""
+        before, self._settings = self._settings, settings
+        if parts_of(before) != parts_of(settings):
+            self._talking.cancel()
+
     def scale(self, part: float) -> None:
         """The own part counts by so much: the share that it is a part of is not wholly ours.
 
@@ -247,6 +258,7 @@
         try:
             await stream.send_all(json.dumps(hello).encode() + b"\n")
             async with trio.open_nursery() as nursery:
+                self._talking = nursery.cancel_scope
                 nursery.start_soon(self._write, stream)
                 data = b""
                 async for part in stream:
--- a/stonecove/lifecycle/members.py
+++ b/stonecove/lifecycle/members.py
@@ -12,6 +12,7 @@
 import socket
 import stat
 from collections.abc import Callable
+from dataclasses import replace
 from functools import partial
 from pathlib import Path
 from typing import Any
@@ -21,7 +22,7 @@
 from stonecove.runtime.clock import Clock
 from stonecove.runtime.log import log
 from stonecove.runtime.unix import accept_all, bound
-from stonecove.interface import NodeId, NodeState, Peers
+from stonecove.interface import NodeId, NodeState, Peers, Settings
 from stonecove.lifecycle.config import Config
 from stonecove.lifecycle.coordination import Coordination, Spawn, connection_of, rules_of
 from stonecove.membership import Member, MembersUpdate, PurgeUpdate, Told, presence
@@ -82,6 +83,7 @@
         self._next: Coordination | None = None  # takes over once it has read its list
         self.sized: Callable[[Peers], None] = route.post  # told of the fleet's size, where it is derived
         self.also: dict[str, Callable[[list[str]], dict[str, Any]]] = {}  # others who answer on the socket
+        self._peers: Peers | None = None  # the fleet's size that was derived last
         self._taken_at = 0.0  # when our name was found to be taken, in trio's seconds
         if self.operator.zookeeper is not None:
             self._coordination = self._coordinate(self.operator)
@@ -157,6 +159,24 @@
         self.merge.say(self._log_source, True, now)
         self.settle()
 
+    def objection(self, settings: Settings) -> str:
+        """Why these settings can't be taken over: records in ZooKeeper are read by the names of the start."""
+        names = Names(settings.zones, settings.kinds)
+        if self.operator.zookeeper is None or names == self.names:
+            return ""
+        field = "zones" if names.zones != self.names.zones else "kinds"
+        return f"{field}: other names need a restart beside sources.zookeeper, whose records are read by them"
+
+    def reconfigure(self, settings: Settings) -> None:
+        """These settings hold from now on."""
+        self.names = Names(settings.zones, settings.kinds)
+        self.config = replace(self.config, settings=settings)
+
+    def counted(self) -> Peers | None:
+        """The routers that the coordination service lists; None where the settings say how many."""
+        presence_record = self.operator.presence
+        return self._peers if presence_record is not None and presence_record.derived else None
+
     def reload(self, config: Config) -> None:
         """Reads the operator's file anew, and takes it over whole or not at all."""
         self.config = config
@@ -370,7 +390,8 @@
                 "fleet-size", fleet=size.fleet, by_zone=",".join(map(str, size.by_zone)), used=one.own.derived
             )
             if one.own.derived:
-                self.sized(Peers(size.fleet, size.by_zone))
+                self._peers = Peers(size.fleet, size.by_zone)
+                self.sized(self._peers)
 
     def _retry_name(self, one: Coordination) -> None:
         if one.registrar is None or not one.registrar.taken:
--- a/stonecove/lifecycle/serve.py
+++ b/stonecove/lifecycle/serve.py
@@ -11,12 +11,14 @@
 import socket
 import sys
 from collections.abc import AsyncIterator, Awaitable, Callable
+from dataclasses import replace
 from functools import partial
 from pathlib import Path
 from typing import TYPE_CHECKING
 
 import trio
 
+from stonecove.interface import Peers, Settings
 from stonecove.runtime.clock import Clock
 from stonecove.runtime.timers import Timers
 from stonecove.lifecycle.config import Config, ConfigError, read_config
@@ -35,6 +37,7 @@
     from stonecove.lifecycle.http import HttpListener
     from stonecove.lifecycle.leases import Leases
     from stonecove.lifecycle.members import Members
+    from stonecove.lifecycle.reconfigure import Reconfigure
     from stonecove.lifecycle.swarm import SwarmKeeper
     from stonecove.operator.records import Operator
 
@@ -132,11 +135,57 @@
             self._swarm = SwarmKeeper(record, config, datagrams, self._route, self._clock, self._leases)
             self._members.sized = self._swarm.present
             self._members.also["swarm"] = self._swarm.answer
-        longest = max(cls.deadline for cls in config.settings.classes) / 1000.0
+        self._reconfigure: Reconfigure | None = None
+        self._follow_settings()
+        self._time_drain(config.settings)
+
+    def _time_drain(self, settings: Settings) -> None:
+        """How long a drain may take: SIGKILL comes by the longest deadline."""
+        longest = max(cls.deadline for cls in settings.classes) / 1000.0
         kill = min(longest, LONGEST_COUNTED) + KILL_AFTER  # seconds after SIGTERM, as is:
         self._last_answer = max(kill - KILL_MARGIN, min(GRACE, kill - LEAST_MARGIN))
         self._last_write = min(LAST_WRITE, kill - LEAST_MARGIN / 2 - self._last_answer)
 
+    def _follow_settings(self) -> None:
+        """Settings are taken over while we run, if the operator's file says so."""
+        members = self._members
+        record = members.operator.configuration if members is not None else None
+        if members is None or record is None or not record.settings:
+            self._reconfigure = None
+            if members is not None:
+                members.also.pop("configuration", None)
+        elif self._reconfigure is None:
+            from stonecove.lifecycle.reconfigure import Reconfigure
+
+            others = [one for one in (self._leases, self._swarm) if one is not None]
+            self._reconfigure = Reconfigure(
+                self._config.settings,
+                self._config.version,
+                self._route,
+                [self, members, *others],
+                self._counted,
+                self._clock.now,
+            )
+            members.also["configuration"] = self._reconfigure.answer
+
+    def _counted(self) -> Peers | None:
+        """How many routers there are, where that is counted."""
+        if self._swarm is not None:
+            return self._swarm.counted()
+        return self._members.counted() if self._members is not None else None
+
+    def objection(self, settings: Settings) -> str:
+        """There is none to other settings here."""
+        return ""
+
+    def reconfigure(self, settings: Settings) -> None:
+        """These settings hold from now on, at the fronts and for the drain."""
+        self._config = replace(self._config, settings=settings)
+        self._front.reconfigure(settings)
+        if self._http is not None:
+            self._http.front.reconfigure(settings)
+        self._time_drain(settings)
+
     def _more_fronts(self, operator: Operator) -> None:
         """Tokens and the HTTP front, where the operator's file has them; raises OSError or AccessError."""
         settings = self._config.settings
@@ -298,7 +347,10 @@
             config = read_config()
         except ConfigError as error:
             log("reload-refused", why=str(error))
+            if self._reconfigure is not None:
+                self._reconfigure.refuse(str(error))
             return
+        taken = self._take_settings(config, self._reconfigure) if self._reconfigure is not None else {}
         fixed = [
             name
             for name in ("name", "listen", "pace", "settings")
@@ -311,14 +363,27 @@
             memory_mb=config.memory_mb,
             cores=config.cores,
             waits_for_restart=",".join(fixed) or "nothing",
+            **taken,
         )
         self._limit(config)
         self._changelog.move(*config.changelog)
         if self._members is not None:
-            self._members.reload(config)
+            self._members.reload(replace(config, settings=self._config.settings))
+            self._follow_settings()
         if self._operator is not None and (self._access is not None or self._http is not None):
             self._reload_fronts(self._operator)
 
+    @staticmethod
+    def _take_settings(config: Config, reconfigure: Reconfigure) -> dict[str, object]:
+        """Puts the settings of a file in force, or tells why not; what the log line says of it."""
+        from stonecove.lifecycle.reconfigure import SettingsRefused
+
+        try:
+            reconfigure.apply(config.settings, config.version)
+        except SettingsRefused as error:
+            return {"settings": f"refused: {error}", "version": reconfigure.version}
+        return {"settings": "in-force", "version": reconfigure.version}
+
     def _reload_fronts(self, path: Path) -> None:
         """Keys, policies, revocations and certificates, each whole or not at all."""
         from stonecove.operator.grammar import OperatorError
--- a/stonecove/lifecycle/swarm.py
+++ b/stonecove/lifecycle/swarm.py
@@ -18,7 +18,7 @@
 
 from stonecove.runtime.clock import Clock
 from stonecove.runtime.log import log, log_some
-from stonecove.interface import Peers, Terms
+from stonecove.interface import Peers, Settings, Terms
 from stonecove.lifecycle.config import Config, ConfigError, address_of
 from stonecove.lifecycle.leases import Leases
 from stonecove.memory.requests import Attempt
@@ -95,7 +95,7 @@
         self._counted = record.counted
         self._slots = {address_of(text): slot for slot, text in enumerate(config.peers)}
         self._addresses = list(self._slots)
-        settings = config.settings
+        self._settings = settings = config.settings
         self._socket = datagrams
         now, unix = time.monotonic(), clock.now()
         figures, routers = figures_of(record), max(settings.fleet, len(self._slots) + 1)
@@ -132,6 +132,23 @@
         self._flush()
         self._socket.close()
 
+    def objection(self, settings: Settings) -> str:
+        """Why these settings can't be taken over: the sum of all shares rests on one number of routers."""
+        if not settings.may_message:
+            return "may_message: the swarm goes by messages between routers"
+        for name in ("fleet", "zone_directors"):
+            if self._counted and getattr(settings, name) != getattr(self._settings, name):
+                return f"{name}: needs a restart: the swarm's shares are made for that of the start"
+        return ""
+
+    def reconfigure(self, settings: Settings) -> None:
+        """These settings hold from now on."""
+        self._settings = settings
+
+    def counted(self) -> Peers | None:
+        """The routers that count; None where the settings say how many."""
+        return self._told[1] if self._told is not None else None
+
     def present(self, peers: Peers) -> None:
         """A coordination service counts so many routers: where both count, the greater number holds.
 
--- a/stonecove/operator/records.py
+++ b/stonecove/operator/records.py
@@ -212,6 +212,13 @@
     refusals_prove: bool
 
 
+@dataclass(frozen=True, slots=True)
+class ConfigurationRecord:
+    """What a running router takes over beyond the platform's rules."""
+
+    settings: bool  # the settings, on SIGHUP
+
+
 @dataclass(frozen=True, slots=True)
 class Operator:
     """The whole file."""
@@ -224,6 +231,7 @@
     access: Access | None = None
     http: Http | None = None
     swarm: SwarmRecord | None = None
+    configuration: ConfigurationRecord | None = None
 
 
 def _address(text: str) -> tuple[str, int]:
@@ -320,6 +328,7 @@
         if "http" in table
         else None,
         swarm=_swarm(table["swarm"]) if "swarm" in table else None,
+        configuration=ConfigurationRecord(**table["configuration"]) if "configuration" in table else None,
         members=Members(
             members.get("socket", ""), members["nobody"] == "keep", members["trace"], members["batch"]
         ),
--- a/stonecove/operator/schema.cue
+++ b/stonecove/operator/schema.cue
@@ -17,6 +17,13 @@
 	http?: #Http
 	// Membership among the routers themselves, by datagrams to the `peers` of the platform's configuration.
 	swarm?: #Swarm
+	// What a running router takes over: docs/configuration.md.
+	configuration?: #Configuration
+}
+
+#Configuration: {
+	// SIGHUP takes the settings over as well, as a whole or not at all; otherwise they wait for a restart.
+	settings: *false | bool
 }
 
 #Swarm: {
--- /dev/null
+++ b/tests/test_settings_change.py
@@ -0,0 +1,333 @@
+"""Other settings for a router that runs: the real program, over loopback."""
+
+from __future__ import annotations
+
+import contextlib
+import copy
+import json
+import signal
+import socket
+import struct
+import subprocess
+import sys
+import threading
+import time
+from collections.abc import Callable, Iterator
+from pathlib import Path
+from typing import Any
+
+import pytest
+import trio
+from conftest import make_class, make_settings
+from stand import Stand
+
+from stonecove.interface import Effect, Peers, Settings
+from stonecove.lifecycle.reconfigure import Reconfigure, SettingsRefused
+from stonecove.memory.budget import Budget
+from stonecove.runtime.clock import Clock
+from stonecove.runtime.timers import Timers
+from stonecove.stages.route import Route
+
+FOLLOWS = "configuration: settings: true\n"
+
+
+@contextlib.contextmanager
+def running(folder: Path, operator: str = FOLLOWS, **settings: Any) -> Iterator[Stand]:
+    """A router with an operator's file; with none of its own if the text is empty."""
+    env = {}
+    if operator:
+        file = folder / "site.cue"
+        file.write_text(f'{operator}members: socket: "{folder}/members.sock"\n')
+        env = {"STONECOVE_OPERATOR": str(file)}
+    stand = Stand(env=env, **settings)
+    try:
+        yield stand
+    finally:
+        stand.close()
+
+
+def change(stand: Stand, edit: Callable[[dict[str, Any]], None], version: int | None = None) -> str:
+    """Has the router read a changed configuration; the line it tells of it."""
+    config = copy.deepcopy(stand.config)
+    edit(config["settings"])
+    if version is not None:
+        config["version"] = version
+    lines = len(told(stand))
+    stand.reload(json.dumps(config))
+    stand.wait(lambda: len(told(stand)) > lines, "a line of the reload")
+    return told(stand)[-1]
+
+
+def told(stand: Stand) -> list[str]:
+    return stand.lines("reloaded") + stand.lines("reload-refused")
+
+
+def status(folder: Path) -> dict[str, Any]:
+    with socket.socket(socket.AF_UNIX) as sock:
+        sock.connect(str(folder / "members.sock"))
+        sock.sendall(b"configuration\n")
+        answer: dict[str, Any] = json.loads(b"".join(iter(lambda: sock.recv(65_536), b"")))
+    return answer
+
+
+def nothing(settings: dict[str, Any]) -> None:
+    """No change."""
+
+
+def test_without_the_record_settings_wait_for_a_restart_as_ever(tmp_path: Path) -> None:
+    for operator in ("", "configuration: settings: false\n"):
+        with running(tmp_path, operator) as stand:
+            line = change(stand, lambda table: table["limits"].update(most_tries=1), version=3)
+            assert line.endswith("waits_for_restart=settings") and "version" not in line
+            client = stand.client()
+            client.send()
+            stand.command().reply("503", tell="")  # a second attempt is still allowed
+            stand.command().reply(body=b"x")
+            assert client.answer().body == b"x"
+
+
+def test_nothing_of_it_is_imported_without_the_record() -> None:
+    code = "import sys, stonecove.lifecycle.serve; sys.exit('stonecove.lifecycle.reconfigure' in sys.modules)"
+    assert subprocess.run([sys.executable, "-c", code], check=False).returncode == 0
+
+
+def test_new_settings_hold_for_new_requests_and_open_ones_keep_their_deadline(tmp_path: Path) -> None:
+    with running(tmp_path) as stand:
+        early = stand.client()
+        early.send(X_TTL_MS="9000")
+        first = stand.command()
+        assert status(tmp_path)["configuration"]["version"] == 0
+        line = change(
+            stand,
+            lambda table: (
+                table["limits"].update(most_tries=1),
+                table["classes"].append({"name": "film", "deadline": 9000.0, "on_time": 4000.0}),
+            ),
+            version=7,
+        )
+        assert "settings=in-force version=7" in line and "waits_for_restart=nothing" in line
+        found = status(tmp_path)["configuration"]
+        assert found["version"] == 7 and found["refused"] is None and found["in_force_since_ms"] > 1e12
+        late = stand.client()
+        late.send(path="/svc/film")
+        second = stand.command()
+        second.reply("503", tell="")
+        assert late.answer().status == 503  # no other attempt
+        assert second.fields["cls"] == "film"
+        assert int(first.fields["limit"]) > 8000
+        first.reply(body=b"early")
+        assert early.answer().body == b"early"
+
+
+def test_an_open_request_keeps_its_class_and_gets_one_answer(tmp_path: Path) -> None:
+    with running(tmp_path) as stand:
+        client = stand.client()
+        client.send(path="/svc/confirm", body=b"once")
+        fetch = stand.command()
+        change(
+            stand,
+            lambda table: (
+                table["classes"][1].update(effect="pure"),
+                table["domain"].update(never_kept=[False, False, False]),
+            ),
+        )
+        # Of a class that is kept, an answer without a tag would end the connection; and a second attempt go out.
+        fetch.reply(body=b"done", ver="", born="")
+        assert client.answer().body == b"done"
+        assert stand.maybe_command(0.3) is None
+        client.send(ident=2, path="/svc/confirm")
+        stand.command().reply(body=b"kept now")
+        assert client.answer().body == b"kept now"
+
+
+def test_a_purge_told_before_stays_guarded(tmp_path: Path) -> None:
+    with running(tmp_path) as stand:
+        key = 0x7F3A9C21E0B4D655
+        stand.log.tell(2, 3, struct.pack(">QQ", key, int(time.time() * 1000)))
+        client = stand.client()
+
+        def oldest() -> int:
+            client.send()
+            fetch = stand.command()
+            fetch.reply(body=b"x")
+            client.answer()
+            return int(fetch.fields.get("oldest", 0))
+
+        stand.wait(oldest, "the purge is guarded against")
+        change(stand, lambda table: table["domain"].update(heed_within=1.0, purge_settles=1.0))
+        time.sleep(0.1)  # the new times are over
+        assert 0 < oldest() < 9500
+
+
+BAD: list[tuple[Callable[[dict[str, Any]], Any], str]] = [
+    (lambda table: table.update(zone=0), "zone: 0 in place of 1"),
+    (lambda table: table["classes"].pop(), "classes: image, confirm does not begin with"),
+    (lambda table: table["classes"].reverse(), "classes: page, confirm, image"),
+    (lambda table: table["classes"].append(table["classes"][0]), "classes: image is there twice"),
+    (lambda table: table.update(areas=["edge-1", "hub"]), "zones: edge-1, hub"),
+    (lambda table: table.update(models=["box"]), "kinds: box"),
+    (lambda table: table["domain"].update(shield_kind=0), "parent_kind: 0"),
+    (lambda table: table["domain"].update(store_kind=0), "origin_kind: 0"),
+    (lambda table: table["domain"].update(client_kb_per_s=1.0), "client_pace: 1.0"),
+    (lambda table: table["rules"].update(overload_for=1.0), "fall_window: 1.0"),
+    (lambda table: table.update(discovery="ask"), "list_by_asking: True"),
+    (lambda table: table["domain"].update(purge_settles=-1.0), "purge_done: -1"),
+    (lambda table: table["classes"][0].update(importance=-2.0), "classes[0].worth: -2"),
+    (lambda table: table["classes"][0].update(deadline="soon"), "the configuration can't be used"),
+]
+
+
+def test_one_bad_field_leaves_all_as_it_was_and_is_told_in_one_line(tmp_path: Path) -> None:
+    with running(tmp_path) as stand:
+        for place, (spoil, why) in enumerate(BAD):
+
+            def edit(table: dict[str, Any], spoil: Callable[[dict[str, Any]], Any] = spoil) -> None:
+                table["limits"].update(most_tries=1)
+                spoil(table)
+
+            line = change(stand, edit, version=50 + place)
+            assert why in line and "in-force" not in line
+            found = status(tmp_path)["configuration"]
+            assert found["version"] == 0 and why in found["refused"]["why"]
+            assert found["refused"]["version"] in (50 + place, None)
+        assert len(told(stand)) == len(BAD)
+        client = stand.client()
+        client.send()
+        stand.command().reply("503", tell="")
+        stand.command().reply(body=b"x")  # the old bound on attempts
+        assert client.answer().body == b"x"
+        change(stand, nothing, version=99)
+        assert status(tmp_path)["configuration"]["refused"] is None
+
+
+def test_a_reload_while_it_drains_is_passed_over(tmp_path: Path) -> None:
+    with running(tmp_path) as stand:
+        client = stand.client()
+        client.send()
+        fetch = stand.command()
+        stand.process.send_signal(signal.SIGTERM)
+        stand.wait(lambda: stand.lines("stopping"), "the drain has begun")
+        config = copy.deepcopy(stand.config)
+        config["settings"]["limits"]["most_tries"] = 1
+        stand.reload(json.dumps(config))
+        fetch.reply(body=b"last")
+        assert client.answer().body == b"last"
+        assert stand.process.wait(10) == 0
+        assert not told(stand)
+
+
+def test_the_drain_goes_by_the_deadlines_in_force(tmp_path: Path) -> None:
+    with running(tmp_path) as stand:
+
+        def shorter(table: dict[str, Any]) -> None:
+            for cls in table["classes"]:
+                cls.update(deadline=1000.0, on_time=500.0)
+
+        assert "in-force" in change(stand, shorter)
+        client = stand.client()
+        client.send()
+        stand.command()
+        stand.process.send_signal(signal.SIGTERM)
+        stand.wait(lambda: stand.lines("stopping"), "the drain has begun")
+        assert "within=1.2" in stand.lines("stopping")[0]  # 1 s, 0.7 s until SIGKILL, 0.5 s before it
+        assert client.answer().status in (502, 503)
+        assert stand.process.wait(10) == 0
+
+
+def test_fifty_reloads_under_load_lose_nothing(tmp_path: Path) -> None:
+    with running(tmp_path) as stand:
+        over = threading.Event()
+
+        def serve() -> None:
+            while not over.is_set():
+                with contextlib.suppress(Exception):
+                    stand.commands.get(timeout=0.05).reply(body=b"x")
+
+        answers: list[int] = []
+
+        def ask(place: int) -> None:
+            client = stand.client()
+            while not over.is_set():
+                answers.append(client.ask(X_ROW=f"{place:016x}").status)
+
+        threads = [threading.Thread(target=serve)]
+        threads += [threading.Thread(target=ask, args=(place,)) for place in range(4)]
+        for thread in threads:
+            thread.start()
+        try:
+            for version in range(1, 51):
+                line = change(
+                    stand,
+                    lambda table, n=version: (  # type: ignore[misc]
+                        table["limits"].update(most_tries=2 + n % 3, connect_timeout=300.0 + n),
+                        table["rules"].update(warm_up=1000.0 * n),
+                        table["domain"].update(purge_settles=100.0 * n),
+                    ),
+                    version=version,
+                )
+                assert f"settings=in-force version={version}" in line
+            stand.wait(lambda: len(answers) > 200, "answers after the last reload")
+        finally:
+            over.set()
+            for thread in threads:
+                thread.join()
+        assert set(answers) == {200}
+        assert not stand.lines("bug") and not stand.lines("backstop")
+        assert status(tmp_path)["configuration"]["version"] == 50
+
+
+# -- the parts that have a say, without processes --
+
+
+class Part:
+    """A part of the router that notes what it is told."""
+
+    def __init__(self, objection: str = "") -> None:
+        self._objection = objection
+        self.settings: list[Settings] = []
+
+    def objection(self, settings: Settings) -> str:
+        return self._objection
+
+    def reconfigure(self, settings: Settings) -> None:
+        self.settings.append(settings)
+
+
+def made(part: Part, counted: Peers | None = None) -> tuple[Route, Reconfigure]:
+    async def make() -> Route:
+        clock = Clock()
+        timers = Timers(clock, trio.current_time)
+        return Route(make_settings(), 7, clock, timers, Budget(), 0.0, lambda *_: None)  # type: ignore[arg-type,return-value]
+
+    route = trio.run(make)
+    return route, Reconfigure(make_settings(), 4, route, [part], lambda: counted, lambda: 5.0)
+
+
+def test_a_part_that_objects_has_all_refused() -> None:
+    part = Part("fleet: no")
+    route, reconfigure = made(part)
+    with pytest.raises(SettingsRefused, match="fleet: no"):
+        reconfigure.apply(make_settings(fleet=9), 5)
+    assert reconfigure.current == make_settings() == route._director._set and not part.settings
+    assert reconfigure.answer([])["configuration"] == {
+        "version": 4,
+        "in_force_since_ms": 5,
+        "refused": {"version": 5, "why": "fleet: no"},
+    }
+
+
+def test_what_is_counted_holds_over_what_the_settings_say() -> None:
+    part = Part()
+    route, reconfigure = made(part, Peers(30, (0, 15, 15)))
+    reconfigure.apply(make_settings(fleet=9, most_attempts=2))
+    director = route._director
+    assert director._set.fleet == 30 and director._zone_share == 1 / 15 and director._set.most_attempts == 2
+    assert part.settings == [make_settings(fleet=9, most_attempts=2)] == [reconfigure.current]
+
+
+def test_what_is_not_decided_yet_is_decided_by_the_settings_it_was_checked_by() -> None:
+    route, reconfigure = made(Part())
+    decided: list[Effect] = []
+    route.decide = lambda: bool(decided.append(route._director._set.classes[0].effect))  # type: ignore[method-assign,func-returns-value]
+    reconfigure.apply(make_settings(make_class(effect=Effect.UNSAFE)))
+    assert decided == [Effect.SAFE] and route._director._set.classes[0].effect is Effect.UNSAFE
