--- a/stonecove/lifecycle/leases.py
+++ b/stonecove/lifecycle/leases.py
@@ -246,19 +246,13 @@
 
     async def _talk(self, stream: trio.SocketStream) -> str:
         """Until the connection ends, and why it did."""
-        settings = self._settings
-        hello = {
-            "do": "hello",
-            "name": self._name,
-            "window": settings.fall_window / 1000.0,
-            "parts": parts_of(settings),
-            "born": self._born,
-        }
         why = "closed"
         try:
-            await stream.send_all(json.dumps(hello).encode() + b"\n")
             async with trio.open_nursery() as nursery:
-                self._talking = nursery.cancel_scope
+                self._talking = (
+                    nursery.cancel_scope
+                )  # before the settings are read: they may change meanwhile
+                await stream.send_all(json.dumps(self._hello()).encode() + b"\n")
                 nursery.start_soon(self._write, stream)
                 data = b""
                 async for part in stream:
@@ -272,6 +266,16 @@
             why = str(errors.exceptions[0])
         return why
 
+    def _hello(self) -> dict[str, Any]:
+        """Who we are, and our parts by the settings."""
+        return {
+            "do": "hello",
+            "name": self._name,
+            "window": self._settings.fall_window / 1000.0,
+            "parts": parts_of(self._settings),
+            "born": self._born,
+        }
+
     async def _write(self, stream: trio.SocketStream) -> None:
         async for word in self._outgoing:
             await stream.send_all(json.dumps(word).encode() + b"\n")
--- a/tests/test_settings_change.py
+++ b/tests/test_settings_change.py
@@ -4,7 +4,9 @@
 
 import contextlib
 import copy
+import itertools
 import json
+import os
 import signal
 import socket
 import struct
@@ -13,20 +15,30 @@
 import threading
 import time
 from collections.abc import Callable, Iterator
+from dataclasses import replace
+from functools import partial
 from pathlib import Path
 from typing import Any
 
 import pytest
 import trio
 from conftest import make_class, make_settings
-from stand import Stand
+from stand import PATIENCE, SETTINGS, ChangeLog, Stand
 
 from stonecove.interface import Effect, Peers, Settings
+from stonecove.lifecycle.config import config_from
+from stonecove.lifecycle.leases import LeaseFile, Leases
+from stonecove.lifecycle.members import Members
 from stonecove.lifecycle.reconfigure import Reconfigure, SettingsRefused
+from stonecove.lifecycle.swarm import SwarmKeeper
 from stonecove.memory.budget import Budget
+from stonecove.operator.reader import read_text
+from stonecove.operator.records import ConfigurationRecord
 from stonecove.runtime.clock import Clock
 from stonecove.runtime.timers import Timers
+from stonecove.runtime.unix import accept_all, bound
 from stonecove.stages.route import Route
+from stonecove.wire.follow import ChangeLog as ChangeLogFollower
 
 FOLLOWS = "configuration: settings: true\n"
 
@@ -46,7 +58,7 @@
         stand.close()
 
 
-def change(stand: Stand, edit: Callable[[dict[str, Any]], None], version: int | None = None) -> str:
+def change(stand: Stand, edit: Callable[[dict[str, Any]], object], version: int | None = None) -> str:
     """Has the router read a changed configuration; the line it tells of it."""
     config = copy.deepcopy(stand.config)
     edit(config["settings"])
@@ -131,7 +143,7 @@
                 table["domain"].update(never_kept=[False, False, False]),
             ),
         )
-        # Of a class that is kept, an answer without a tag would end the connection; and a second attempt go out.
+        # Of a class that is kept, an answer without a tag would end its connection, and the request fail.
         fetch.reply(body=b"done", ver="", born="")
         assert client.answer().body == b"done"
         assert stand.maybe_command(0.3) is None
@@ -216,6 +228,34 @@
         assert not told(stand)
 
 
+def test_a_reload_before_the_router_is_ready_is_heeded_as_it_gets_ready(tmp_path: Path) -> None:
+    log, released = ChangeLog(), threading.Event()
+    log.missed = lambda: released.wait(PATIENCE) and struct.pack(">IQB", 9, 0, 0) or b""
+    config = Stand.plain_config()
+    config["changelog"] = f"127.0.0.1:{log.listener.port}"
+    config["settings"] = {**SETTINGS, "rules": {**SETTINGS["rules"], "drain_grace": 60_000.0}}
+    file, operator = tmp_path / "config.json", tmp_path / "site.cue"
+    file.write_text(json.dumps(config))
+    operator.write_text(FOLLOWS)
+    env = {**os.environ, "RELAY_CONFIG": str(file), "STONECOVE_OPERATOR": str(operator)}
+    with subprocess.Popen([sys.executable, "-m", "stonecove"], env=env, stderr=subprocess.PIPE) as process:
+        try:
+            Stand.wait(lambda: log.listener.accepted, "the change log is asked")
+            config["settings"] = {**config["settings"], "weights": "silent"}
+            file.write_text(json.dumps({**config, "version": 2}))
+            process.send_signal(signal.SIGHUP)
+            released.set()
+            assert process.stderr is not None
+            lines = list(itertools.takewhile(lambda line: b" reloaded " not in line, process.stderr))
+            assert any(b" ready " in line for line in lines)
+            process.send_signal(signal.SIGTERM)
+            assert process.wait(PATIENCE) == 0
+        finally:
+            released.set()
+            process.kill()
+            log.listener.close()
+
+
 def test_the_drain_goes_by_the_deadlines_in_force(tmp_path: Path) -> None:
     with running(tmp_path) as stand:
 
@@ -234,6 +274,13 @@
         assert stand.process.wait(10) == 0
 
 
+def figures(number: int, table: dict[str, Any]) -> None:
+    """Other figures for each number."""
+    table["limits"].update(most_tries=2 + number % 3, connect_timeout=300.0 + number)
+    table["rules"].update(warm_up=1000.0 * number)
+    table["domain"].update(purge_settles=100.0 * number)
+
+
 def test_fifty_reloads_under_load_lose_nothing(tmp_path: Path) -> None:
     with running(tmp_path) as stand:
         over = threading.Event()
@@ -256,15 +303,7 @@
             thread.start()
         try:
             for version in range(1, 51):
-                line = change(
-                    stand,
-                    lambda table, n=version: (  # type: ignore[misc]
-                        table["limits"].update(most_tries=2 + n % 3, connect_timeout=300.0 + n),
-                        table["rules"].update(warm_up=1000.0 * n),
-                        table["domain"].update(purge_settles=100.0 * n),
-                    ),
-                    version=version,
-                )
+                line = change(stand, partial(figures, version), version=version)
                 assert f"settings=in-force version={version}" in line
             stand.wait(lambda: len(answers) > 200, "answers after the last reload")
         finally:
@@ -276,6 +315,21 @@
         assert status(tmp_path)["configuration"]["version"] == 50
 
 
+# -- the files --
+
+
+@pytest.mark.parametrize(("told_version", "read"), [(12, 12), (None, 0), ("x", 0), (-1, 0), (True, 0)])
+def test_the_version_is_optional_and_never_ends_a_start(told_version: object, read: int) -> None:
+    config = {**Stand.plain_config(), "version": told_version}
+    assert config_from(config, {}).version == read
+
+
+def test_the_operators_record() -> None:
+    assert read_text("", "f.cue").operator.configuration is None
+    assert read_text("configuration: {}", "f.cue").operator.configuration == ConfigurationRecord(False)
+    assert read_text(FOLLOWS, "f.cue").operator.configuration == ConfigurationRecord(True)
+
+
 # -- the parts that have a say, without processes --
 
 
@@ -293,11 +347,16 @@
         self.settings.append(settings)
 
 
+def new_route(settings: Settings) -> Route:
+    """A route that opens no connection; inside trio."""
+    clock = Clock()
+    timers = Timers(clock, trio.current_time)
+    return Route(settings, 7, clock, timers, Budget(), 0.0, lambda *_: None)  # type: ignore[arg-type]
+
+
 def made(part: Part, counted: Peers | None = None) -> tuple[Route, Reconfigure]:
     async def make() -> Route:
-        clock = Clock()
-        timers = Timers(clock, trio.current_time)
-        return Route(make_settings(), 7, clock, timers, Budget(), 0.0, lambda *_: None)  # type: ignore[arg-type,return-value]
+        return new_route(make_settings())
 
     route = trio.run(make)
     return route, Reconfigure(make_settings(), 4, route, [part], lambda: counted, lambda: 5.0)
@@ -331,3 +390,92 @@
     route.decide = lambda: bool(decided.append(route._director._set.classes[0].effect))  # type: ignore[method-assign,func-returns-value]
     reconfigure.apply(make_settings(make_class(effect=Effect.UNSAFE)))
     assert decided == [Effect.SAFE] and route._director._set.classes[0].effect is Effect.UNSAFE
+
+
+def test_a_lessor_is_told_other_parts_in_a_new_connection(tmp_path: Path) -> None:
+    hellos: list[dict[str, Any]] = []
+
+    async def lessor(client: trio.socket.SocketType) -> None:
+        with client:
+            stream = trio.SocketStream(client)
+            async for data in stream:
+                for line in data.splitlines():
+                    word = json.loads(line)
+                    if word["do"] == "hello":
+                        hellos.append(word)
+                        terms = {"is": "terms", "own": 0.3, "retries": 0.1, "rest": 0.0}
+                        await stream.send_all(json.dumps(terms).encode() + b"\n")
+
+    async def heard(count: int) -> None:
+        while len(hellos) < count:
+            await trio.sleep(0.005)
+
+    async def play() -> None:
+        path = str(tmp_path / "leases.sock")
+        with trio.fail_after(PATIENCE):
+            async with trio.open_nursery() as nursery:
+                nursery.start_soon(accept_all, bound(path), lessor)
+                settings = make_settings()
+                file = LeaseFile(path, 3.0, 0.3, 0.1, 0.0, None, 0.1)
+                leases = Leases(file, "n0", settings, new_route(settings), Clock(), nursery.start_soon)
+                leases.start()
+                await heard(1)
+                leases.reconfigure(replace(settings, most_attempts=1))
+                assert not leases._talking.cancel_called  # its parts are the same
+                leases.reconfigure(replace(settings, fleet=4, zone_directors=(0, 2, 2)))
+                await heard(2)
+                nursery.cancel_scope.cancel()
+
+    trio.run(play)
+    assert [hello["parts"] for hello in hellos] == [
+        {"zone:1": 1.0, "fleet": 0.5},
+        {"zone:1": 0.5, "fleet": 0.25},
+    ]
+
+
+@pytest.mark.parametrize(("shares", "fixed"), [("counted", True), ("settings", False)])
+def test_the_swarm_keeps_the_number_its_proof_rests_on(shares: str, fixed: bool) -> None:
+    record = read_text(f'swarm: shares: "{shares}"', "f.cue").operator.swarm
+    assert record is not None
+    config = config_from(Stand.plain_config(), {})
+    settings = replace(config.settings, may_message=True)
+    config = replace(config, settings=settings, peer_listen="127.0.0.1:1", peers=("127.0.0.1:2",))
+
+    async def play() -> list[str]:
+        with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as datagrams:
+            keeper = SwarmKeeper(record, config, datagrams, new_route(settings), Clock(), None)
+            return [
+                keeper.objection(replace(settings, **changes))
+                for changes in (
+                    {"fleet": 9},
+                    {"zone_directors": (0, 9)},
+                    {"may_message": False},
+                    {"streams": 3},
+                )
+            ]
+
+    fleet, by_zone, messages, harmless = trio.run(play)
+    assert fleet.startswith("fleet:") == by_zone.startswith("zone_directors:") == fixed
+    assert bool(fleet) == bool(by_zone) == fixed
+    assert messages.startswith("may_message:") and not harmless
+
+
+@pytest.mark.parametrize("zookeeper", [True, False])
+def test_names_are_appended_where_no_records_were_read_by_the_old_ones(
+    tmp_path: Path, zookeeper: bool
+) -> None:
+    source = 'sources: zookeeper: {servers: ["127.0.0.1:1"], path: "/b"}' if zookeeper else ""
+    (tmp_path / "site.cue").write_text(source)
+    config = config_from(Stand.plain_config(), {})
+    settings = config.settings
+    more = replace(settings, zones=(*settings.zones, "edge-2"))
+
+    async def play() -> Members:
+        log = ChangeLogFollower("127.0.0.1", 1, 0)
+        return Members(tmp_path / "site.cue", config, new_route(settings), Clock(), log, lambda task: None)
+
+    members = trio.run(play)
+    assert members.objection(more).startswith("zones:") == zookeeper
+    assert not members.objection(replace(settings, streams=3))
+    members.reconfigure(more)
+    assert members.names.zones == more.zones and members.config.settings == more and members.counted() is None
