--- a/stonecove/lifecycle/leases.py
+++ b/stonecove/lifecycle/leases.py
@@ -107,6 +107,7 @@
         self._asked_at: dict[tuple[str, str, str], float] = {}
         self._send, self._outgoing = trio.open_memory_channel[dict[str, Any]](MOST_WAITING)
         self._here = False
+        self._talking = trio.CancelScope()
         self._own = file.own
         self._scale = 1.0  # of it, as long as the routers among themselves say so
         route.carries(Want, self._want)
@@ -128,6 +129,16 @@
             await trio.sleep(left)
         self._post_terms()
 
+    def objection(self, settings: Settings) -> str:
+        """There is none: what is lent goes by the parts that we tell."""
+        return ""
+
+    def reconfigure(self, settings: Settings) -> None:
+        """These settings hold from now on; the lessor is told other parts in a new connection."""
+        before, self._settings = self._settings, settings
+        if parts_of(before) != parts_of(settings):
+            self._talking.cancel()
+
     def scale(self, part: float) -> None:
         """The own part counts by so much: the share that it is a part of is not wholly ours.
 
@@ -235,18 +246,13 @@
 
     async def _talk(self, stream: trio.SocketStream) -> str:
         """Until the connection ends, and why it did."""
-        settings = self._settings
-        hello = {
-            "do": "hello",
-            "name": self._name,
-            "window": settings.fall_window / 1000.0,
-            "parts": parts_of(settings),
-            "born": self._born,
-        }
         why = "closed"
         try:
-            await stream.send_all(json.dumps(hello).encode() + b"\n")
             async with trio.open_nursery() as nursery:
+                self._talking = (
+                    nursery.cancel_scope
+                )  # before the settings are read: they may change meanwhile
+                await stream.send_all(json.dumps(self._hello()).encode() + b"\n")
                 nursery.start_soon(self._write, stream)
                 data = b""
                 async for part in stream:
@@ -260,6 +266,16 @@
             why = str(errors.exceptions[0])
         return why
 
+    def _hello(self) -> dict[str, Any]:
+        """Who we are, and our parts by the settings."""
+        return {
+            "do": "hello",
+            "name": self._name,
+            "window": self._settings.fall_window / 1000.0,
+            "parts": parts_of(self._settings),
+            "born": self._born,
+        }
+
     async def _write(self, stream: trio.SocketStream) -> None:
         async for word in self._outgoing:
             await stream.send_all(json.dumps(word).encode() + b"\n")
