--- a/stonecove/commands/main.py
+++ b/stonecove/commands/main.py
@@ -8,6 +8,7 @@
 import click
 
 from stonecove.commands.config import config
+from stonecove.commands.configuration import configuration
 from stonecove.commands.explore import explore
 from stonecove.commands.fleet import fleet
 from stonecove.commands.members import members
@@ -51,7 +52,19 @@
     sys.exit(play(requests))
 
 
-for _command in (explore, config, fleet, members, standin, swarm, token, keys, trial, overload):
+for _command in (
+    explore,
+    config,
+    configuration,
+    fleet,
+    members,
+    standin,
+    swarm,
+    token,
+    keys,
+    trial,
+    overload,
+):
     cli.add_command(_command)
 
 
--- a/stonecove/lifecycle/config.py
+++ b/stonecove/lifecycle/config.py
@@ -83,8 +83,8 @@
     return config
 
 
-def read_config(env: Mapping[str, str] = os.environ) -> Config:
-    """Reads the file that RELAY_CONFIG names."""
+def read_table(env: Mapping[str, str] = os.environ) -> dict[str, Any]:
+    """The JSON object of the file that RELAY_CONFIG names; raises ConfigError."""
     path = env.get("RELAY_CONFIG")
     if not path:
         raise ConfigError("RELAY_CONFIG names no configuration file")
@@ -96,4 +96,9 @@
         raise ConfigError(f"{path} is not JSON: {error}") from error
     if not isinstance(table, dict):
         raise ConfigError(f"{path} holds no JSON object")
-    return config_from(table, env)
+    return table
+
+
+def read_config(env: Mapping[str, str] = os.environ) -> Config:
+    """Reads the file that RELAY_CONFIG names; raises ConfigError."""
+    return config_from(read_table(env), env)
--- a/stonecove/lifecycle/members.py
+++ b/stonecove/lifecycle/members.py
@@ -35,6 +35,7 @@
 from stonecove.operator.reader import read
 from stonecove.operator.records import Operator
 from stonecove.stages.route import Route
+from stonecove.wire.ensemble import Ensemble
 from stonecove.wire.follow import ChangeLog
 
 FIRST_LIST = 3.0  # seconds for which serving waits for the first list
@@ -83,6 +84,7 @@
         self.sized: Callable[[Peers], None] = route.post  # told of the fleet's size, where it is derived
         self.also: dict[str, Callable[[list[str]], dict[str, Any]]] = {}  # others who answer on the socket
         self._taken_at = 0.0  # when our name was found to be taken, in trio's seconds
+        self._session_users: list[Callable[[Ensemble], None]] = []
         if self.operator.zookeeper is not None:
             self._coordination = self._coordinate(self.operator)
         route.send.watcher = self._written
@@ -108,6 +110,12 @@
             log("members-late", nodes=len(self._route.nodes))
         self._tell_state("ready")
 
+    def use_session(self, user: Callable[[Ensemble], None]) -> None:
+        """`user` is given the session of the coordination service, and each that takes its place later."""
+        self._session_users.append(user)
+        if self._coordination is not None:
+            user(self._coordination.ensemble)
+
     async def leaving(self) -> None:
         """Tells that we drain; waits for a moment until that is known to be told."""
         heard = trio.Event()
@@ -261,6 +269,8 @@
         gone, self._coordination, self._next = self._coordination, coming, None
         before = set(gone.roster.claims) if gone is not None else set()
         self._tell_claims(coming, before)
+        for user in self._session_users:
+            user(coming.ensemble)
         if gone is not None:
             gone.ensemble.close()
         self._tell_state(self._state)
--- a/stonecove/operator/reader.py
+++ b/stonecove/operator/reader.py
@@ -103,6 +103,14 @@
     sources = table["sources"]
     assert isinstance(sources, dict)
     zookeeper = sources.get("zookeeper")
+    configuration = table.get("configuration")
+    if isinstance(configuration, dict) and "path" in configuration:
+        if zookeeper is None:
+            fault("configuration.path", "needs sources.zookeeper, whose session follows it")
+        elif configuration["path"] == zookeeper["path"]:
+            fault("configuration.path", "is also that of the boxes, sources.zookeeper.path")
+        if not configuration["settings"]:
+            fault("configuration.path", "needs configuration.settings: true")
     if zookeeper is None:
         if "presence" in table:
             fault("presence", "needs sources.zookeeper, whose session keeps the node")
--- a/stonecove/operator/records.py
+++ b/stonecove/operator/records.py
@@ -212,6 +212,15 @@
     refusals_prove: bool
 
 
+@dataclass(frozen=True, slots=True)
+class ConfigurationRecord:
+    """Changes of the settings while the router runs; an empty path: none are rolled out to it."""
+
+    settings: bool
+    path: str = ""
+    start_wait: float = 2000.0
+
+
 @dataclass(frozen=True, slots=True)
 class Operator:
     """The whole file."""
@@ -224,6 +233,7 @@
     access: Access | None = None
     http: Http | None = None
     swarm: SwarmRecord | None = None
+    configuration: ConfigurationRecord | None = None
 
 
 def _address(text: str) -> tuple[str, int]:
@@ -286,6 +296,10 @@
     )
 
 
+def _configuration(table: dict[str, Any]) -> ConfigurationRecord:
+    return ConfigurationRecord(table["settings"], table.get("path", ""), float(table["start_wait"]))
+
+
 def operator_of(table: dict[str, Any]) -> Operator:
     """The records of a table that the schema has passed."""
     sources, presence, members = table["sources"], table.get("presence"), table["members"]
@@ -320,6 +334,7 @@
         if "http" in table
         else None,
         swarm=_swarm(table["swarm"]) if "swarm" in table else None,
+        configuration=_configuration(table["configuration"]) if "configuration" in table else None,
         members=Members(
             members.get("socket", ""), members["nobody"] == "keep", members["trace"], members["batch"]
         ),
--- a/stonecove/operator/schema.cue
+++ b/stonecove/operator/schema.cue
@@ -17,6 +17,17 @@
 	http?: #Http
 	// Membership among the routers themselves, by datagrams to the `peers` of the platform's configuration.
 	swarm?: #Swarm
+	// Changes of the settings while the router runs.
+	configuration?: #Configuration
+}
+
+#Configuration: {
+	// A running router takes over the settings of its own file (SIGHUP) and those that are rolled out.
+	settings: *false | bool
+	// Settings are rolled out below this path of sources.zookeeper. Needs settings: true.
+	path?: #Path
+	// So long a start waits for what is rolled out, before the router serves by its own file.
+	start_wait: *2s | duration & >=0ms & <=1min
 }
 
 #Swarm: {
--- /dev/null
+++ b/stonecove/rollout/merge.py
@@ -0,0 +1,39 @@
+"""JSON merge patch (RFC 7396), and settings with an overlay."""
+
+from __future__ import annotations
+
+from collections.abc import Mapping
+from typing import Any
+
+from stonecove.interface import Settings
+from stonecove.rollout.messages import MessageError, Overlay
+from stonecove.settings import settings_from
+
+MOST_DEPTH = 32
+
+
+def merge_patch(base: Any, patch: Any, depth: int = 0) -> Any:
+    """The patched value; `base` is left as it is. Raises MessageError for a patch nested too deeply."""
+    if depth > MOST_DEPTH:
+        raise MessageError(f"merge: nested more than {MOST_DEPTH} deep")
+    if not isinstance(patch, Mapping):
+        return patch
+    merged = dict(base) if isinstance(base, Mapping) else {}
+    for field, value in patch.items():
+        if value is None:
+            merged.pop(field, None)
+        else:
+            merged[field] = merge_patch(merged.get(field), value, depth + 1)
+    return merged
+
+
+def settings_with(base: Mapping[str, Any], overlay: Overlay) -> Settings:
+    """Typed settings of a router's own table under an overlay; raises MessageError if they can't be used."""
+    try:
+        return settings_from(merge_patch(base, overlay.merge))
+    except MessageError:
+        raise
+    except KeyError as error:
+        raise MessageError(f"settings lack {error}") from None
+    except (TypeError, ValueError, AttributeError, ArithmeticError) as error:
+        raise MessageError(f"settings can't be used: {error}") from None
--- /dev/null
+++ b/tests/test_rollout.py
@@ -0,0 +1,514 @@
+"""Decisions of a roll-out: records, merge patch, who is chosen, the steps of router and controller."""
+
+from __future__ import annotations
+
+import json
+from dataclasses import replace
+from typing import Any
+
+import pytest
+
+from stand import SETTINGS
+from stonecove.rollout.controller import (
+    Finished,
+    RolloutError,
+    Wait,
+    Write,
+    base_version,
+    begun,
+    halted,
+    next_step,
+    resumed,
+    rolled_back,
+)
+from stonecove.rollout.follower import SETTLE_MS, Follower
+from stonecove.rollout.health import HealthWindow, worth_reporting
+from stonecove.rollout.merge import merge_patch, settings_with
+from stonecove.rollout.messages import (
+    MOST_OVERLAY_BYTES,
+    Bounds,
+    Health,
+    MessageError,
+    Overlay,
+    Refusal,
+    Report,
+    RolloutState,
+    Target,
+    checked_waves,
+    version_path,
+)
+from stonecove.rollout.progress import progress_of
+from stonecove.rollout.selection import is_chosen, place, share_for, wanted_version
+
+NAMES = [f"edge-{number}" for number in range(200)]
+NOW = 1_800_000_000_000.0
+WRITER = "test-1"
+
+
+# -- records --
+
+
+def test_records_read_back_the_same() -> None:
+    target = Target(
+        7,
+        6,
+        0.2,
+        RolloutState.HALTED,
+        3,
+        True,
+        (0.1, 1.0),
+        Bounds(0.1, 0.2, 0.3, 900.0),
+        NOW,
+        5,
+        0.25,
+        "a",
+        "b",
+    )
+    report = Report(7, NOW, Refusal(6, "why"), 3, True, Health(5, 4, 3), "127.0.0.1:1", NOW)
+    overlay = Overlay(7, {"rules": {"warm_up": 1.5}})
+    assert Target.decode(target.encode()) == target
+    assert Report.decode(report.encode()) == report
+    assert Report.decode(Report().encode()) == Report()
+    assert Overlay.decode(7, overlay.encode()) == overlay
+
+
+@pytest.mark.parametrize(
+    ("field", "value"),
+    [
+        ("version", -1),
+        ("version", True),
+        ("previous", 1.5),
+        ("share", 1.01),
+        ("share", None),
+        ("state", "paused"),
+        ("round", "1"),
+        ("rollback", 0),
+        ("waves", [0.5]),
+        ("waves", "all"),
+        ("bounds", []),
+        ("since_ms", -1.0),
+        ("expected", None),
+        ("baseline", 2),
+        ("writer", 5),
+        ("why", None),
+    ],
+)
+def test_a_target_that_cannot_be_used_is_refused_by_the_field(field: str, value: Any) -> None:
+    table = json.loads(Target(2, 1, 0.5, RolloutState.ROLLING).encode())
+    with pytest.raises(MessageError, match=f"^{field}: "):
+        Target.decode(json.dumps({**table, field: value}).encode())
+
+
+@pytest.mark.parametrize(
+    ("data", "why"),
+    [
+        (b"", "not JSON"),
+        (b"{", "not JSON"),
+        (b"\xff\xfe", "not JSON"),
+        (b"[1]", "not a JSON object"),
+        (b'{"merge": {}}', "version: None"),
+        (b'{"version": 4, "merge": {}}', "version: 4 in the node of version 5"),
+        (b'{"version": 5}', "merge: None"),
+        (b'{"version": 5, "merge": []}', "merge: "),
+        (b'{"version": 5, "merge": {"zone": 2}}', "merge.zone"),
+        (b'{"version": 5, "merge": {"fleet_size": 2}}', "merge.fleet_size"),
+        (b'{"version": 5, "merge": {}}' + b" " * MOST_OVERLAY_BYTES, f"{MOST_OVERLAY_BYTES} at most"),
+    ],
+)
+def test_an_overlay_that_cannot_be_used_is_refused(data: bytes, why: str) -> None:
+    with pytest.raises(MessageError) as caught:
+        Overlay.decode(5, data)
+    assert why in str(caught.value) and "\n" not in str(caught.value)
+
+
+def test_an_overlay_that_is_too_large_is_not_written() -> None:
+    with pytest.raises(MessageError, match="at most"):
+        Overlay(5, {"text": "x" * MOST_OVERLAY_BYTES}).encode()
+
+
+@pytest.mark.parametrize("waves", [(), (0.5,), (0.0, 1.0), (0.5, 0.2, 1.0), (0.5, 0.5, 1.0), (1.0, 1.5)])
+def test_waves_rise_to_the_whole_fleet(waves: tuple[float, ...]) -> None:
+    with pytest.raises(MessageError, match="^waves: "):
+        checked_waves(waves)
+
+
+# -- merge patch --
+
+
+@pytest.mark.parametrize(
+    ("base", "patch", "merged"),
+    [  # the examples of RFC 7396, appendix A
+        ({"a": "b"}, {"a": "c"}, {"a": "c"}),
+        ({"a": "b"}, {"b": "c"}, {"a": "b", "b": "c"}),
+        ({"a": "b"}, {"a": None}, {}),
+        ({"a": "b", "b": "c"}, {"a": None}, {"b": "c"}),
+        ({"a": ["b"]}, {"a": "c"}, {"a": "c"}),
+        ({"a": "c"}, {"a": ["b"]}, {"a": ["b"]}),
+        ({"a": {"b": "c"}}, {"a": {"b": "d", "c": None}}, {"a": {"b": "d"}}),
+        ({"a": [{"b": "c"}]}, {"a": [1]}, {"a": [1]}),
+        (["a", "b"], ["c", "d"], ["c", "d"]),
+        ({"a": "b"}, ["c"], ["c"]),
+        ({"a": "foo"}, None, None),
+        ({"a": "foo"}, "bar", "bar"),
+        ({"e": None}, {"a": 1}, {"e": None, "a": 1}),
+        ([1, 2], {"a": "b", "c": None}, {"a": "b"}),
+        ({}, {"a": {"bb": {"ccc": None}}}, {"a": {"bb": {}}}),
+    ],
+)
+def test_merge_patch_follows_the_standard(base: Any, patch: Any, merged: Any) -> None:
+    before = json.dumps(base)
+    assert merge_patch(base, patch) == merged
+    assert json.dumps(base) == before
+
+
+def test_a_patch_nested_too_deeply_is_refused() -> None:
+    patch: dict[str, Any] = {}
+    for _ in range(100):
+        patch = {"a": patch}
+    with pytest.raises(MessageError, match="deep"):
+        merge_patch({}, patch)
+
+
+def test_settings_under_an_overlay_keep_what_the_own_file_says() -> None:
+    settings = settings_with(SETTINGS, Overlay(1, {"rules": {"warm_up": 123.0}}))
+    assert settings.warm_up == 123.0
+    assert settings.zone == SETTINGS["zone"]
+    assert settings.cold_from == SETTINGS["rules"]["cold_from"]
+
+
+@pytest.mark.parametrize(
+    "merge", [{"classes": []}, {"classes": None}, {"rules": {"warm_up": "long"}}, {"domain": 5}]
+)
+def test_settings_that_cannot_be_read_are_refused(merge: dict[str, Any]) -> None:
+    with pytest.raises(MessageError):
+        settings_with(SETTINGS, Overlay(1, merge))
+
+
+# -- who is chosen --
+
+
+def rolling(share: float, version: int = 2, previous: int = 1, **more: Any) -> Target:
+    return Target(version, previous, share, RolloutState.ROLLING, **more)
+
+
+def test_a_larger_share_keeps_those_that_a_smaller_one_chose() -> None:
+    chosen = [{name for name in NAMES if is_chosen(rolling(share), name)} for share in (0.02, 0.2, 0.5, 1.0)]
+    assert all(fewer < more for fewer, more in zip(chosen, chosen[1:], strict=False))
+    assert len(chosen[-1]) == len(NAMES)
+    assert 20 <= len(chosen[1]) <= 60
+
+
+def test_other_versions_begin_with_other_routers() -> None:
+    first = [min(NAMES, key=lambda name: place(name, version)) for version in range(20)]
+    assert len(set(first)) > 10
+
+
+def test_a_wave_of_a_small_fleet_chooses_somebody() -> None:
+    for version in range(50):
+        share = share_for(0.02, version, NAMES[:3])
+        assert sum(is_chosen(rolling(share, version), name) for name in NAMES[:3]) >= 1
+    assert share_for(0.02, 1, ()) == 0.02
+
+
+def test_a_halted_target_chooses_nobody_and_a_complete_one_all() -> None:
+    assert wanted_version(Target(2, 1, 1.0, RolloutState.HALTED), "a") == 1
+    assert wanted_version(Target(2, 1, 0.0, RolloutState.COMPLETE), "a") == 2
+
+
+# -- the router's steps --
+
+
+def overlay_of(version: int) -> bytes:
+    return Overlay(version, {"rules": {"warm_up": float(version)}}).encode()
+
+
+def follower(target: Target | None = None, revision: int = 1) -> Follower:
+    made = Follower("edge-0", "127.0.0.1:1", NOW)
+    if target is not None:
+        made.follow(target, revision, NOW)
+    return made
+
+
+def take(router: Follower, now: float = NOW) -> None:
+    version = router.next_version()
+    assert version is not None
+    overlay = router.overlay(version, overlay_of(version), now)
+    assert overlay is not None
+    router.took(overlay.version, now)
+
+
+def test_a_router_takes_the_version_and_tells_its_health_later() -> None:
+    router = follower(rolling(1.0, round=4))
+    assert router.report().round == 0
+    take(router, NOW + 10)
+    report = router.report()
+    assert (report.in_force, report.since_ms, report.round, report.settled) == (2, NOW + 10, 4, False)
+    assert router.settle_due() == NOW + 10 + SETTLE_MS
+    router.settle(Health(9, 1, 0))
+    assert router.report().settled and router.report().health == Health(9, 1, 0)
+    assert router.settle_due() is None
+    assert router.next_version() is None
+
+
+def test_a_router_that_is_not_chosen_takes_the_previous_version() -> None:
+    router = follower(rolling(0.0))
+    assert router.next_version() == 1
+    take(router)
+    assert router.report().in_force == 1 and router.report().round == 0
+
+
+def test_an_older_target_is_passed_over() -> None:
+    router = follower(rolling(1.0, version=3), revision=9)
+    router.follow(rolling(1.0, version=2), 8, NOW)
+    assert router.next_version() == 3
+    router.forget_revision()
+    router.follow(rolling(1.0, version=2), 8, NOW)
+    assert router.next_version() == 2
+
+
+def test_versions_that_are_overtaken_are_passed_over() -> None:
+    router = follower(rolling(1.0, version=2))
+    assert router.next_version() == 2
+    router.follow(rolling(1.0, version=6, previous=5), 2, NOW)
+    assert router.overlay(2, overlay_of(2), NOW) is None
+    assert router.report().refused is None
+    take(router)
+    assert router.in_force == 6
+
+
+@pytest.mark.parametrize("data", [None, b"nonsense", overlay_of(3)])
+def test_what_cannot_be_used_is_reported_and_not_tried_again_in_its_round(data: bytes | None) -> None:
+    router = follower(Target(1, 0, 1.0, RolloutState.COMPLETE))
+    take(router)
+    router.follow(rolling(0.9999999, round=2), 2, NOW)
+    assert router.overlay(2, data, NOW) is None
+    report = router.report()
+    assert report.in_force == 1 and report.round == 2
+    assert report.refused is not None and report.refused.version == 2 and report.refused.why
+    router.follow(rolling(1.0, round=2), 3, NOW)
+    assert router.next_version() is None
+    router.follow(rolling(1.0, round=3), 4, NOW)
+    take(router)
+    assert router.report().refused is None and router.in_force == 2
+
+
+def test_the_own_file_needs_no_overlay() -> None:
+    router = follower(Target(1, 0, 1.0, RolloutState.COMPLETE))
+    take(router)
+    router.follow(Target(2, 0, 0.0, RolloutState.HALTED), 2, NOW)
+    assert router.next_version() == 0
+    overlay = router.overlay(0, None, NOW)
+    assert overlay is not None and overlay.merge == {}
+
+
+def test_a_changed_own_file_has_the_refused_version_tried_again() -> None:
+    router = follower(rolling(1.0))
+    router.refuse(2, "no room", NOW)
+    assert router.next_version() is None
+    router.try_again()
+    assert router.next_version() == 2
+
+
+def test_a_new_round_is_told_also_where_its_version_is_in_force_already() -> None:
+    router = follower(rolling(1.0, round=1))
+    take(router)
+    router.settle(Health())
+    router.follow(rolling(1.0, round=2), 2, NOW + 50)
+    assert router.report().round == 2 and not router.report().settled
+    assert router.report().since_ms == NOW
+
+
+# -- health --
+
+
+def test_health_is_what_came_since_and_survives_counters_set_back() -> None:
+    counts = {"served": 5, "ok": 99}
+    window = HealthWindow(counts)
+    counts.update(served=8, unchanged=2, refused=1, failed=4)
+    assert window.sample() == Health(5, 1, 4)
+    assert window.sample() == Health()
+    counts.clear()
+    counts.update(served=3)
+    assert window.sample() == Health(3, 0, 0)
+
+
+def test_only_another_share_of_many_requests_is_worth_a_report() -> None:
+    assert not worth_reporting(Health(100), Health(1000, 5, 0))
+    assert not worth_reporting(Health(100), Health(10, 5, 0))
+    assert worth_reporting(Health(100), Health(90, 5, 5))
+
+
+# -- the controller's steps --
+
+
+def reports_of(target: Target, count: int = 200, **changes: Any) -> dict[str, Report]:
+    """Reports of routers that all have what they are to have."""
+    return {
+        name: replace(
+            Report(
+                wanted_version(target, name),
+                NOW,
+                None,
+                target.round if is_chosen(target, name) else 0,
+                is_chosen(target, name),
+                Health(100, 0, 0),
+            ),
+            **changes,
+        )
+        for name in NAMES[:count]
+    }
+
+
+def started(count: int = 200, **more: Any) -> Target:
+    before = Target(1, 0, 1.0, RolloutState.COMPLETE)
+    return begun(before, 2, reports_of(before, count), NOW, WRITER, **more)
+
+
+def written(step: object) -> Target:
+    assert isinstance(step, Write)
+    return step.target
+
+
+def test_waves_follow_each_other_to_the_end() -> None:
+    target = started()
+    shares: list[float] = []
+    reports = reports_of(target, in_force=1, round=1)
+    while target.state is RolloutState.ROLLING:
+        if target.share not in shares:
+            shares.append(target.share)
+        assert target.previous == 1 and target.round == 2
+        assert target.expected == sum(is_chosen(target, name) for name in NAMES)
+        step = next_step(target, reports, NOW, WRITER)
+        if reports == reports_of(target):
+            target = written(step)
+        else:
+            assert step == Wait(NOW + target.bounds.wave_timeout_ms)
+            reports = reports_of(target)
+    assert shares == [0.02, 0.2, 1.0]
+    assert target.state is RolloutState.COMPLETE
+    assert next_step(target, reports, NOW, WRITER) == Finished(RolloutState.COMPLETE)
+
+
+def chosen_names(target: Target) -> list[str]:
+    return [name for name in NAMES if is_chosen(target, name)]
+
+
+def test_a_refusal_beyond_the_bound_halts() -> None:
+    target = started(waves=(0.5, 1.0), bounds=Bounds(refused_share=0.05))
+    reports, names = reports_of(target), chosen_names(target)
+    allowed = int(0.05 * len(names))
+    for name in names[:allowed]:
+        reports[name] = replace(reports[name], in_force=1, refused=Refusal(2, "no"))
+    assert written(next_step(target, reports, NOW, WRITER)).state is RolloutState.ROLLING
+    reports[names[allowed]] = replace(reports[names[allowed]], in_force=1, refused=Refusal(2, "no"))
+    after = written(next_step(target, reports, NOW, WRITER))
+    assert after.state is RolloutState.HALTED and after.share == 0.0
+    assert after.why == f"refused by {allowed + 1} of {len(names)}"
+    assert all(wanted_version(after, name) == 1 for name in NAMES)
+
+
+def test_a_refusal_of_an_earlier_round_does_not_count() -> None:
+    target = started(waves=(1.0,))
+    reports = reports_of(target, refused=Refusal(2, "no"), round=1, in_force=1)
+    assert isinstance(next_step(target, reports, NOW, WRITER), Wait)
+
+
+def test_routers_that_tell_nothing_halt_after_the_time_out_alone() -> None:
+    target = started(waves=(0.5, 1.0), bounds=Bounds(missing_share=0.05, wave_timeout_ms=700.0))
+    reports, names = reports_of(target), chosen_names(target)
+    allowed = int(0.05 * len(names))
+    for name in names[: allowed + 1]:
+        reports[name] = replace(reports[name], in_force=1, round=1)
+    assert next_step(target, reports, NOW + 699, WRITER) == Wait(NOW + 700)
+    after = written(next_step(target, reports, NOW + 700, WRITER))
+    assert after.state is RolloutState.HALTED and after.why.startswith(f"no word from {allowed + 1} of")
+    reports[names[0]] = reports_of(target)[names[0]]
+    assert written(next_step(target, reports, NOW + 700, WRITER)).share == 1.0
+
+
+def test_routers_that_vanish_in_a_wave_count_as_missing() -> None:
+    target = started()
+    reports = reports_of(target)
+    for name in chosen_names(target):
+        del reports[name]
+    assert isinstance(next_step(target, reports, NOW, WRITER), Wait)
+    after = written(next_step(target, reports, NOW + target.bounds.wave_timeout_ms, WRITER))
+    assert after.state is RolloutState.HALTED
+
+
+def test_a_worse_health_than_before_halts() -> None:
+    target = started(waves=(0.5, 1.0), bounds=Bounds(worse_by=0.05))
+    reports = reports_of(target, health=Health(96, 2, 2))
+    assert written(next_step(target, reports, NOW, WRITER)).state is RolloutState.ROLLING
+    reports = reports_of(target, health=Health(94, 3, 3))
+    after = written(next_step(target, reports, NOW, WRITER))
+    assert after.state is RolloutState.HALTED and "0.060 of requests" in after.why
+    was_bad = replace(target, baseline=0.02)
+    assert written(next_step(was_bad, reports, NOW, WRITER)).state is RolloutState.ROLLING
+
+
+def test_a_few_requests_say_nothing_of_health() -> None:
+    target = started(count=2, waves=(1.0,))
+    reports = reports_of(target, 2, health=Health(0, 20, 20))
+    assert written(next_step(target, reports, NOW, WRITER)).state is RolloutState.COMPLETE
+
+
+def test_what_a_target_allows() -> None:
+    target = started()
+    with pytest.raises(RolloutError, match="being rolled out"):
+        begun(target, 3, {}, NOW, WRITER)
+    stopped = halted(target, "by hand", NOW, WRITER)
+    with pytest.raises(RolloutError, match="halted"):
+        halted(stopped, "again", NOW, WRITER)
+    assert base_version(target) == base_version(stopped) == 1
+    assert begun(stopped, 3, {}, NOW, WRITER).previous == 1
+    complete = replace(target, state=RolloutState.COMPLETE)
+    assert base_version(complete) == 2 and base_version(None) == 0
+    with pytest.raises(RolloutError, match="complete"):
+        resumed(complete, {}, NOW, WRITER)
+    with pytest.raises(RolloutError, match="not earlier"):
+        rolled_back(complete, 2, {}, NOW, WRITER)
+
+
+def test_a_resumed_roll_out_begins_again_in_another_round() -> None:
+    target = started()
+    again = resumed(halted(target, "by hand", NOW, WRITER), reports_of(target), NOW + 5, "other")
+    assert (again.state, again.round, again.share) == (RolloutState.ROLLING, 3, 0.02)
+    assert (again.writer, again.why, again.since_ms) == ("other", "", NOW + 5)
+
+
+def test_a_roll_out_that_is_taken_over_goes_on_where_it_was() -> None:
+    target = replace(started(), share=0.2, expected=40)
+    over = resumed(target, {}, NOW + 5000, "other")
+    assert (over.share, over.round, over.expected) == (0.2, 2, 40)
+    assert (over.writer, over.since_ms) == ("other", NOW + 5000)
+
+
+def test_a_rollback_goes_to_all_at_once_in_any_state() -> None:
+    target = replace(started(), version=5, previous=4)
+    for before in (target, halted(target, "", NOW, WRITER), replace(target, state=RolloutState.COMPLETE)):
+        back = rolled_back(before, 3, reports_of(before), NOW, WRITER)
+        assert back.rollback and back.share == 1.0 and back.version == 3
+        assert back.round == before.round + 1 and back.previous == base_version(before)
+
+
+# -- how far the fleet is --
+
+
+def test_progress_counts_and_names() -> None:
+    target = rolling(0.5)
+    names = chosen_names(target)
+    reports = reports_of(target)
+    reports[names[0]] = replace(reports[names[0]], in_force=1)
+    reports[names[1]] = replace(reports[names[1]], in_force=1, refused=Refusal(2, "no"))
+    found = progress_of(target, reports)
+    assert found.live == 200 and found.in_force == 198
+    assert found.by_version == {1: 200 - len(names) + 2, 2: len(names) - 2}
+    assert found.lagging == (names[0],) and found.refused == (names[1],)
+    assert not found.in_force_everywhere
+    complete = Target(2, 1, 1.0, RolloutState.COMPLETE)
+    assert progress_of(complete, reports_of(complete)).in_force_everywhere
+
+
+def test_names_of_version_nodes_sort_as_their_numbers() -> None:
+    assert version_path("/c", 12) == "/c/versions/0000000012"
