--- /dev/null
+++ b/tests/test_configuration_processes.py
@@ -0,0 +1,369 @@
+"""Roll-outs over sockets: the commands as processes, a stand-in ensemble, keepers in this process."""
+
+from __future__ import annotations
+
+import json
+import subprocess
+import sys
+from collections.abc import Awaitable, Callable, Iterator
+from pathlib import Path
+from typing import Any
+
+import pytest
+import trio
+
+from keeper import Keeper
+from stand import PATIENCE, Stand
+from stonecove.interface import Settings
+from stonecove.lifecycle.config import config_from
+from stonecove.lifecycle.configuration import ConfigurationKeeper, SettingsRefused
+from stonecove.operator.records import ConfigurationRecord
+from stonecove.rollout.messages import Report, Target
+from stonecove.runtime.clock import Clock
+from stonecove.wire.ensemble import Ensemble
+from stonecove.wire.zksession import Figures
+
+PATH = "/stonecove/configuration"
+FIGURES = Figures(timeout=1.0, connect_wait=0.5, back_off=(0.02, 0.1))
+
+
+class FakeRouter:
+    """Takes settings over, but for those that it was told to refuse."""
+
+    def __init__(self) -> None:
+        self.settings: Settings | None = None
+        self.refuses: set[float] = set()
+
+    def check(self, settings: Settings) -> None:
+        if settings.warm_up in self.refuses:
+            raise SettingsRefused(f"rules.warm_up: {settings.warm_up:g} can't be taken over")
+
+    def apply(self, settings: Settings) -> None:
+        self.settings = settings
+
+
+class Member:
+    """One router: its keeper and its session. It tells its health only once `run` is started."""
+
+    def __init__(self, name: str, servers: list[str], start_wait: float = 5000.0) -> None:
+        addresses = tuple((one.rpartition(":")[0], int(one.rpartition(":")[2])) for one in servers)
+        table = {**Stand.plain_config(), "name": name}
+        self.name = name
+        self.router = FakeRouter()
+        self.ensemble = Ensemble(addresses, 1, FIGURES, lambda: None)
+        self.counts = {"served": 10}
+        self.keeper = ConfigurationKeeper(
+            ConfigurationRecord(True, PATH, start_wait),
+            config_from(table, {}),
+            table["settings"],
+            self.router,
+            self.counts,
+            Clock(),
+        )
+        self.keeper.attach(self.ensemble)
+
+    @property
+    def in_force(self) -> int:
+        return self.keeper.follower.in_force
+
+    @property
+    def warm_up(self) -> float:
+        return self.router.settings.warm_up if self.router.settings is not None else -1.0
+
+
+class Scene:
+    """Routers, a folder for changes, and the command."""
+
+    def __init__(self, ensemble: Keeper, folder: Path, nursery: trio.Nursery) -> None:
+        self.ensemble, self.folder, self.nursery = ensemble, folder, nursery
+        self.members: list[Member] = []
+
+    def add(self, name: str, settles: bool = True, servers: list[str] | None = None, **more: Any) -> Member:
+        member = Member(name, servers or self.ensemble.servers, **more)
+        self.members.append(member)
+        self.nursery.start_soon(member.ensemble.run)
+        if settles:
+            self.nursery.start_soon(member.keeper.run)
+        return member
+
+    async def fleet(self, count: int, **more: Any) -> None:
+        for number in range(count):
+            self.add(f"r{number}", **more)
+        await self.wait(lambda: len(self.reports()) == count, "all report")
+
+    def reports(self) -> dict[str, Report]:
+        client = self.ensemble.client()
+        try:
+            if not client.exists(f"{PATH}/routers"):
+                return {}
+            names = client.get_children(f"{PATH}/routers")
+            return {name: Report.decode(client.get(f"{PATH}/routers/{name}")[0]) for name in names}
+        finally:
+            client.stop()
+            client.close()
+
+    def target(self) -> Target:
+        client = self.ensemble.client()
+        try:
+            return Target.decode(client.get(f"{PATH}/target")[0])
+        finally:
+            client.stop()
+            client.close()
+
+    async def wait(self, true: Callable[[], object], what: str) -> None:
+        with trio.move_on_after(PATIENCE) as waiting:
+            while not await trio.to_thread.run_sync(true):
+                await trio.sleep(0.02)
+        assert not waiting.cancelled_caught, f"never came: {what}"
+
+    def change(self, warm_up: float, **more: Any) -> Path:
+        file = self.folder / f"change-{warm_up:g}.json"
+        file.write_text(json.dumps({"rules": {"warm_up": warm_up}, **more}))
+        return file
+
+    def start(self, *words: object, servers: list[str] | None = None) -> subprocess.Popen[str]:
+        return subprocess.Popen(
+            [
+                *(sys.executable, "-m", "stonecove", "configuration", str(words[0])),
+                *("--servers", ",".join(servers or self.ensemble.servers), "--path", PATH),
+                *map(str, words[1:]),
+            ],
+            stdout=subprocess.PIPE,
+            stderr=subprocess.PIPE,
+            text=True,
+        )
+
+    async def run(self, *words: object, **more: Any) -> tuple[int, str, str]:
+        """A command to its end: exit code, last line, what it said of errors."""
+        return await self.end(self.start(*words, **more))
+
+    async def end(self, process: subprocess.Popen[str]) -> tuple[int, str, str]:
+        out, error = await trio.to_thread.run_sync(lambda: process.communicate(timeout=PATIENCE))
+        return process.returncode, (out.splitlines() or [""])[-1], error
+
+
+def values(line: str) -> dict[str, str]:
+    return dict(word.split("=", 1) for word in line.split())
+
+
+@pytest.fixture
+def play(tmp_path: Path) -> Iterator[Callable[[Callable[[Scene], Awaitable[None]]], None]]:
+    """Plays a scene against an ensemble of two servers."""
+    ensemble = Keeper(2)
+
+    async def main(scene: Callable[[Scene], Awaitable[None]]) -> None:
+        async with trio.open_nursery() as nursery:
+            await scene(Scene(ensemble, tmp_path, nursery))
+            nursery.cancel_scope.cancel()
+
+    yield lambda scene: trio.run(main, scene)
+    ensemble.close()
+
+
+Play = Callable[[Callable[[Scene], Awaitable[None]]], None]
+
+
+def test_a_change_is_in_force_everywhere_and_a_bad_one_halts(play: Play) -> None:
+    async def scene(scene: Scene) -> None:
+        await scene.fleet(6)
+        assert (await scene.run("status"))[:2] == (3, "state=none live=6")
+
+        code, line, error = await scene.run("publish", scene.change(1000.0))
+        assert code == 0, error
+        told = values(line)
+        assert (told["version"], told["state"], told["live"], told["in_force"]) == ("1", "complete", "6", "6")
+        assert [member.warm_up for member in scene.members] == [1000.0] * 6
+        assert {report.in_force for report in scene.reports().values()} == {1}
+        assert (await scene.run("status"))[0] == 0
+
+        for member in scene.members:
+            member.router.refuses.add(2000.0)
+        code, line, error = await scene.run("publish", scene.change(2000.0))
+        assert code == 1, error
+        assert values(line)["state"] == "halted"
+        assert scene.target().why.startswith("refused by 1 of 1")
+        assert {member.in_force for member in scene.members} == {1}
+        assert {member.warm_up for member in scene.members} == {1000.0}
+        refused = [report.refused for report in scene.reports().values() if report.refused is not None]
+        assert [one.why for one in refused] == ["rules.warm_up: 2000 can't be taken over"]
+        code, line, _ = await scene.run("status")
+        assert code == 1 and values(line)["refused"] == "1"
+
+        for member in scene.members:
+            member.router.refuses.clear()
+        assert (await scene.run("resume"))[0] == 0
+        assert [member.warm_up for member in scene.members] == [2000.0] * 6
+        assert (await scene.run("rollback", 1))[0] == 0
+        assert [member.warm_up for member in scene.members] == [1000.0] * 6
+        assert (await scene.run("rollback", 0))[0] == 0
+        assert [member.warm_up for member in scene.members] == [16000.0] * 6
+
+    play(scene)
+
+
+def test_another_controller_goes_on_where_one_died(play: Play) -> None:
+    async def scene(scene: Scene) -> None:
+        await scene.fleet(5, settles=False)
+        first = scene.start("publish", scene.change(1000.0), "--waves", "0.5,1", "--wave-timeout", 60_000)
+        await scene.wait(lambda: any(member.in_force == 1 for member in scene.members), "the first wave")
+        code, _, error = await scene.run("publish", scene.change(2000.0))
+        assert code == 2 and "version 1 is being rolled out" in error
+        first.kill()
+        await scene.end(first)
+        assert {member.in_force for member in scene.members} == {0, 1}
+        assert (await scene.run("status"))[0] == 3
+
+        second = scene.start("resume")
+        writer = scene.target().writer
+        await scene.wait(lambda: scene.target().writer != writer, "the second controller has taken over")
+        third = scene.start("resume")
+        code, _, error = await scene.end(second)
+        assert code == 3 and "has taken over" in error
+        for member in scene.members:
+            scene.nursery.start_soon(member.keeper.run)
+        assert (await scene.end(third))[0] == 0
+        assert {member.in_force for member in scene.members} == {1}
+
+    play(scene)
+
+
+def test_a_halt_ends_the_controller_and_takes_all_back(play: Play) -> None:
+    async def scene(scene: Scene) -> None:
+        await scene.fleet(5, settles=False)
+        first = scene.start("publish", scene.change(1000.0), "--waves", "0.5,1", "--wave-timeout", 60_000)
+        await scene.wait(lambda: any(member.in_force == 1 for member in scene.members), "the first wave")
+        assert (await scene.run("halt"))[0] == 0
+        code, line, _ = await scene.end(first)
+        assert code == 1 and values(line)["lagging"] == "0"
+        assert {member.in_force for member in scene.members} == {0}
+        assert {member.warm_up for member in scene.members} == {-1.0, 16000.0}
+        code, _, error = await scene.run("halt")
+        assert code == 2 and "nothing is rolled out" in error
+
+    play(scene)
+
+
+def test_a_router_that_starts_takes_the_target_before_it_is_ready(play: Play) -> None:
+    async def scene(scene: Scene) -> None:
+        await scene.fleet(2)
+        assert (await scene.run("publish", scene.change(1000.0)))[0] == 0
+        late = scene.add("late")
+        await late.keeper.ready()
+        assert late.in_force == 1 and late.warm_up == 1000.0
+
+        alone = scene.add("alone", servers=["127.0.0.1:1"], start_wait=100.0)
+        await alone.keeper.ready()
+        assert alone.in_force == 0 and alone.router.settings is None
+
+    play(scene)
+
+
+def test_a_region_that_was_cut_off_takes_the_present_version_at_its_return(play: Play) -> None:
+    async def scene(scene: Scene) -> None:
+        near, far = scene.ensemble.servers
+        await scene.fleet(3, servers=[near])
+        away = scene.add("away", servers=[far])
+        await scene.wait(lambda: len(scene.reports()) == 4, "all report")
+        assert (await scene.run("publish", scene.change(1000.0), servers=[near]))[0] == 0
+        scene.ensemble.do("partition 1")
+        await scene.wait(lambda: "away" not in scene.reports(), "its session has expired")
+        for warm_up in (2000.0, 3000.0):
+            assert (await scene.run("publish", scene.change(warm_up), servers=[near]))[0] == 0
+        assert away.in_force == 1 and away.warm_up == 1000.0
+        scene.ensemble.do("heal 1")
+        await scene.wait(lambda: away.in_force == 3, "it has the present version")
+        await scene.wait(lambda: scene.reports().get("away", Report()).in_force == 3, "it reports so")
+        assert away.warm_up == 3000.0
+
+    play(scene)
+
+
+def test_the_service_is_lost_in_the_middle(play: Play) -> None:
+    async def scene(scene: Scene) -> None:
+        await scene.fleet(4, settles=False)
+        change = scene.change(1000.0)
+        process = scene.start("publish", change, "--waves", "0.5,1", "--wave-timeout", 60_000)
+        await scene.wait(lambda: any(member.in_force == 1 for member in scene.members), "the first wave")
+        scene.ensemble.do("partition")
+        await scene.wait(
+            lambda: not any(member.ensemble.session.connected for member in scene.members), "all are away"
+        )
+        for member in scene.members:
+            scene.nursery.start_soon(member.keeper.run)
+        assert {member.in_force for member in scene.members} == {0, 1}
+        scene.ensemble.do("heal")
+        code, line, error = await scene.end(process)
+        assert code == 0, error
+        assert values(line)["in_force"] == "4"
+        assert {member.warm_up for member in scene.members} == {1000.0}
+
+    play(scene)
+
+
+def test_an_overlay_that_somebody_else_has_spoilt_is_refused(play: Play) -> None:
+    async def scene(scene: Scene) -> None:
+        await scene.fleet(2)
+        client = scene.ensemble.client()
+        target = Target.decode(json.dumps({**json.loads(_first_target()), "version": 7}).encode())
+        client.create(f"{PATH}/versions/0000000007", b'{"version": 6, "merge": {}}', makepath=True)
+        client.create(f"{PATH}/target", target.encode())
+        await scene.wait(
+            lambda: all(report.refused is not None for report in scene.reports().values()), "both refuse"
+        )
+        client.set(f"{PATH}/target", b"nonsense")
+        code, _, error = await scene.run("status")
+        assert code == 2 and f"{PATH}/target: target: not JSON" in error
+        client.stop()
+        client.close()
+        whys = {report.refused.why for report in scene.reports().values() if report.refused is not None}
+        assert whys == {"version: 6 in the node of version 7"}
+        assert {member.in_force for member in scene.members} == {0}
+
+    def _first_target() -> bytes:
+        from stonecove.rollout.messages import RolloutState
+
+        return Target(1, 0, 1.0, RolloutState.ROLLING).encode()
+
+    play(scene)
+
+
+@pytest.mark.parametrize(
+    ("text", "field"),
+    [
+        ("{", "FILE: "),
+        ("[]", "FILE: "),
+        ('{"zone": 3}', "FILE: merge.zone: "),
+        ('{"a": "' + "x" * 70_000 + '"}', "FILE: merge: "),
+        ('{"rules": {"warm_up": "long"}}', "FILE: settings can't be used: "),
+        ('{"classes": null}', "FILE: settings can't be used: settings lack 'classes'"),
+    ],
+)
+def test_input_that_cannot_be_used_is_told_in_one_line(tmp_path: Path, text: str, field: str) -> None:
+    from click.testing import CliRunner
+
+    from stonecove.commands.main import cli
+
+    own = tmp_path / "config.json"
+    own.write_text(json.dumps(Stand.plain_config()))
+    file = tmp_path / "change.json"
+    file.write_text(text)
+    done = CliRunner().invoke(
+        cli,
+        ["configuration", "publish", str(file), "--servers", "127.0.0.1:1", "--against", str(own)],
+    )
+    assert done.exit_code == 2
+    assert field in done.output and len(done.output.splitlines()) == 1
+
+
+def test_nobody_to_publish_to_and_no_service(play: Play, tmp_path: Path) -> None:
+    async def scene(scene: Scene) -> None:
+        code, _, error = await scene.run("publish", scene.change(1.0))
+        assert code == 2 and f"--path: no router reports below {PATH}/routers" in error
+        code, _, error = await scene.run("rollback", 1)
+        assert code == 2 and "VERSION: 1 is not kept" in error
+        code, _, error = await scene.run("halt")
+        assert code == 2 and "--path: nothing was published" in error
+        code, _, error = await scene.run("status", "--patience", 0.3, servers=["127.0.0.1:1"])
+        assert code == 3 and "--servers: no connection" in error
+
+    play(scene)
