--- a/stonecove/lifecycle/configuration.py
+++ b/stonecove/lifecycle/configuration.py
@@ -49,12 +49,12 @@
 class SettingsTarget(Protocol):
     """The running router, whose settings are changed."""
 
-    def check(self, settings: Settings) -> None:
-        """Raises SettingsRefused if they can't be taken over; changes nothing."""
-
-    def apply(self, settings: Settings) -> None:
+    def apply(self, settings: Settings, version: int) -> None:
         """Takes them over, as a whole; raises SettingsRefused if they can't be, and changes nothing then."""
 
+    def refuse(self, why: str, version: int) -> None:
+        """Notes a version that could not even be read."""
+
 
 class ConfigurationKeeper:
     """Keeps the router's settings in step with the target, and its report with what is in force."""
@@ -116,8 +116,7 @@
         Raises SettingsRefused, or MessageError for settings that can't be read.
         """
         settings = settings_with(table, self._overlay)
-        self._router.check(settings)
-        self._router.apply(settings)
+        self._router.apply(settings, self._overlay.version)
         self._table = table
         self.follower.try_again()
         self.go_on()
@@ -136,9 +135,14 @@
 
     def overlay_read(self, version: int, data: bytes | None) -> None:
         """The data of a version's node; None: there is no such node."""
+        wanted = version == self.follower.next_version()
         overlay = self.follower.overlay(version, data, self._clock.now())
+        refused = self.follower.report().refused
         if overlay is not None:
             self._take(overlay)
+        elif wanted and refused is not None:
+            self._router.refuse(refused.why, version)
+            log("configuration-refused", version=version, in_force=self.follower.in_force, why=refused.why)
         self.go_on()
 
     def go_on(self) -> None:
@@ -158,18 +162,23 @@
         """Puts a version in force as a whole, or refuses it."""
         now, before = self._clock.now(), self.follower.in_force
         try:
-            settings = settings_with(self._table, overlay)
-            self._router.check(settings)
-            self._router.apply(settings)
-        except (MessageError, SettingsRefused) as error:
-            self.follower.refuse(overlay.version, str(error), now)
-            log("configuration-refused", version=overlay.version, in_force=before, why=str(error))
+            self._router.apply(settings_with(self._table, overlay), overlay.version)
+        except SettingsRefused as error:
+            self._refuse(overlay.version, str(error))
+            return
+        except MessageError as error:
+            self._router.refuse(str(error), overlay.version)
+            self._refuse(overlay.version, str(error))
             return
         self._overlay = overlay
         self.follower.took(overlay.version, now)
         self._window.sample()  # what came before is of the version before
         log("configuration-in-force", version=overlay.version, before=before)
 
+    def _refuse(self, version: int, why: str) -> None:
+        self.follower.refuse(version, why, self._clock.now())
+        log("configuration-refused", version=version, in_force=self.follower.in_force, why=why)
+
     def _sleep(self) -> float:
         due = self.follower.settle_due()
         return HEALTH_PERIOD if due is None else max(0.0, (due - self._clock.now()) / 1000.0)
