--- a/stonecove/lifecycle/members.py
+++ b/stonecove/lifecycle/members.py
@@ -36,6 +36,7 @@
 from stonecove.operator.reader import read
 from stonecove.operator.records import Operator
 from stonecove.stages.route import Route
+from stonecove.wire.ensemble import Ensemble
 from stonecove.wire.follow import ChangeLog
 
 FIRST_LIST = 3.0  # seconds for which serving waits for the first list
@@ -85,6 +86,7 @@
         self.also: dict[str, Callable[[list[str]], dict[str, Any]]] = {}  # others who answer on the socket
         self._peers: Peers | None = None  # the fleet's size that was derived last
         self._taken_at = 0.0  # when our name was found to be taken, in trio's seconds
+        self._session_users: list[Callable[[Ensemble], None]] = []
         if self.operator.zookeeper is not None:
             self._coordination = self._coordinate(self.operator)
         route.send.watcher = self._written
@@ -110,6 +112,12 @@
             log("members-late", nodes=len(self._route.nodes))
         self._tell_state("ready")
 
+    def use_session(self, user: Callable[[Ensemble], None]) -> None:
+        """`user` is given the session of the coordination service, and each that takes its place later."""
+        self._session_users.append(user)
+        if self._coordination is not None:
+            user(self._coordination.ensemble)
+
     async def leaving(self) -> None:
         """Tells that we drain; waits for a moment until that is known to be told."""
         heard = trio.Event()
@@ -281,6 +289,8 @@
         gone, self._coordination, self._next = self._coordination, coming, None
         before = set(gone.roster.claims) if gone is not None else set()
         self._tell_claims(coming, before)
+        for user in self._session_users:
+            user(coming.ensemble)
         if gone is not None:
             gone.ensemble.close()
         self._tell_state(self._state)
--- a/stonecove/operator/records.py
+++ b/stonecove/operator/records.py
@@ -214,9 +214,11 @@
 
 @dataclass(frozen=True, slots=True)
 class ConfigurationRecord:
-    """What a running router takes over beyond the platform's rules."""
+    """Changes of the settings while the router runs; an empty path: none are rolled out to it."""
 
-    settings: bool  # the settings, on SIGHUP
+    settings: bool
+    path: str = ""
+    start_wait: float = 2000.0
 
 
 @dataclass(frozen=True, slots=True)
@@ -294,6 +296,10 @@
     )
 
 
+def _configuration(table: dict[str, Any]) -> ConfigurationRecord:
+    return ConfigurationRecord(table["settings"], table.get("path", ""), float(table["start_wait"]))
+
+
 def operator_of(table: dict[str, Any]) -> Operator:
     """The records of a table that the schema has passed."""
     sources, presence, members = table["sources"], table.get("presence"), table["members"]
@@ -328,7 +334,7 @@
         if "http" in table
         else None,
         swarm=_swarm(table["swarm"]) if "swarm" in table else None,
-        configuration=ConfigurationRecord(**table["configuration"]) if "configuration" in table else None,
+        configuration=_configuration(table["configuration"]) if "configuration" in table else None,
         members=Members(
             members.get("socket", ""), members["nobody"] == "keep", members["trace"], members["batch"]
         ),
--- a/stonecove/operator/schema.cue
+++ b/stonecove/operator/schema.cue
@@ -22,8 +22,12 @@
 }
 
 #Configuration: {
-	// SIGHUP takes the settings over as well, as a whole or not at all; otherwise they wait for a restart.
+	// A running router takes over the settings of its own file (SIGHUP) and those that are rolled out.
 	settings: *false | bool
+	// Settings are rolled out below this path of sources.zookeeper. Needs settings: true.
+	path?: #Path
+	// So long a start waits for what is rolled out, before the router serves by its own file.
+	start_wait: *2s | duration & >=0ms & <=1min
 }
 
 #Swarm: {
