--- a/stonecove/exchange.py
+++ b/stonecove/exchange.py
@@ -47,6 +47,7 @@
     nonce: str = ""  # the client's idempotency key; empty where the class has none
     client: str = ""  # who asks, as the web server tells it; empty if it does not
     gone: Callable[[], None] | None = None  # told when its client leaves before the answer
+    look: Callable[[], None] | None = None  # has its front look, now, whether its client is still there
 
 
 class BadRequestError(Exception):
--- a/stonecove/lifecycle/serve.py
+++ b/stonecove/lifecycle/serve.py
@@ -2,7 +2,6 @@
 
 from __future__ import annotations
 
-import errno
 import gc
 import heapq
 import os
@@ -26,7 +25,7 @@
 from stonecove.stages.send import connection_limit
 from stonecove.wire.channel import Owner
 from stonecove.wire.client import Connection as Client
-from stonecove.wire.connection import Connection
+from stonecove.wire.connection import NO_DESCRIPTOR, Connection
 from stonecove.wire.follow import ChangeLog
 from stonecove.wire.front import Front
 
@@ -57,7 +56,9 @@
 IDLE_FOR = 60.0  # ms for which an idle client keeps its place while others wait: it may be asking just now
 HALF_FOR = 500.0  # ms for which one keeps it that has begun to ask, has nothing else open and sends no more
 PLACES_PART = 0.125  # part of all places that are made at once: looking through all clients costs
-_NO_ROOM = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM)
+LEAST_CLIENTS = 8  # places for clients, however few descriptors there are
+CLIENTS_PART = 0.6  # of the descriptors that the system turned out to have, clients get so much
+PLACES_BACK = 0.125  # part of the places lost to a lack of descriptors that is tried again at each statistics
 
 
 class Server:
@@ -102,6 +103,7 @@
         self._front = Front(config.settings, self._route)
         self._operator = operator
         self._changelog = ChangeLog(*config.changelog, config.last)
+        self._changelog.short = self._short_of_descriptors
         self._members: Members | None = None
         self._leases: Leases | None = None
         if leases := os.environ.get("STONECOVE_LEASES"):
@@ -157,7 +159,7 @@
             self._http = HttpListener(operator.http, front, self._spawn)
 
     def _connect(self, owner: Owner, address: tuple[str, int], patience: float) -> Connection:
-        connection = Connection(owner, address, patience, self._clock.now)
+        connection = Connection(owner, address, patience, self._clock.now, self._short_of_descriptors)
         self._spawn(connection.run)
         return connection
 
@@ -336,11 +338,28 @@
 
     def _limit(self, config: Config) -> None:
         """Shares the limits out."""
-        self._most_clients = max(8, config.sockets // 2)
+        self._most_clients = self._granted_clients = max(LEAST_CLIENTS, config.sockets // 2)
         self._budget.most = config.memory_mb * MEMORY_SHARE * 1e6
         self._route.send.most_links = connection_limit(config.sockets)
         self._route.admit.cpu.share(config.cores)
 
+    def _short_of_descriptors(self) -> None:
+        """The system gives us no descriptor more, whatever our limit says: clients get fewer places.
+
+        Guards against idle clients that hold all descriptors, so that no connection to the change log or to
+        a cache comes up again.
+        """
+        log_some("no-descriptors", clients=len(self._clients), links=self._route.send.links())
+        if len(self._clients) <= self._most_clients:
+            held = len(self._clients) + self._route.send.links()
+            self._most_clients = max(LEAST_CLIENTS, min(self._most_clients, int(CLIENTS_PART * held)))
+        self._make_room()
+
+    def _try_more_clients(self) -> None:
+        """Gives back, bit by bit, the places that a lack of descriptors took."""
+        more = max(1, round(PLACES_BACK * self._granted_clients))
+        self._most_clients = min(self._granted_clients, self._most_clients + more)
+
     async def _drain(self, listener: socket.socket, since: float) -> None:
         """Goes on accepting for the grace, finishes what was taken, and ends well before SIGKILL.
 
@@ -399,6 +418,7 @@
             self._route.book.line(
                 open=len(self._route.requests), clients=len(self._clients), links=self._route.send.links()
             )
+            self._try_more_clients()
             limit = self._clock.now() - CLIENT_IDLE
             for client in list(self._clients):
                 if client.idle() and client.last_used <= limit:
@@ -421,7 +441,8 @@
         not got round to reading.
         """
         self._making_room &= self._clients
-        places = round(self._most_clients * PLACES_PART) - len(self._making_room)
+        surplus = len(self._clients) - self._most_clients  # where places were taken back
+        places = max(round(self._most_clients * PLACES_PART), surplus) - len(self._making_room)
         if places <= 0:
             return False
         now = self._clock.now()
@@ -465,9 +486,8 @@
                 continue
             except OSError as error:
                 # Guards against running out of descriptors: wait, and let idle connections go.
-                if error.errno in _NO_ROOM:
-                    log_some("no-descriptors", clients=len(self._clients), links=self._route.send.links())
-                    self._make_room()
+                if error.errno in NO_DESCRIPTOR:
+                    self._short_of_descriptors()
                     await trio.sleep(0.05)
 
     def _take(self, sock: socket.socket) -> None:
--- a/stonecove/stages/send.py
+++ b/stonecove/stages/send.py
@@ -323,6 +323,8 @@
 
     def begin(self, attempt: Attempt) -> bytes | None:
         """The bytes of an attempt whose first byte is about to be written; None if it can't go."""
+        if attempt.request.asked.look is not None:
+            attempt.request.asked.look()
         if not self.may_go(attempt):
             return None
         if self.outlived is not None and self.outlived(attempt):
--- a/stonecove/wire/client.py
+++ b/stonecove/wire/client.py
@@ -75,6 +75,21 @@
                 return True
         return False
 
+    def look_for_end(self) -> None:
+        """Guards against an attempt that begins for a client whose end has come, but is not read yet.
+
+        As after a standstill of ours, when what the client and what the cache did are found in one turn.
+        """
+        try:
+            for _ in range(LOOKS):
+                if not self._take():
+                    self.left()
+                    break
+        except BlockingIOError:
+            pass
+        except OSError:
+            self.left()
+
     async def run(self) -> str:
         """Serves until either side ends it; returns why. No error of the peer's leaves here."""
         why = "closed by us"
--- a/stonecove/wire/connection.py
+++ b/stonecove/wire/connection.py
@@ -2,26 +2,37 @@
 
 from __future__ import annotations
 
+import errno
 import socket
 from collections.abc import Callable
 
 import trio
 
+from stonecove.runtime.timers import nobody
 from stonecove.wire.buffer import BufferFullError
 from stonecove.wire.channel import Channel, Owner
 from stonecove.wire.resp import RespError
 
+NO_DESCRIPTOR = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM)  # what lacks is the system's
+ASK_AGAIN = 0.02  # seconds between two attempts to get a descriptor
+
 
 class Connection(Channel):
     """A channel on a plain non-blocking socket; a task writes what could not be written at once."""
 
     def __init__(
-        self, owner: Owner, address: tuple[str, int], patience: float, clock: Callable[[], float]
+        self,
+        owner: Owner,
+        address: tuple[str, int],
+        patience: float,
+        clock: Callable[[], float],
+        short: Callable[[], None] = nobody,
     ) -> None:
-        """Patience is in seconds."""
+        """Patience is in seconds; `short` is called when the system has no descriptor for it."""
         super().__init__(owner, clock)
         self._address = address
         self._patience = patience
+        self._short = short
         self._sock: socket.socket
         self._room_wanted = trio.Event()
         self._scope = trio.CancelScope()
@@ -37,18 +48,31 @@
         why = ""
         try:
             self.lacking = True
-            self._sock = socket.socket()
-            self.lacking = False
-            with self._scope, trio.socket.from_stdlib_socket(self._sock) as sock:
-                why = await self._live(sock)
+            with self._scope:
+                limit = trio.current_time() + self._patience
+                self._sock = await self._descriptor(limit)
+                self.lacking = False
+                with trio.socket.from_stdlib_socket(self._sock) as sock:
+                    why = await self._live(sock, limit)
         except OSError as error:
             self.failed(error)
         finally:
             self.ended(why)
 
-    async def _live(self, sock: trio.socket.SocketType) -> str:
+    async def _descriptor(self, limit: float) -> socket.socket:
+        """A new socket; waits for room until that time, in trio's seconds. Raises OSError."""
+        while True:
+            try:
+                return socket.socket()
+            except OSError as error:
+                if error.errno not in NO_DESCRIPTOR or trio.current_time() >= limit:
+                    raise
+            self._short()
+            await trio.sleep(ASK_AGAIN)
+
+    async def _live(self, sock: trio.socket.SocketType, limit: float) -> str:
         sock.setsockopt(trio.socket.IPPROTO_TCP, trio.socket.TCP_NODELAY, 1)
-        with trio.move_on_after(self._patience) as waiting:
+        with trio.move_on_at(limit) as waiting:
             await sock.connect(self._address)
         if waiting.cancelled_caught:
             self.late = True
--- a/stonecove/wire/follow.py
+++ b/stonecove/wire/follow.py
@@ -10,9 +10,11 @@
 import trio
 
 from stonecove.runtime.log import log, log_some
+from stonecove.runtime.timers import nobody
 from stonecove.membership import MembershipSink
 from stonecove.wire.buffer import Buffer, BufferFullError
 from stonecove.wire.changelog import MOST_FRAME, ChangeLogError, Follower, frames
+from stonecove.wire.connection import NO_DESCRIPTOR
 
 # What is in the log counts as told 7 s later at the latest: all waits in a row must fit into that. The worst
 # chain that is borne: the log falls silent, the next connection comes up and says nothing, two more never
@@ -24,7 +26,9 @@
 BACK_OFF = 0.05, 0.15  # seconds before the next connection, doubled up to the second; few graces are shorter
 CONNECT_WAIT = 0.8
 SETTLED = 0.03  # seconds after an event without another one: the log has told what it had
-READY_WITHIN = 4.0  # seconds that a start waits at most, whatever grace the settings give; 10 are allowed
+# Seconds that a start waits at most, whatever grace the settings give: 6 are allowed on short days, and the
+# start itself took 3.4 on a crowded host. One mute connection and a second one that speaks fit in.
+READY_WITHIN = 2.5
 LATE = 0.02  # seconds after a turn of all tasks for which the next one is late
 
 
@@ -45,6 +49,7 @@
         self._quiet = trio.CancelScope()  # cancelled once the log is given up
         self._why = ""  # why it was given up; or the error
         self._error: Exception | None = None
+        self.short: Callable[[], None] = nobody  # told when the system has no descriptor for a connection
 
     def move(self, host: str, port: int) -> None:
         """Follows the log at another address from now on, after the same last number.
@@ -108,6 +113,8 @@
                 why = await self._follow(sink)
             except (OSError, BufferFullError, ChangeLogError) as error:
                 why = str(error) or type(error).__name__
+                if isinstance(error, OSError) and error.errno in NO_DESCRIPTOR:
+                    self.short()
             except Exception as error:  # guards against one event that can't be worked off ending the process
                 log("bug", where="change log", error=repr(error))
                 why = "an event can't be worked off"
--- a/stonecove/wire/front.py
+++ b/stonecove/wire/front.py
@@ -88,6 +88,7 @@
                 raise BadRequestError(400, "CONTENT_LENGTH is not that of the body")
             asked = self._intake.take(path, fields_of(params), body, partial(self._reply, connection, ident))
             asked.client = params.get("REMOTE_ADDR", "")[:64]
+            asked.look = connection.look_for_end
             if self._route.requests.waits(asked.txn):
                 raise BadRequestError(400, "X-Txn is that of an open request")
             if self.desk is not None and not self._let_in(connection, ident, params, asked):
--- a/stonecove/wire/session.py
+++ b/stonecove/wire/session.py
@@ -85,6 +85,9 @@
         """What has come in so far is to be taken in at once; says whether that is done."""
         return True
 
+    def look_for_end(self) -> None:
+        """Takes in what has come so far; if the client has ended the connection, `left` is to be called."""
+
     # -- what whoever does the I/O tells --
 
     def received(self) -> None:
@@ -135,13 +138,17 @@
         self._full = False
         self._pump()
 
+    def left(self) -> None:
+        """The client has ended the connection: nobody waits for what is open on it."""
+        for ident in sorted(self._decoder.open):
+            self._handler.aborted(self, ident)
+
     def ended(self) -> None:
         """The connection is over; to be called once, as the last."""
         self._decoder.close()
         self._budget.give(self._unsent)
         self._unsent = 0
-        for ident in sorted(self._decoder.open):
-            self._handler.aborted(self, ident)
+        self.left()
 
     # -- for those who use it --
 
