--- a/stonecove/scale/results.py
+++ b/stonecove/scale/results.py
@@ -1,4 +1,4 @@
-"""What a scale run measures, typed. Times are in milliseconds, rates a second, sizes in bytes or megabytes."""
+"""What a scale run measures, typed. Times in milliseconds, rates a second, sizes in bytes or megabytes."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Delays:
-    """Delays of many events: from the first byte at a control machine until the last router has it in force."""
+    """Delays of many events: from the first byte at a control machine until the last router has each."""
 
     count: int
     p50_ms: float
