--- a/stonecove/commands/main.py
+++ b/stonecove/commands/main.py
@@ -12,6 +12,7 @@
 from stonecove.commands.fleet import fleet
 from stonecove.commands.members import members
 from stonecove.commands.overload import overload
+from stonecove.commands.scale import scale
 from stonecove.commands.standin import standin
 from stonecove.commands.swarm import swarm
 from stonecove.commands.token import keys, token
@@ -51,7 +52,7 @@
     sys.exit(play(requests))
 
 
-for _command in (explore, config, fleet, members, standin, swarm, token, keys, trial, overload):
+for _command in (explore, config, fleet, members, standin, swarm, token, keys, trial, overload, scale):
     cli.add_command(_command)
 
 
--- a/stonecove/scale/options.py
+++ b/stonecove/scale/options.py
@@ -25,7 +25,8 @@
 MACHINE_CUT = "machine-cut"
 ZONE_CUT = "zone-cut"
 REGION_CUT = "region-cut"
-FAULTS = (ROUTERS_RESTARTED, ROUTERS_KILLED, MACHINE_KILLED, MACHINE_CUT, ZONE_CUT, REGION_CUT)
+SLOW_READER = "slow-reader"
+FAULTS = (ROUTERS_RESTARTED, ROUTERS_KILLED, MACHINE_KILLED, MACHINE_CUT, ZONE_CUT, REGION_CUT, SLOW_READER)
 
 CONTROL_MACHINES = 3  # the machines that the operators set aside for control
 LEAST_SIZES = 4  # three that are fitted and one that is predicted
@@ -34,7 +35,7 @@
 MOST_PROCESSES = 200
 MOST_MEMORY_SHARE = 0.5  # of the machine's memory
 
-CONNECTIONS_PER_ROUTER = 2  # of a hollow one: to its control machine, and to the next while it moves
+CONNECTIONS_PER_ROUTER = 2  # of a hollow one: to its control machine, and the swarm's datagram socket
 CONNECTIONS_PER_CACHE = 4  # that a real router holds to one cache at most
 SPARE_DESCRIPTORS = 64  # standard streams, pipes, event queues, logs
 
@@ -60,9 +61,9 @@
     real: int = 2  # routers that are whole processes; the others are hollow
     hollow_per_process: int = 50
     purges_a_second: float = 22.0
-    day_factor: float = 60.0  # a day's configuration changes and failures come so many times faster
-    seconds: float = 20.0  # of load at each size, before the faults
-    faults: tuple[str, ...] = FAULTS
+    day_factor: float = 600.0  # failures and restarts of a day come so many times faster
+    seconds: float = 20.0  # of load at each size, without faults
+    faults: tuple[str, ...] = FAULTS  # one after the other at the last size, after the load without
     requests_a_second: float = 50.0  # sent to all real routers together
     seed: int = 1
     swarm: bool = False  # real routers also tell each other of themselves
--- a/stonecove/scale/schema.cue
+++ b/stonecove/scale/schema.cue
@@ -8,11 +8,11 @@
 	real?:               int & >=0 & <=50
 	hollow_per_process?: int & >=1 & <=500
 	purges_a_second?:    number & >0 & <=1000
-	// A day's configuration changes and failures come so many times faster.
+	// Failures and restarts of a day come so many times faster.
 	day_factor?: number & >=0 & <=10000
-	// Of load at each size, before the faults.
+	// Of load at each size, without faults; faults come at the last size, one after the other.
 	seconds?: number & >=2 & <=3600
-	faults?: [...("routers-restarted" | "routers-killed" | "machine-killed" | "machine-cut" | "zone-cut" | "region-cut")]
+	faults?: [...("routers-restarted" | "routers-killed" | "machine-killed" | "machine-cut" | "zone-cut" | "region-cut" | "slow-reader")]
 	// Sent to all real routers together.
 	requests_a_second?: number & >=0 & <=2000
 	seed?:              int
