--- a/stonecove/lifecycle/serve.py
+++ b/stonecove/lifecycle/serve.py
@@ -24,6 +24,7 @@
 from stonecove.memory.budget import Budget
 from stonecove.stages.route import Route
 from stonecove.stages.send import connection_limit
+from stonecove.wire.changelog import Follower
 from stonecove.wire.channel import Owner
 from stonecove.wire.client import Connection as Client
 from stonecove.wire.connection import Connection
@@ -101,7 +102,7 @@
         self._limit(config)
         self._front = Front(config.settings, self._route)
         self._operator = operator
-        self._changelog = ChangeLog(*config.changelog, config.last)
+        self._changelog = ChangeLog(*config.changelog, Follower(config.last))
         self._members: Members | None = None
         self._leases: Leases | None = None
         if leases := os.environ.get("STONECOVE_LEASES"):
--- a/stonecove/standins/depot.py
+++ b/stonecove/standins/depot.py
@@ -16,6 +16,7 @@
 from stonecove.wire import resp
 from stonecove.wire.buffer import Buffer
 
+NOTHING, WHOLE_LIST, CHANGES, OBJECT_PURGE, GROUP_PURGE = range(5)  # kinds of frames
 _HEAD = struct.Struct(">IQB")
 _RECORD = struct.Struct(">IIHBBBHIQ")
 _STATES = {"up": 0, "draining": 1, "removed": 2}
@@ -152,12 +153,34 @@
     return resp.encode(txn.encode(), status, resp.words([("tell", tell)]), b"")
 
 
+def event_frame(number: int, kind: int, payload: bytes = b"") -> bytes:
+    """A frame of the change log; one of kind `NOTHING` only tells the number of the last event."""
+    return _HEAD.pack(9 + len(payload), number, kind) + payload
+
+
+def member_record(cache: Cache, host: str, state: str, weight: float) -> bytes:
+    """What the change log tells of a server that is up, draining or removed."""
+    address, told, thousandths = int(IPv4Address(host)), _STATES[state], round(weight * 1000)
+    return _RECORD.pack(cache.ident, address, cache.port, told, cache.zone, cache.kind, 0, thousandths,
+                        int(cache.started))  # fmt: skip
+
+
+def object_purge(key: int, moment: float) -> bytes:
+    """The payload of an `OBJECT_PURGE` of that Unix millisecond."""
+    return struct.pack(">QQ", key, int(moment))
+
+
+def group_purge(group: int, moment: float) -> bytes:
+    """The payload of a `GROUP_PURGE` of that Unix millisecond."""
+    return struct.pack(">HQ", group, int(moment))
+
+
 class Depot:
     """All servers of a depot, and what they have seen."""
 
     def __init__(self, caches: int, weight: float = 20.0, zones: int = 1) -> None:
         """`weight`: transfers at once that a cache's link carries; caches stand in zones in turn."""
-        self._weight = weight
+        self.weight = weight
         self._lock = threading.Lock()
         self._ran: Counter[str] = Counter()  # by id, for classes that have an effect
         self._purges: list[float] = []
@@ -217,7 +240,7 @@
                 "machineType": _KINDS[cache.kind],
                 "cell": 0,
                 "lifecycle": "up",
-                "weight": self._weight,
+                "weight": self.weight,
                 "startedAtMs": 0,
             }
             for cache in self.servers
@@ -236,15 +259,14 @@
         while True:
             time.sleep(1.0)
             with self._lock:
-                sock.sendall(_HEAD.pack(9, len(self._events) + 1, 0))
+                sock.sendall(event_frame(len(self._events) + 1, NOTHING))
 
     def _tell(self, kind: int, payload: Callable[[str], bytes]) -> None:
         with self._lock:
             number = len(self._events) + 2
 
             def frame(host: str) -> bytes:
-                body = payload(host)
-                return _HEAD.pack(9 + len(body), number, kind) + body
+                return event_frame(number, kind, payload(host))
 
             self._events.append(frame)
             for host, sock in self._followers:
@@ -254,15 +276,13 @@
     def tell_state(self, cache: Cache, state: str) -> None:
         """The list says that the cache is up, draining or removed."""
         cache.state = state
-        rest = (cache.port, _STATES[state], cache.zone, cache.kind, 0, round(self._weight * 1000),
-                int(cache.started))  # fmt: skip
-        self._tell(2, lambda host: _RECORD.pack(cache.ident, int(IPv4Address(host)), *rest))
+        self._tell(CHANGES, lambda host: member_record(cache, host, state, self.weight))
 
     def tell_purge(self, group: int) -> float:
         """Tells of the purge of a group; the Unix millisecond of it."""
         moment = time.time() * 1000.0
         self._purges.append(moment)
-        self._tell(4, lambda host: struct.pack(">HQ", group, int(moment)))
+        self._tell(GROUP_PURGE, lambda host: group_purge(group, moment))
         return moment
 
     def close(self) -> None:
--- a/stonecove/trial/processes.py
+++ b/stonecove/trial/processes.py
@@ -30,17 +30,20 @@
 class RouterProcess:
     """One router's place: its configuration, its lives one after the other, its log."""
 
-    def __init__(self, folder: Path, name: str, config: dict[str, Any], operator: str) -> None:
-        """`config` as the platform gives one; `operator`: the text of the operator's file."""
+    def __init__(self, folder: Path, name: str, config: dict[str, Any], operator: str | None) -> None:
+        """`config` as the platform gives one; `operator`: the text of the operator's file, if any."""
         self.name, self.folder = name, folder
         folder.mkdir(parents=True, exist_ok=True)
         self.socket = str(folder / "members.sock")
         self.log = folder / "log"
         host, _, port = str(config["listen"]).rpartition(":")
         self.address: Address = (host, int(port))
-        self._config, self._operator = folder / "config.json", folder / "operator.cue"
+        self._config = folder / "config.json"
         self._config.write_text(json.dumps(config))
-        self._operator.write_text(f'{operator}\nmembers: socket: "{self.socket}"\n')
+        self._operator: Path | None = None
+        if operator is not None:
+            self._operator = folder / "operator.cue"
+            self._operator.write_text(f'{operator}\nmembers: socket: "{self.socket}"\n')
         self.process: subprocess.Popen[bytes] | None = None
         self.stopped = False
         self.lives: list[tuple[float, float | None]] = []  # Unix seconds of start and end
@@ -67,9 +70,12 @@
         if self._clock is not None:
             program = shifted.__name__
             more[shifted.VARIABLE] = str(self._clock)
+        command = [sys.executable, "-m", program, "run"]
+        if self._operator is not None:
+            command += ["--operator", str(self._operator)]
         with self.log.open("ab") as log:
             self.process = subprocess.Popen(
-                [sys.executable, "-m", program, "run", "--operator", str(self._operator)],
+                command,
                 stderr=log, stdin=subprocess.DEVNULL, env={**os.environ, **(env or {}), **more},
             )  # fmt: skip
         self.stopped = False
--- a/stonecove/wire/follow.py
+++ b/stonecove/wire/follow.py
@@ -31,9 +31,17 @@
 class ChangeLog(trio.abc.Instrument):
     """Follows the change log for good: resumes after the last number, however often it breaks."""
 
-    def __init__(self, host: str, port: int, last: int) -> None:
+    def __init__(
+        self,
+        host: str,
+        port: int,
+        follower: Follower,
+        new_socket: Callable[[], socket.socket] = socket.socket,
+    ) -> None:
+        """`new_socket` makes the one of each connection."""
         self._address = (host, port)
-        self._follower = Follower(last)
+        self._follower = follower
+        self._new_socket = new_socket
         self._scope = trio.CancelScope()
         self.heard = 0.0  # when the last whole frame came, in trio's seconds
         self._nothing_new = trio.Event()  # the log has said so once
@@ -117,7 +125,7 @@
             await trio.sleep(wait)
 
     async def _follow(self, sink: MembershipSink) -> str:
-        plain = socket.socket()
+        plain = self._new_socket()
         with trio.socket.from_stdlib_socket(plain) as sock:
             sock.setsockopt(trio.socket.IPPROTO_TCP, trio.socket.TCP_NODELAY, 1)
             with trio.move_on_after(CONNECT_WAIT) as waiting:
