--- a/stonecove/commands/main.py
+++ b/stonecove/commands/main.py
@@ -13,6 +13,7 @@
 from stonecove.commands.fleet import fleet
 from stonecove.commands.members import members
 from stonecove.commands.overload import overload
+from stonecove.commands.scale import scale
 from stonecove.commands.standin import standin
 from stonecove.commands.swarm import swarm
 from stonecove.commands.token import keys, token
@@ -64,6 +65,7 @@
     keys,
     trial,
     overload,
+    scale,
 ):
     cli.add_command(_command)
 
