--- /dev/null
+++ b/benchmarks/capacity_cold.py
@@ -0,0 +1,183 @@
+"""What part of the work that a cold node bears is used, where each of many routers has a fixed share of it.
+
+The decisions of all routers that share the node are played on one clock. The node has just been started, and
+more is asked of it than it bears.
+"""
+
+from __future__ import annotations
+
+import heapq
+import itertools
+import random
+from collections import deque
+from dataclasses import dataclass, field
+
+from benchmarks.capacity_sizes import (
+    CACHE_CARRIES,
+    CLIENT_KB,
+    MEAN_WORK,
+    MISSES,
+    ORIGIN_KIND,
+    PARENT_KIND,
+    ROUTERS,
+    ZONE_CACHES,
+    ZONE_ROUTERS,
+    edge_settings,
+    node,
+    parent_carries,
+    sizes_kb,
+)
+from stonecove.choice import HEADROOM, ColdBudget, Director
+from stonecove.interface import Ended, Event, Get, Listed, ListKind, Node, Note, Outcome, Request, Settings
+
+START = 1e12  # ms
+COLD = 4242
+GRACE = 3000.0  # ms that clients wait
+FILL_TAKES = 30.0  # ms more than a hit
+
+
+@dataclass
+class Play:
+    """What was asked of a cold node and what it got: moment and work of each attempt, in ms."""
+
+    window: float
+    carries: float
+    budget: ColdBudget
+    sent: list[tuple[float, float]] = field(default_factory=list)
+    offered: float = 0.0
+    requests: int = 0
+
+    def rule(self, now: float) -> float:
+        """The work that it bears within the window that ends now."""
+        return self.budget.rule(now, node(COLD)._replace(started=START), self.carries) / HEADROOM
+
+    def used(self, until: float) -> float:
+        """The part of the rule, over the time up to then, that was used."""
+        step, moment, allowed = 100.0, START, 0.0
+        while moment < until:
+            allowed += self.rule(moment) * step / self.window
+            moment += step
+        return sum(work for at, work in self.sent if at < until) / allowed
+
+    def offered_part(self, until: float) -> float:
+        """The part of the rule that was asked for."""
+        return self.used(until) * self.offered / max(1e-9, sum(work for _, work in self.sent))
+
+    def worst(self) -> float:
+        """The greatest sum within a window, as a part of the rule then."""
+        inside: deque[tuple[float, float]] = deque()
+        total = worst = 0.0
+        for at, work in sorted(self.sent):
+            inside.append((at, work))
+            total += work
+            while inside[0][0] <= at - self.window:
+                total -= inside.popleft()[1]
+            worst = max(worst, total / self.rule(at))
+        return worst
+
+
+def cache_list() -> tuple[Node, ...]:
+    """A zone in which the cold cache alone is left: nothing else can take its work."""
+    others = (node(5000, PARENT_KIND, 0, 1e6), node(9000, ORIGIN_KIND, 0, 1e6))
+    return (node(COLD)._replace(started=START), *others)
+
+
+def parent_list(parents: int) -> tuple[Node, ...]:
+    """Warm caches of a zone, the origin, and of the parents the cold one: only its objects are asked for."""
+    carries = parent_carries(parents)
+    caches = [node(1000 + place) for place in range(ZONE_CACHES)]
+    cold = node(COLD, PARENT_KIND, 0, carries)._replace(started=START)
+    return (*caches, cold, node(9000, ORIGIN_KIND, 0, 1e6))
+
+
+class _Clock:
+    """Directors, the requests that come to them and the ends of their attempts, in the order of time."""
+
+    def __init__(self, settings: Settings, count: int, nodes: tuple[Node, ...]) -> None:
+        self.directors = [Director(settings, seed) for seed in range(count)]
+        for director in self.directors:
+            director.handle(START, Listed(ListKind.FULL, nodes))
+        self._ends: list[tuple[float, int, int, Event]] = []
+        self._order = itertools.count()
+
+    def later(self, at: float, place: int, event: Event) -> None:
+        heapq.heappush(self._ends, (at, next(self._order), place, event))
+
+    def run_until(self, now: float) -> None:
+        while self._ends and self._ends[0][0] <= now:
+            at, _, place, event = heapq.heappop(self._ends)
+            self.directors[place].handle(at, event)
+
+
+def play(
+    count: int, nodes: tuple[Node, ...], carries: float, press: float, lasts: float, parent: bool
+) -> Play:
+    """`press`: work asked of the cold node, as a multiple of what it carries when warm; `lasts`: ms."""
+    settings = edge_settings()
+    budget = ColdBudget(
+        settings.parent_cold_from if parent else settings.cold_from,
+        settings.parent_warm_up if parent else settings.warm_up,
+        settings.parent_fall_multiple if parent else settings.fall_multiple,
+        settings.fall_window,
+    )
+    result = Play(settings.fall_window, carries, budget)
+    clock, chooser, sizes = _Clock(settings, count, nodes), random.Random(11), sizes_kb(13)
+    fills = MISSES if parent else 1.0
+    gap = MEAN_WORK * fills / (press * carries)  # ms between two requests
+    now = START
+    while now < START + lasts:
+        now += chooser.expovariate(1.0 / gap)
+        clock.run_until(now)
+        _ask(clock, chooser, result, now, next(sizes), parent)
+    return result
+
+
+def _ask(clock: _Clock, chooser: random.Random, result: Play, now: float, size: float, parent: bool) -> None:
+    """One request at any of the directors; what goes to the cold node is booked, and ends at full pace."""
+    result.requests += 1
+    place, work = chooser.randrange(len(clock.directors)), size / CLIENT_KB * 1000.0
+    filled = chooser.random() < MISSES
+    if filled or not parent:
+        result.offered += work
+    request = Request(result.requests, 0, chooser.getrandbits(60) | 1, GRACE, size, 3, 0)
+    for action in clock.directors[place].handle(now, request):
+        if isinstance(action, Get):
+            if (action.source if parent else action.node) == COLD and (filled or not parent):
+                result.sent.append((now, work))
+            took = work + (FILL_TAKES if filled else 1.0)
+            note = Note.FILLED if filled else Note.HIT
+            end = Ended(request.req, 0, action.node, Outcome.OK, took, True, note, FILL_TAKES * filled, ())
+            clock.later(now + took, place, end)
+
+
+def own_requests(count: int, carries: float, parent: bool) -> float:
+    """Mean transfers that a router's share of a window holds in the moment of the start, at its emptiest."""
+    settings = edge_settings()
+    cold_from = settings.parent_cold_from if parent else settings.cold_from
+    multiple = settings.parent_fall_multiple if parent else settings.fall_multiple
+    return multiple * cold_from * settings.fall_window * carries * HEADROOM / count / MEAN_WORK
+
+
+def measure(
+    lasts: float, presses: tuple[float, ...], parents: tuple[int, ...], routers: int = ROUTERS
+) -> dict[str, float]:
+    """Used part of the rule and worst window, for a cache of a zone and for parents, at each press."""
+    figures = {"cold_headroom": HEADROOM, "cold_cache_own_requests": own_requests(38, CACHE_CARRIES, False)}
+    for press in presses:
+        name, end = f"{press:g}", START + lasts
+        one = play(ZONE_ROUTERS, cache_list(), CACHE_CARRIES, press, lasts, False)
+        figures |= {
+            f"cold_cache_used_{name}": one.used(end),
+            f"cold_cache_worst_{name}": one.worst(),
+            f"cold_cache_offered_{name}": one.offered_part(end),
+        }
+        for number in parents:
+            carries = parent_carries(number)
+            other = play(routers, parent_list(number), carries, press, lasts, True)
+            figures |= {
+                f"cold_parent{number}_own_requests": own_requests(routers, carries, True),
+                f"cold_parent{number}_used_{name}": other.used(end),
+                f"cold_parent{number}_worst_{name}": other.worst(),
+                f"cold_parent{number}_offered_{name}": other.offered_part(end),
+            }
+    return figures
