--- a/benchmarks/capacity_data.py
+++ b/benchmarks/capacity_data.py
@@ -34,6 +34,7 @@
 HOLD = 1 << 40  # bit of an object's number: its answer stops before the last byte until it is let go
 KB_SHIFT = 24  # an object's number tells its size in KB above these bits
 WARMING = 1.0  # seconds of load before anything is read
+MOST_REFUSED = 0.01  # part of a load whose figures count
 GENERATORS = 2  # processes of web servers
 CONNECTIONS = 16  # of each of them
 
@@ -57,6 +58,12 @@
     cores: float  # of CPU
     resident_mb: float  # at its greatest
 
+    def whole(self) -> bool:
+        """Whether the router took nearly all of the load: beyond that, CPU tells nothing of requests."""
+        return (
+            self.refused <= MOST_REFUSED * self.asked and self.served >= (1 - 3 * MOST_REFUSED) * self.asked
+        )
+
     @property
     def megabytes(self) -> float:
         """MB a second that were passed on."""
@@ -285,8 +292,9 @@
             f"{spent.resident_mb:.1f} MB at most",
             flush=True,
         )
-    rest, request, megabyte = slopes(found)
+    rest, request, megabyte = slopes([one for one in found if one.whole()])
     figures = {"rest_core": rest, "request_us": request * 1e6, "megabyte_us": megabyte * 1e6}
+    figures["loads_taken_whole"] = sum(one.whole() for one in found)
     figures["peak_mb"] = max(one.resident_mb for one in found)
     for kb in held:
         grown = held_mb(kb, requests)
