--- a/benchmarks/capacity_days.py
+++ b/benchmarks/capacity_days.py
@@ -7,6 +7,8 @@
 
 from benchmarks.capacity_fits import BOUND_BYTES, CHANGES_A_DAY, DAY, ROUTERS, Figures
 
+CUT_FIRST, CUT_ON = 25.0, 10.0  # seconds of the two phases of a cut: what it brings about, and what goes on
+
 
 class Day(NamedTuple):
     """One kind of day: what a router's control costs in its worst second, and beside calm in all."""
@@ -26,8 +28,8 @@
 
     calm = Day("calm", figures[f"swarm_calm_bytes_each_s_{ROUTERS}"] + steady, 0.0)
     meeting = of("meet")
-    cut = of("cut")
-    lasting = figures[f"swarm_cut_on_extra_bytes_each_{ROUTERS}"] / 15.0 * 270.0
+    cut, join = of("cut"), of("join")
+    lasting = figures[f"swarm_cut_on_extra_bytes_each_{ROUTERS}"] / CUT_ON * (300.0 - CUT_FIRST)
     apart = Day("region cut for 300 s and back", max(cut.peak_bytes, meeting.peak_bytes),
                 cut.extra_bytes + lasting + meeting.extra_bytes)  # fmt: skip
     return [
@@ -38,7 +40,7 @@
         of("zone")._replace(name="zone lost"),
         of("zone_back")._replace(name="zone back"),
         apart,
-        of("join")._replace(name="everything started within 2 s"),
+        Day("everything started within 2 s", join.peak_bytes, join.extra_bytes + of("spread").extra_bytes),
     ]
 
 
--- a/benchmarks/capacity_log.py
+++ b/benchmarks/capacity_log.py
@@ -2,6 +2,7 @@
 
 from __future__ import annotations
 
+import contextlib
 import math
 import multiprocessing
 import random
@@ -100,27 +101,29 @@
         beat, flush, count = now + 1.0, now + self.window, 0
         while now < began + seconds:
             while purge <= now:
-                self._make()
+                self.make()
                 count, purge = count + 1, purge + chooser.expovariate(rate)
             if beat <= now:
                 self._pending.append(frame(self.number, NOTHING_NEW))
                 beat += 1.0
             if flush <= now or not self.window:
-                self._flush()
+                self.flush()
                 flush += self.window
             due = min(purge, beat, flush if self.window else math.inf, began + seconds)
             time.sleep(max(0.0, due - time.monotonic()))
             now = time.monotonic()
-        self._flush()
+        self.flush()
         return count
 
-    def _make(self) -> None:
+    def make(self) -> None:
+        """One more purge, told with the next flush."""
         self.number += 1
         self.made[self.number] = time.monotonic()
         body = ObjectPurge.pack(self.number, int(time.time() * 1000))
         self._pending.append(frame(self.number, OBJECT_PURGE, body))
 
-    def _flush(self) -> None:
+    def flush(self) -> None:
+        """Tells all followers what was gathered."""
         data, self._pending = b"".join(self._pending), []
         if data:
             for sock in list(self.followers):
@@ -131,6 +134,8 @@
 
     def close(self) -> None:
         """Ends it and its connections."""
+        with contextlib.suppress(OSError):
+            self._listener.shutdown(socket.SHUT_RDWR)  # wakes the thread that accepts
         for sock in (self._listener, *self.followers):
             sock.close()
 
--- a/benchmarks/capacity_swarm.py
+++ b/benchmarks/capacity_swarm.py
@@ -11,6 +11,7 @@
 from functools import partial
 from typing import NamedTuple
 
+from benchmarks.capacity_days import CUT_FIRST, CUT_ON
 from benchmarks.capacity_fits import REGIONS, ROUTERS, ZONES, Figures, deep_size, power_fit
 from stonecove.swarm.swarm import Swarm
 from stonecove.trial.model import Box, Model
@@ -30,6 +31,10 @@
         self.decision_ns = 0
         self._within_ns = 0  # of the tick that runs: what is counted elsewhere, or is the simulator's
 
+    def nothing_to_tell(self) -> bool:
+        """Whether no router has a word left that it passes on."""
+        return not any(len(box.swarm.gossip.rumours) for box in self.boxes if box.swarm is not None)
+
     def _look(self) -> None:
         return
 
@@ -114,7 +119,7 @@
     model = CountedModel(count)
     everyone = range(count)
     zone, region, tenth = (range(max(1, round(count / part))) for part in (ZONES, REGIONS, 10))
-    joined = partial(model.until, model.joined, 120.0)
+    settle = partial(let_settle, model)
 
     def kill_and_start() -> None:
         model.kill(count - 1)
@@ -131,23 +136,22 @@
         model.cuts.clear()
         start_within(model, zone, 2.0)
 
-    phases = {"join": observe(model, partial(start_within, model, everyone, 2.0), lambda: void(joined()))}
-    model.run(5.0)
+    phases = {"join": observe(model, partial(start_within, model, everyone, 2.0), partial(let_join, model))}
+    phases["spread"] = observe(model, idle, partial(settle, 1.0))
     phases["calm"] = observe(model, idle, partial(model.run, 10.0))
     memory = deep_size(model.boxes[0].swarm) / 1e6
-    phases["kill"] = observe(model, partial(model.kill, 0), partial(model.run, 15.0))
+    phases["kill"] = observe(model, partial(model.kill, 0), partial(settle, 5.0))
     model.start(0)
-    joined()
-    model.run(3.0)
-    phases["restart"] = observe(model, kill_and_start, partial(model.run, 12.0))
-    phases["tenth"] = observe(model, restart_tenth, partial(model.run, 12.0))
+    settle(5.0)
+    phases["restart"] = observe(model, kill_and_start, partial(settle, 8.0))
+    phases["tenth"] = observe(model, restart_tenth, partial(settle, 8.0))
     if not short:
-        phases["zone"] = observe(model, partial(vanish, model, zone), partial(model.run, 25.0))
-        phases["zone_back"] = observe(model, back, partial(model.run, 12.0))
+        phases["zone"] = observe(model, partial(vanish, model, zone), partial(settle, 20.0))
+        phases["zone_back"] = observe(model, back, partial(settle, 8.0))
         away = set(everyone) - set(region)
-        phases["cut"] = observe(model, partial(model.cut, region, away), partial(model.run, 30.0))
-        phases["cut_on"] = observe(model, idle, partial(model.run, 15.0))
-        phases["meet"] = observe(model, model.cuts.clear, partial(model.run, 25.0))
+        phases["cut"] = observe(model, partial(model.cut, region, away), partial(settle, CUT_FIRST))
+        phases["cut_on"] = observe(model, idle, partial(model.run, CUT_ON))
+        phases["meet"] = observe(model, model.cuts.clear, partial(settle, 20.0))
     calm = phases["calm"]
     figures = {
         "memory_mb": memory,
@@ -163,8 +167,15 @@
     """Nothing is done."""
 
 
-def void(_: object) -> None:
-    """Drops a result."""
+def let_join(model: CountedModel) -> None:
+    """Until all have their full share."""
+    model.until(model.joined, 120.0)
+
+
+def let_settle(model: CountedModel, least: float) -> None:
+    """So many seconds at least, and until nobody has anything left to tell."""
+    model.run(least)
+    model.until(model.nothing_to_tell, 300.0)
 
 
 def phase_figures(name: str, phase: Phase, calm: Phase, count: int) -> Figures:
