--- a/benchmarks/capacity_cold.py
+++ b/benchmarks/capacity_cold.py
@@ -122,11 +122,11 @@
 ) -> Play:
     """`press`: work asked of the cold node, as a multiple of what it carries when warm; `lasts`: ms."""
     settings = edge_settings(**({"fleet": count} if parent else {"zone_directors": (0, count)}))
-    budget = ColdBudget(
+    budget = ColdBudget(settings.fall_window)
+    budget.change(
         settings.parent_cold_from if parent else settings.cold_from,
         settings.parent_warm_up if parent else settings.warm_up,
         settings.parent_fall_multiple if parent else settings.fall_multiple,
-        settings.fall_window,
     )
     result = Play(settings.fall_window, carries, budget)
     clock, chooser, sizes = _Clock(settings, count, nodes), random.Random(11), sizes_kb(13)
--- a/benchmarks/capacity_log.py
+++ b/benchmarks/capacity_log.py
@@ -20,6 +20,7 @@
 from stonecove.membership import PurgeUpdate, Told
 from stonecove.runtime.log import divert
 from stonecove.standins.depot import HOST
+from stonecove.wire.changelog import Follower
 from stonecove.wire.follow import ChangeLog
 
 
@@ -156,7 +157,7 @@
 async def _follow_all(servers: Sequence[LogServer], sinks: Sequence[DelaySink], seconds: float) -> None:
     async with trio.open_nursery() as nursery:
         for server, sink in zip(servers, sinks, strict=True):
-            nursery.start_soon(ChangeLog(HOST, server.port, 1).run, sink)
+            nursery.start_soon(ChangeLog(HOST, server.port, Follower(1)).run, sink)
         await trio.sleep(seconds)
         nursery.cancel_scope.cancel()
 
--- a/benchmarks/capacity_router.py
+++ b/benchmarks/capacity_router.py
@@ -193,7 +193,8 @@
     settings = edge_settings()
     tracemalloc.start()
     before = tracemalloc.get_traced_memory()[0]
-    purges, most, held = Purges(settings.purge_done * PURGE_MARGIN + settings.purge_grace), 0, 0
+    purges, most, held = Purges(), 0, 0
+    purges.change(0.0, settings.purge_done * PURGE_MARGIN + settings.purge_grace)
     for number in range(int(seconds * PURGES)):
         purges.told(1e12 + number * 1000.0 / PURGES, Purged(0.0, 0, 10**12 + number))
         most = max(most, len(purges._moments))
--- a/benchmarks/capacity_swarm.py
+++ b/benchmarks/capacity_swarm.py
@@ -14,18 +14,18 @@
 from benchmarks.capacity_days import CUT_FIRST, CUT_ON
 from benchmarks.capacity_fits import REGIONS, ROUTERS, ZONES, Figures, deep_size, power_fit
 from stonecove.swarm.swarm import Swarm
-from stonecove.trial.model import Box, Model
+from stonecove.trial.model import SimulatedRouter, SwarmModel
 
 
 UDP_HEADERS = 28  # IP and UDP
 REFUSAL_HEADERS = 56  # IP and ICMP, and the headers of what was refused, which come back with it
 
 
-class CountedModel(Model):
+class CountedModel(SwarmModel):
     """A simulated fleet that counts datagrams, bytes and the decisions' CPU. Shares are not judged."""
 
     def __init__(self, count: int, seed: int = 7) -> None:
-        """As `Model`, in one zone."""
+        """As `SwarmModel`, in one zone."""
         super().__init__(count, seed)
         self.bytes: Counter[tuple[int, int]] = Counter()  # by simulated second and place, both ways
         self.decision_ns = 0
@@ -33,7 +33,9 @@
 
     def nothing_to_tell(self) -> bool:
         """Whether no router has a word left that it passes on."""
-        return not any(len(box.swarm.gossip.rumours) for box in self.boxes if box.swarm is not None)
+        return not any(
+            len(router.swarm.gossip.rumours) for router in self.routers if router.swarm is not None
+        )
 
     def _look(self) -> None:
         return
@@ -43,27 +45,27 @@
         super()._carry(source, to, data)
 
     def _arrive(self, source: int, to: int, data: bytes) -> None:
-        if self.boxes[to].swarm is not None:
+        if self.routers[to].swarm is not None:
             self.bytes[int(self.now), to] += len(data) + UDP_HEADERS
         elif (to, source) not in self.cuts:
             self.bytes[int(self.now), source] += len(data) + REFUSAL_HEADERS
         super()._arrive(source, to, data)
 
-    def _take(self, box: Box, life: Swarm, slot: int, data: bytes, refused: bool) -> None:
+    def _take(self, router: SimulatedRouter, life: Swarm, slot: int, data: bytes, refused: bool) -> None:
         began = time.thread_time_ns()
-        super()._take(box, life, slot, data, refused)
+        super()._take(router, life, slot, data, refused)
         took = time.thread_time_ns() - began
         self.decision_ns += took
         self._within_ns += took
 
-    def _flush(self, box: Box, life: Swarm) -> None:
+    def _flush(self, router: SimulatedRouter, life: Swarm) -> None:
         began = time.thread_time_ns()
-        super()._flush(box, life)
+        super()._flush(router, life)
         self._within_ns += time.thread_time_ns() - began
 
-    def _tick(self, box: Box, life: Swarm | None) -> None:
+    def _tick(self, router: SimulatedRouter, life: Swarm | None) -> None:
         self._within_ns, began = 0, time.thread_time_ns()
-        super()._tick(box, life)
+        super()._tick(router, life)
         self.decision_ns += time.thread_time_ns() - began - self._within_ns
 
 
@@ -92,7 +94,7 @@
         model.now - began,
         model.sent - datagrams,
         sum(by_second.values()),
-        max(by_second.values(), default=0) / len(model.boxes),
+        max(by_second.values(), default=0) / len(model.routers),
         max(model.bytes.values(), default=0),
         (model.decision_ns - decisions) / 1e9,
     )
@@ -109,7 +111,7 @@
 def vanish(model: CountedModel, places: Iterable[int]) -> None:
     """Their machines are gone: nothing there refuses."""
     gone = list(places)
-    model.cut(gone, set(range(len(model.boxes))) - set(gone))
+    model.cut(gone, set(range(len(model.routers))) - set(gone))
     for place in gone:
         model.kill(place)
 
@@ -139,7 +141,7 @@
     phases = {"join": observe(model, partial(start_within, model, everyone, 2.0), partial(let_join, model))}
     phases["spread"] = observe(model, idle, partial(settle, 1.0))
     phases["calm"] = observe(model, idle, partial(model.run, 10.0))
-    memory = deep_size(model.boxes[0].swarm) / 1e6
+    memory = deep_size(model.routers[0].swarm) / 1e6
     phases["kill"] = observe(model, partial(model.kill, 0), partial(settle, 5.0))
     model.start(0)
     settle(5.0)
--- a/stonecove/scale/real_routers.py
+++ b/stonecove/scale/real_routers.py
@@ -11,7 +11,7 @@
 
 from stonecove.overload.book import OUTCOMES, SERVED
 from stonecove.scale.child import resident_mb_of
-from stonecove.trial.crowd import Crowd, Manners
+from stonecove.trial.open_loop import ClientBehaviour, OpenLoopClients
 from stonecove.trial.processes import RouterProcess
 
 TICKS = os.sysconf("SC_CLK_TCK")
@@ -50,7 +50,7 @@
             router: RouterProcess(folder / str(table["name"]), str(table["name"]), table, None)
             for router, table in tables.items()
         }
-        self._crowd: Crowd | None = None
+        self._clients: OpenLoopClients | None = None
 
     def __len__(self) -> int:
         return len(self._processes)
@@ -85,13 +85,13 @@
         """Begins to ask all of them, so many times a second together."""
         if self._processes and requests_a_second > 0:
             addresses = [process.address for process in self._processes.values()]
-            self._crowd = Crowd(addresses, requests_a_second, Manners(), seed)
+            self._clients = OpenLoopClients(addresses, requests_a_second, ClientBehaviour(), seed)
 
     def requests(self) -> Requests:
         """How requests have ended so far."""
-        if self._crowd is None:
+        if self._clients is None:
             return Requests(0, 0)
-        ends = Counter(event.what for event in list(self._crowd.events))
+        ends = Counter(event.what for event in list(self._clients.events))
         return Requests(ends[SERVED], sum(ends[end] for end in OUTCOMES) - ends[SERVED])
 
     def spent(self) -> Spent:
@@ -111,8 +111,8 @@
 
     def close(self) -> None:
         """Ends the load and all routers."""
-        if self._crowd is not None:
-            self._crowd.end()
+        if self._clients is not None:
+            self._clients.end()
         for process in self._processes.values():
             if process.running:
                 process.kill()
--- a/tests/test_capacity_control.py
+++ b/tests/test_capacity_control.py
@@ -26,6 +26,7 @@
 )
 from stonecove.membership import Told
 from stonecove.runtime.log import divert
+from stonecove.wire.changelog import Follower
 from stonecove.wire.follow import ChangeLog
 from stonecove.wire.gossip import FIXED
 
@@ -68,7 +69,7 @@
 
 
 def refusals(model: CountedModel) -> int:
-    return sum(box.swarm.gossip.counts["refused"] for box in model.boxes[1:] if box.swarm is not None)
+    return sum(box.swarm.gossip.counts["refused"] for box in model.routers[1:] if box.swarm is not None)
 
 
 def test_a_machine_that_vanishes_refuses_nothing() -> None:
@@ -127,7 +128,7 @@
     async def play() -> None:
         with trio.fail_after(20.0):
             async with trio.open_nursery() as nursery:
-                nursery.start_soon(ChangeLog(HOST, server.port, 1).run, sink)
+                nursery.start_soon(ChangeLog(HOST, server.port, Follower(1)).run, sink)
                 await trio.to_thread.run_sync(serve)
                 nursery.cancel_scope.cancel()
 
@@ -174,7 +175,7 @@
 
     async def play() -> None:
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(ChangeLog(HOST, server.port, 1).run, sink)
+            nursery.start_soon(ChangeLog(HOST, server.port, Follower(1)).run, sink)
             with trio.fail_after(20.0):
                 while not server.followers:
                     await trio.sleep(0.005)
--- a/tests/test_capacity_router.py
+++ b/tests/test_capacity_router.py
@@ -110,7 +110,8 @@
 
 
 def cold_play() -> capacity_cold.Play:
-    budget = ColdBudget(0.25, 16_000.0, 4.0, 3000.0)
+    budget = ColdBudget(3000.0)
+    budget.change(0.25, 16_000.0, 4.0)
     return capacity_cold.Play(3000.0, 10.0, budget)
 
 
--- a/tests/test_settings_change.py
+++ b/tests/test_settings_change.py
@@ -38,6 +38,7 @@
 from stonecove.runtime.timers import Timers
 from stonecove.runtime.unix import accept_all, bound
 from stonecove.stages.route import Route
+from stonecove.wire.changelog import Follower
 from stonecove.wire.follow import ChangeLog as ChangeLogFollower
 
 FOLLOWS = "configuration: settings: true\n"
@@ -471,7 +472,7 @@
     more = replace(settings, zones=(*settings.zones, "edge-2"))
 
     async def play() -> Members:
-        log = ChangeLogFollower("127.0.0.1", 1, 0)
+        log = ChangeLogFollower("127.0.0.1", 1, Follower(0))
         return Members(tmp_path / "site.cue", config, new_route(settings), Clock(), log, lambda task: None)
 
     members = trio.run(play)
