--- a/stonecove/lifecycle/configuration.py
+++ b/stonecove/lifecycle/configuration.py
@@ -113,9 +113,12 @@
     def rebase(self, table: Mapping[str, Any]) -> None:
         """The router's own file says something else: taken over under the present overlay, or not at all.
 
-        Raises SettingsRefused, or MessageError for settings that can't be read.
+        Raises SettingsRefused.
         """
-        settings = settings_with(table, self._overlay)
+        try:
+            settings = settings_with(table, self._overlay)
+        except MessageError as error:
+            raise SettingsRefused(str(error)) from error
         self._router.apply(settings, self._overlay.version)
         self._table = table
         self.follower.try_again()
