--- a/stonecove/lifecycle/config.py
+++ b/stonecove/lifecycle/config.py
@@ -38,6 +38,7 @@
     last: int  # number of the last event in `known`
     known: tuple[Told, ...]
     settings: Settings
+    table: Mapping[str, Any]  # the settings as decoded: what is rolled out changes them
     peers: tuple[str, ...] = ()  # addresses of the other routers, as they are told
     peer_listen: str = ""
     version: int = 0  # of the settings, where who writes the file counts its changes
@@ -74,6 +75,7 @@
             last=int(known.get("seq", 0)),
             known=tuple(known_events(known, settings)),
             settings=settings,
+            table=table["settings"],
             # read by the swarm alone: guards against a start that fails for what nobody uses
             peers=tuple(map(str, peers)) if isinstance(peers, (list, tuple)) else (),
             peer_listen=str(table.get("peer_listen") or ""),
--- a/stonecove/lifecycle/configuration.py
+++ b/stonecove/lifecycle/configuration.py
@@ -13,6 +13,7 @@
 
 from stonecove.interface import Settings
 from stonecove.lifecycle.config import Config
+from stonecove.lifecycle.reconfigure import SettingsRefused
 from stonecove.operator.records import ConfigurationRecord
 from stonecove.rollout.follower import Follower
 from stonecove.rollout.health import HealthWindow, worth_reporting
@@ -42,10 +43,6 @@
 NAME_RETRY = 5.0  # seconds after which a name that was taken is tried again
 
 
-class SettingsRefused(Exception):  # noqa: N818
-    """Settings that the running router can't take over; the text is one line."""
-
-
 class SettingsTarget(Protocol):
     """The running router, whose settings are changed."""
 
--- a/stonecove/lifecycle/serve.py
+++ b/stonecove/lifecycle/serve.py
@@ -34,12 +34,13 @@
 
 if TYPE_CHECKING:
     from stonecove.lifecycle.access import AccessKeeper
+    from stonecove.lifecycle.configuration import ConfigurationKeeper
     from stonecove.lifecycle.http import HttpListener
     from stonecove.lifecycle.leases import Leases
     from stonecove.lifecycle.members import Members
     from stonecove.lifecycle.reconfigure import Reconfigure
     from stonecove.lifecycle.swarm import SwarmKeeper
-    from stonecove.operator.records import Operator
+    from stonecove.operator.records import ConfigurationRecord, Operator
 
 BACKLOG = 1024
 SIGNALS = signal.SIGTERM, signal.SIGINT, signal.SIGHUP
@@ -139,6 +140,7 @@
             self._members.sized = self._swarm.present
             self._members.also["swarm"] = self._swarm.answer
         self._reconfigure: Reconfigure | None = None
+        self._configuration: ConfigurationKeeper | None = None
         self._follow_settings()
         self._time_drain(config.settings)
 
@@ -150,7 +152,12 @@
         self._last_write = min(LAST_WRITE, kill - LEAST_MARGIN / 2 - self._last_answer)
 
     def _follow_settings(self) -> None:
-        """Settings are taken over while we run, if the operator's file says so."""
+        """Settings are taken over while we run, if the operator's file says so.
+
+        A router that takes part in roll-outs goes on with that until its end.
+        """
+        if self._configuration is not None:
+            return
         members = self._members
         record = members.operator.configuration if members is not None else None
         if members is None or record is None or not record.settings:
@@ -170,6 +177,21 @@
                 self._clock.now,
             )
             members.also["configuration"] = self._reconfigure.answer
+        if members is not None and record is not None and record.path and self._reconfigure is not None:
+            self._follow_rollouts(members, record, self._reconfigure)
+
+    def _follow_rollouts(
+        self, members: Members, record: ConfigurationRecord, reconfigure: Reconfigure
+    ) -> None:
+        """Changes of the settings come by the session with the coordination service."""
+        from stonecove.lifecycle.configuration import ConfigurationKeeper
+
+        keeper = ConfigurationKeeper(
+            record, self._config, self._config.table, reconfigure, self._route.book.counts, self._clock
+        )
+        members.use_session(keeper.attach)
+        self._spawn(keeper.run)
+        self._configuration = keeper
 
     def _counted(self) -> Peers | None:
         """How many routers there are, where that is counted."""
@@ -299,6 +321,8 @@
             with trio.CancelScope() as self._starting:
                 if not self._stopping.is_set():
                     await self._members.ready()
+                    if self._configuration is not None:
+                        await self._configuration.ready()
         if not self._stopping.is_set():
             self._ready()
         await self._stopping.wait()
@@ -376,13 +400,15 @@
         if self._operator is not None and (self._access is not None or self._http is not None):
             self._reload_fronts(self._operator)
 
-    @staticmethod
-    def _take_settings(config: Config, reconfigure: Reconfigure) -> dict[str, object]:
+    def _take_settings(self, config: Config, reconfigure: Reconfigure) -> dict[str, object]:
         """Puts the settings of a file in force, or tells why not; what the log line says of it."""
         from stonecove.lifecycle.reconfigure import SettingsRefused
 
         try:
-            reconfigure.apply(config.settings, config.version)
+            if self._configuration is not None:
+                self._configuration.rebase(config.table)
+            else:
+                reconfigure.apply(config.settings, config.version)
         except SettingsRefused as error:
             return {"settings": f"refused: {error}", "version": reconfigure.version}
         return {"settings": "in-force", "version": reconfigure.version}
--- a/tests/test_configuration_processes.py
+++ b/tests/test_configuration_processes.py
@@ -19,7 +19,8 @@
 from stonecove.commands.rollout import Controller, service_session
 from stonecove.interface import Settings
 from stonecove.lifecycle.config import config_from
-from stonecove.lifecycle.configuration import ConfigurationKeeper, SettingsRefused
+from stonecove.lifecycle.configuration import ConfigurationKeeper
+from stonecove.lifecycle.reconfigure import SettingsRefused
 from stonecove.operator.records import ConfigurationRecord
 from stonecove.rollout.messages import Bounds, Report, RolloutState, Target
 from stonecove.runtime.clock import Clock
