--- a/tests/test_settings_change.py
+++ b/tests/test_settings_change.py
@@ -177,7 +177,7 @@
     (lambda table: table["classes"].reverse(), "classes: page, confirm, image"),
     (lambda table: table["classes"].append(table["classes"][0]), "classes: image is there twice"),
     (lambda table: table.update(areas=["edge-1", "hub"]), "zones: edge-1, hub"),
-    (lambda table: table.update(models=["box"]), "kinds: box"),
+    (lambda table: table["models"].reverse(), "kinds: origin, parent, box"),
     (lambda table: table["domain"].update(shield_kind=0), "parent_kind: 0"),
     (lambda table: table["domain"].update(store_kind=0), "origin_kind: 0"),
     (lambda table: table["domain"].update(client_kb_per_s=1.0), "client_pace: 1.0"),
@@ -283,10 +283,10 @@
 
 def test_fifty_reloads_under_load_lose_nothing(tmp_path: Path) -> None:
     with running(tmp_path) as stand:
-        over = threading.Event()
+        over, all_over = threading.Event(), threading.Event()
 
         def serve() -> None:
-            while not over.is_set():
+            while not all_over.is_set():
                 with contextlib.suppress(Exception):
                     stand.commands.get(timeout=0.05).reply(body=b"x")
 
@@ -297,9 +297,9 @@
             while not over.is_set():
                 answers.append(client.ask(X_ROW=f"{place:016x}").status)
 
-        threads = [threading.Thread(target=serve)]
-        threads += [threading.Thread(target=ask, args=(place,)) for place in range(4)]
-        for thread in threads:
+        server = threading.Thread(target=serve)
+        askers = [threading.Thread(target=ask, args=(place,)) for place in range(4)]
+        for thread in (server, *askers):
             thread.start()
         try:
             for version in range(1, 51):
@@ -308,8 +308,10 @@
             stand.wait(lambda: len(answers) > 200, "answers after the last reload")
         finally:
             over.set()
-            for thread in threads:
+            for thread in askers:
                 thread.join()
+            all_over.set()
+            server.join()
         assert set(answers) == {200}
         assert not stand.lines("bug") and not stand.lines("backstop")
         assert status(tmp_path)["configuration"]["version"] == 50
