--- a/stonecove/scale/control_machine.py
+++ b/stonecove/scale/control_machine.py
@@ -174,6 +174,8 @@
     @staticmethod
     async def _read(listener: ZoneListener, sock: socket.socket, most: int) -> bytes:
         while True:
+            if sock.fileno() < 0:
+                raise trio.ClosedResourceError
             await trio.lowlevel.wait_readable(sock)
             await listener.open.wait()
             try:
--- a/stonecove/scale/hollow_fleet.py
+++ b/stonecove/scale/hollow_fleet.py
@@ -2,6 +2,7 @@
 
 from __future__ import annotations
 
+from collections import Counter
 from collections.abc import Iterable
 from dataclasses import dataclass
 from pathlib import Path
@@ -27,6 +28,7 @@
     headers: int
     heard: int  # routers whose control machine has said something
     bugs: tuple[str, ...]
+    events: Counter[str]  # lines of their logs so far
 
     def cost_since(self, before: FleetSample, routers: int, seconds: float) -> ControlCost:
         """What one router spent since an earlier sample."""
@@ -107,9 +109,10 @@
             return sum(answer[name] for answer in answers)
 
         bugs = tuple(bug for answer in answers for bug in answer["bugs"])
+        events = sum((Counter(answer["events"]) for answer in answers), Counter[str]())
         memory = total("memory_mb") - self._idle_mb
         return FleetSample(total("cpu"), memory, total("received"), total("sent"), total("headers"),
-                           total("heard"), bugs)  # fmt: skip
+                           total("heard"), bugs, events)  # fmt: skip
 
     def lives(self) -> list[Life]:
         """The ledgers of all lives of all routers."""
--- a/tests/test_scale_hollow.py
+++ b/tests/test_scale_hollow.py
@@ -185,6 +185,8 @@
         fleet.control.cut([zone], True)
         number = fleet.purge()
         Stand.wait(lambda: fleet.hollow.behind(number) == 1, "all others to have it")
+        # The connections that it gives up meanwhile come up all at once when the cut ends.
+        Stand.wait(lambda: fleet.hollow.sample().events["changelog-lost"] >= 2, "it to give up twice")
         fleet.control.cut([zone], False)
         fleet.settle()
         assert _lost_and_repeated(fleet) == (0, 0)
