--- a/stonecove/scale/faults.py
+++ b/stonecove/scale/faults.py
@@ -220,7 +220,7 @@
         self._follower = Follower(FIRST_NUMBER - 1)  # from the very first event on, so that much waits for it
         self._over = threading.Event()
         self._thread = threading.Thread(target=self._run)
-        self.piece = SLOW_PIECE
+        self.piece, self.pause = SLOW_PIECE, SLOW_EVERY  # bytes of a read, and seconds before it
         self.connections = 0
         self.received = 0
 
@@ -249,7 +249,7 @@
 
     def _read(self, sock: socket.socket) -> None:
         buffer = Buffer(2 * MOST_FRAME)
-        while not self._over.wait(SLOW_EVERY):
+        while not self._over.wait(self.pause):
             try:
                 piece = sock.recv(self.piece)
             except TimeoutError:
--- a/stonecove/scale/hollow.py
+++ b/stonecove/scale/hollow.py
@@ -8,6 +8,7 @@
 
 from __future__ import annotations
 
+import contextlib
 import socket
 import struct
 import time
@@ -156,6 +157,7 @@
         follower = _NumberedFollower(config.last)
         self._changelog = ChangeLog(*config.changelog, follower, self.sockets.new)
         self._sink = _BookedRoute(self.route, follower, self.ledger)
+        self.ending = contextlib.ExitStack()  # what is closed once it has ended
         self._scope = trio.CancelScope()
         self._nursery: trio.Nursery | None = None
 
@@ -178,6 +180,7 @@
         finally:
             self.ledger.ended = time.time_ns()
             trio.lowlevel.remove_instrument(self._changelog)
+            self.ending.close()
 
     def end(self) -> None:
         """As if its process was killed: the kernel closes its connection."""
--- a/stonecove/scale/hollow_process.py
+++ b/stonecove/scale/hollow_process.py
@@ -74,6 +74,7 @@
         assert record is not None
         datagrams = CountedDatagrams.around(bound(config))
         self._datagrams[hollow.ledger.router] = datagrams
+        hollow.ending.callback(datagrams.close)
         keeper = SwarmKeeper(record, config, datagrams, hollow.route, hollow.clock, None)
         keeper.start(hollow.spawn)
 
@@ -86,7 +87,6 @@
             self._spent.add(hollow.sockets.traffic())
             if datagrams := self._datagrams.pop(router, None):
                 self._spent.add(datagrams.traffic)
-                datagrams.close()
             hollow.ledger.ended = time.time_ns()
             hollow.end()
 
--- a/stonecove/scale/router_tables.py
+++ b/stonecove/scale/router_tables.py
@@ -2,6 +2,7 @@
 
 from __future__ import annotations
 
+import socket
 from collections import Counter
 from collections.abc import Iterable, Mapping
 from typing import Any
@@ -12,6 +13,7 @@
 
 ZONE_LINK = 6e6  # KB a second of a zone's link
 CORES, MEMORY_MB, SOCKETS = 1.0, 192, 1024
+HOSTS_OF_A_NET = 250
 DROPPED = "127.0.0.1:9"  # where a router would listen that takes no requests
 
 
@@ -43,6 +45,27 @@
     }
 
 
+def peer_tables(places: Iterable[RouterPlace]) -> dict[int, dict[str, Any]]:
+    """Where each router listens for the others' datagrams, and where it finds them; by its number."""
+    numbers = [place.router for place in places]
+    with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as probe:
+        probe.bind((_peer_host(0), 0))
+        port = probe.getsockname()[1]
+    addresses = {number: f"{_peer_host(number)}:{port}" for number in numbers}
+    return {
+        number: {
+            "peer_listen": addresses[number],
+            "peers": [addresses[other] for other in numbers if other != number],
+        }
+        for number in numbers
+    }
+
+
+def _peer_host(router: int) -> str:
+    """A loopback address for a router's datagrams, that of no other one."""
+    return f"127.92.{router // HOSTS_OF_A_NET}.{1 + router % HOSTS_OF_A_NET}"
+
+
 def whole_table(shared: Mapping[str, Any], own: Mapping[str, Any]) -> dict[str, Any]:
     """Both together, as a router reads them."""
     rest = {name: value for name, value in own.items() if name != "zone"}
--- a/stonecove/scale/run.py
+++ b/stonecove/scale/run.py
@@ -24,7 +24,7 @@
 from stonecove.scale.options import ScaleOptions
 from stonecove.scale.real_routers import RealRouters, Requests, Spent
 from stonecove.scale.results import Measurement
-from stonecove.scale.router_tables import own_table, shared_table, whole_table
+from stonecove.scale.router_tables import own_table, peer_tables, shared_table, whole_table
 from stonecove.scale.topology import MACHINES, ZONES, RouterPlace, place_of
 from stonecove.standins.loaded import Bears, LoadedDepot
 from stonecove.trial.processes import free_address
@@ -82,10 +82,11 @@
         self._ending.callback(self.control.close)
         shared = shared_table(self.places, self.depot, options.swarm)
         hollow = [place for place in self.places if place.router >= options.real]
-        self.hollow = HollowFleet(
-            self.folder, shared, {place.router: self._own_table(place) for place in hollow},
-            options.hollow_per_process,
-        )  # fmt: skip
+        tables = {place.router: self._own_table(place) for place in hollow}
+        if options.swarm:
+            for router, peers in peer_tables(hollow).items():
+                tables[router] |= peers
+        self.hollow = HollowFleet(self.folder, shared, tables, options.hollow_per_process)
         self._ending.callback(self.hollow.close)
         self.real = RealRouters(self.folder, self._real_tables(shared))
         self._ending.callback(self.real.close)
@@ -259,7 +260,10 @@
 def _notes(run: ScaleRun, calm: Calm) -> tuple[str, ...]:
     options = run.options
     notes = [
-        "purge delays are those of hollow routers; real ones count for their load and their own cost",
+        "purge delays and times until level are those of hollow routers; real ones count for their load and "
+        "their own cost, and have to be ready before a fault counts as over",
+        "a hollow router that is killed closes its connection and begins anew within its process",
+        "in a cut, connections come up and stay mute",
         f"headers: {HEADER_BYTES} bytes for each TCP segment and bare ACK, as the kernel counts them",
         f"CPU of a hollow router: its process's, divided by the routers in it ({options.hollow_per_process} "
         "at most); memory: what its process has beyond one without routers, divided likewise",
