--- a/stonecove/lifecycle/serve.py
+++ b/stonecove/lifecycle/serve.py
@@ -58,7 +58,7 @@
 PLACES_PART = 0.125  # part of all places that are made at once: looking through all clients costs
 LEAST_CLIENTS = 8  # places for clients, however few descriptors there are
 CLIENTS_PART = 0.6  # of the descriptors that the system turned out to have, clients get so much
-PLACES_BACK = 0.125  # part of the places lost to a lack of descriptors that is tried again at each statistics
+PLACES_BACK = 0.125  # part by which places taken for a lack of descriptors grow again at each statistics
 
 
 class Server:
@@ -357,7 +357,7 @@
 
     def _try_more_clients(self) -> None:
         """Gives back, bit by bit, the places that a lack of descriptors took."""
-        more = max(1, round(PLACES_BACK * self._granted_clients))
+        more = max(1, round(PLACES_BACK * self._most_clients))
         self._most_clients = min(self._granted_clients, self._most_clients + more)
 
     async def _drain(self, listener: socket.socket, since: float) -> None:
