--- a/stonecove/commands/scale.py
+++ b/stonecove/commands/scale.py
@@ -75,6 +75,7 @@
 @click.option("--faults", help="Names, with commas between them.")
 @click.option("--no-faults", is_flag=True, help="Play none.")
 @click.option("--swarm", is_flag=True, default=None, help="Real routers also tell each other of themselves.")
+@click.option("--rollout", is_flag=True, default=None, help="Roll changes of settings out to the routers.")
 @click.option("--seed", type=int, help="Draws what is purged and what fails.")
 @click.option("--json", "as_json", is_flag=True, help="For programs; what goes on is told on standard error.")
 @click.option(
@@ -90,6 +91,7 @@
     faults: str | None,
     no_faults: bool,
     swarm: bool | None,
+    rollout: bool | None,
     seed: int | None,
     as_json: bool,
     plot: Path | None,
@@ -106,8 +108,8 @@
     from stonecove.scale.series import play_series
 
     try:
-        given = {"seconds": seconds, "real": real, "swarm": swarm, "seed": seed, "folder": logs,
-                 "sizes": _sizes(sizes), "faults": _faults(faults, no_faults)}  # fmt: skip
+        given = {"seconds": seconds, "real": real, "swarm": swarm, "rollout": rollout, "seed": seed,
+                 "folder": logs, "sizes": _sizes(sizes), "faults": _faults(faults, no_faults)}  # fmt: skip
         options = _options(file, short, given)
         check_options(options)
         check_machine(options)
--- a/stonecove/scale/hollow_fleet.py
+++ b/stonecove/scale/hollow_fleet.py
@@ -11,6 +11,7 @@
 import numpy as np
 
 from stonecove.scale.child import Child, ask_all
+from stonecove.scale.configuration import Applied
 from stonecove.scale.ledger import Life
 from stonecove.scale.results import ControlCost
 
@@ -101,6 +102,11 @@
         """How many routers lack an event, those that don't run among them."""
         return sum(answer["behind"] for answer in ask_all(self._children, "level", number=number))
 
+    def applied(self) -> list[Applied]:
+        """Changes of settings that were put in force by the routers that run."""
+        answers = ask_all(self._children, "applied")
+        return [Applied(*one) for answer in answers for one in answer["applied"]]
+
     def sample(self) -> FleetSample:
         """What all have spent so far."""
         answers = ask_all(self._children, "sample")
--- a/stonecove/scale/hollow_process.py
+++ b/stonecove/scale/hollow_process.py
@@ -12,7 +12,7 @@
 from array import array
 from collections import Counter
 from pathlib import Path
-from typing import Any
+from typing import TYPE_CHECKING, Any
 
 import trio
 
@@ -22,6 +22,10 @@
 from stonecove.scale.hollow import CountedDatagrams, HollowRouter, Traffic
 from stonecove.scale.ledger import Ledger
 
+if TYPE_CHECKING:
+    from stonecove.scale.hollow_configuration import HollowConfiguration
+
+CONFIGURATION_PATH = "/stonecove/configuration"
 SAMPLE = 0.5  # seconds between two looks at what has passed over the connections
 MOST_BUGS = 20  # lines of the log that are kept, of those that should not be
 BUG = "bug"
@@ -41,6 +45,9 @@
         self._running: dict[int, HollowRouter] = {}
         self._ledgers: list[Ledger] = []
         self._datagrams: dict[int, CountedDatagrams] = {}
+        self._configurations: dict[int, HollowConfiguration] = {}
+        coordination = shared.pop("coordination", None)
+        self._servers = tuple((host, port) for host, port in coordination or ())
         self._spent = Traffic()  # by lives that have ended
         self.events: Counter[str] = Counter()  # lines of the routers' logs
         self.bugs: list[str] = []
@@ -59,9 +66,25 @@
             hollow = HollowRouter(router, config_from(self._tables[router], {}))
             self._running[router] = hollow
             self._ledgers.append(hollow.ledger)
-            self._nursery.start_soon(hollow.run, self._start_swarm)
+            self._nursery.start_soon(hollow.run, self._start_more)
             await trio.sleep(within / len(routers) if place + 1 < len(routers) else 0.0)
 
+    def _start_more(self, hollow: HollowRouter) -> None:
+        """What only some runs ask for."""
+        self._start_swarm(hollow)
+        if self._servers:
+            self._start_configuration(hollow)
+
+    def _start_configuration(self, hollow: HollowRouter) -> None:
+        """Takes part in roll-outs of settings."""
+        from stonecove.scale.hollow_configuration import HollowConfiguration
+
+        configuration = HollowConfiguration(
+            hollow.config, hollow.route, hollow.clock, self._servers, CONFIGURATION_PATH
+        )
+        self._configurations[hollow.ledger.router] = configuration
+        configuration.start(hollow.spawn)
+
     def _start_swarm(self, hollow: HollowRouter) -> None:
         """Membership among the routers, where the run asks for it."""
         config: Config = hollow.config
@@ -87,6 +110,8 @@
             self._spent.add(hollow.sockets.traffic())
             if datagrams := self._datagrams.pop(router, None):
                 self._spent.add(datagrams.traffic)
+            if configuration := self._configurations.pop(router, None):
+                self._spent.add(configuration.traffic)
             hollow.ledger.ended = time.time_ns()
             hollow.end()
 
@@ -98,6 +123,8 @@
             total.add(hollow.sockets.traffic())
         for datagrams in self._datagrams.values():
             total.add(datagrams.traffic)
+        for configuration in self._configurations.values():
+            total.add(configuration.traffic)
         return {
             "cpu": time.process_time(), "memory_mb": child.resident_mb(), "routers": len(self._running),
             "received": total.received, "sent": total.sent, "headers": total.headers,
@@ -105,6 +132,14 @@
             "bugs": self.bugs, "events": self.events,
         }  # fmt: skip
 
+    def applied(self) -> list[list[int]]:
+        """Router, version and moment in ns of each change of settings that was put in force."""
+        return [
+            [router, version, moment]
+            for router, configuration in self._configurations.items()
+            for version, moment in configuration.applied
+        ]
+
     def behind(self, number: int) -> int:
         """How many routers lack that event, those that don't run among them."""
         has = sum(hollow.ledger.newest >= number for hollow in self._running.values())
@@ -156,6 +191,8 @@
                     child.answer(**process.sample())
                 case "level":
                     child.answer(behind=process.behind(order["number"]))
+                case "applied":
+                    child.answer(applied=process.applied())
                 case "ledgers":
                     child.answer(**process.write_ledgers(Path(order["path"])))
         nursery.cancel_scope.cancel()
--- a/stonecove/scale/ledger.py
+++ b/stonecove/scale/ledger.py
@@ -9,6 +9,8 @@
 from collections.abc import Iterable, Sequence
 from dataclasses import dataclass, field
 
+from typing import Any
+
 import numpy as np
 import numpy.typing as npt
 
@@ -141,11 +143,15 @@
     in_force = _last_in_force(lives, published, begin, end)
     told = published.first_bytes[begin:end]
     counted = is_purge & (in_force > 0) & (told > 0)
-    delays = (in_force - told)[counted] / MILLISECOND
-    if not len(delays):
+    return delays_of((in_force - told)[counted] / MILLISECOND)
+
+
+def delays_of(milliseconds: Sequence[float] | np.ndarray[Any, np.dtype[np.float64]]) -> Delays:
+    """Of many events; all 0 without any."""
+    if not len(milliseconds):
         return Delays(0, 0.0, 0.0, 0.0)
-    p50, p99 = np.percentile(delays, (50, 99))
-    return Delays(len(delays), float(p50), float(p99), float(delays.max()))
+    p50, p99 = np.percentile(milliseconds, (50, 99))
+    return Delays(len(milliseconds), float(p50), float(p99), float(np.max(milliseconds)))
 
 
 def level_at(lives: Sequence[Life], published: Published, number: int) -> int:
--- a/stonecove/scale/options.py
+++ b/stonecove/scale/options.py
@@ -68,6 +68,7 @@
     seed: int = 1
     swarm: bool = False  # real routers also tell each other of themselves
     folder: Path | None = None  # where logs stay
+    rollout: bool = False  # changes of settings are rolled out to the hollow routers
 
     @property
     def fitted_sizes(self) -> tuple[int, ...]:
--- a/stonecove/scale/run.py
+++ b/stonecove/scale/run.py
@@ -13,7 +13,7 @@
 from types import FrameType
 from typing import Any
 
-from stonecove.scale.configuration import ConfigurationPath
+from stonecove.scale.configuration import Applied, RolloutPath, configuration_delays
 from stonecove.scale.control_machine import FIRST_NUMBER
 from stonecove.scale.control_plane import ControlPlane, MachineReport
 from stonecove.scale.event_log import DAY, EventLog, OrdinaryDay
@@ -23,7 +23,7 @@
 from stonecove.scale.ledger import Life, Published, earliest, lost, purge_delays, repeated
 from stonecove.scale.options import ScaleOptions
 from stonecove.scale.real_routers import RealRouters, Requests, Spent
-from stonecove.scale.results import Measurement
+from stonecove.scale.results import Delays, Measurement
 from stonecove.scale.router_tables import own_table, peer_tables, shared_table, whole_table
 from stonecove.scale.topology import MACHINES, ZONES, RouterPlace, place_of
 from stonecove.standins.loaded import Bears, LoadedDepot
@@ -71,6 +71,8 @@
         self.places: list[RouterPlace] = [place_of(router) for router in range(routers)]
         self.log = EventLog()
         self.windows: list[Window] = []
+        self.rollout: RolloutPath | None = None
+        self.applied: list[Applied] = []  # changes of settings while it was calm
         self._ending = contextlib.ExitStack()
 
     def start(self) -> None:
@@ -81,6 +83,10 @@
         self.control = ControlPlane(self.folder, self.log)
         self._ending.callback(self.control.close)
         shared = shared_table(self.places, self.depot, options.swarm)
+        if options.rollout:
+            self.rollout = RolloutPath(self.folder)
+            self._ending.callback(self.rollout.close)
+            shared["coordination"] = self.rollout.servers
         hollow = [place for place in self.places if place.router >= options.real]
         tables = {place.router: self._own_table(place) for place in hollow}
         if options.swarm:
@@ -112,7 +118,9 @@
         return tables
 
     def calm(self) -> Calm:
-        """Time without faults."""
+        """Time without faults; changes of settings are rolled out in it alone."""
+        if self.rollout is not None:
+            self.rollout.start(len(self.hollow), CONFIGURATIONS_A_DAY / DAY * self.options.day_factor)
         before, machines_before = self.hollow.sample(), self.control.reports()
         real_before, requests_before = self.real.spent(), self.real.requests()
         began_ns, first, began = time.time_ns(), self.newest() + 1, time.monotonic()
@@ -120,6 +128,9 @@
         seconds, last = time.monotonic() - began, self.newest()
         after, machines_after = self.hollow.sample(), self.control.reports()
         real_after, requests = self.real.spent(), self.real.requests().since(requests_before)
+        if self.rollout is not None:
+            self.rollout.end()
+            self.applied = self.hollow.applied()
         self.until_level(last, LEVEL_WITHIN)
         return Calm(seconds, began_ns, time.time_ns(), first, last, before, after, machines_before,
                     machines_after, real_before, real_after, requests)  # fmt: skip
@@ -198,7 +209,7 @@
         self._ending.close()
 
 
-def play(options: ScaleOptions, routers: int, configuration: ConfigurationPath | None = None) -> Measurement:
+def play(options: ScaleOptions, routers: int) -> Measurement:
     """Plays one size; raises ScaleError, ChildError or RealRouterError.
 
     All that it started has ended then, also after an error, an interrupt or SIGTERM.
@@ -210,13 +221,10 @@
         run = ScaleRun(options, routers, folder)
         ending.callback(run.close)
         run.start()
-        if configuration is not None:
-            ending.callback(configuration.close)
-            configuration.start(routers, CONFIGURATIONS_A_DAY / DAY * options.day_factor)
         calm = run.calm()
         run.play_faults()
         lives, published = run.finish()
-        return _measurement(run, calm, lives, published, configuration)
+        return _measurement(run, calm, lives, published)
 
 
 def _measurement(
@@ -224,7 +232,6 @@
     calm: Calm,
     lives: list[Life],
     published: Published,
-    configuration: ConfigurationPath | None,
 ) -> Measurement:
     hollow = len(run.hollow)
     purge = purge_delays(_lives_of(calm, lives), published, calm.first, calm.last)
@@ -240,7 +247,7 @@
         seconds=calm.seconds,
         purges=sum(calm.first <= number <= calm.last for number in published.purges),
         purge=purge,
-        config=configuration.delays() if configuration is not None else None,
+        config=_configuration_delays(run),
         cost=calm.after.cost_since(calm.before, hollow, calm.seconds),
         machines=machines,
         faults=tuple(window.result(lives, published) for window in run.windows),
@@ -252,6 +259,12 @@
     )
 
 
+def _configuration_delays(run: ScaleRun) -> Delays | None:
+    if run.rollout is None:
+        return None
+    return configuration_delays(run.rollout.changes, run.applied, frozenset(run.hollow.routers))
+
+
 def _lives_of(calm: Calm, lives: list[Life]) -> list[Life]:
     """Of the routers while it was calm."""
     return [life for life in lives if life.began < calm.began and not 0 < life.ended <= calm.ended]
@@ -274,6 +287,12 @@
         cpu = 100.0 * (calm.real_after.cpu - calm.real_before.cpu) / calm.seconds / real
         memory = calm.real_after.memory_mb / real
         notes.append(f"a real router under load: {cpu:.1f} % of a core, {memory:.0f} MB")
+    if run.rollout is not None:
+        notes.append(
+            "changes of settings go to hollow routers alone, by a stand-in of the coordination service in "
+            f"one process, one roll-out after the other; complete: {len(run.rollout.changes)}"
+        )
+        notes += [f"a roll-out was not complete: {why}" for why in run.rollout.unfinished]
     if run.control.cut_off:
         notes.append(f"{run.control.cut_off} followers were cut off as too far behind")
     bugs = [*calm.after.bugs, *run.real.bugs()]
--- a/stonecove/scale/schema.cue
+++ b/stonecove/scale/schema.cue
@@ -17,4 +17,6 @@
 	requests_a_second?: number & >=0 & <=2000
 	seed?:              int
 	swarm?:             bool
+	// Changes of settings are rolled out to the hollow routers.
+	rollout?: bool
 }
