--- a/tests/test_reconfigured.py
+++ b/tests/test_reconfigured.py
@@ -9,7 +9,7 @@
 import pytest
 from conftest import CACHES, PARENTS, World, gets, make_class, make_nodes, make_settings
 
-from stonecove.choice import FRESH_FOR, PURGE_MARGIN, Popularity, Purges
+from stonecove.choice import FRESH_FOR, PURGE_MARGIN, Popularity, Purges, Rendezvous
 from stonecove.interface import (
     Action,
     Due,
@@ -87,10 +87,11 @@
 def test_weights_hold_from_now_on(world: World) -> None:
     heavy = [node._replace(weight=50.0 if node.node == CACHES[0] else 1.0) for node in world.nodes]
     world.give(Listed(ListKind.FULL, tuple(heavy)))
-    before = [gets(world.ask(key=key))[0].node for key in range(60)].count(CACHES[0])
-    told(world, make_settings(weighted=True))
-    after = [gets(world.ask(key=key))[0].node for key in range(60)].count(CACHES[0])
-    assert before < 30 < after
+    caches = [node for node in heavy if node.node in CACHES]
+    for weighted in (False, True, False):
+        told(world, make_settings(weighted=weighted))
+        homes = Rendezvous(caches, weighted)
+        assert all(world.director._caches.order(key) == homes.order(key) for key in range(60))
 
 
 # -- what was learned stays --
--- a/tests/test_settings_change.py
+++ b/tests/test_settings_change.py
@@ -98,6 +98,20 @@
             assert client.answer().body == b"x"
 
 
+def test_the_record_holds_from_the_reload_after_the_one_that_reads_it(tmp_path: Path) -> None:
+    with running(tmp_path, "configuration: settings: false\n") as stand:
+        file = tmp_path / "site.cue"
+        file.write_text(file.read_text().replace("false", "true"))
+        assert "waits_for_restart=settings" in change(stand, lambda table: table.update(weights="silent"))
+        assert "settings=in-force" in change(stand, lambda table: table.update(weights="silent"), version=2)
+        assert status(tmp_path)["configuration"]["version"] == 2
+        file.write_text(file.read_text().replace("true", "false"))
+        assert "settings=in-force" in change(stand, nothing)
+        assert change(stand, lambda table: table.update(weights="silent")).endswith(
+            "waits_for_restart=settings"
+        )
+
+
 def test_nothing_of_it_is_imported_without_the_record() -> None:
     code = "import sys, stonecove.lifecycle.serve; sys.exit('stonecove.lifecycle.reconfigure' in sys.modules)"
     assert subprocess.run([sys.executable, "-c", code], check=False).returncode == 0
