--- a/benchmarks/capacity_days.py
+++ b/benchmarks/capacity_days.py
@@ -1,13 +1,54 @@
-"""Days of 730 routers, worked out from the slopes."""
+"""Days of 730 routers, worked out from the slopes.
+
+A straight line or a power of the measured fleets says nothing of the program's own limits, which only larger
+fleets reach: how many a starting router asks in a tick, how much news goes out a second. The worst second is
+the smaller of both.
+"""
 
 from __future__ import annotations
 
 from pathlib import Path
 from typing import NamedTuple
 
-from benchmarks.capacity_fits import BOUND_BYTES, CHANGES_A_DAY, DAY, ROUTERS, Figures
+from benchmarks.capacity_fits import (
+    BOUND_BYTES,
+    CHANGES_A_DAY,
+    DAY,
+    ROUTERS,
+    ZONES,
+    Figures,
+    line_fit,
+    power_fit,
+)
+from stonecove.swarm.gossip import MOST_WORDS, URGENT_RATE
+from stonecove.swarm.swarm import JOIN_AT_ONCE, TICK
+from stonecove.wire.gossip import FIXED
 
 CUT_FIRST, CUT_ON = 25.0, 10.0  # seconds of the two phases of a cut: what it brings about, and what goes on
+UDP_HEADERS = 28  # IP and UDP
+WORD_BYTES = 18  # of a word in a datagram
+FULL = FIXED + MOST_WORDS * WORD_BYTES + UDP_HEADERS  # bytes of a datagram full of words
+CALM_DATAGRAMS = 4.0  # a second and router, at the most
+# The part of the fleet that asks all others to count it.
+ASKING = {"join": 1.0, "meet": 1.0, "tenth": 0.1, "zone_back": 1.0 / ZONES, "restart": 1.0 / ROUTERS}
+# What one event brings about hardly grows with the fleet; the others' words are a part of the fleet.
+ONE_EVENT = ("kill", "restart", "cut_on")
+
+
+def limit_of(phase: str) -> float:
+    """Bytes a second that the program's own rates allow a router on average, sent and received."""
+    asked = JOIN_AT_ONCE / TICK * ASKING.get(phase, 0.0)  # each question is answered
+    return 2.0 * FULL * (2.0 * asked + URGENT_RATE + CALM_DATAGRAMS)
+
+
+def predicted(figures: Figures, name: str, linear: bool) -> float:
+    """A figure of the swarm at 730 routers, by a line or a power of the fleets that were played."""
+    start = f"swarm_{name}_"
+    found = {int(key[len(start) :]): value for key, value in figures.items()
+             if key.startswith(start) and key[len(start) :].isdigit()}  # fmt: skip
+    sizes = sorted(size for size in found if size != ROUTERS)
+    values = [found[size] for size in sizes]
+    return line_fit(sizes, values).at(ROUTERS) if linear else power_fit(sizes, values).at(ROUTERS)
 
 
 class Day(NamedTuple):
@@ -23,13 +64,14 @@
     steady = figures[f"log_{window}_bytes_s"]
 
     def of(name: str, times: float = 1.0) -> Day:
-        peak = figures[f"swarm_{name}_peak_bytes_{ROUTERS}"]
-        return Day(name, peak + steady, figures[f"swarm_{name}_extra_bytes_each_{ROUTERS}"] * times)
+        linear = name not in ONE_EVENT
+        peak = min(predicted(figures, f"{name}_peak_bytes", linear), limit_of(name))
+        return Day(name, peak + steady, predicted(figures, f"{name}_extra_bytes_each", linear) * times)
 
-    calm = Day("calm", figures[f"swarm_calm_bytes_each_s_{ROUTERS}"] + steady, 0.0)
+    calm = Day("calm", predicted(figures, "calm_bytes_each_s", False) + steady, 0.0)
     meeting = of("meet")
     cut, join = of("cut"), of("join")
-    lasting = figures[f"swarm_cut_on_extra_bytes_each_{ROUTERS}"] / CUT_ON * (300.0 - CUT_FIRST)
+    lasting = of("cut_on").extra_bytes / CUT_ON * (300.0 - CUT_FIRST)
     apart = Day("region cut for 300 s and back", max(cut.peak_bytes, meeting.peak_bytes),
                 cut.extra_bytes + lasting + meeting.extra_bytes)  # fmt: skip
     return [
--- a/benchmarks/capacity_swarm.py
+++ b/benchmarks/capacity_swarm.py
@@ -11,13 +11,12 @@
 from functools import partial
 from typing import NamedTuple
 
-from benchmarks.capacity_days import CUT_FIRST, CUT_ON
+from benchmarks.capacity_days import CUT_FIRST, CUT_ON, UDP_HEADERS
 from benchmarks.capacity_fits import REGIONS, ROUTERS, ZONES, Figures, deep_size, power_fit
 from stonecove.swarm.swarm import Swarm
 from stonecove.trial.model import Box, Model
 
 
-UDP_HEADERS = 28  # IP and UDP
 REFUSAL_HEADERS = 56  # IP and ICMP, and the headers of what was refused, which come back with it
 
 
--- a/tests/test_capacity_control.py
+++ b/tests/test_capacity_control.py
@@ -12,11 +12,10 @@
 import trio
 
 from benchmarks.capacity_coordination import carried_since, carried_to
-from benchmarks.capacity_days import read_figures, worked_out_days
+from benchmarks.capacity_days import UDP_HEADERS, limit_of, read_figures, worked_out_days
 from benchmarks.capacity_fits import ROUTERS, Figures, deep_size, line_fit, power_fit
 from benchmarks.capacity_log import DelaySink, LogServer, Segments, frame
 from benchmarks.capacity_swarm import (
-    UDP_HEADERS,
     CountedModel,
     let_settle,
     observe,
@@ -213,35 +212,45 @@
             sock.close()
 
 
-def days_figures(**more: float) -> Figures:
-    phases = (
-        "calm",
-        "kill",
-        "restart",
-        "tenth",
-        "zone",
-        "zone_back",
-        "cut",
-        "cut_on",
-        "meet",
-        "join",
-        "spread",
-    )
-    figures = {"log_0ms_bytes_s": 3000.0, f"swarm_calm_bytes_each_s_{ROUTERS}": 600.0}
-    for name in phases:
-        figures[f"swarm_{name}_peak_bytes_{ROUTERS}"] = 1000.0
-        figures[f"swarm_{name}_extra_bytes_each_{ROUTERS}"] = 150.0
-    return figures | more
+def days_figures() -> Figures:
+    figures = {"log_0ms_bytes_s": 3000.0}
+    for size in (50, 100):
+        figures[f"swarm_calm_bytes_each_s_{size}"] = 600.0
+        for name in [
+            "kill",
+            "restart",
+            "tenth",
+            "zone",
+            "zone_back",
+            "cut",
+            "cut_on",
+            "meet",
+            "join",
+            "spread",
+        ]:
+            figures[f"swarm_{name}_peak_bytes_{size}"] = 10.0 * size
+            figures[f"swarm_{name}_extra_bytes_each_{size}"] = 2.0 * size
+    return figures
 
 
 def test_days_add_the_change_log_to_the_worst_second_of_the_swarm() -> None:
     days = {day.name: day for day in worked_out_days(days_figures())}
-    assert days["calm"].peak_bytes == 3600.0
-    assert days["kill"].peak_bytes == 4000.0
-    assert days["release, ten steps of a tenth"].extra_bytes == 1500.0
+    assert days["calm"].peak_bytes == pytest.approx(3600.0)
+    assert days["kill"].peak_bytes == pytest.approx(3000.0 + 10.0 * ROUTERS)
+    assert days["release, ten steps of a tenth"].extra_bytes == pytest.approx(10.0 * 2.0 * ROUTERS)
+    each = 2.0 * ROUTERS
     apart = days["region cut for 300 s and back"]
-    assert apart.extra_bytes == 150.0 + 150.0 / 10.0 * 275.0 + 150.0
-    assert days["everything started within 2 s"].extra_bytes == 300.0
+    assert apart.extra_bytes == pytest.approx(each + each / 10.0 * 275.0 + each)
+    assert days["everything started within 2 s"].extra_bytes == pytest.approx(2 * each)
+
+
+def test_the_worst_second_is_no_more_than_the_program_sends() -> None:
+    figures = days_figures() | {f"swarm_join_peak_bytes_{size}": 5000.0 * size for size in (50, 100)}
+    days = {day.name: day for day in worked_out_days(figures)}
+    assert days["everything started within 2 s"].peak_bytes == 3000.0 + limit_of("join")
+    # 160 questions and as many answers a second, each way, 15 with news and 4 probes, 272 bytes each
+    assert limit_of("join") == 2 * 272 * (2 * 160 + 15 + 4)
+    assert limit_of("zone") == 2 * 272 * (15 + 4)
 
 
 def test_figures_of_earlier_runs_are_read_from_their_last_lines(tmp_path: Path) -> None:
