--- a/stonecove/lifecycle/serve.py
+++ b/stonecove/lifecycle/serve.py
@@ -378,6 +378,8 @@
                 self._reconfigure.refuse(str(error))
             return
         taken = self._take_settings(config, self._reconfigure) if self._reconfigure is not None else {}
+        if taken.get("settings") == "in-force":  # those of the file, under what is rolled out
+            config = replace(config, settings=self._config.settings)
         fixed = [
             name
             for name in ("name", "listen", "pace", "settings")
--- a/tests/test_configuration_router.py
+++ b/tests/test_configuration_router.py
@@ -136,6 +136,7 @@
     reload(routed, "rules", drain_grace=444.0)
     line = routed.wait_line("reloaded")[-1]
     assert "settings=in-force" in line and "version=1" in line
+    assert "waits_for_restart=nothing" in line
     reload(routed, "", zone=0)
     line = routed.wait_line("reloaded", 2)[-1]
     assert "settings='refused: zone: 0 in place of 1" in line and "version=1" in line
