--- a/stonecove/scale/hollow_fleet.py
+++ b/stonecove/scale/hollow_fleet.py
@@ -22,6 +22,7 @@
     """What all hollow routers together have spent by a moment."""
 
     cpu: float  # seconds
+    cpu_alone: float  # seconds, of the one that has a process to itself
     memory_mb: float  # beyond what their processes had without them
     received: int
     sent: int
@@ -39,6 +40,7 @@
             (self.headers - before.headers) / share,
             100.0 * (self.cpu - before.cpu) / share,
             self.memory_mb / routers,
+            100.0 * (self.cpu_alone - before.cpu_alone) / seconds,
         )
 
 
@@ -54,7 +56,9 @@
         """
         self._folder, self._shared, self._routers = folder, shared, routers
         numbers = sorted(routers)
-        self._parts = [numbers[at : at + per_process] for at in range(0, len(numbers), per_process)]
+        # The first has a process to itself: many that share one share its turns of the loop as well.
+        self._parts = [numbers[:1]]
+        self._parts += [numbers[at : at + per_process] for at in range(1, len(numbers), per_process)]
         self._children: list[Child] = []
         self._idle_mb = 0.0
         try:
@@ -111,8 +115,8 @@
         bugs = tuple(bug for answer in answers for bug in answer["bugs"])
         events = sum((Counter(answer["events"]) for answer in answers), Counter[str]())
         memory = total("memory_mb") - self._idle_mb
-        return FleetSample(total("cpu"), memory, total("received"), total("sent"), total("headers"),
-                           total("heard"), bugs, events)  # fmt: skip
+        return FleetSample(total("cpu"), answers[0]["cpu"], memory, total("received"), total("sent"),
+                           total("headers"), total("heard"), bugs, events)  # fmt: skip
 
     def lives(self) -> list[Life]:
         """The ledgers of all lives of all routers."""
--- a/stonecove/scale/results.py
+++ b/stonecove/scale/results.py
@@ -26,6 +26,7 @@
     header_bytes_a_second: float  # the allowance for headers and acknowledgements, both ways
     cpu_percent: float  # of one core
     memory_mb: float
+    cpu_percent_alone: float = 0.0  # of one hollow router that has a process to itself, as real ones have
 
     @property
     def bytes_a_second(self) -> float:
--- a/stonecove/scale/run.py
+++ b/stonecove/scale/run.py
@@ -259,6 +259,7 @@
 
 def _notes(run: ScaleRun, calm: Calm) -> tuple[str, ...]:
     options = run.options
+    alone = calm.after.cost_since(calm.before, len(run.hollow), calm.seconds).cpu_percent_alone
     notes = [
         "purge delays and times until level are those of hollow routers; real ones count for their load and "
         "their own cost, and have to be ready before a fault counts as over",
@@ -266,7 +267,8 @@
         "in a cut, connections come up and stay mute",
         f"headers: {HEADER_BYTES} bytes for each TCP segment and bare ACK, as the kernel counts them",
         f"CPU of a hollow router: its process's, divided by the routers in it ({options.hollow_per_process} "
-        "at most); memory: what its process has beyond one without routers, divided likewise",
+        f"at most); one with a process to itself spent {alone:.2f} % of a core",
+        "memory of a hollow router: what its process has beyond one without routers, divided likewise",
         f"list changes: {options.day_factor:g} times as fast as on an ordinary day",
         f"a control machine that is killed comes back at the same address after {LASTS:g} s",
     ]
--- a/tests/test_scale_run.py
+++ b/tests/test_scale_run.py
@@ -41,6 +41,7 @@
     assert measured.cost.received_bytes_a_second > 0
     assert measured.cost.header_bytes_a_second > 0
     assert measured.cost.cpu_percent > 0
+    assert measured.cost.cpu_percent_alone > 0
     assert measured.cost.memory_mb > 0
     assert [machine.connections for machine in measured.machines] == [5, 4, 4]
     assert measured.requests_answered > 0
