--- a/stonecove/choice.py
+++ b/stonecove/choice.py
@@ -77,8 +77,7 @@
         self._half_life = max(half_life, 1.0)
         self._table: dict[int, Counted] = {}
         self._total = self._bytes = self._least = self._origin = 0.0
-        self._seen = 0
-        self._rebuild_at = REBUILD_EVERY
+        self._seen, self._rebuild_at = 0, REBUILD_EVERY
         self._cuts = (math.inf, math.inf)
 
     def _weight(self, now: float) -> float:
@@ -390,8 +389,7 @@
         self.work, self.deadline = work, now + request.grace
         self.aim = min(cls.aim + cls.aim_stretch * work, cls.deadline)
         self.attempts: list[Attempt] = []
-        self.missed = False
-        self.spares = False  # the origin is not asked for it
+        self.missed = self.spares = False  # spares: the origin is not asked for it
         self.turned_away = False  # the origin did not take it on
         self.tried: set[NodeId] = set()
         self.bad_sources: set[NodeId] = set()
@@ -504,13 +502,15 @@
                 self._source_health.pop(node.node, None)
             self._listed[node.node] = node
         self._listed = {key: node for key, node in self._listed.items() if node.state is not NodeState.GONE}
-        self._forget()
+        self._forget(now)
         self._rings()
 
-    def _forget(self) -> None:
-        """Danger: tables that grow with every node that ever was."""
+    def _forget(self, now: float) -> None:
+        """Danger: tables that grow for ever; a cold node that is back within a window, to a second budget."""
+        for cold in (self._cold_caches, self._cold_parents):
+            since = now - self._set.fall_window
+            cold.sent = {n: s for n, s in cold.sent.items() if n in self._listed or s and s[-1][0] > since}
         tables: list[dict[NodeId, Any]] = [self._cache_health, self._source_health, self._loads,
-                                           self._cold_caches.sent, self._cold_parents.sent,
                                            self._cold_caches.room, self._cold_parents.room]
         tables += [self._credit.pieces] if self._credit is not None else []
         for table in tables:
