--- a/tests/test_clients_gone.py
+++ b/tests/test_clients_gone.py
@@ -303,11 +303,11 @@
 
 
 def opened(hanging: Sequence[Hanging]) -> list[socket.socket]:
-    """One connection of each that comes up soon; the kernel tries again after 1 s, 2 s, 4 s."""
+    """One connection of each that comes up soon; the kernel tries again after 1 s."""
 
     def one(of: Hanging) -> socket.socket | None:
         with contextlib.suppress(TimeoutError):
-            return of.open(5.0)
+            return of.open(2.0)
         return None
 
     with ThreadPoolExecutor(len(hanging)) as pool:
