--- a/stonecove/scale/faults.py
+++ b/stonecove/scale/faults.py
@@ -193,7 +193,8 @@
 
     return _play(
         ground, ROUTERS_RESTARTED, touched, begin, RESTART_WITHIN, lambda: None,
-        f"all {len(touched)} started within {RESTART_WITHIN:g} s; from the last start on",
+        f"all {len(touched)} started within {RESTART_WITHIN:g} s; from the last start on, with the list that "
+        "they began the run with; hollow ones that share a process also share its core meanwhile",
     )  # fmt: skip
 
 
