--- a/benchmarks/rollout.py
+++ b/benchmarks/rollout.py
@@ -17,7 +17,7 @@
 
 import trio
 
-from stonecove.commands.rollout import Controller, service_session
+from stonecove.fleet.rollout_controller import Controller, service_session
 from stonecove.interface import Settings
 from stonecove.lifecycle.config import config_from
 from stonecove.lifecycle.configuration import ConfigurationKeeper
--- a/stonecove/commands/configuration.py
+++ b/stonecove/commands/configuration.py
@@ -13,7 +13,7 @@
 from stonecove.commands.members import print_table, table_of
 
 if TYPE_CHECKING:
-    from stonecove.commands.rollout import Controller
+    from stonecove.fleet.rollout_controller import Controller
     from stonecove.rollout.messages import Report, Target
     from stonecove.wire.zksession import Server
 
@@ -141,7 +141,7 @@
     """Does the work in a session, and returns the target and the reports after it; else ends the program."""
     import trio
 
-    from stonecove.commands.rollout import (
+    from stonecove.fleet.rollout_controller import (
         Controller,
         InputError,
         OvertakenError,
--- a/stonecove/scale/configuration.py
+++ b/stonecove/scale/configuration.py
@@ -17,7 +17,13 @@
 
 import trio
 
-from stonecove.commands.rollout import Controller, InputError, OvertakenError, ServiceError, service_session
+from stonecove.fleet.rollout_controller import (
+    Controller,
+    InputError,
+    OvertakenError,
+    ServiceError,
+    service_session,
+)
 from stonecove.rollout.controller import RolloutError
 from stonecove.rollout.messages import DEFAULT_WAVES, Bounds, RolloutState
 from stonecove.scale.hollow_process import CONFIGURATION_PATH
--- a/tests/test_configuration_processes.py
+++ b/tests/test_configuration_processes.py
@@ -16,7 +16,7 @@
 
 from keeper import Keeper
 from stand import PATIENCE, Stand
-from stonecove.commands.rollout import Controller, service_session
+from stonecove.fleet.rollout_controller import Controller, service_session
 from stonecove.interface import Settings
 from stonecove.lifecycle.config import config_from
 from stonecove.lifecycle.configuration import ConfigurationKeeper
