--- a/stonecove/commands/scale.py
+++ b/stonecove/commands/scale.py
@@ -74,7 +74,9 @@
 @click.option("--real", type=int, help="How many routers are whole processes.")
 @click.option("--faults", help="Names, with commas between them.")
 @click.option("--no-faults", is_flag=True, help="Play none.")
-@click.option("--swarm", is_flag=True, default=None, help="Real routers also tell each other of themselves.")
+@click.option(
+    "--swarm", is_flag=True, default=None, help="Hollow routers also tell each other of themselves."
+)
 @click.option("--rollout", is_flag=True, default=None, help="Roll changes of settings out to the routers.")
 @click.option("--seed", type=int, help="Draws what is purged and what fails.")
 @click.option("--json", "as_json", is_flag=True, help="For programs; what goes on is told on standard error.")
--- a/stonecove/scale/options.py
+++ b/stonecove/scale/options.py
@@ -66,7 +66,7 @@
     faults: tuple[str, ...] = FAULTS  # one after the other at the last size, after the load without
     requests_a_second: float = 50.0  # sent to all real routers together
     seed: int = 1
-    swarm: bool = False  # real routers also tell each other of themselves
+    swarm: bool = False  # hollow routers also tell each other of themselves
     folder: Path | None = None  # where logs stay
     rollout: bool = False  # changes of settings are rolled out to the hollow routers
 
@@ -186,8 +186,11 @@
 
 
 def processes_needed(options: ScaleOptions) -> int:
-    """All processes at the largest size: routers, control machines, and the one with player and caches."""
-    return options.hollow_processes(options.predicted_size) + options.real + CONTROL_MACHINES + 1
+    """All processes at the largest size: routers, control machines, the one with player and caches, and with
+    roll-outs the coordination service.
+    """
+    others = CONTROL_MACHINES + 1 + options.rollout
+    return options.hollow_processes(options.predicted_size) + options.real + others
 
 
 def descriptors_needed(options: ScaleOptions) -> int:
@@ -197,7 +200,7 @@
     connections of each; the one with the caches has their listeners and all that real routers open to them.
     """
     control_machine = options.predicted_size
-    hollow_process = options.hollow_per_process * CONNECTIONS_PER_ROUTER
+    hollow_process = options.hollow_per_process * (CONNECTIONS_PER_ROUTER + options.rollout)  # a session each
     cache_process = options.caches * (1 + options.real * CONNECTIONS_PER_CACHE)
     return max(control_machine, hollow_process, cache_process) + SPARE_DESCRIPTORS
 
--- a/tests/test_scale_options.py
+++ b/tests/test_scale_options.py
@@ -197,3 +197,10 @@
     result = run("--short")
     assert (result.exit_code, len(started)) == (2, 1)
     assert result.stderr == "stonecove scale: only options are tested here\n"
+
+
+def test_roll_outs_are_counted_before_anything_starts() -> None:
+    plain = ScaleOptions(sizes=(2, 3, 4, 400), real=0, caches=1, hollow_per_process=300)
+    with_rollout = dataclasses.replace(plain, rollout=True)
+    assert scale_options.processes_needed(with_rollout) == scale_options.processes_needed(plain) + 1
+    assert scale_options.descriptors_needed(with_rollout) == scale_options.descriptors_needed(plain) + 300
