--- /dev/null
+++ b/tests/golden_formats_cases.py
@@ -0,0 +1,127 @@
+"""What the golden tests of the published formats share: reading, comparing and recording their files."""
+
+from __future__ import annotations
+
+import json
+import sys
+from collections.abc import Callable, Iterator, Mapping
+from pathlib import Path
+from typing import Any
+
+from stonecove.interface import Node, NodeState
+from stonecove.membership import Member, PurgeUpdate, Told
+
+ROOT = Path(__file__).parent.parent
+FOLDER = ROOT / "tests" / "golden" / "formats"
+NODE_STATES = {NodeState.READY: "ready", NodeState.DRAINING: "draining", NodeState.GONE: "removed"}
+
+Cases = Mapping[str, Callable[[], bytes]]
+
+
+def input_bytes(name: str) -> bytes:
+    """Return an input file as it is."""
+    return (FOLDER / name).read_bytes()
+
+
+def input_json(name: str) -> Any:
+    """Return an input file as decoded JSON."""
+    return json.loads(input_bytes(name))
+
+
+def input_hex(name: str) -> dict[str, bytes]:
+    """Return the named byte strings of a hex file.
+
+    A line `== NAME` begins a string; `#` begins a comment; blanks between digits are ignored.
+    """
+    found: dict[str, str] = {}
+    current = ""
+    for line in input_bytes(name).decode().splitlines():
+        text = line.partition("#")[0].strip()
+        if text.startswith("== "):
+            current = text[3:]
+            found[current] = ""
+        elif text:
+            found[current] += text
+    return {case: bytes.fromhex(digits) for case, digits in found.items()}
+
+
+def input_sections(name: str, mark: str = "//== ") -> dict[str, str]:
+    """Return the named texts of a file in which a line of the mark and a name begins each of them."""
+    parts = ("\n" + input_bytes(name).decode()).split("\n" + mark)[1:]
+    sections = {}
+    for part in parts:
+        case, _, text = part.partition("\n")
+        sections[case.strip()] = text
+    return sections
+
+
+def plain_numbers(meaning: object) -> object:
+    """Return a meaning with each whole float as an integer: 5 and 5.0 mean the same."""
+    if isinstance(meaning, float) and meaning.is_integer():
+        return int(meaning)
+    if isinstance(meaning, Mapping):
+        return {key: plain_numbers(value) for key, value in meaning.items()}
+    if isinstance(meaning, (list, tuple)):
+        return [plain_numbers(value) for value in meaning]
+    return meaning
+
+
+def as_json(meaning: object) -> bytes:
+    """Return a meaning as the bytes of a golden file."""
+    return (json.dumps(plain_numbers(meaning), indent=1, sort_keys=True) + "\n").encode()
+
+
+def shown(data: bytes) -> str:
+    """Return bytes as text of one character each, so that JSON can hold and a reader can read them."""
+    return data.decode("latin-1")
+
+
+def check(cases: Cases, name: str) -> None:
+    """Compare what the program makes now with the golden file of that name."""
+    assert cases[name]().decode() == (FOLDER / name).read_text()
+
+
+def record(cases: Cases) -> None:
+    """Write the golden files anew, if the command line asks for it."""
+    if sys.argv[1:] != ["--record"]:
+        sys.exit("usage: --record")
+    for name, make in cases.items():
+        (FOLDER / name).write_bytes(make())
+
+
+def differences(full: object, default: object, path: str = "") -> Iterator[tuple[str, bool]]:
+    """Yield each field of two meanings with whether they differ there."""
+    if isinstance(full, dict) and isinstance(default, dict):
+        assert full.keys() == default.keys(), path
+        for key in full:
+            yield from differences(full[key], default[key], f"{path}.{key}")
+    elif isinstance(full, list) and isinstance(default, list) and default and isinstance(full[0], dict):
+        yield from differences(full[0], default[0], f"{path}[0]")
+    else:
+        yield path, full != default
+
+
+def describe_node(one: Node) -> dict[str, object]:
+    """Return a node of the endpoint list under neutral keys."""
+    return {
+        "id": one.node,
+        "kind": one.kind,
+        "started_unix_ms": one.started,
+        "state": NODE_STATES[one.state],
+        "cell": one.cell,
+        "zone": one.zone,
+        "weight": one.weight,
+    }
+
+
+def describe_member(one: Member) -> dict[str, object]:
+    """Return an endpoint, its node and its address, under neutral keys."""
+    return {"node": describe_node(one.node), "host": one.host, "port": one.port}
+
+
+def describe_update(one: Told) -> dict[str, object]:
+    """Return an endpoint list update or a purge under neutral keys."""
+    if isinstance(one, PurgeUpdate):
+        return {"update": "purge", "unix_ms": one.time, "group": one.group, "object": one.key}
+    endpoints = [describe_member(member) for member in one.members]
+    return {"update": "endpoints", "complete": one.whole, "endpoints": endpoints}
--- /dev/null
+++ b/tests/test_golden_settings.py
@@ -0,0 +1,425 @@
+"""Golden data of the settings, the configuration, the deploy file and the log line."""
+
+from __future__ import annotations
+
+import ast
+import contextlib
+import io
+import re
+import subprocess
+import sys
+import tempfile
+import tomllib
+from collections.abc import Callable, Iterator, Mapping
+from functools import partial
+from pathlib import Path
+from typing import Any
+from unittest.mock import patch
+
+import pytest
+import ujson
+from stonecove.interface import ClassSettings, Effect, KeyGroup, Settings
+from stonecove.lifecycle.config import Config, ConfigError, config_from, read_config, read_table
+from stonecove.runtime.log import line, log, log_some
+from stonecove.settings import read_settings, settings_from
+
+from golden_formats_cases import (
+    ROOT,
+    as_json,
+    check,
+    describe_update,
+    differences,
+    input_bytes,
+    input_json,
+    record,
+)
+
+EFFECTS = {
+    Effect.SAFE: "idempotent",
+    Effect.KEYED: "idempotency-key",
+    Effect.UNSAFE: "non-idempotent",
+}
+KEY_GROUPS = {KeyGroup.ALL: "all", KeyGroup.ZONE: "zone", KeyGroup.CELL: "cell"}
+
+
+# -- meanings --
+
+
+def describe_class(one: ClassSettings) -> dict[str, object]:
+    """Return a request class's settings under neutral keys."""
+    return {
+        "name": one.name,
+        "priority_weight": one.worth,
+        "late_priority_weight": one.late_worth,
+        "latency_objective_ms": one.aim,
+        "latency_objective_stretch": one.aim_stretch,
+        "deadline_ms": one.deadline,
+        "idempotency": EFFECTS[one.effect],
+        "idempotency_key_scope": KEY_GROUPS[one.group],
+        "deduplication_window_ms": one.window,
+        "fresh_ms": one.fresh,
+        "stale_ms": one.stale,
+        "stale_value": one.stale_worth,
+        "never_cached": one.never_kept,
+    }
+
+
+def describe_settings(one: Settings) -> dict[str, object]:
+    """Return the settings under neutral keys."""
+    return {
+        "classes": [describe_class(each) for each in one.classes],
+        "zone": one.zone,
+        "routers": one.fleet,
+        "routers_by_zone": list(one.zone_directors),
+        "zone_link_kb_per_s": list(one.zone_link),
+        "client_kb_per_s": one.client_pace,
+        "parent_kind": one.parent_kind,
+        "origin_kind": one.origin_kind,
+        "caches_join_fills": one.joins,
+        "nodes_have_weights": one.weighted,
+        "bypass_allowed": one.may_bypass,
+        "sibling_fills": one.siblings,
+        "slow_start_initial_fraction": one.cold_from,
+        "slow_start_ms": one.warm_up,
+        "overload_multiple": one.fall_multiple,
+        "overload_window_ms": one.fall_window,
+        "parent_slow_start_initial_fraction": one.parent_cold_from,
+        "parent_slow_start_ms": one.parent_warm_up,
+        "parent_overload_multiple": one.parent_fall_multiple,
+        "purge_grace_ms": one.purge_grace,
+        "purge_settled_ms": one.purge_done,
+        "drain_grace_ms": one.drain_grace,
+        "max_attempts": one.most_attempts,
+        "hedging_allowed": one.second_copies,
+        "cancellation_allowed": one.may_cancel,
+        "health_checks_allowed": one.may_probe,
+        "retry_after_allowed": one.may_pause,
+        "max_retry_after_ms": one.longest_pause,
+        "connect_timeout_ms": one.connect_timeout,
+        "load_report_fields": list(one.report_fields),
+        "endpoint_list_is_polled": one.list_by_asking,
+        "zone_names": list(one.zones),
+        "node_kind_names": list(one.kinds),
+        "max_in_flight_requests": one.most_held,
+        "max_streams_per_connection": one.streams,
+        "connection_idle_ms": one.conn_idle,
+        "connections_cost_the_fleet": one.handshakes_priced,
+        "messages_between_routers_allowed": one.may_message,
+    }
+
+
+def describe_config(one: Config) -> dict[str, object]:
+    """Return the router's configuration under neutral keys."""
+    return {
+        "name": one.name,
+        "listen": list(one.listen),
+        "seed": one.seed,
+        "max_sockets": one.sockets,
+        "memory_mb": one.memory_mb,
+        "cores": one.cores,
+        "transfer_bytes_per_s": one.pace,
+        "change_log": list(one.changelog),
+        "change_log_position": one.last,
+        "known": [describe_update(each) for each in one.known],
+        "settings": describe_settings(one.settings),
+        "settings_as_written": dict(one.table),
+        "peers": list(one.peers),
+        "peer_listen": one.peer_listen,
+        "settings_version": one.version,
+    }
+
+
+# -- settings --
+
+
+class TracedTable(dict[str, Any]):
+    """A decoded JSON object that notes which of its keys are read."""
+
+    def __init__(self, table: Mapping[str, Any], path: str, read_keys: set[str]) -> None:
+        super().__init__({key: traced(value, f"{path}{key}", read_keys) for key, value in table.items()})
+        self._path, self._read_keys = path, read_keys
+
+    def __getitem__(self, key: str) -> Any:
+        self._read_keys.add(self._path + key)
+        return super().__getitem__(key)
+
+    def get(self, key: str, default: Any = None) -> Any:
+        self._read_keys.add(self._path + key)
+        return super().get(key, default)
+
+
+def traced(value: Any, path: str, read_keys: set[str]) -> Any:
+    """Return a decoded JSON value whose objects note which of their keys are read."""
+    if isinstance(value, dict):
+        return TracedTable(value, f"{path}." if path else "", read_keys)
+    if isinstance(value, list):
+        return [traced(item, f"{path}[]", read_keys) for item in value]
+    return value
+
+
+def keys_of(value: Any, path: str = "") -> Iterator[str]:
+    """Yield the paths of all keys of decoded JSON."""
+    if isinstance(value, dict):
+        for key, inner in value.items():
+            yield path + key
+            yield from keys_of(inner, f"{path}{key}.")
+    elif isinstance(value, list):
+        for inner in value:
+            yield from keys_of(inner, f"{path[:-1]}[].")
+
+
+def settings_full() -> bytes:
+    return as_json(describe_settings(read_settings(input_bytes("settings-full.in.json"))))
+
+
+def settings_keys() -> bytes:
+    read_keys: set[str] = set()
+    settings_from(traced(input_json("settings-full.in.json"), "", read_keys))
+    return as_json(sorted(read_keys))
+
+
+def settings_variants() -> bytes:
+    variants = input_json("settings-variants.in.json")
+    return as_json({name: describe_settings(settings_from(table)) for name, table in variants.items()})
+
+
+def settings_error(table: Any) -> str:
+    """Return the text of the error that settings raise."""
+    try:
+        read_settings(table if isinstance(table, str) else ujson.dumps(table))
+    except (ValueError, TypeError, AttributeError, KeyError) as error:
+        return str(error)
+    return "no error"
+
+
+def settings_broken() -> bytes:
+    broken = input_json("settings-broken.in.json")
+    return as_json({name: settings_error(table) for name, table in broken.items()})
+
+
+# -- configuration --
+
+
+def config_full() -> bytes:
+    return as_json(describe_config(config_from(input_json("config-full.in.json"), {})))
+
+
+def config_example() -> bytes:
+    return as_json(describe_config(read_config({"RELAY_CONFIG": str(ROOT / "examples" / "config.json")})))
+
+
+def config_variants() -> bytes:
+    variants = input_json("config-variants.in.json")
+    return as_json(
+        {
+            name: describe_config(config_from(each["table"], each["environment"]))
+            for name, each in variants.items()
+        }
+    )
+
+
+def config_error(make: Callable[[], object]) -> str:
+    """Return the text of the configuration error that is raised."""
+    try:
+        make()
+    except ConfigError as error:
+        return str(error)
+    return "no error"
+
+
+def config_broken() -> bytes:
+    broken = input_json("config-broken.in.json")
+    return as_json({name: config_error(partial(config_from, table, {})) for name, table in broken.items()})
+
+
+def config_file_errors() -> bytes:
+    """Return the errors of reading the file, with its path replaced by FILE."""
+    found = {"not-named": config_error(lambda: read_table({}))}
+    found["named-empty"] = config_error(lambda: read_table({"RELAY_CONFIG": ""}))
+    with tempfile.TemporaryDirectory() as folder:
+        path = Path(folder) / "config.json"
+        environment = {"RELAY_CONFIG": str(path)}
+        found["missing"] = config_error(lambda: read_table(environment))
+        contents = {
+            "empty": b"",
+            "cut-short": b'{"name": ',
+            "list": b"[]",
+            "number": b"5",
+            "null": b"null",
+            "not-utf-8": b'{"name": "\xff"}',
+            "no-settings": b'{"name": "edge"}',
+        }
+        for name, content in contents.items():
+            path.write_bytes(content)
+            found[name] = config_error(lambda: read_config(environment))
+        path.unlink()
+        path.mkdir()
+        found["folder"] = config_error(lambda: read_table(environment))
+        return as_json({name: text.replace(str(path), "FILE") for name, text in found.items()})
+
+
+def environment_names() -> bytes:
+    """Return the environment variables that the program's sources name in code."""
+    found = set()
+    for path in (ROOT / "stonecove").rglob("*.py"):
+        for node in ast.walk(ast.parse(path.read_text())):
+            if isinstance(node, ast.Constant) and isinstance(node.value, str):
+                name = node.value
+                if re.fullmatch(r"(RELAY|STONECOVE|NOTIFY|WATCHDOG)_[A-Z_]+", name):
+                    found.add(name)
+    return as_json(sorted(found))
+
+
+# -- the deploy file --
+
+
+def deploy_table() -> dict[str, Any]:
+    """Return the deploy file as decoded TOML."""
+    return tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())
+
+
+def deploy_commands() -> bytes:
+    """Return the keys of the deploy file and its commands; which sources it names may change."""
+    table = deploy_table()
+    commands = {name: table[name] for name in ("build", "run", "sim")}
+    return as_json({"keys": sorted(table), "commands": commands, "packages": table["packages"]})
+
+
+def imported_modules(path: Path) -> Iterator[str]:
+    """Yield the modules of the package that a source file imports anywhere, and what could be one."""
+    for node in ast.walk(ast.parse(path.read_text())):
+        if isinstance(node, ast.Import):
+            yield from (alias.name for alias in node.names)
+        elif isinstance(node, ast.ImportFrom) and node.module:
+            yield node.module
+            yield from (f"{node.module}.{alias.name}" for alias in node.names)
+
+
+def source_of(module: str) -> Path | None:
+    """Return the source file of a module of the package; None for what is no such module."""
+    base = ROOT.joinpath(*module.split("."))
+    for path in (base.with_suffix(".py"), base / "__init__.py"):
+        if module.split(".")[0] == "stonecove" and path.is_file():
+            return path
+    return None
+
+
+def reachable_sources(modules: list[str]) -> set[Path]:
+    """Return the sources of these modules and of all that they import, be it within a function."""
+    found: set[Path] = set()
+    waiting = list(modules)
+    while waiting:
+        path = source_of(waiting.pop())
+        if path is not None and path not in found:
+            found.add(path)
+            waiting += imported_modules(path)
+    return found
+
+
+def modules_at_start() -> list[str]:
+    """Return the package's modules that `python -m stonecove` has loaded when it reads its configuration."""
+    program = (
+        "import runpy, sys\n"
+        "try:\n    runpy.run_module('stonecove', run_name='__main__')\n"
+        "except SystemExit as end:\n    assert end.code == 2, end.code\n"
+        "print(*[name for name in sys.modules if name.split('.')[0] == 'stonecove'])"
+    )
+    done = subprocess.run(
+        [sys.executable, "-c", program], cwd=ROOT, env={}, capture_output=True, text=True, check=True
+    )
+    return done.stdout.split()
+
+
+# -- the log --
+
+
+def log_lines() -> bytes:
+    """Return lines of every kind of field, at a fixed time."""
+    fields: dict[str, object] = {
+        "whole": 7,
+        "fraction": 2.25,
+        "large": 1e12,
+        "word": "plain",
+        "blank": "two words",
+        "empty": "",
+        "quoted": 'it\'s "so" said',
+        "line": "a\nb",
+        "accent": "caf\u00e9",
+        "accent_blank": "caf\u00e9 noir",
+        "yes": True,
+        "none": None,
+        "pair": ("a", 1),
+    }
+    with patch("time.time", return_value=1764576000.0625):
+        lines = [line("event-name", {}), line("all", fields)]
+        lines += [line("one", {name: value}) for name, value in fields.items()]
+    return ("\n".join(lines) + "\n").encode()
+
+
+def log_written() -> bytes:
+    """Return what is written to standard error, with lines of one event limited to a few a second."""
+    written = io.StringIO()
+    with contextlib.redirect_stderr(written):
+        for second in (1764576100.5, 1764576101.5, 1764576102.5):
+            with patch("time.time", return_value=second):
+                log("plain", at=second, why="no reason")
+                for number in range(8 if second < 1764576101.0 else 2):
+                    log_some("golden-limited", number=number)
+    return written.getvalue().encode()
+
+
+CASES: dict[str, Callable[[], bytes]] = {
+    "settings-full.out.json": settings_full,
+    "settings-keys.out.json": settings_keys,
+    "settings-variants.out.json": settings_variants,
+    "settings-broken.out.json": settings_broken,
+    "config-full.out.json": config_full,
+    "config-example.out.json": config_example,
+    "config-variants.out.json": config_variants,
+    "config-broken.out.json": config_broken,
+    "config-file-errors.out.json": config_file_errors,
+    "environment-names.out.json": environment_names,
+    "deploy-commands.out.json": deploy_commands,
+    "log-lines.out.txt": log_lines,
+    "log-written.out.txt": log_written,
+}
+
+
+@pytest.mark.parametrize("name", CASES)
+def test_formats_read_and_print_as_recorded(name: str) -> None:
+    check(CASES, name)
+
+
+def test_full_settings_name_every_key_that_is_read() -> None:
+    assert set(input_json("settings-keys.out.json")) == set(keys_of(input_json("settings-full.in.json")))
+
+
+def test_full_settings_have_no_default_value() -> None:
+    full = input_json("settings-full.out.json")
+    default = input_json("settings-variants.out.json")["minimal"]
+    assert [path for path, differs in differences(full, default) if not differs] == []
+
+
+def test_deploy_file_names_sources_that_exist() -> None:
+    table = deploy_table()
+    assert table["policy"] and table["node"]
+    assert [path for path in table["policy"] + table["node"] if not (ROOT / path).exists()] == []
+
+
+@pytest.mark.parametrize("loaded", [True, False], ids=["loaded-at-start", "reachable-by-imports"])
+def test_deploy_file_covers_the_sources_of_a_router(loaded: bool) -> None:
+    modules = modules_at_start()
+    assert len(modules) > 10
+    paths = [source_of(name) for name in modules]
+    sources = {path for path in paths if path} if loaded else reachable_sources(modules)
+    table = deploy_table()
+    named = [ROOT / path for path in table["policy"] + table["node"]]
+    package = ROOT / "stonecove" / "__init__.py"
+    missing = {
+        path for path in sources if path != package and not any(path.is_relative_to(one) for one in named)
+    }
+    assert missing == set()
+
+
+if __name__ == "__main__":
+    record(CASES)
