--- a/tests/golden_formats_cases.py
+++ b/tests/golden_formats_cases.py
@@ -31,18 +31,19 @@
 def input_hex(name: str) -> dict[str, bytes]:
     """Return the named byte strings of a hex file.
 
-    A line `== NAME` begins a string; `#` begins a comment; blanks between digits are ignored.
+    A line `== NAME` begins a string; `#` begins a comment; `61*5` stands for 61 five times.
     """
-    found: dict[str, str] = {}
-    current = ""
+    found: dict[str, bytearray] = {}
+    current = bytearray()
     for line in input_bytes(name).decode().splitlines():
         text = line.partition("#")[0].strip()
         if text.startswith("== "):
-            current = text[3:]
-            found[current] = ""
-        elif text:
-            found[current] += text
-    return {case: bytes.fromhex(digits) for case, digits in found.items()}
+            current = found[text[3:]] = bytearray()
+        else:
+            for word in text.split():
+                digits, _, count = word.partition("*")
+                current += bytes.fromhex(digits) * int(count or 1)
+    return {case: bytes(data) for case, data in found.items()}
 
 
 def input_sections(name: str, mark: str = "//== ") -> dict[str, str]:
--- /dev/null
+++ b/tests/golden_formats_depot.py
@@ -0,0 +1,160 @@
+"""A router's core before caches that answer by a script, without sockets: for golden data of exchanges."""
+
+from __future__ import annotations
+
+import re
+from collections.abc import Iterable, Iterator, Mapping
+from contextlib import contextmanager
+from typing import Any
+
+from stonecove.interface import Settings
+from stonecove.memory.budget import Budget
+from stonecove.runtime.clock import Clock
+from stonecove.runtime.log import divert
+from stonecove.runtime.timers import Timers
+from stonecove.settings import read_settings
+from stonecove.stages.route import Route
+from stonecove.wire.changelog import known_events
+from stonecove.wire.channel import Channel, Owner
+from stonecove.wire.resp import RespError
+
+from golden_formats_cases import input_bytes, shown
+
+NOW_MS = 1764576000000.0
+SEED = 7
+MAX_TIMERS = 100  # that are run for one exchange
+
+
+def exchange_settings() -> Settings:
+    """Return the settings of all exchanges."""
+    return read_settings(input_bytes("exchange-settings.in.json"))
+
+
+@contextmanager
+def quiet_log() -> Iterator[None]:
+    """Keep the log off standard error, and fail if it tells of a bug."""
+    bugs: list[Mapping[str, object]] = []
+    divert(lambda event, fields: bugs.append(fields) if event == "bug" else None)
+    try:
+        yield
+    finally:
+        divert(None)
+    assert not bugs
+
+
+class PlainSocket:
+    """A socket that takes everything, and keeps it."""
+
+    def __init__(self) -> None:
+        self.written = bytearray()
+
+    def send(self, data: bytes | memoryview, /) -> int:
+        """Take all bytes."""
+        self.written += data
+        return len(data)
+
+    def recv(self, count: int, flags: int, /) -> bytes:
+        """Raise: nothing has come, and the other side is there."""
+        raise BlockingIOError
+
+
+class CacheLink:
+    """One connection from the router to a cache."""
+
+    def __init__(self, channel: Channel, address: tuple[str, int]) -> None:
+        self.channel, self.address = channel, address
+        self.sock = PlainSocket()
+        self.ended = False
+
+    def open(self) -> None:
+        """Let the connection come up, once."""
+        if not self.channel.up and not self.ended:
+            self.channel.opened(self.sock)
+
+    def answer(self, txn: bytes, word: str, fields: str, body: str) -> None:
+        """Let the cache answer."""
+        items = (txn, word.encode("latin-1"), fields.encode(), body.encode("latin-1"))
+        text = b"".join(b"$%d\r\n%b\r\n" % (len(item), item) for item in items)
+        self.channel.buffer.feed(b"*4\r\n" + text)
+        try:
+            self.channel.received()
+        except RespError as error:
+            self.end(str(error))
+
+    def end(self, why: str = "") -> None:
+        """Let the connection end, once."""
+        if not self.ended:
+            self.ended = True
+            self.channel.ended(why)
+
+
+class Depot:
+    """The router's core, before caches that answer by a script. Time stands still but for timers."""
+
+    def __init__(self, answers: Iterable[list[str]], endpoints: int = 3) -> None:
+        self.settings = exchange_settings()
+        self.sent: list[dict[str, object]] = []  # commands to caches, in order
+        self._now = NOW_MS
+        self._answers = iter(answers)
+        self._links: list[CacheLink] = []
+        self.clock = Clock(lambda: self._now / 1000.0)
+        self._timers = Timers(self.clock, lambda: self._now / 1000.0)
+        self.budget = Budget()
+        self.budget.most = 1e9
+        self.route = Route(self.settings, SEED, self.clock, self._timers, self.budget, 4.3e6, self._connect)
+        self.route.send.most_links = 100
+        for update in known_events(known_list(endpoints), self.settings):
+            self.route.told(update)
+
+    def _connect(self, owner: Owner, address: tuple[str, int], patience: float) -> Channel:
+        channel = Channel(owner, self.clock.now)
+        self._links.append(CacheLink(channel, address))
+        return channel
+
+    def _take_commands(self, link: CacheLink) -> bool:
+        """Note what a cache was sent, and let it answer a fetch; return whether there was anything."""
+        data, link.sock.written = bytes(link.sock.written), bytearray()
+        if not data:
+            return False
+        self.sent.append({"to": list(link.address), "bytes": shown(data)})
+        for txn in re.findall(rb"\$5\r\nfetch\r\n\$16\r\n([0-9a-f]{16})\r\n", data):
+            if answer := next(self._answers, None):
+                link.answer(txn, *answer)
+        return True
+
+    def settle(self) -> None:
+        """Decide, send and answer until nothing more happens, without any time passing."""
+        busy = True
+        while busy:
+            busy = self.route.decide()
+            for link in list(self._links):
+                link.open()
+                busy |= self._take_commands(link)
+                if link.channel.over:
+                    link.end()
+
+    def run(self) -> None:
+        """Settle; while requests are open, let time pass until the next timer."""
+        self.settle()
+        for _ in range(MAX_TIMERS):
+            if all(request.answered for request in self.route.requests):
+                return
+            self._now = max(self._now, self._timers.next_due() * 1000.0)
+            self._timers.run_due()
+            self.settle()
+
+
+def known_list(endpoints: int) -> dict[str, Any]:
+    """Return so many endpoints as the change log's JSON has them: a cache, the parent, the origin."""
+    instances = [
+        {
+            "instanceId": f"s-000000{number}1",
+            "hostPort": f"10.1.0.{number}:7000",
+            "zone": zone,
+            "machineType": kind,
+            "lifecycle": "up",
+            "weight": 20,
+        }
+        for number, zone, kind in ((1, "coast", "box"), (2, "hub", "shield"), (3, "hub", "store"))
+    ]
+    return {"results": [{"fleet": {"reset": True, "instances": instances[:endpoints]}}]}
--- /dev/null
+++ b/tests/test_golden_exchanges.py
@@ -0,0 +1,442 @@
+"""Golden data of whole exchanges: FastCGI or HTTP from a client, RESP to caches, and back."""
+
+from __future__ import annotations
+
+import hashlib
+from collections.abc import Callable, Mapping
+from functools import partial
+from typing import Any, cast
+from unittest.mock import patch
+
+import pytest
+import trio
+import trio.testing
+from stonecove.exchange import Answer, ClientRequest, Verdict
+from stonecove.interface import Ended, Event, Get, How, Note, Outcome, Settings
+from stonecove.lifecycle.http import HttpConnection
+from stonecove.memory.budget import Budget
+from stonecove.memory.requests import Attempt, OpenRequest, OpenRequests
+from stonecove.runtime.clock import Clock
+from stonecove.stages.admit import Admit
+from stonecove.stages.book import Book
+from stonecove.stages.relay import Relay, Reply
+from stonecove.stages.send import Abort, command
+from stonecove.wire import resp
+from stonecove.wire.front import Front, head_of
+from stonecove.wire.httpfront import HttpFront
+from stonecove.wire.session import Session
+
+from golden_formats_cases import as_json, check, input_hex, input_json, record, shown
+from golden_formats_depot import NOW_MS, SEED, Depot, PlainSocket, exchange_settings, quiet_log
+
+TXN = "0123456789abcdef"
+MADE_TXN = "fedcba9876543210"  # of a request that names none
+LONG = 1000  # bytes of an answer from which on its checksum stands for it
+OUTCOMES = {
+    Outcome.OK: "ok",
+    Outcome.CANCELLED: "cancelled",
+    Outcome.TIMEOUT: "timed-out",
+    Outcome.MISS: "miss",
+    Outcome.FULL: "rejected-overloaded",
+    Outcome.MOOT: "expired-unsent",
+    Outcome.RESET: "reset",
+    Outcome.ERROR: "error",
+    Outcome.CONNECT_FAILED: "connect-failed",
+    Outcome.UNKNOWN: "unknown",
+}
+NOTES = {
+    Note.NONE: "none",
+    Note.HIT: "hit",
+    Note.FILLED: "filled",
+    Note.FILLED_BY_ORIGIN: "filled-by-origin",
+    Note.JOINED: "joined-a-fill",
+    Note.OLD_COPY: "stale-copy",
+    Note.SOURCE_REFUSED: "source-refused",
+    Note.SOURCE_BROKE: "source-broke",
+    Note.SOURCE_LACKS: "source-lacks-it",
+    Note.NO_FILL_PLACE: "no-fill-slot",
+    Note.ORIGIN_FAILED: "origin-failed",
+}
+VERDICTS = {
+    Verdict.SERVED: "served",
+    Verdict.UNCHANGED: "not-modified",
+    Verdict.REFUSED: "rejected",
+    Verdict.FAILED: "failed",
+}
+
+Meaning = dict[str, object]
+
+
+def printed(data: bytes) -> object:
+    """Return bytes as text, or long ones by length and checksum with their start and end."""
+    if len(data) < LONG:
+        return shown(data)
+    return {
+        "bytes": len(data),
+        "sha256": hashlib.sha256(data).hexdigest(),
+        "start": shown(data[:160]),
+        "end": shown(data[-40:]),
+    }
+
+
+# -- what is asked of a cache --
+
+
+def client_request(settings: Settings, cls: str = "picture", **fields: Any) -> ClientRequest:
+    """Return a request of a client as a front hands it on, with these fields instead of the usual ones."""
+    kinds = [each.name for each in settings.classes]
+    usual: dict[str, Any] = {
+        "txn": TXN,
+        "cls": cls,
+        "item": "00000000000000ff",
+        "chunk": "0",
+        "kind": kinds.index(cls),
+        "key": 255,
+        "part": 0,
+        "group": 0,
+        "size": 0.0,
+        "ttl": 1000.0,
+        "seen": "",
+        "body": b"",
+        "reply": lambda answer: None,
+    }
+    return ClientRequest(**{**usual, **fields})
+
+
+def make_attempt(asked: ClientRequest, settings: Settings, **order: Any) -> Attempt:
+    """Return an attempt at node 17 that has 900 ms left, with these fields of its order."""
+    usual = Get(req=1, node=17, cut_at=NOW_MS + 900.0, source=17, keep=0, age=0.0, how=0)
+    request = OpenRequest(1, asked, settings.classes[asked.kind], NOW_MS + 985.0)
+    return Attempt(request, 0, usual._replace(**order), NOW_MS)
+
+
+def cache_commands() -> bytes:
+    """Return the commands of a fetch with each option, and of an abort."""
+    settings = exchange_settings()
+    orders: dict[str, dict[str, Any]] = {
+        "plain": {},
+        "other-source": {"source": 0xA1},
+        "large-source": {"source": 0xFFFFFFFE},
+        "rank": {"keep": 3},
+        "oldest": {"age": 1500.9},
+        "oldest-below-1-ms": {"age": 0.25},
+        "limit-of-a-fraction": {"cut_at": NOW_MS + 12.9},
+        "limit-passed": {"cut_at": NOW_MS - 5.0},
+        "mode-join": {"how": int(How.JOIN)},
+        "mode-held-only": {"how": int(How.HELD_ONLY)},
+        "mode-no-parent-copy": {"how": int(How.NO_PARENT_COPY)},
+        "mode-renew": {"how": int(How.RENEW)},
+        "mode-all": {"how": 15},
+        "every-option": {"source": 0x21, "keep": 2, "age": 20000.0, "how": 15},
+    }
+    asked: dict[str, dict[str, Any]] = {
+        "segment": {"chunk": "65535"},
+        "client-tag": {"seen": "v1.a_b-c"},
+        "idempotency-key": {"cls": "order", "nonce": "key-1"},
+        "body": {"cls": "order", "nonce": "key-1", "body": b"a=b\r\n\x00\xff"},
+        "every-field": {"cls": "order", "chunk": "9", "seen": "v1", "nonce": "key-1", "body": b"b"},
+    }
+    found = {
+        name: command(make_attempt(client_request(settings), settings, **order), NOW_MS)
+        for name, order in orders.items()
+    }
+    for name, fields in asked.items():
+        order = orders["every-option"] if name == "every-field" else {}
+        found[name] = command(make_attempt(client_request(settings, **fields), settings, **order), NOW_MS)
+    found["abort"] = Abort(TXN).begin() or b""
+    return as_json({name: shown(data) for name, data in found.items()})
+
+
+# -- what a cache answers --
+
+
+def describe_answer(one: Answer) -> Meaning:
+    """Return the final answer to a client under neutral keys."""
+    return {
+        "verdict": VERDICTS[one.verdict],
+        "body": shown(one.body),
+        "tag": one.tag,
+        "retry_after_ms": one.pause,
+        "copy_made_unix_ms": one.born,
+    }
+
+
+def describe_end(one: Event) -> Meaning:
+    """Return the end of an attempt under neutral keys."""
+    assert isinstance(one, Ended)
+    return {
+        "outcome": OUTCOMES[one.outcome],
+        "node": one.node,
+        "took_ms": one.took,
+        "request_answered": one.closed,
+        "note": NOTES[Note(one.note)],
+        "queued_ms": one.waited,
+        "load_report": list(one.load),
+    }
+
+
+def cache_answer(case: Mapping[str, Any], settings: Settings) -> Meaning:
+    """Return what an answer of a cache amounts to."""
+    clock, answers, ends = Clock(lambda: NOW_MS / 1000.0), [], []
+    requests = OpenRequests()
+    admit = Admit(settings, requests, Budget(), 0.0, SEED)
+    relay = Relay(settings, Book(clock, admit, lambda event: ends.append(describe_end(event))))
+    asked = client_request(settings, case["class"], seen=case["client_tag"])
+    asked.reply = lambda answer: answers.append(describe_answer(answer))
+    request = requests.add(asked, settings.classes[asked.kind], NOW_MS + 985.0, 0)
+    order = Get(request.req, 17, NOW_MS + 900.0, 17, 0, case["max_age_ms"], 0)
+    attempt = Attempt(request, 0, order, NOW_MS - 30.0, written_at=NOW_MS - 20.0)
+    request.attempts.append(attempt)
+    word, fields, body = case["answer"]
+    reply = Reply(word, resp.fields_of(fields.encode()), body.encode("latin-1"))
+    if relay.spoilt(attempt, reply):
+        return {"ends_connection": True, "answers": [], "ends": []}
+    relay.arrived(attempt, reply)
+    return {"ends_connection": False, "answers": answers, "ends": ends}
+
+
+def cache_answers() -> bytes:
+    settings = exchange_settings()
+    cases = input_json("cache-answers.in.json")
+    with quiet_log():
+        return as_json({name: cache_answer(case, settings) for name, case in cases.items()})
+
+
+def client_heads() -> bytes:
+    """Return the CGI header of each answer."""
+    answers = {
+        "served": Answer(Verdict.SERVED, b"abc", "v1", born=NOW_MS),
+        "served-without-tag": Answer(Verdict.SERVED, b""),
+        "not-modified": Answer(Verdict.UNCHANGED, b"", "v1", born=NOW_MS),
+        "rejected": Answer(Verdict.REFUSED),
+        "rejected-with-pause": Answer(Verdict.REFUSED, pause=749.6),
+        "rejected-with-negative-pause": Answer(Verdict.REFUSED, pause=-3.0),
+        "failed": Answer(Verdict.FAILED),
+    }
+    return as_json({name: shown(head_of(answer)) for name, answer in answers.items()})
+
+
+# -- whole exchanges --
+
+
+class Client(Session):
+    """A FastCGI client's connection, without I/O."""
+
+    def feed(self, data: bytes) -> None:
+        """Take in bytes of the client."""
+        self._buffer.feed(data)
+        self.received()
+
+
+def fastcgi_record(kind: int, content: bytes = b"") -> bytes:
+    """Return a record of request 1, without padding."""
+    return bytes((1, kind, 0, 1)) + len(content).to_bytes(2, "big") + bytes(2) + content
+
+
+def fastcgi_request(params: Mapping[str, str], body: bytes, keep: bool) -> bytes:
+    """Return the records of request 1."""
+    pairs = b"".join(
+        bytes((len(name), len(value))) + name.encode() + value.encode() for name, value in params.items()
+    )
+    begin = fastcgi_record(1, bytes((0, 1, int(keep), 0, 0, 0, 0, 0)))
+    content = fastcgi_record(4, pairs) + fastcgi_record(4)
+    return begin + content + (fastcgi_record(5, body) if body else b"") + fastcgi_record(5)
+
+
+def fastcgi_exchange(case: Mapping[str, Any]) -> Meaning:
+    """Return the bytes of one exchange with a FastCGI client."""
+    depot, sock = Depot(case["answers"], case.get("endpoints", 3)), PlainSocket()
+    front = Front(depot.settings, depot.route)
+    front.ready = case.get("ready", False)
+    client = Client(sock, front, depot.clock.now, depot.budget)
+    if "records" in case:
+        client.feed(input_hex("fastcgi-records.in.hex")[case["records"]][: case.get("cut_at")])
+    else:
+        client.feed(fastcgi_request(case["params"], case["body"].encode("latin-1"), case.get("keep", True)))
+    if "look_after_ms" in case:
+        client.check(NOW_MS + case["look_after_ms"])
+    if case.get("abort"):
+        depot.settle()
+        client.feed(fastcgi_record(2))
+    depot.run()
+    return {"to_caches": depot.sent, "to_client": printed(bytes(sock.written)), "ends": client.leaving()}
+
+
+def fastcgi_exchanges() -> bytes:
+    cases = input_json("fastcgi-exchanges.in.json")
+    with quiet_log():
+        return as_json({name: fastcgi_exchange(case) for name, case in cases.items()})
+
+
+def ample_budget() -> Budget:
+    """Return a budget that never runs short."""
+    budget = Budget()
+    budget.most = 1e9
+    return budget
+
+
+class SlowSocket(PlainSocket):
+    """A socket that takes so many bytes, and no more before it has room again."""
+
+    def __init__(self, room: int) -> None:
+        super().__init__()
+        self.room = room
+
+    def send(self, data: bytes | memoryview, /) -> int:
+        """Take what there is room for."""
+        if not self.room:
+            raise BlockingIOError
+        taken = min(self.room, len(data))
+        self.room -= taken
+        return super().send(data[:taken])
+
+
+class Collector:
+    """Takes the requests of a connection, and answers none by itself."""
+
+    def __init__(self) -> None:
+        self.taken: list[Meaning] = []
+
+    def request(self, connection: Session, ident: int, params: dict[str, str], body: bytes, bad: str) -> bool:
+        """Note a request; it counts as rejected if something is wrong with it."""
+        self.taken.append({"request": ident, "body": shown(body), "bad": bool(bad)})
+        return not bad
+
+    def aborted(self, connection: Session, ident: int) -> None:
+        """Note that a client does not wait any more."""
+        self.taken.append({"aborted": ident})
+
+
+def with_id(records: bytes, ident: int) -> bytes:
+    """Return records of request 1 as those of another one."""
+    found, at = bytearray(records), 0
+    while at < len(found):
+        found[at + 2 : at + 4] = ident.to_bytes(2, "big")
+        at += 8 + int.from_bytes(found[at + 4 : at + 6], "big")
+    return bytes(found)
+
+
+def session_turns() -> Meaning:
+    """Return the records of answers that wait together, through a socket that takes few bytes at once."""
+    sock, taken = SlowSocket(0), Collector()
+    client = Client(sock, taken, lambda: NOW_MS, ample_budget())
+    request = fastcgi_request({}, b"", False)
+    for ident in (1, 2, 3):
+        client.feed(with_id(request, ident))
+    client.answer(2, b"head of 2", bytes(100_000))
+    client.answer(1, b"head of 1", bytes(40_000))
+    client.end(3, 0)
+    while not client.leaving():
+        sock.room = 9_999
+        client.writable()
+    records, at = [], 0
+    while at < len(sock.written):
+        size = int.from_bytes(sock.written[at + 4 : at + 6], "big")
+        records.append({"type": sock.written[at + 1], "id": sock.written[at + 3], "bytes": size})
+        at += 8 + size
+    sha256 = hashlib.sha256(sock.written).hexdigest()
+    return {"taken": taken.taken, "records": records, "sha256": sha256}
+
+
+def session_left(data: bytes, look_after_ms: float, leave: bool) -> Meaning:
+    """Return what becomes of a connection whose client sends this, and is then looked at or leaves."""
+    sock, taken = PlainSocket(), Collector()
+    client = Client(sock, taken, lambda: NOW_MS, ample_budget())
+    if data:
+        client.feed(data)
+    client.check(NOW_MS + look_after_ms)
+    if leave:
+        client.ended()
+    return {"taken": taken.taken, "ends": client.leaving(), "written": shown(bytes(sock.written))}
+
+
+def fastcgi_sessions() -> bytes:
+    request = fastcgi_request({"A": "1"}, b"", True)
+    rejected = bytes((1, 1, 0, 1, 0, 8, 0, 0, 0, 2, 1, 0, 0, 0, 0, 0))
+    cases: dict[str, tuple[bytes, float, bool]] = {
+        "nothing-sent": (b"", 2000.0, False),
+        "nothing-sent-for-long": (b"", 2001.0, False),
+        "request-cut-short": (request[:-8], 2000.0, False),
+        "request-cut-short-for-long": (request[:-8], 2001.0, False),
+        "record-cut-short-for-long": (request[:30], 2001.0, False),
+        "client-leaves": (request + with_id(request, 2), 0.0, True),
+        "rejected-20-times": (rejected * 20, 0.0, False),
+        "rejected-21-times": (rejected * 21, 0.0, False),
+    }
+    found = {name: session_left(*case) for name, case in cases.items()}
+    return as_json({"turns": session_turns(), **found})
+
+
+class Listener:
+    """What an HTTP connection knows of its listener."""
+
+    def __init__(self, draining: bool) -> None:
+        self.busy, self.draining = 0, draining
+
+
+async def http_exchange(case: Mapping[str, Any]) -> Meaning:
+    """Return the bytes of one exchange with an HTTP client, and whether the router ended the connection."""
+    depot = Depot(case["answers"])
+    front = HttpFront(depot.settings, depot.route, depot.clock, None, "http")
+    front.ready = case.get("ready", False)
+    client, server = trio.testing.memory_stream_pair()
+    listener = Listener(case.get("draining", False))
+    connection = HttpConnection(cast(Any, server), "10.9.8.7", front, cast(Any, listener))
+    received = bytearray()
+    over = trio.Event()
+
+    async def serve() -> None:
+        await connection.run()
+        over.set()
+        await server.aclose()
+
+    async def read() -> None:
+        async for data in client.receive_stream:
+            received.extend(data)
+
+    async with trio.open_nursery() as nursery:
+        nursery.start_soon(serve)
+        nursery.start_soon(read)
+        for text in case["requests"]:
+            await client.send_all(text.encode("latin-1"))
+            await trio.testing.wait_all_tasks_blocked()
+            if case.get("leaves"):
+                depot.settle()
+            else:
+                depot.run()
+            await trio.testing.wait_all_tasks_blocked()
+        if case.get("stalls"):
+            await trio.sleep(30.0)
+        ended = over.is_set()
+        await client.send_eof()
+        await over.wait()
+        depot.settle()
+    return {"to_caches": depot.sent, "to_client": printed(bytes(received)), "ends": ended}
+
+
+def http_exchanges() -> bytes:
+    found = {}
+    with quiet_log(), patch("secrets.token_hex", return_value=MADE_TXN):
+        for name, case in input_json("http-exchanges.in.json").items():
+            clock = trio.testing.MockClock(autojump_threshold=0)
+            found[name] = trio.run(partial(http_exchange, case), clock=clock)
+    return as_json(found)
+
+
+CASES: dict[str, Callable[[], bytes]] = {
+    "cache-commands.out.json": cache_commands,
+    "cache-answers.out.json": cache_answers,
+    "client-heads.out.json": client_heads,
+    "fastcgi-exchanges.out.json": fastcgi_exchanges,
+    "fastcgi-sessions.out.json": fastcgi_sessions,
+    "http-exchanges.out.json": http_exchanges,
+}
+
+
+@pytest.mark.parametrize("name", CASES)
+def test_exchanges_pass_as_recorded(name: str) -> None:
+    check(CASES, name)
+
+
+if __name__ == "__main__":
+    record(CASES)
