--- a/tests/golden_formats_depot.py
+++ b/tests/golden_formats_depot.py
@@ -7,6 +7,7 @@
 from contextlib import contextmanager
 from typing import Any
 
+from stonecove.exchange import ClientRequest
 from stonecove.interface import Settings
 from stonecove.memory.budget import Budget
 from stonecove.runtime.clock import Clock
@@ -30,6 +31,26 @@
     return read_settings(input_bytes("exchange-settings.in.json"))
 
 
+def describe_request(one: ClientRequest) -> dict[str, object]:
+    """Return a client's request under neutral keys, whatever front it came by."""
+    return {
+        "transaction": one.txn,
+        "class": one.cls,
+        "class_index": one.kind,
+        "object": one.item,
+        "object_number": str(one.key),
+        "segment": one.chunk,
+        "segment_number": one.part,
+        "group": one.group,
+        "size_kb": one.size,
+        "timeout_ms": one.ttl,
+        "client_tag": one.seen,
+        "body": shown(one.body),
+        "idempotency_key": one.nonce,
+        "client": one.client,
+    }
+
+
 @contextmanager
 def quiet_log() -> Iterator[None]:
     """Keep the log off standard error, and fail if it tells of a bug."""
@@ -93,6 +114,7 @@
 
     def __init__(self, answers: Iterable[list[str]], endpoints: int = 3) -> None:
         self.settings = exchange_settings()
+        self.taken: list[dict[str, object]] = []  # requests that a front has handed on, in order
         self.sent: list[dict[str, object]] = []  # commands to caches, in order
         self._now = NOW_MS
         self._answers = iter(answers)
@@ -103,9 +125,15 @@
         self.budget.most = 1e9
         self.route = Route(self.settings, SEED, self.clock, self._timers, self.budget, 4.3e6, self._connect)
         self.route.send.most_links = 100
+        self.route.gate = self._note
         for update in known_events(known_list(endpoints), self.settings):
             self.route.told(update)
 
+    def _note(self, asked: ClientRequest) -> str:
+        """Note a request, and have no limit refuse it."""
+        self.taken.append(describe_request(asked))
+        return ""
+
     def _connect(self, owner: Owner, address: tuple[str, int], patience: float) -> Channel:
         channel = Channel(owner, self.clock.now)
         self._links.append(CacheLink(channel, address))
--- a/tests/test_golden_exchanges.py
+++ b/tests/test_golden_exchanges.py
@@ -243,6 +243,11 @@
     return begin + content + (fastcgi_record(5, body) if body else b"") + fastcgi_record(5)
 
 
+def exchanged(depot: Depot, to_client: bytearray) -> Meaning:
+    """Return what an exchange amounted to: requests taken in, bytes to caches, bytes to the client."""
+    return {"requests": depot.taken, "to_caches": depot.sent, "to_client": printed(bytes(to_client))}
+
+
 def fastcgi_exchange(case: Mapping[str, Any]) -> Meaning:
     """Return the bytes of one exchange with a FastCGI client."""
     depot, sock = Depot(case["answers"], case.get("endpoints", 3)), PlainSocket()
@@ -259,7 +264,7 @@
         depot.settle()
         client.feed(fastcgi_record(2))
     depot.run()
-    return {"to_caches": depot.sent, "to_client": printed(bytes(sock.written)), "ends": client.leaving()}
+    return {**exchanged(depot, sock.written), "ends": client.leaving()}
 
 
 def fastcgi_exchanges() -> bytes:
@@ -411,7 +416,7 @@
         await client.send_eof()
         await over.wait()
         depot.settle()
-    return {"to_caches": depot.sent, "to_client": printed(bytes(received)), "ends": ended}
+    return {**exchanged(depot, received), "ends": ended}
 
 
 def http_exchanges() -> bytes:
