--- /dev/null
+++ b/tests/test_golden_decisions.py
@@ -0,0 +1,334 @@
+"""The decisions, and the simulator's wire around them, are those that were recorded."""
+
+from __future__ import annotations
+
+import contextlib
+import io
+import json
+import struct
+import sys
+from collections import Counter
+from functools import cache
+from types import SimpleNamespace
+from typing import Any
+from unittest import mock
+
+import pytest
+
+from golden_decisions_cases import SCENARIOS, Conversation, Recording, router_settings, summary_of
+from golden_decisions_storage import FOLDER, difference_from, read_json, write_json
+from golden_decisions_types import CACHED, DESCRIBERS, EVENT_FACTORIES, NOTES, OUTCOMES, Step
+from stonecove import benchlink
+
+BY_NAME = {scenario.name: scenario for scenario in SCENARIOS}
+
+
+@cache
+def conversation(name: str) -> Recording:
+    """Return the conversation of that name, as the program has it now."""
+    return Conversation(BY_NAME[name]).run()
+
+
+# -- the director --
+
+
+@pytest.mark.parametrize("name", BY_NAME)
+def test_director_answers_as_recorded(name: str) -> None:
+    assert not difference_from(f"director-{name}.json", summary_of(conversation(name)))
+
+
+def test_recordings_hold_every_kind_of_event_action_outcome_and_note() -> None:
+    events, actions, outcomes, notes = (Counter[str]() for _ in range(4))
+    for name in BY_NAME:
+        stored = read_json(f"director-{name}.json")
+        events.update(stored["event_kinds"])
+        actions.update(stored["action_kinds"])
+        outcomes.update(stored["outcomes"])
+        notes.update(stored["notes"])
+    assert set(events) == set(EVENT_FACTORIES)
+    assert set(actions) == {
+        "send", "cancel", "reject", "fail", "timer", "watch", "log", "request-lease", "return-lease"
+    }  # fmt: skip
+    assert len(actions) == len(DESCRIBERS)
+    assert set(outcomes) == {str(code) for code in OUTCOMES}
+    assert set(notes) == {str(code) for code in NOTES}
+
+
+# -- the wire: records of events, by the published layout --
+
+LAUNCH, STOP, PEER_MESSAGE = 70, 50, 90
+NOT_ON_THE_WIRE = ("fleet-size", "settings-change", "lease-terms", "lease")
+LOG = 50
+ACTION_BYTES = {30: 10, 40: 9, LOG: 7, 60: 17, 70: 6, 80: 39, 110: 17}  # without the text of a log line
+INSTANCES = {3: "ordinary", 4: "overloaded-origin", 5: "no-parents"}
+STREAM_EVENTS = 450  # of each instance
+RESTARTED_AFTER = 300  # batches after which one instance is stopped and launched anew
+
+
+def _address(node: int) -> tuple[int, int]:
+    return node >> 16, node & 65535
+
+
+def _floats(values: tuple[float, ...]) -> bytes:
+    return struct.pack(f">{len(values)}f", *values)
+
+
+def launch_record(instance: int, settings: dict[str, Any]) -> bytes:
+    """Return the record that launches an instance."""
+    text = json.dumps(settings).encode()
+    return struct.pack(">BIQI", LAUNCH, instance, 40 + instance, len(text)) + text
+
+
+def event_record(instance: int, step: Step) -> bytes:
+    """Return the record of an event; raises KeyError for one that the wire does not have."""
+    kind, values = step
+    match kind:
+        case "purge":
+            age, group, key = values
+            return struct.pack(">BIdHQ", 10, instance, age, group, key)
+        case "timer-end":
+            return struct.pack(">BII", 20, instance, values[0])
+        case "list":
+            form, endpoints = values
+            entries = [
+                struct.pack(
+                    ">BdBHIHHf", one.kind, one.started, one.state, one.cell, *_address(one.node), one.zone,
+                    one.weight,
+                )
+                for one in endpoints
+            ]  # fmt: skip
+            return struct.pack(">BIBII", 30, instance, form, 9, len(entries)) + b"".join(entries)
+        case "response-start":
+            request, attempt, node = values
+            return struct.pack(">BIIBIHd", 40, instance, request, attempt, *_address(node), 1.5)
+        case "attempt-end":
+            request, attempt, node, outcome, took, final, note, waited, load = values
+            return struct.pack(
+                ">BIIBIHBdBIdB", 60, instance, request, attempt, *_address(node), outcome, took, final, note,
+                waited, len(load),
+            ) + _floats(load)  # fmt: skip
+        case "request":
+            request, cls, key, time_left, size, group, part = values
+            return struct.pack(
+                ">BIIHHQdfffH", 80, instance, request, cls, 0, key, time_left, size, group, part, 0
+            )
+        case "probe-end":
+            node, succeeded, took, load = values
+            return struct.pack(
+                ">BIdBIHB", 100, instance, took, 0 if succeeded else 13, *_address(node), len(load)
+            ) + _floats(load)
+        case "disconnect":
+            return struct.pack(">BII", 110, instance, values[0])
+    raise KeyError(kind)
+
+
+def batch(now: float, *records: bytes) -> bytes:
+    """Return a batch of records."""
+    body = b"".join(records)
+    return struct.pack(">dII", now, 16 + len(body), len(records)) + body
+
+
+def _odd_records(instance: int) -> list[bytes]:
+    """Return records that the conversations lack: unknown codes, a probe, a message, an unknown instance."""
+    entry = struct.pack(">BdBHIHHf", 0, 0.0, 9, 0, *_address(0xA01), 1, 20.0)
+    unknown_outcome = ("attempt-end", (1, 0, 0xA01, 77, 5.0, False, 99, 0.0, ()))
+    return [
+        struct.pack(">BIBII", 30, instance, 7, 9, 1) + entry,
+        struct.pack(">BIBII", 30, instance, 0, 9, 1) + entry,
+        event_record(instance, unknown_outcome),
+        event_record(instance, ("probe-end", (0xA01, True, 3.0, (0.25, 4.0)))),
+        struct.pack(">BIHH", PEER_MESSAGE, instance, 1, 2) + b"hi",
+        event_record(99, ("timer-end", (1,))),
+        event_record(99, ("disconnect", (1,))),
+    ]
+
+
+def stream_batches() -> list[tuple[float, list[bytes]]]:
+    """Return batches of records with their times: three instances, the events of their conversations."""
+    timed = []
+    for instance, name in INSTANCES.items():
+        found = conversation(name)
+        steps = list(zip(found.times, found.events, strict=True))[:STREAM_EVENTS]
+        timed += [
+            (now, event_record(instance, step)) for now, step in steps if step[0] not in NOT_ON_THE_WIRE
+        ]
+    timed.sort(key=lambda one: one[0])
+    launches = [launch_record(one, BY_NAME[name].settings[0]) for one, name in INSTANCES.items()]
+    batches = [(0.0, list[bytes]()), (99_000.0, launches)]
+    place = 0
+    while place < len(timed):
+        part = timed[place : place + 1 + place % 7 % 3]
+        batches.append((part[-1][0], [record for _, record in part]))
+        place += len(part)
+        if len(batches) == RESTARTED_AFTER:
+            endpoints = tuple(BY_NAME[INSTANCES[4]].endpoints)
+            again = [struct.pack(">BI", STOP, 4), launches[1], event_record(4, ("list", (CACHED, endpoints)))]
+            batches.append((part[-1][0], again + _odd_records(3)))
+    return batches
+
+
+def make_stream() -> bytes:
+    """Return the batches as bytes."""
+    return b"".join(batch(now, *records) for now, records in stream_batches())
+
+
+def converse(data: bytes) -> bytes:
+    """Return what the adapter answers to a stream."""
+    sink = io.BytesIO()
+    benchlink.serve(io.BytesIO(data), sink)
+    return sink.getvalue()
+
+
+def replies_of(data: bytes) -> list[bytes]:
+    """Return the single replies, each with its header."""
+    replies = []
+    while data:
+        length = struct.unpack_from(">II", data)[1]
+        replies.append(data[:length])
+        data = data[length:]
+    return replies
+
+
+def action_codes(reply: bytes) -> list[int]:
+    """Return the codes of the actions in a reply."""
+    codes, at = [], 8
+    while at < len(reply):
+        codes.append(reply[at])
+        at += ACTION_BYTES[reply[at]]
+        if codes[-1] == LOG:
+            at += int(struct.unpack_from(">H", reply, at - 2)[0])
+    assert len(codes) == struct.unpack_from(">I", reply)[0]
+    return codes
+
+
+def test_wire_answers_the_recorded_bytes() -> None:
+    written = (FOLDER / "wire-output.bin").read_bytes()
+    found = converse((FOLDER / "wire-input.bin").read_bytes())
+    if found != written:
+        pairs = enumerate(zip(replies_of(written), replies_of(found), strict=False))
+        number = next((number for number, (was, now) in pairs if was != now), -1)
+        pytest.fail(f"the reply to batch {number} differs from the recorded one")
+    assert {code for reply in replies_of(written) for code in action_codes(reply)} == {
+        30,
+        40,
+        50,
+        60,
+        80,
+        110,
+    }
+
+
+def test_wire_input_holds_every_code() -> None:
+    assert (FOLDER / "wire-input.bin").read_bytes() == make_stream()
+    codes = {record[0] for _, records in stream_batches() for record in records}
+    assert codes == {10, 20, 30, 40, STOP, 60, LAUNCH, 80, PEER_MESSAGE, 100, 110}
+
+
+# -- the wire: what cannot be read --
+
+
+def _request_record() -> bytes:
+    return event_record(3, ("request", (8, 0, 99, 3000.0, 50.0, 4, 0)))
+
+
+def malformed_streams() -> dict[str, bytes]:
+    """Return streams that are refused, by what is wrong."""
+    good = launch_record(3, router_settings())
+    request = _request_record()
+    return {
+        "header-cut-short": b"abc",
+        "batch-cut-short": batch(1.0, good)[:-4],
+        "length-too-large": struct.pack(">dII", 0.0, 18, 0) + b"x",
+        "length-below-header": struct.pack(">dII", 0.0, 3, 0),
+        "unknown-code": batch(1.0, b"\xff\x00\x00\x00\x01"),
+        "record-cut-short": batch(1.0, request[:-3]),
+        "fewer-records-than-told": struct.pack(">dII", 0.0, 16 + len(request), 2) + request,
+        "more-bytes-than-records": struct.pack(">dII", 0.0, 18, 0) + b"xx",
+        "settings-cut-short": batch(1.0, good[:-9]),
+        "list-cut-short": batch(1.0, struct.pack(">BIBII", 30, 3, 2, 1, 3) + b"\0" * 30),
+        "list-cut-within-an-entry": batch(1.0, struct.pack(">BIBII", 30, 3, 2, 1, 1) + b"\0" * 23),
+        "loads-cut-short": batch(1.0, struct.pack(">BIdBIHB", 100, 3, 1.0, 0, 0xA, 80, 4) + b"\0" * 8),
+        "second-batch-broken": batch(1.0, good) + batch(2.0, b"\x63"),
+    }
+
+
+def reported_streams() -> dict[str, bytes]:
+    """Return streams whose first record leads to a report of an error, by what is wrong."""
+    lacking = router_settings()
+    del lacking["zone"]
+    return {
+        "settings-without-zone": batch(1.0, launch_record(5, lacking)),
+        "settings-without-classes": batch(1.0, launch_record(5, {"zone": 1, "classes": []})),
+        "class-without-deadline": batch(1.0, launch_record(5, {"zone": 1, "classes": [{}]})),
+        "deadline-of-zero": batch(1.0, launch_record(5, {"zone": 1, "classes": [{"deadline": 0.0}]})),
+        "settings-not-json": batch(1.0, struct.pack(">BIQI", LAUNCH, 5, 1, 1) + b"{"),
+    }
+
+
+def broken_streams() -> dict[str, dict[str, str]]:
+    """Return all streams that cannot be served, as hexadecimal text."""
+    return {
+        "malformed": {name: data.hex() for name, data in malformed_streams().items()},
+        "reported": {name: data.hex() for name, data in reported_streams().items()},
+    }
+
+
+def run_main(data: bytes) -> dict[str, Any]:
+    """Return exit code, output and error text of the adapter's program."""
+    output, errors = io.BytesIO(), io.StringIO()
+    with (
+        mock.patch.object(sys, "stdin", SimpleNamespace(buffer=io.BytesIO(data))),
+        mock.patch.object(sys, "stdout", SimpleNamespace(buffer=output)),
+        contextlib.redirect_stderr(errors),
+    ):
+        code = benchlink.main()
+    return {"exit": code, "output": output.getvalue().hex(), "errors": errors.getvalue()}
+
+
+def run_reported(data: bytes) -> dict[str, Any]:
+    """Return the report of an error: code, instance and the message, without the traceback above it."""
+    reply = converse(data)
+    count, _, code, instance, length = struct.unpack_from(">IIBIH", reply)
+    last = reply[15:].decode().splitlines()[-1]
+    return {
+        "records": count,
+        "code": code,
+        "instance": instance,
+        "whole": len(reply) == 15 + length,
+        "message": last.partition(": ")[2],
+    }
+
+
+def errors_found(streams: dict[str, dict[str, str]]) -> dict[str, dict[str, Any]]:
+    """Return what becomes of streams given as hex."""
+    return {
+        "malformed": {name: run_main(bytes.fromhex(data)) for name, data in streams["malformed"].items()},
+        "reported": {name: run_reported(bytes.fromhex(data)) for name, data in streams["reported"].items()},
+    }
+
+
+def test_wire_refuses_malformed_input_as_recorded() -> None:
+    stored = read_json("wire-errors.json")
+    assert stored["streams"] == broken_streams()
+    found = errors_found(stored["streams"])
+    assert found["malformed"] == stored["malformed"]
+    assert found["reported"] == stored["reported"]
+    assert all(result["exit"] == 2 and result["errors"] for result in found["malformed"].values())
+
+
+# -- recording --
+
+
+def record() -> None:
+    """Write all golden files of this module anew."""
+    for name in BY_NAME:
+        write_json(FOLDER / f"director-{name}.json", summary_of(conversation(name)))
+    stream = make_stream()
+    (FOLDER / "wire-input.bin").write_bytes(stream)
+    (FOLDER / "wire-output.bin").write_bytes(converse(stream))
+    streams = broken_streams()
+    write_json(FOLDER / "wire-errors.json", {"streams": streams, **errors_found(streams)})
+
+
+if __name__ == "__main__" and sys.argv[1:] == ["--record"]:
+    record()
