--- /dev/null
+++ b/tests/golden_coordination_sessions.py
@@ -0,0 +1,510 @@
+"""Cases of the coordination area: whole sessions with ZooKeeper."""
+
+from __future__ import annotations
+
+import math
+import struct
+from collections.abc import Callable, Iterable
+from typing import Any
+
+from golden_coordination_frames import (
+    build_operation,
+    describe_event,
+    describe_result,
+    children_field,
+    connected_frame,
+    create_request,
+    data_field,
+    event_frame,
+    int_field,
+    operation_request,
+    reply_frame,
+    stat_field,
+    text_field,
+)
+from golden_folder import Meaning, Replay, packed, unpacked
+
+from stonecove.wire import zookeeper as zk
+from stonecove.wire.zknode import NodeWatch
+from stonecove.wire.zkpresence import Registrar
+from stonecove.wire.zksession import (
+    Down,
+    Expired,
+    Figures,
+    Reply,
+    Session,
+    SessionEvent,
+    State,
+    Up,
+    Watched,
+)
+from stonecove.wire.zktree import Tree
+
+SESSION_STATES = {
+    "waiting": State.WAITING,
+    "connecting": State.CONNECTING,
+    "handshake": State.GREETING,
+    "connected": State.CONNECTED,
+    "credentials_rejected": State.REFUSED,
+    "closed": State.CLOSED,
+}
+DISCONNECTS = {
+    "silent": "server silent",
+    "not up in time": "connect timeout",
+    "read-only": "read-only server",
+    "closed by us": "closed by the client",
+    "the session has expired": "session expired",
+    "the session has moved": "session moved",
+    "our credentials are refused": "credentials rejected",
+    "moved to another ensemble": "other ensemble",
+    "garbled": "malformed",
+    "behind": "server behind",
+}
+SERVERS = (("10.0.0.1", 2181), ("10.0.0.2", 2181), ("10.0.0.3", 2181))
+FIGURES = Figures(10.0, 1.0, (0.05, 5.0), 0.5, (("digest", b"router:secret"),))
+
+
+def _disconnect(why: str) -> str:
+    return next((reason for text, reason in DISCONNECTS.items() if why.startswith(text)), why)
+
+
+def describe_session_event(event: SessionEvent) -> Meaning:
+    """Return the meaning of what a session tells its owner."""
+    if isinstance(event, Up):
+        return {"event": "connected", "session": event.session, "resumed": event.resumed}
+    if isinstance(event, Down):
+        return {"event": "disconnected", "reason": _disconnect(event.why)}
+    if isinstance(event, Expired):
+        return {"event": "session_expired", "session": event.session}
+    if isinstance(event, Watched):
+        return {"event": "watch", **describe_event(event.event)}
+    return {
+        "event": "reply",
+        "token": event.token,
+        "error": int(event.error),
+        "zxid": event.zxid,
+        "result": describe_result(event.result),
+    }
+
+
+def _split(data: bytes) -> list[str]:
+    frames = []
+    while data:
+        end = 4 + struct.unpack_from(">i", data)[0]
+        frames.append(data[:end].hex())
+        data = data[end:]
+    return frames
+
+
+class Client:
+    """A session without I/O and who uses it, driven by the steps of a script.
+
+    It hands events over as the program's own owner of a session does: a reply to who asked, all else to every
+    user in the order in which they were added.
+    """
+
+    def __init__(self) -> None:
+        self.session = Session(SERVERS, 7, FIGURES)
+        self.now = 0.0
+        self.told: list[Meaning] = []
+        self.feeds: list[Callable[[SessionEvent], None]] = []
+        self.commands: dict[str, Callable[[Meaning], None]] = {}
+        self._calls: dict[int, Callable[[Reply], None]] = {}
+        self._token = 1000
+
+    def ask(self, what: zk.Request, call: Callable[[Reply], None]) -> None:
+        """Send a request whose reply goes to `call`."""
+        self._token += 1
+        self._calls[self._token] = call
+        self.session.ask(self._token, what, self.now)
+
+    def play(self, step: Meaning) -> Meaning:
+        """Do one step, and return what came of it."""
+        self.now, session = step["at_s"], self.session
+        match step["do"]:
+            case "connecting":
+                session.connecting(self.now)
+            case "opened":
+                session.opened(self.now)
+            case "received":
+                session.received(unpacked(step["bytes"]), self.now)
+            case "lost":
+                session.lost(step["reason"], self.now)
+            case "time_passes":
+                session.tick(self.now)
+            case "close":
+                session.close(self.now)
+            case "move":
+                session.move(tuple((host, port) for host, port in step["servers"]), self.now)
+            case "ask":
+                session.ask(step["token"], build_operation(step["request"]), self.now)
+            case command:
+                self.commands[command](step)
+        return self._outcome(list(self._hand_over()))
+
+    def _hand_over(self) -> Iterable[Meaning]:
+        for event in self.session.events():
+            if isinstance(event, Reply) and event.token in self._calls:
+                self._calls.pop(event.token)(event)
+                continue
+            yield describe_session_event(event)
+            for feed in self.feeds:
+                feed(event)
+
+    def _outcome(self, events: list[Meaning]) -> Meaning:
+        plan = self.session.plan(self.now)
+        told = list(self.told)
+        self.told.clear()
+        state = next(name for name, one in SESSION_STATES.items() if one is self.session.state)
+        outcome: Meaning = {
+            "state": state,
+            "connect_to": None if plan.connect is None else list(plan.connect),
+            "next_due_s": None if math.isinf(plan.until) else round(plan.until, 6),
+            "sent": _split(self.session.data_to_send()),
+            "events": events,
+            "told": told,
+        }
+        return {name: value for name, value in outcome.items() if value not in ([], None)}
+
+
+class Script:
+    """Writes the steps of a script; replies bear the xids of requests in the order of their sending."""
+
+    def __init__(self) -> None:
+        self.steps: list[Meaning] = []
+        self._now = 0.0
+        self._xid = 0
+        self.zxid = 0x100
+
+    def do(self, what: str, after: float = 0.01, **more: Any) -> None:
+        """Add a step."""
+        self._now = round(self._now + after, 6)
+        self.steps.append({"at_s": self._now, "do": what, **more})
+
+    def received(self, *frames: bytes, after: float = 0.01) -> None:
+        """Add bytes from the server."""
+        self.do("received", after, bytes=packed(b"".join(frames)))
+
+    def connect(self, session: int = 0xABCDEF, after: float = 0.01) -> None:
+        """Connect, and have the session accepted."""
+        self.do("connecting", after)
+        self.do("opened")
+        self.received(connected_frame(9_000, session))
+        self.received(reply_frame(-4, self.zxid))
+
+    def reply(self, error: int = 0, body: bytes = b"") -> None:
+        """Answer the oldest request that has no answer."""
+        self._xid += 1
+        self.zxid += 1
+        self.received(reply_frame(self._xid, self.zxid, error, body))
+
+    def lose(self, requests: int = 0, reason: str = "reset") -> None:
+        """Lose the connection with so many requests unanswered."""
+        self._xid += requests
+        self.do("lost", reason=reason)
+
+    def ask(self, token: int, request: Meaning) -> None:
+        """Send a request."""
+        self.do("ask", token=token, request=request)
+
+
+def _play_session(steps: list[Meaning]) -> list[Any]:
+    client = Client()
+    return [client.play(step) for step in steps]
+
+
+def _session_script() -> list[Meaning]:
+    script = Script()
+    script.do("connecting")
+    script.do("opened")
+    whole = connected_frame(9_000, 0xABCDEF)
+    script.received(whole[:7])
+    script.received(whole[7:])
+    script.received(reply_frame(-4, 0x100))
+    requests: list[tuple[Meaning, int, bytes]] = [
+        (operation_request("get_data", "/a/b", watch=True), 0, data_field(b"one", mzxid=0x80)),
+        (operation_request("exists", "/a/none", watch=True), -101, b""),
+        (operation_request("exists", "/a/c", watch=True), 0, stat_field()),
+        (operation_request("get_children2", "/a", watch=True), 0, children_field("b", "c")),
+        (operation_request("add_watch", "/r", mode="persistent_recursive"), 0, b""),
+        (operation_request("add_watch", "/p", mode="persistent"), 0, b""),
+        (create_request("/a/e", b"{}", "ephemeral"), 0, text_field("/a/e")),
+        (operation_request("set_data", "/a/e", data=packed(b"{1}"), version=4), -103, b""),
+        (operation_request("sync", "/a"), 0, text_field("/a")),
+    ]
+    for token, (request, _, _) in enumerate(requests):
+        script.ask(token, request)
+    for _, error, body in requests:
+        script.reply(error, body)
+    script.received(
+        event_frame(3, "/a/b"), event_frame(1, "/a/none"), event_frame(4, "/a"), event_frame(2, "/r/x")
+    )
+    script.ask(20, operation_request("get_data", "/a/b", watch=True))
+    script.reply(0, data_field(b"two", mzxid=0x81))
+    script.do("time_passes", 3.1)
+    script.received(reply_frame(-2, script.zxid))
+    script.ask(21, operation_request("get_data", "/a/d", watch=False))
+    script.lose(1)
+    script.ask(22, operation_request("get_data", "/a/d", watch=False))
+    script.do("connecting", 0.1)
+    script.do("opened")
+    script.received(connected_frame(9_000, 0xABCDEF))
+    script.received(reply_frame(-4, script.zxid), reply_frame(-8, script.zxid))
+    script.ask(23, operation_request("get_children2", "/a", watch=True))
+    script.reply(0, children_field("b"))
+    script.do("close")
+    script.reply()
+    return script.steps
+
+
+def _trouble_script() -> list[Meaning]:
+    script = Script()
+    script.do("connecting")
+    script.do("time_passes", 1.5)  # it never comes up
+    script.do("connecting", 0.1)
+    script.do("opened")
+    script.received(connected_frame(9_000, 0xABCDEF, True))  # no leader
+    script.do("connecting", 0.1)
+    script.do("opened")
+    script.received(int_field(-1))  # malformed
+    script.do("connecting", 0.1)
+    script.do("lost", reason="refused")  # the wait has grown
+    script.do("connecting", 0.5)
+    script.do("opened")
+    script.received(connected_frame(9_000, 0xABCDEF))
+    script.received(reply_frame(-4, 0x200))
+    script.received(reply_frame(-2, 0x1FF))  # behind what it told before
+    script.connect(after=0.1)
+    script.steps[-1]["bytes"] = packed(reply_frame(-4, 0x200))
+    script.ask(1, operation_request("get_data", "/a", watch=True))
+    script.received(reply_frame(1, 0x201, -118))  # the session has moved
+    script.do("connecting", 0.1)
+    script.do("opened")
+    script.received(connected_frame(9_000, 0xABCDEF))
+    script.received(reply_frame(-4, 0x202))
+    script.do("time_passes", 7.0)  # the server is silent
+    script.do("connecting", 0.1)
+    script.do("opened")
+    script.received(connected_frame(0, 0))  # the session has expired
+    script.do("connecting", 0.1)
+    script.do("opened")
+    script.received(connected_frame(9_000, 0xABCDF0))
+    script.received(reply_frame(-4, 0x203, -115))  # the credentials are rejected
+    script.do("connecting", 5.1)
+    script.do("opened")
+    script.received(connected_frame(9_000, 0xABCDF0))
+    script.received(reply_frame(-4, 0x204))
+    script.ask(2, operation_request("get_data", "/a", watch=False))
+    script.received(reply_frame(9, 0x205))  # a reply to something else
+    script.do("move", servers=[["10.1.0.1", 2181], ["10.1.0.2", 2181]])
+    script.do("connecting")
+    script.do("opened")
+    script.received(connected_frame(9_000, 0x123))
+    script.ask(3, operation_request("get_data", "/a", watch=False))
+    script.received(reply_frame(3, 0x10, -112))  # the servers' word in a reply that it has expired
+    script.do("close")
+    return script.steps
+
+
+SESSION = Replay("zookeeper-session", _session_script, _play_session)
+TROUBLE = Replay("zookeeper-session-trouble", _trouble_script, _play_session)
+
+# -- a router's own node, and one node that is watched --
+
+OURS, OTHERS = b'{"name": "r1", "listen": "10.0.0.4:6565"}', b'{"name": "r1", "listen": "10.0.0.5:6565"}'
+
+
+class _NodeNotes:
+    """Notes what a watched node is found to hold."""
+
+    def __init__(self, told: Callable[[Meaning], None]) -> None:
+        self._told = told
+
+    def put(self, data: bytes, stat: zk.Stat) -> None:
+        self._told({"node": "present", "data": packed(data), "mzxid": stat.mzxid})
+
+    def absent(self) -> None:
+        self._told({"node": "absent"})
+
+    def unreadable(self, error: zk.Err) -> None:
+        self._told({"node": "unreadable", "error": int(error)})
+
+
+def _play_presence(steps: list[Meaning]) -> list[Any]:
+    client = Client()
+
+    def tell(meaning: Meaning) -> None:
+        client.told.append(meaning)
+
+    registrar = Registrar(
+        "/fleet/routers",
+        "r1",
+        OURS,
+        client.ask,
+        lambda: client.session.session,
+        lambda data: data == OURS,
+        lambda event, **fields: tell({"alarm": "name not registered"}),
+    )
+    client.feeds.append(registrar.feed)
+
+    def change(step: Meaning) -> None:
+        registrar.tell(unpacked(step["record"]), lambda: tell({"record": "stored"}))
+
+    client.commands = {
+        "change_record": change,
+        "retry_name": lambda step: registrar.again(),
+        "node_vanished": lambda step: registrar.vanished(),
+        "retire": lambda step: registrar.retire(),
+    }
+    return [client.play(step) for step in steps]
+
+
+def _presence_script() -> list[Meaning]:
+    script, exists, missing = Script(), -110, -101
+    script.connect()
+    script.reply(missing)  # the path is made from above
+    script.reply(missing)
+    script.reply(0, text_field("/fleet"))
+    script.reply(missing)
+    script.reply(0, text_field("/fleet/routers"))
+    script.reply(0, text_field("/fleet/routers/r1"))
+    script.do("change_record", record=packed(b'{"state": "draining"}'))
+    script.do("change_record", record=packed(b'{"state": "left"}'))
+    script.reply(0, stat_field(version=1))
+    script.reply(0, stat_field(version=2))
+    script.do("change_record", record=packed(b'{"state": "left"}'))
+    script.do("change_record", record=packed(OURS))
+    script.reply(missing)  # it is gone: made again
+    script.reply(0, text_field("/fleet/routers/r1"))
+    script.do("node_vanished")
+    script.lose(1)  # its create, of which no reply comes
+    script.connect(after=0.1)
+    script.reply(exists)
+    script.reply(0, data_field(OURS, owner=0xABCDEF))  # it was done
+    script.lose()
+    script.do("connecting", 0.1)
+    script.do("opened")
+    script.received(connected_frame(0, 0))
+    script.connect(0xABCDF0, after=0.1)
+    script.reply(exists)  # of the process before the restart: deleted
+    script.reply(0, data_field(OURS, owner=0x77, version=3))
+    script.reply()
+    script.reply(0, text_field("/fleet/routers/r1"))
+    script.do("node_vanished")
+    script.reply(exists)  # somebody else's
+    script.reply(0, data_field(OTHERS, owner=0x78, version=1))
+    script.do("change_record", record=packed(OTHERS))
+    script.do("retry_name")
+    script.reply(-102)  # not allowed
+    script.do("retry_name")
+    script.reply(0, text_field("/fleet/routers/r1"))
+    script.do("retire")
+    script.do("change_record", record=packed(OURS))
+    return script.steps
+
+
+def _play_node_watch(steps: list[Meaning]) -> list[Any]:
+    client = Client()
+    watch = NodeWatch("/configuration/target", client.ask, _NodeNotes(client.told.append))
+    client.feeds.append(watch.feed)
+    return [client.play(step) for step in steps]
+
+
+def _node_watch_script() -> list[Meaning]:
+    script, path, missing = Script(), "/configuration/target", -101
+    script.connect()
+    script.reply(missing)
+    script.reply(missing)
+    script.received(event_frame(1, path))
+    script.reply(0, data_field(b"v1", mzxid=0x31))
+    script.received(event_frame(3, path), event_frame(3, "/configuration/other"))
+    script.received(event_frame(3, path))  # while it is being read
+    script.reply(0, data_field(b"v2", mzxid=0x32))
+    script.reply(0, data_field(b"v3", mzxid=0x33))
+    script.received(event_frame(2, path))
+    script.reply(missing)
+    script.reply(0, stat_field())  # it was made in between
+    script.reply(0, data_field(b"v4", mzxid=0x34))
+    script.received(event_frame(3, path))
+    script.reply(-102)
+    script.received(event_frame(3, path))
+    script.lose(1)
+    script.connect(after=0.1)
+    script.reply(0, data_field(b"v5", mzxid=0x35))
+    return script.steps
+
+
+PRESENCE = Replay("zookeeper-presence", _presence_script, _play_presence)
+NODE_WATCH = Replay("zookeeper-node-watch", _node_watch_script, _play_node_watch)
+
+# -- all nodes below a path --
+
+
+class _TreeNotes:
+    """Notes what is found below a path."""
+
+    def __init__(self, told: Callable[[Meaning], None]) -> None:
+        self._told = told
+
+    def put(self, name: str, data: bytes, stat: zk.Stat) -> None:
+        self._told({"present": name, "data": packed(data), "czxid": stat.czxid})
+
+    def removed(self, names: Iterable[str]) -> None:
+        self._told({"removed": sorted(names)})
+
+    def whole(self, names: frozenset[str], confirmed: bool) -> None:
+        self._told({"list_read": sorted(names), "after_sync": confirmed})
+
+    def absent(self, confirmed: bool) -> None:
+        self._told({"path": "absent", "after_sync": confirmed})
+
+
+def _play_tree(recursive: bool) -> Callable[[list[Meaning]], list[Any]]:
+    def play(steps: list[Meaning]) -> list[Any]:
+        client = Client()
+        tree = Tree("/caches", client.ask, _TreeNotes(client.told.append), recursive)
+        client.feeds.append(tree.feed)
+        client.commands = {"confirm": lambda step: tree.confirm()}
+        return [client.play(step) for step in steps]
+
+    return play
+
+
+def _tree_script(recursive: bool, watch_error: int = 0) -> list[Meaning]:
+    script = Script()
+    script.connect()
+    if recursive:
+        script.reply(watch_error)
+    script.reply(0, children_field("n1", "n2", "n3"))
+    script.reply(0, data_field(b"a1", czxid=0x11))
+    script.reply(0, data_field(b"a2", czxid=0x12))
+    script.reply(-101)  # it is gone by now
+    script.received(event_frame(4, "/caches"))
+    script.reply(0, children_field("n1", "n4"))
+    script.reply(0, data_field(b"a4", czxid=0x14))
+    script.received(event_frame(3, "/caches/n1"))
+    script.reply(0, data_field(b"b1", czxid=0x11))
+    script.received(event_frame(2, "/caches/n4"))
+    script.received(event_frame(1, "/caches/n5"))
+    script.reply(0, data_field(b"a5", czxid=0x15))
+    script.received(event_frame(3, "/caches/n1"))
+    script.reply(0, data_field(b"c1", czxid=0x16))  # deleted and made again
+    script.do("confirm")
+    script.reply(0, text_field("/caches"))
+    script.reply(0, children_field("n1", "n5"))
+    script.received(event_frame(3, "/caches/n1"))
+    script.lose(1)
+    script.connect(after=0.1)
+    script.reply(0, children_field("n1", "n5"))
+    script.reply(0, data_field(b"d1", czxid=0x16))
+    if recursive and not watch_error:  # what was missed is not told: all is read again
+        script.reply(0, data_field(b"d5", czxid=0x15))
+    return script.steps
+
+
+TREES = (
+    Replay("zookeeper-tree", lambda: _tree_script(False), _play_tree(False)),
+    Replay("zookeeper-tree-recursive", lambda: _tree_script(True), _play_tree(True)),
+    Replay("zookeeper-tree-recursive-unknown", lambda: _tree_script(True, -6), _play_tree(True)),
+)
+CASES = (SESSION, TROUBLE, PRESENCE, NODE_WATCH, *TREES)
