--- /dev/null
+++ b/tests/golden_fleet_control.py
@@ -0,0 +1,393 @@
+"""Cases of the fleet area: answers of a router's members socket, on members, roll-outs and the swarm."""
+
+from __future__ import annotations
+
+import json
+from collections.abc import Callable
+from pathlib import Path
+from typing import Any
+from unittest import mock
+
+import trio
+import trio.testing
+
+from golden_coordination_gossip import build_datagram
+from golden_coordination_records import NAMES, build_member
+from golden_coordination_rollouts import build_target
+from golden_fleet_files import FOLDER, UNIX, temporary_folder
+from golden_folder import Meaning, Replay, Snapshot
+
+from stonecove.interface import NodeState, Peers
+from stonecove.lifecycle.config import Config, config_from
+from stonecove.lifecycle.configuration import ConfigurationKeeper
+from stonecove.lifecycle.members import Members
+from stonecove.lifecycle.reconfigure import Reconfigure, SettingsRefused
+from stonecove.lifecycle.swarm import SwarmKeeper, bound
+from stonecove.membership import MembersUpdate
+from stonecove.membership.records import record_of
+from stonecove.memory.budget import Budget
+from stonecove.operator.reader import read_text
+from stonecove.operator.records import ConfigurationRecord
+from stonecove.rollout.messages import Overlay
+from stonecove.runtime.clock import Clock
+from stonecove.runtime.timers import Timers
+from stonecove.settings import settings_from
+from stonecove.stages.route import Route
+from stonecove.standins import zookeeper as standin
+from stonecove.wire import zookeeper as zk
+from stonecove.wire.changelog import Follower
+from stonecove.wire.ensemble import Ensemble
+from stonecove.wire.follow import ChangeLog
+from stonecove.wire.gossip import encode
+from stonecove.wire.zksession import Figures, Reply
+
+SETTINGS: dict[str, Any] = {
+    "areas": ["hub", "edge-1"],
+    "models": ["box", "parent", "origin"],
+    "zone": 1,
+    "fleet_size": 3,
+    "classes": [{"name": "image", "deadline": 9000.0, "on_time": 4000.0}],
+    "domain": {
+        "shield_kind": 1,
+        "store_kind": 2,
+        "client_kb_per_s": 1000.0,
+        "zone_link_kb_per_s": [0.0, 20000.0],
+        "instances_by_zone": [1, 2],
+    },
+    "limits": {"most_tries": 4, "peers": True},
+    "rules": {"cold_from": 0.25, "warm_up": 16000.0, "tip_multiple": 4.0, "overload_for": 3000.0},
+}
+
+
+def router_config(**more: Any) -> Config:
+    """Return a router's configuration."""
+    table = {
+        "name": "r-0",
+        "listen": "10.0.0.4:6565",
+        "seed": "7",
+        "changelog": "127.0.0.1:1",
+        "settings": SETTINGS,
+        **more,
+    }
+    return config_from(table, {})
+
+
+def _route(config: Config, clock: Clock) -> Route:
+    timers = Timers(clock, trio.current_time)
+    return Route(config.settings, 7, clock, timers, Budget(), 0.0, lambda *_: None)  # type: ignore[arg-type]
+
+
+# -- members, roll-outs and settings of a router --
+
+OPERATOR = """
+sources: zookeeper: {{servers: ["{server}"], path: "/caches"}}
+presence: {{path: "/routers", shares: "derived", grow: 0ms, shrink: 0ms}}
+members: {{socket: "{socket}", batch: 0ms}}
+configuration: {{settings: true, path: "/configuration"}}
+"""
+QUESTIONS = (
+    "list", "explain s-000000a1", "explain 162", "explain s-000000a3", "explain s-000000ff", "explain x",
+    "explain s-zz", "trace", "sources", "fleet", "configuration", "", "sing a song",
+)  # fmt: skip
+
+
+def _node(ident: int, port: int, **changes: Any) -> Meaning:
+    return {
+        "node": ident,
+        "host": "10.1.0.9",
+        "port": port,
+        "zone_index": 1,
+        "kind_index": 0,
+        "cell": 3,
+        "weight": 20.0,
+        "started_ms": UNIX * 1000.0 - 60_000.0,
+        "state": "ready",
+        **changes,
+    }
+
+
+class _Router:
+    """The parts of a router that its members socket asks, beside a coordination service of its own."""
+
+    def __init__(self, place: Path, server: str, nursery: trio.Nursery) -> None:
+        (place / "operator.cue").write_text(OPERATOR.format(server=server, socket=place / "members.sock"))
+        self.clock = Clock(lambda: UNIX)
+        config = router_config()
+        route = _route(config, self.clock)
+        changelog = ChangeLog("127.0.0.1", 1, Follower(0))
+        self.members = Members(
+            place / "operator.cue", config, route, self.clock, changelog, nursery.start_soon
+        )
+        self.settings = Reconfigure(
+            config.settings, 4, route, [self.members], self.members.counted, self.clock.now
+        )
+        self.members.also["configuration"] = self.settings.answer
+        record = self.members.operator.configuration
+        assert isinstance(record, ConfigurationRecord)
+        keeper = ConfigurationKeeper(
+            record, config, config.table, self.settings, route.book.counts, self.clock
+        )
+        self.members.use_session(keeper.attach)
+        self.members.start()
+        nursery.start_soon(keeper.run)
+
+
+async def _until(done: Callable[[], bool]) -> None:
+    with trio.fail_after(10):
+        while not done():
+            await trio.sleep(0.002)
+
+
+async def _service(nursery: trio.Nursery) -> str:
+    """Start a coordination service; return its address."""
+    said: list[str] = []
+    nursery.start_soon(standin.serve, "127.0.0.1", [0], ("127.0.0.1", 0), 0.0, said.append)
+    await _until(lambda: len(said) == 2)
+    return said[0].split()[-1]
+
+
+class _Writer:
+    """Another client of the coordination service."""
+
+    def __init__(self, server: str, nursery: trio.Nursery) -> None:
+        host, _, port = server.rpartition(":")
+        self.ensemble = Ensemble(((host, int(port)),), 1, Figures(), lambda: None)
+        nursery.start_soon(self.ensemble.run)
+
+    async def ask(self, what: zk.Request) -> Reply:
+        """Return the reply to a request."""
+        await _until(lambda: self.ensemble.session.connected)
+        found: list[Reply] = []
+        self.ensemble.ask(what, found.append)
+        await _until(lambda: bool(found))
+        return found[0]
+
+
+def _fields(value: Any) -> Any:
+    """Return an answer with what the coordination service's own numbers are replaced by their types."""
+    if isinstance(value, dict):
+        loose = ("server", "session", "zxid", "watches")
+        return {
+            name: f"<{type(one).__name__}>" if name in loose else _fields(one) for name, one in value.items()
+        }
+    return [_fields(one) for one in value] if isinstance(value, list) else value
+
+
+def _target(version: int, **changes: Any) -> bytes:
+    sample = next(
+        entry["meaning"]
+        for entry in json.loads((FOLDER.path.parent / "coordination" / "rollout-targets.json").read_text())[
+            "read"
+        ]
+        if entry["name"] == "complete"
+    )
+    return build_target({**sample, "version": version, "previous_version": 0, **changes}).encode()
+
+
+def _members() -> Meaning:
+    """Return what a router answers on its members socket, and what it stores in the coordination service."""
+    found: Meaning = {}
+
+    async def play(place: Path) -> None:
+        async with trio.open_nursery() as nursery:
+            server = await _service(nursery)
+            writer = _Writer(server, nursery)
+            for path in (
+                "/caches",
+                "/routers",
+                "/configuration",
+                "/configuration/versions",
+                "/configuration/routers",
+            ):
+                await writer.ask(zk.Create(path))
+            for ident in (0xA1, 0xA2):
+                record = record_of(build_member(_node(ident, 6500 + ident)), NAMES)
+                await writer.ask(zk.Create(f"/caches/n{ident:x}", record))
+            await writer.ask(zk.Create("/caches/bad", b"{}"))
+            await writer.ask(zk.Create("/routers/r-1", b'{"name": "r-1", "zone": "hub", "state": "ready"}'))
+            good = Overlay(5, {"limits": {"most_tries": 2}}).encode()
+            await writer.ask(zk.Create("/configuration/versions/0000000005", good))
+            router = _Router(place, server, nursery)
+            members = router.members
+            await _until(lambda: len(members.asked(["list"])["nodes"]) == 2)
+            await _until(lambda: members.asked(["fleet"]).get("holds", {}).get("fleet") == 2)
+            told = build_member(_node(0xA1, 6661, state="draining"))
+            other = build_member(_node(0xA3, 6663, kind_index=1, started_ms=0.0))
+            members.told(MembersUpdate(True, (told, other)))
+            gone = other._replace(node=other.node._replace(state=NodeState.GONE))
+            members.told(MembersUpdate(False, (gone,)))
+            await trio.testing.wait_all_tasks_blocked(0.01)
+            found["answers"] = {
+                question: _fields(await _asked_by_socket(place, question)) for question in QUESTIONS
+            }
+            found["socket_rights"] = oct((place / "members.sock").stat().st_mode & 0o777)
+            found["stored"] = await _rolled_out(writer, router)
+            nursery.cancel_scope.cancel()
+
+    with temporary_folder() as place:
+        trio.run(play, place)
+    return found
+
+
+async def _rolled_out(writer: _Writer, router: _Router) -> Meaning:
+    """Roll versions out, and return what the router stores and answers at each."""
+
+    def in_force() -> Any:
+        return router.members.asked(["configuration"])["configuration"]
+
+    async def report() -> str:
+        reply = await writer.ask(zk.GetData("/configuration/routers/r-0"))
+        assert isinstance(reply.result, zk.Data)
+        return reply.result.data.decode()
+
+    async def reported(mark: str) -> str:
+        with trio.fail_after(10):
+            while not (mark in (text := await report()) and '"settled":true' in text):
+                await trio.sleep(0.01)
+        return text
+
+    async def present(state: str) -> str:
+        with trio.fail_after(10):
+            while True:
+                reply = await writer.ask(zk.GetData("/routers/r-0"))
+                assert isinstance(reply.result, zk.Data)
+                if state in (text := reply.result.data.decode()):
+                    return text
+                await trio.sleep(0.002)
+
+    found: Meaning = {}
+    found["presence at the start"] = await present("starting")
+    await router.members.ready()
+    found["presence of a router that serves"] = await present("ready")
+    found["report at the start"] = await reported('"in_force":0')
+    await writer.ask(zk.Create("/configuration/target", _target(5)))
+    found["report with a version in force"] = await reported('"in_force":5')
+    found["answer with a version in force"] = in_force()
+    bad = Overlay(6, {"domain": {"shield_kind": 2}}).encode()
+    await writer.ask(zk.Create("/configuration/versions/0000000006", bad))
+    await writer.ask(zk.SetData("/configuration/target", _target(6, attempt=4)))
+    found["report with a rejected version"] = await reported('"version":6')
+    found["answer with a rejected version"] = in_force()
+    try:
+        router.settings.apply(settings_from({**SETTINGS, "zone": 0}), 9)
+    except SettingsRefused as error:
+        found["rejected at once"] = str(error)
+    found["answer after that"] = in_force()
+    await router.members.leaving()
+    found["presence of a router that drains"] = await present("draining")
+    return found
+
+
+async def _asked_by_socket(place: Path, question: str) -> Any:
+    stream = await trio.open_unix_socket(str(place / "members.sock"))
+    async with stream:
+        await stream.send_all(question.encode() + b"\n")
+        data = b""
+        async for part in stream:
+            data += part
+    assert data.endswith(b"\n")
+    return json.loads(data)
+
+
+# -- the swarm --
+
+
+def _sender(number: int, **changes: Any) -> Meaning:
+    return {
+        "member": 0x1000 + number,
+        "generation": int(UNIX * 1000) - 1000 * number,
+        "incarnation": number,
+        "state": "alive",
+        "zone": number % 2,
+        **changes,
+    }
+
+
+def _gossip(kind: str, number: int, **changes: Any) -> Meaning:
+    empty = {"in_reply_to": 0, "target_member": 0, "newest_generation": 0, "view": 3, "view_digest": 7}
+    more = {"table_digest": 9, "paused_s": 0.0, "joined": True, "updates": [], "bucket_digests": []}
+    return {"kind": kind, "number": 50 + number, "sender": _sender(number), **empty, **more, **changes}
+
+
+_IDENT = 0x7098ED7ECE658641  # of the router's name, as it tells it itself
+
+
+def _swarm_script() -> list[Meaning]:
+    suspect, failed = _sender(3, state="suspect"), _sender(4, state="failed")
+    paused = _gossip("ping", 1, updates=[suspect, failed], paused_s=5.5)
+    leaving = _gossip("update", 2, sender=_sender(2, state="leaving", incarnation=9))
+    steps: list[Meaning] = [{"do": "ask", "question": "status"}, {"do": "ask", "question": "history"}]
+    us = {"member": _IDENT, "generation": int(UNIX * 1000), "incarnation": 4, "state": "suspect", "zone": 1}
+    last = _sender(5, state="suspect")
+    steps += [
+        {"do": "hear", "from": 0, "after_s": 0.5, "datagram": paused},
+        {"do": "hear", "from": 1, "after_s": 0.25, "datagram": leaving},
+        {"do": "hear", "from": 2, "after_s": 0.25, "datagram": _gossip("ack", 5)},
+        {"do": "ask", "question": "status"},
+        {"do": "hear", "from": 0, "datagram": _gossip("indirect_ping_request", 1, target_member=0x1002)},
+        {"do": "hear", "from": 0, "datagram": _gossip("sync", 1, bucket_digests=[0] * 16)},
+        {"do": "hear", "from": 2, "datagram": _gossip("ping", 5, sender=_sender(5, generation=17))},
+        {"do": "hear", "from": 0, "datagram": _gossip("update", 1, updates=[us, last])},
+        {"do": "hear", "from": 2, "datagram": _gossip("ping", 5, joined=False)},
+        *({"do": "time passes", "after_s": 0.25} for _ in range(8)),
+        {"do": "ask", "question": "explain r-0000000000001003"},
+        {"do": "ask", "question": "explain r-0000000000001001"},
+        {"do": "ask", "question": "explain nobody"},
+        {"do": "ask", "question": "gone 127.0.0.1:3"},
+        {"do": "ask", "question": "gone 127.0.0.1:9"},
+        {"do": "counted by others", "fleet": 9, "by_zone": [2, 7]},
+        *({"do": "time passes", "after_s": 1.25} for _ in range(6)),
+        {"do": "ask", "question": "status"},
+        {"do": "ask", "question": "history"},
+        {"do": "ask", "question": "explain r-0000000000001002"},
+        {"do": "ask", "question": ""},
+        {"do": "ask", "question": "sing a song"},
+    ]
+    return steps
+
+
+def _play_swarm(steps: list[Meaning]) -> list[Any]:
+    now = 1000.0
+
+    async def play() -> list[Any]:
+        nonlocal now
+        record = read_text("swarm: {}", "operator.cue").operator.swarm
+        assert record is not None
+        peers = tuple(f"127.0.0.1:{number}" for number in (1, 2, 3))
+        config = router_config(peer_listen="127.0.0.1:0", peers=list(peers))
+        clock = Clock(lambda: UNIX + now - 1000.0)
+        route = _route(config, clock)
+        datagrams = bound(config)
+        keeper = SwarmKeeper(record, config, datagrams, route, clock, None)
+        keeper.swarm.begin(now)
+        outputs: list[Any] = []
+        for step in steps:
+            now += step.get("after_s", 0.0)
+            match step["do"]:
+                case "ask":
+                    outputs.append(keeper.answer(step["question"].split()))
+                    continue
+                case "hear":
+                    datagram = build_datagram(step["datagram"])
+                    keeper.swarm.heard(step["from"], datagram, now, clock.now())
+                case "counted by others":
+                    keeper.present(Peers(step["fleet"], tuple(step["by_zone"])))
+                case "time passes":
+                    keeper.swarm.tick(now, clock.now())
+            counted = keeper.counted()
+            assert counted is not None
+            out, keeper.swarm.gossip.out = keeper.swarm.gossip.out, []
+            sent = [{"to": peer, "bytes": encode(datagram).hex()} for peer, datagram in out]
+            by_zone = list(counted.by_zone)
+            outputs.append({"routers": counted.fleet, "routers_by_zone": by_zone, "sent": sent})
+        datagrams.close()
+        return outputs
+
+    with mock.patch("time.monotonic", lambda: now):
+        return trio.run(play)
+
+
+CASES = (
+    Snapshot("control-members", _members),
+    Replay("control-swarm", _swarm_script, _play_swarm),
+)
--- /dev/null
+++ b/tests/golden_fleet_supervisor.py
@@ -0,0 +1,181 @@
+"""Cases of the fleet area: answers of the supervisor's control socket."""
+
+from __future__ import annotations
+
+import json
+import re
+import signal
+import socket
+import subprocess
+from collections.abc import Callable
+from pathlib import Path
+from typing import Any
+
+import trio
+import trio.testing
+
+from golden_fleet_files import notified, temporary_folder
+from golden_folder import Meaning, Snapshot
+
+from stonecove.fleet import control, journal, runfile
+from stonecove.fleet.supervisor import Supervisor
+
+MASKS = {"pid": "<pid>", "up_s": "<seconds>", "memory_mb": "<number>", "descriptors": "<number>"}
+
+
+def _masked(value: Any, folder: str) -> Any:
+    """Return an answer with what differs from run to run replaced."""
+    if isinstance(value, dict):
+        return {
+            name: MASKS[name]
+            if name in MASKS and isinstance(one, (int, float))
+            else {unit: "<pid>" for unit in one}
+            if name == "pids"
+            else _masked(one, folder)
+            for name, one in value.items()
+        }
+    if isinstance(value, list):
+        return [_masked(one, folder) for one in value]
+    return value.replace(folder, "<folder>") if isinstance(value, str) else value
+
+
+def _question(folder: Path, data: bytes) -> Any:
+    """Return what the control socket answers to these bytes."""
+    with socket.socket(socket.AF_UNIX) as sock:
+        sock.settimeout(10.0)
+        sock.connect(str(folder / "control.sock"))
+        sock.sendall(data)
+        with sock.makefile("rb") as stream:
+            line = stream.readline()
+    assert line.endswith(b"\n")
+    return json.loads(line)
+
+
+COMMANDS: tuple[dict[str, Any], ...] = (
+    {"do": "status"},
+    {"do": "sing"},
+    {},
+    {"do": "start", "names": ["r-9"]},
+    {"do": "stop", "names": ["r-1"]},
+    {"do": "start", "names": ["r-1"]},
+    {"do": "roll", "names": [], "out": 0},
+    {"do": "status"},
+    {"do": "roll", "out": 1},
+    {"do": "stop-roll"},
+    {"do": "restart", "names": ["r-1"]},
+    {"do": "reload"},
+    {"do": "status"},
+    {"do": "stop-roll"},
+    {"do": "stop", "names": ["r-0"]},
+)
+
+
+def _supervisor() -> Meaning:
+    """Return what a supervisor answers and leaves behind.
+
+    It finds `r-0` running (a program that only sleeps stands in for it), and can't start `r-1`. Its time
+    stands still until the end.
+    """
+    clock = trio.testing.MockClock()
+    found: Meaning = {}
+
+    async def asked(folder: Path, question: dict[str, Any]) -> Any:
+        data = json.dumps(question).encode() + b"\n"
+        return await trio.to_thread.run_sync(_question, folder, data)
+
+    async def play(place: Path, heard: Callable[[], list[str]]) -> None:
+        folder = place / "fleet"
+        operator = place / "operator.cue"
+        instances = ", ".join(
+            f'"r-{number}": {{config: "{place}/none.json", listen: "127.0.0.1:{number + 1}"}}'
+            for number in range(2)
+        )
+        operator.write_text(
+            f'fleet: {{folder: "{folder}", instances: {{{instances}}}, restarts: most: 0, leases: {{}}}}'
+        )
+        sleeping = subprocess.Popen(["sleep", "60"])
+        try:
+            (folder / "r-0").mkdir(parents=True)
+            start = runfile.start_of(sleeping.pid) or 0
+            runfile.write(folder / "r-0", runfile.Run(sleeping.pid, start, runfile.boot_id()))
+            supervisor = Supervisor(operator)
+            async with trio.open_nursery() as nursery:
+                nursery.start_soon(supervisor.run)
+                await trio.testing.wait_all_tasks_blocked(0.02)
+                rights = (folder / "control.sock").stat().st_mode & 0o777
+                found["control_socket_rights"] = oct(rights)
+                with (folder / "r-0" / "log.pipe").open("wb", buffering=0) as pipe:
+                    pipe.write(b"1764576000.000 stats served=7 open=3 share=0.25\n1764576000.100 later a=b\n")
+                await trio.testing.wait_all_tasks_blocked(0.02)
+                found["answers"] = [
+                    {"question": question, "answer": _masked(await asked(folder, question), str(place))}
+                    for question in COMMANDS
+                ]
+                unreadable = await trio.to_thread.run_sync(_question, folder, b"no JSON\n")
+                found["keys of the answer to what is no JSON"] = sorted(unreadable)
+                for _ in range(500):  # until the supervisor has seen the end of it
+                    if runfile.read(folder / "r-0") is None:
+                        break
+                    await trio.testing.wait_all_tasks_blocked(0.02)
+                clock.jump(0.06)
+                await trio.testing.wait_all_tasks_blocked(0.02)
+                found["last status"] = _masked(await asked(folder, {"do": "status"}), str(place))
+                clock.rate = 1.0
+                signal.raise_signal(signal.SIGTERM)
+        finally:
+            sleeping.kill()
+            sleeping.wait()
+        found["notified"] = heard()
+        found["files"] = sorted(str(path.relative_to(folder)) for path in folder.rglob("*"))
+        records, _ = journal.decode((folder / "journal").read_bytes())
+        found["journal"] = [_masked(record, str(place)) for record in records]
+
+    with temporary_folder() as place, notified() as heard:
+        trio.run(play, place, heard, clock=clock)
+    return found
+
+
+def _control_errors() -> Meaning:
+    """Return what the client of the control socket says where nobody answers, or oddly."""
+    found: Meaning = {}
+    with temporary_folder() as folder:
+
+        def said() -> str:
+            try:
+                return str(control.ask(folder, "status", 1.0))
+            except control.ControlError as error:
+                return re.sub(r": Expecting.*", ": <no JSON>", str(error).replace(str(folder), "<folder>"))
+
+        found["no socket"] = said()
+        with socket.socket(socket.AF_UNIX) as sock:
+            sock.bind(str(folder / control.NAME))
+        found["nobody listens"] = said()
+        (folder / control.NAME).unlink()
+        with socket.socket(socket.AF_UNIX) as sock:
+            sock.bind(str(folder / control.NAME))
+            sock.listen()
+            for name, data in (("an error", b'{"error": "no"}\n'), ("a list", b"[]\n"), ("no JSON", b"x\n")):
+                found[name] = _answered_by(sock, data, said)
+    return found
+
+
+def _answered_by(listener: socket.socket, data: bytes, call: Callable[[], str]) -> str:
+    import threading
+
+    def answer() -> None:
+        client, _ = listener.accept()
+        with client:
+            client.recv(1000)
+            client.sendall(data)
+
+    thread = threading.Thread(target=answer)
+    thread.start()
+    found = call()
+    thread.join()
+    return found
+
+
+CASES = (
+    Snapshot("control-supervisor", _supervisor),
+    Snapshot("control-errors", _control_errors),
+)
