--- a/benchmarks/capacity_coordination.py
+++ b/benchmarks/capacity_coordination.py
@@ -15,11 +15,11 @@
 from benchmarks.capacity_fits import ROUTERS, Figures, line_fit
 from benchmarks.capacity_log import Segments
 from stonecove.runtime.log import divert
-from stonecove.wire.ensemble import Ensemble
-from stonecove.wire.zkpresence import Registrar
-from stonecove.wire.zksession import Figures as SessionFigures
-from stonecove.wire.zktree import Tree
-from stonecove.wire.zookeeper import Stat
+from stonecove.transport.zookeeper import Ensemble
+from stonecove.protocols.zookeeper.registration import Registrar
+from stonecove.protocols.zookeeper.session import Figures as SessionFigures
+from stonecove.protocols.zookeeper.tree_watch import Tree
+from stonecove.protocols.zookeeper.messages import Stat
 
 
 class CountingSink:
--- a/benchmarks/capacity_data.py
+++ b/benchmarks/capacity_data.py
@@ -26,7 +26,7 @@
 from stonecove.commands.demo import free_port, wait_ready
 from stonecove.standins.depot import Cache, Depot
 from stonecove.standins.webserver import Asker, settings
-from stonecove.wire import resp
+from stonecove.protocols import resp
 
 HERE = Path(__file__).parent.parent
 TICKS = os.sysconf("SC_CLK_TCK")
--- a/benchmarks/capacity_days.py
+++ b/benchmarks/capacity_days.py
@@ -20,9 +20,9 @@
     line_fit,
     power_fit,
 )
-from stonecove.swarm.gossip import MOST_WORDS, URGENT_RATE
-from stonecove.swarm.swarm import JOIN_AT_ONCE, TICK
-from stonecove.wire.gossip import FIXED
+from stonecove.gossip.gossip import MOST_WORDS, URGENT_RATE
+from stonecove.gossip.swarm import JOIN_AT_ONCE, TICK
+from stonecove.protocols.gossip import FIXED
 
 CUT_FIRST, CUT_ON = 25.0, 10.0  # seconds of the two phases of a cut: what it brings about, and what goes on
 UDP_HEADERS = 28  # IP and UDP
--- a/benchmarks/capacity_log.py
+++ b/benchmarks/capacity_log.py
@@ -17,11 +17,11 @@
 import trio
 
 from benchmarks.capacity_fits import BOUND_BYTES, PURGE_RATE, ROUTERS, Figures, line_fit
-from stonecove.membership import PurgeUpdate, Told
+from stonecove.discovery import PurgeUpdate, Told
 from stonecove.runtime.log import divert
 from stonecove.standins.depot import HOST
-from stonecove.wire.changelog import Follower
-from stonecove.wire.follow import ChangeLog
+from stonecove.protocols.change_log import Follower
+from stonecove.transport.change_log_follower import ChangeLog
 
 
 TCP_HEADERS, TCP_TIMESTAMPS = 40, 12
--- a/benchmarks/capacity_router.py
+++ b/benchmarks/capacity_router.py
@@ -35,15 +35,15 @@
 )
 from stonecove.choice import PURGE_MARGIN, TABLE_MOST, Purges, Rendezvous
 from stonecove.interface import NodeState, Purged
-from stonecove.membership import Member, MembersUpdate, PurgeUpdate
-from stonecove.memory.budget import Budget
+from stonecove.discovery import Member, MembersUpdate, PurgeUpdate
+from stonecove.state.budget import Budget
 from stonecove.runtime.clock import Clock
 from stonecove.runtime.log import divert
 from stonecove.runtime.timers import Timers
-from stonecove.stages.route import Route
-from stonecove.wire.buffer import Buffer
-from stonecove.wire.changelog import _HEAD, _OBJECT, _RECORD, frames
-from stonecove.wire.channel import Channel, Owner
+from stonecove.pipeline.route import Route
+from stonecove.protocols.buffer import Buffer
+from stonecove.protocols.change_log import _HEAD, _OBJECT, _RECORD, frames
+from stonecove.protocols.upstream_channel import Channel, Owner
 
 CALM_CHANGES = 318  # a day: 6 caches fail and 100 are restarted, each told of as draining, gone and ready
 RELEASE_CHANGES = 870  # each of 290 caches, the same three
--- a/benchmarks/capacity_swarm.py
+++ b/benchmarks/capacity_swarm.py
@@ -13,7 +13,7 @@
 
 from benchmarks.capacity_days import CUT_FIRST, CUT_ON, UDP_HEADERS
 from benchmarks.capacity_fits import REGIONS, ROUTERS, ZONES, Figures, deep_size, power_fit
-from stonecove.swarm.swarm import Swarm
+from stonecove.gossip.swarm import Swarm
 from stonecove.trial.model import SimulatedRouter, SwarmModel
 
 
--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -24,7 +24,7 @@
 
 from stonecove.standins.webserver import settings
 from stonecove.fleet.control import ControlError, ask
-from stonecove.sharing.leases import Holder, Lessor, own_part
+from stonecove.quotas.leases import Holder, Lessor, own_part
 from stonecove.standins.depot import Depot
 from stonecove.trial.closed_loop import ClosedLoopClients
 
--- a/benchmarks/fuzz.py
+++ b/benchmarks/fuzz.py
@@ -24,7 +24,7 @@
 from stonecove.access.grants import Request
 from stonecove.access.keys import KeyRing
 from stonecove.access.routes import Policy, Routes
-from stonecove.wire.http import HttpError, HttpSession, State, byte_range, cookies_of
+from stonecove.protocols.http import HttpError, HttpSession, State, byte_range, cookies_of
 
 NOW = 1_800_000_000.0
 RING = {
@@ -128,7 +128,7 @@
 
     def _call(self, frame: FrameType, event: str, _: Any) -> Any:
         name = frame.f_code.co_filename
-        return self._local if "/stonecove/access/" in name or name.endswith("/wire/http.py") else None
+        return self._local if "/stonecove/access/" in name or name.endswith("/protocols/http.py") else None
 
     def run(self, target: Callable[[bytes], None], data: bytes) -> bool:
         """Plays one input; True if it reached what none had."""
--- a/benchmarks/membership.py
+++ b/benchmarks/membership.py
@@ -28,14 +28,14 @@
 from stonecove.commands.demo import free_port, wait_ready
 from stonecove.runtime.log import divert
 from stonecove.interface import NodeState
-from stonecove.membership import Member
-from stonecove.membership.merge import Merge, Source, Told, merged
-from stonecove.membership.records import Names, member_of
-from stonecove.membership.roster import Claim
+from stonecove.discovery import Member
+from stonecove.discovery.merge import Merge, Source, Told, merged
+from stonecove.discovery.records import Names, member_of
+from stonecove.discovery.roster import Claim
 from stonecove.standins.depot import Depot
 from stonecove.standins.webserver import Asker, settings
-from stonecove.wire.ensemble import Ensemble
-from stonecove.wire.zksession import Figures
+from stonecove.transport.zookeeper import Ensemble
+from stonecove.protocols.zookeeper.session import Figures
 
 BOXES, ROUTERS = "/stonecove/boxes", "/stonecove/routers"
 PACE = 400.0  # requests a second
--- a/benchmarks/rollout.py
+++ b/benchmarks/rollout.py
@@ -19,15 +19,15 @@
 
 from stonecove.fleet.rollout_controller import Controller, service_session
 from stonecove.interface import Settings
-from stonecove.lifecycle.config import config_from
-from stonecove.lifecycle.configuration import ConfigurationKeeper
-from stonecove.operator.records import ConfigurationRecord
+from stonecove.server.config import config_from
+from stonecove.server.configuration import ConfigurationKeeper
+from stonecove.operator_config.records import ConfigurationRecord
 from stonecove.rollout.messages import DEFAULT_WAVES, Bounds, RolloutState
 from stonecove.runtime.clock import Clock
 from stonecove.runtime.log import divert
 from stonecove.standins.webserver import settings
-from stonecove.wire.ensemble import Ensemble
-from stonecove.wire.zksession import Figures, Server, Session
+from stonecove.transport.zookeeper import Ensemble
+from stonecove.protocols.zookeeper.session import Figures, Server, Session
 
 PATH = "/stonecove/configuration"
 SESSION = Figures(timeout=10.0)
--- a/examples/ask.py
+++ b/examples/ask.py
@@ -10,7 +10,7 @@
 import struct
 import sys
 
-from stonecove.wire import fastcgi
+from stonecove.protocols.fastcgi import codec as fastcgi
 
 
 def pair(name: str, value: str) -> bytes:
--- a/examples/toy_server.py
+++ b/examples/toy_server.py
@@ -19,8 +19,8 @@
 import trio
 import ujson
 
-from stonecove.wire import resp
-from stonecove.wire.buffer import Buffer
+from stonecove.protocols import resp
+from stonecove.protocols.buffer import Buffer
 
 RECORD = struct.Struct(">IIHBBBHIQ")
 
--- a/stonecove/__main__.py
+++ b/stonecove/__main__.py
@@ -13,6 +13,6 @@
 
         commands()
     else:
-        from stonecove.lifecycle.serve import main
+        from stonecove.server.serve import main
 
         sys.exit(main())
--- a/stonecove/choice.py
+++ b/stonecove/choice.py
@@ -21,7 +21,7 @@
                                  Request, Settings, Terms, Timer, Want, Watch)
 
 if TYPE_CHECKING:
-    from stonecove.sharing.credit import LeasedCredit
+    from stonecove.quotas.credit import LeasedCredit
 
 # The design's open values.
 TOP_SHARE = 0.9  # P_th: the top set is the most popular objects whose summed share first reaches it
@@ -468,7 +468,7 @@
 
     def _on_terms(self, now: float, event: Terms) -> None:
         """A part of what cold nodes bear, and of retries, is ours; the rest comes in pieces."""
-        from stonecove.sharing.credit import LeasedCredit  # only where directors share
+        from stonecove.quotas.credit import LeasedCredit  # only where directors share
 
         self._credit = self._cold_caches.credit = self._cold_parents.credit = self._credit or LeasedCredit()
         self._cold_caches.own = self._cold_parents.own = event.own
--- a/stonecove/commands/config.py
+++ b/stonecove/commands/config.py
@@ -11,7 +11,7 @@
 from stonecove.commands.options import operator_option
 
 if TYPE_CHECKING:
-    from stonecove.operator.reader import Read
+    from stonecove.operator_config.reader import Read
 
 GOOD, NONE, UNUSABLE = 0, 1, 2
 _file = operator_option(parameter="file")
@@ -23,8 +23,8 @@
 
 
 def _read(file: Path) -> Read:
-    from stonecove.operator.grammar import OperatorError
-    from stonecove.operator.reader import read
+    from stonecove.operator_config.grammar import OperatorError
+    from stonecove.operator_config.reader import read
 
     try:
         return read(file)
@@ -49,7 +49,7 @@
 @_file
 def show_command(file: Path) -> None:
     """Show all settings, with the defaults where the file says nothing."""
-    from stonecove.operator.reader import show
+    from stonecove.operator_config.reader import show
 
     for line in show(_read(file).value):
         click.echo(line)
@@ -60,7 +60,7 @@
 @_file
 def explain_command(path: str, file: Path) -> None:
     """Tell what holds at a path such as sources.zookeeper.linger, and which places say so."""
-    from stonecove.operator.reader import explain
+    from stonecove.operator_config.reader import explain
 
     lines = explain(_read(file).value, path)
     if lines is None:
--- a/stonecove/commands/configuration.py
+++ b/stonecove/commands/configuration.py
@@ -15,7 +15,7 @@
 if TYPE_CHECKING:
     from stonecove.fleet.rollout_controller import Controller
     from stonecove.rollout.messages import Report, Target
-    from stonecove.wire.zksession import Server
+    from stonecove.protocols.zookeeper.session import Server
 
 EVERYWHERE, HALTED, UNUSABLE, UNFINISHED = 0, 1, 2, 3
 MOST_LISTED = 20  # routers that are named
@@ -149,7 +149,7 @@
         ServiceError,
         service_session,
     )
-    from stonecove.wire.zksession import Figures
+    from stonecove.protocols.zookeeper.session import Figures
 
     async def session() -> tuple[Target | None, dict[str, Any]]:
         async with service_session(access.servers, Figures(auth=access.auth), access.patience) as service:
--- a/stonecove/commands/fleet.py
+++ b/stonecove/commands/fleet.py
@@ -34,8 +34,8 @@
     operator, folder, _ = context.obj
     if folder is not None:
         return Path(folder)
-    from stonecove.operator.grammar import OperatorError
-    from stonecove.operator.reader import read
+    from stonecove.operator_config.grammar import OperatorError
+    from stonecove.operator_config.reader import read
 
     try:
         found = read(operator).operator.fleet
--- a/stonecove/commands/main.py
+++ b/stonecove/commands/main.py
@@ -33,7 +33,7 @@
 )
 def run(operator: Path | None) -> None:
     """Start one edge router, configured by the file that RELAY_CONFIG names."""
-    from stonecove.lifecycle.serve import main as serve
+    from stonecove.server.serve import main as serve
 
     sys.exit(serve(operator))
 
--- a/stonecove/commands/members.py
+++ b/stonecove/commands/members.py
@@ -41,8 +41,8 @@
     """Asks the router's members socket, and ends the program where it can't answer, or was asked for JSON."""
     name, path, operator, as_json = context.obj
     if path is None:
-        from stonecove.operator.grammar import OperatorError
-        from stonecove.operator.reader import read
+        from stonecove.operator_config.grammar import OperatorError
+        from stonecove.operator_config.reader import read
 
         try:
             path = read(operator).operator.members.socket
--- a/stonecove/commands/token.py
+++ b/stonecove/commands/token.py
@@ -28,7 +28,7 @@
 
 
 def _ring(path: Path) -> Any:
-    from stonecove.lifecycle.access import AccessError, read_ring
+    from stonecove.server.access import AccessError, read_ring
 
     try:
         return read_ring(path)
@@ -113,7 +113,7 @@
     from urllib.parse import urlsplit
 
     from stonecove.access.grants import Request
-    from stonecove.wire.http import cookies_of
+    from stonecove.protocols.http import cookies_of
 
     parts = urlsplit(url)
     told = {name.strip().lower(): value.strip() for name, _, value in (one.partition(":") for one in fields)}
@@ -172,9 +172,9 @@
 def _decided(operator: Path, request: Any) -> tuple[Any, Any]:
     """The decision of a gate as this operator's file makes one, and the policy that holds."""
     from stonecove.access.gate import Gate, Limits
-    from stonecove.lifecycle.access import AccessError, policies_of, read_revoked, read_ring
-    from stonecove.operator.grammar import OperatorError
-    from stonecove.operator.reader import read
+    from stonecove.server.access import AccessError, policies_of, read_revoked, read_ring
+    from stonecove.operator_config.grammar import OperatorError
+    from stonecove.operator_config.reader import read
 
     try:
         access = read(operator).operator.access
@@ -242,7 +242,7 @@
 
 
 def _table(path: Path) -> dict[str, Any]:
-    from stonecove.lifecycle.access import AccessError, read_private
+    from stonecove.server.access import AccessError, read_private
 
     try:
         table = read_private(path)
--- a/stonecove/commands/trial.py
+++ b/stonecove/commands/trial.py
@@ -51,7 +51,7 @@
 @click.option("--logs", type=click.Path(path_type=Path, file_okay=False), help="Where logs and samples stay.")
 def run_command(name: str, seed: int, as_json: bool, logs: Path | None) -> None:
     """Play a trial file, or one of those that come along, and judge it."""
-    from stonecove.operator.grammar import OperatorError
+    from stonecove.operator_config.grammar import OperatorError
     from stonecove.trial.testbed import TrialError
     from stonecove.trial.judge import play
     from stonecove.trial.schedule import read_trial
--- a/stonecove/membership/merge.py
+++ b/stonecove/discovery/merge.py
@@ -24,8 +24,8 @@
 from typing import NamedTuple
 
 from stonecove.interface import NodeId, NodeState
-from stonecove.membership import Member
-from stonecove.membership.roster import Claim
+from stonecove.discovery import Member
+from stonecove.discovery.roster import Claim
 
 
 class Source(NamedTuple):
--- a/stonecove/membership/presence.py
+++ b/stonecove/discovery/presence.py
@@ -12,7 +12,7 @@
 
 import ujson
 
-from stonecove.membership.records import Names, RecordError, load
+from stonecove.discovery.records import Names, RecordError, load
 
 STATES = ("starting", "ready", "draining")
 
--- a/stonecove/membership/records.py
+++ b/stonecove/discovery/records.py
@@ -17,7 +17,7 @@
 import ujson
 
 from stonecove.interface import Node, NodeId, NodeState
-from stonecove.membership import Member
+from stonecove.discovery import Member
 
 MOST_BYTES = 4096
 MOST_ID = 0xFFFFFFFF
--- a/stonecove/membership/roster.py
+++ b/stonecove/discovery/roster.py
@@ -23,8 +23,8 @@
 from typing import NamedTuple
 
 from stonecove.interface import NodeId, NodeState
-from stonecove.membership import Member
-from stonecove.membership.records import Names, RecordError, member_of
+from stonecove.discovery import Member
+from stonecove.discovery.records import Names, RecordError, member_of
 
 Say = Callable[..., None]
 
--- a/stonecove/membership/trace.py
+++ b/stonecove/discovery/trace.py
@@ -8,7 +8,7 @@
 from typing import Any
 
 from stonecove.interface import NodeId, NodeState
-from stonecove.membership.merge import Explanation
+from stonecove.discovery.merge import Explanation
 
 
 class Life:
--- a/stonecove/explore/coordination.py
+++ b/stonecove/explore/coordination.py
@@ -18,18 +18,18 @@
 
 from stonecove.explore.machine import Violation
 from stonecove.interface import NodeId, NodeState
-from stonecove.membership.merge import Merge, Source, Told, merged
-from stonecove.membership.records import Names, member_of
-from stonecove.membership.roster import Claim, Roster, Rules
+from stonecove.discovery.merge import Merge, Source, Told, merged
+from stonecove.discovery.records import Names, member_of
+from stonecove.discovery.roster import Claim, Roster, Rules
 from stonecove.standins.zkdata import Leader, Replica, Wanted, ZkError, parent_of, watch_event
-from stonecove.wire import jute
-from stonecove.wire import zookeeper as zk
-from stonecove.wire.buffer import Buffer
-from stonecove.wire.jute import Reader
-from stonecove.wire.zkpresence import Registrar
-from stonecove.wire.zksession import Expired, Figures, Reply, Session, SessionEvent, State, Up
-from stonecove.wire.zktree import Tree
-from stonecove.wire.zookeeper import Acl, Err, EventType, Op
+from stonecove.protocols.zookeeper import jute
+from stonecove.protocols.zookeeper import messages as zk
+from stonecove.protocols.buffer import Buffer
+from stonecove.protocols.zookeeper.jute import Reader
+from stonecove.protocols.zookeeper.registration import Registrar
+from stonecove.protocols.zookeeper.session import Expired, Figures, Reply, Session, SessionEvent, State, Up
+from stonecove.protocols.zookeeper.tree_watch import Tree
+from stonecove.protocols.zookeeper.messages import Acl, Err, EventType, Op
 
 CACHES, ROUTERS, ME = "/b", "/r", "me"
 NAMES = Names(("hub", "edge"), ("box", "parent", "origin"))
--- a/stonecove/explore/copying.py
+++ b/stonecove/explore/copying.py
@@ -18,7 +18,7 @@
 from stonecove.explore.machine import Machine
 from stonecove.explore.scope import Scope
 from stonecove.interface import ClassSettings, Settings
-from stonecove.stages.intake import Intake
+from stonecove.pipeline.intake import Intake
 
 _shared: list[object] = []
 _places: dict[int, int] = {}
--- a/stonecove/explore/fingerprint.py
+++ b/stonecove/explore/fingerprint.py
@@ -21,12 +21,13 @@
 from stonecove.explore.scope import Scope
 from stonecove.runtime.timers import Timers
 from stonecove.interface import Get, Node, NodeState
-from stonecove.memory import budget, nodes, requests
-from stonecove.stages import admit, relay, route, send
-from stonecove.stages.book import Book
-from stonecove.wire import channel, fastcgi, session
-from stonecove.wire.changelog import Follower
-from stonecove.wire.resp import Decoder
+from stonecove.state import budget, nodes, requests
+from stonecove.pipeline import admit, relay, route, send
+from stonecove.pipeline.book import Book
+from stonecove.protocols import upstream_channel as channel
+from stonecove.protocols.fastcgi import codec as fastcgi, session
+from stonecove.protocols.change_log import Follower
+from stonecove.protocols.resp import Decoder
 
 WIRING = "points to another part that is encoded on its own, and never changes"
 FIXED = "set once from the settings"
--- a/stonecove/explore/fleet.py
+++ b/stonecove/explore/fleet.py
@@ -13,8 +13,8 @@
 
 from stonecove.explore.coordination import _canon as canon
 from stonecove.explore.machine import Violation
-from stonecove.sharing.leases import Grant, Holder, Lessor
-from stonecove.sharing.credit import LeasedCredit
+from stonecove.quotas.leases import Grant, Holder, Lessor
+from stonecove.quotas.credit import LeasedCredit
 from stonecove.fleet.restart import Do, Instance, Phase, Policy
 from stonecove.fleet.rolling import Roll, RollState
 from stonecove.interface import Piece
--- a/stonecove/explore/properties.py
+++ b/stonecove/explore/properties.py
@@ -11,7 +11,7 @@
 
 from stonecove.explore.machine import Violation
 from stonecove.interface import ClassSettings, Effect, KeyGroup, Node, NodeState, Outcome
-from stonecove.stages.relay import SLACK
+from stonecove.pipeline.relay import SLACK
 
 
 class Property(NamedTuple):
@@ -95,51 +95,63 @@
         Property(
             "told-once",
             "a connection tells its owner of its end once, and nothing after it",
-            "wire/channel",
+            "protocols/upstream_channel",
         ),
-        Property("order-kept", "commands go out whole and in their order", "wire/channel"),
+        Property("order-kept", "commands go out whole and in their order", "protocols/upstream_channel"),
         Property(
             "told-strict",
             "what a source tells as drained, gone or unreadable gets no fresh work",
-            "membership/roster rules 1, 2, 6",
+            "discovery/roster rules 1, 2, 6",
         ),
-        Property("one-address", "of two ids at one address one is ready", "membership/roster rule 5"),
+        Property("one-address", "of two ids at one address one is ready", "discovery/roster rule 5"),
         Property(
-            "damped", "a node that came back too often waits before it is ready", "membership/roster rule 8"
+            "damped", "a node that came back too often waits before it is ready", "discovery/roster rule 8"
         ),
         Property(
             "cold-told",
             "a process that was started anew is not taken for a warm one",
-            "membership/roster rule 3; WIRE 2 rule 4",
+            "discovery/roster rule 3; WIRE 2 rule 4",
         ),
         Property(
             "mass-confirmed",
             "all do not depart at once without a read after a sync",
-            "membership/roster rule 7",
+            "discovery/roster rule 7",
         ),
         Property(
             "coming-back",
             "a strict claim is over only by the word of who made it, or of the most trusted",
-            "membership/merge rules 1 and 2",
+            "discovery/merge rules 1 and 2",
         ),
-        Property("say-lost", "what no source with a say knows gets no fresh work", "membership/merge rule 4"),
-        Property("merge-same", "the index gives what the rule gives over all claims", "membership/merge"),
-        Property("converges", "once all is quiet, the list is that of the servers", "wire/zktree"),
-        Property("watch-kept", "once all is quiet, every watch is set at the server", "wire/zktree"),
-        Property("not-back", "no older news is taken after newer", "wire/zksession"),
+        Property("say-lost", "what no source with a say knows gets no fresh work", "discovery/merge rule 4"),
+        Property("merge-same", "the index gives what the rule gives over all claims", "discovery/merge"),
+        Property(
+            "converges",
+            "once all is quiet, the list is that of the servers",
+            "protocols/zookeeper/tree_watch",
+        ),
+        Property(
+            "watch-kept",
+            "once all is quiet, every watch is set at the server",
+            "protocols/zookeeper/tree_watch",
+        ),
+        Property("not-back", "no older news is taken after newer", "protocols/zookeeper/session"),
         Property(
             "expired-by-word",
             "a session is over only by the servers' word",
             "ZooKeeper programmer's guide, sessions",
         ),
-        Property("reply-once", "each request has one reply, if only that it was lost", "wire/zksession"),
+        Property(
+            "reply-once",
+            "each request has one reply, if only that it was lost",
+            "protocols/zookeeper/session",
+        ),
         Property(
             "lease-sum",
             "what is spent of shared pieces within any window keeps to what is to be shared",
-            "sharing/leases; WIRE 2 rule 4",
+            "quotas/leases; WIRE 2 rule 4",
         ),
-        Property("lease-once", "what is left of a piece is given back once", "sharing/credit"),
-        Property("lease-back", "what was handed out long ago may be handed out again", "sharing/leases"),
+        Property("lease-once", "what is left of a piece is given back once", "quotas/credit"),
+        Property("lease-back", "what was handed out long ago may be handed out again", "quotas/leases"),
         Property("one-process", "an instance has one process at most", "fleet/restart"),
         Property("restarts-bounded", "a crash loop is held, also over supervisors", "fleet/restart"),
         Property("held-is-held", "what is held stays so until an operator releases it", "fleet/restart"),
@@ -150,13 +162,17 @@
         Property(
             "share-sum",
             "shares that routers act upon add up to 1 at the most within any window",
-            "swarm/shares",
+            "gossip/shares",
+        ),
+        Property("share-back", "once nothing is wrong, all of what is to be shared is used", "gossip/shares"),
+        Property("swarm-known", "a router that has ended is known to be gone", "gossip/swarm"),
+        Property("swarm-denied", "who is there is alive to all, once nothing is wrong", "gossip/swarm"),
+        Property("swarm-agree", "once nothing changes, all have one view", "gossip/view"),
+        Property(
+            "own-node",
+            "our node is there, in our session, with our newest record",
+            "protocols/zookeeper/registration",
         ),
-        Property("share-back", "once nothing is wrong, all of what is to be shared is used", "swarm/shares"),
-        Property("swarm-known", "a router that has ended is known to be gone", "swarm/swarm"),
-        Property("swarm-denied", "who is there is alive to all, once nothing is wrong", "swarm/swarm"),
-        Property("swarm-agree", "once nothing changes, all have one view", "swarm/view"),
-        Property("own-node", "our node is there, in our session, with our newest record", "wire/zkpresence"),
     )
 }
 
--- a/stonecove/explore/seeds.py
+++ b/stonecove/explore/seeds.py
@@ -14,9 +14,10 @@
 
 from stonecove import choice
 from stonecove.explore import seeds_coordination, seeds_fleet, seeds_swarm
-from stonecove.memory import nodes, requests
-from stonecove.stages import admit, book, relay, route, send
-from stonecove.wire import changelog, channel, fastcgi, resp, session
+from stonecove.state import nodes, requests
+from stonecove.pipeline import admit, book, relay, route, send
+from stonecove.protocols import change_log, upstream_channel, resp
+from stonecove.protocols.fastcgi import codec as fastcgi, session
 
 
 class Seed(NamedTuple):
@@ -296,7 +297,7 @@
     ),
     Seed(
         "change-taken-for-the-whole",
-        changelog.Follower,
+        change_log.Follower,
         "take",
         "if frame.number <= self.last:",
         "if False:",
@@ -305,7 +306,7 @@
     ),
     Seed(
         "gap-not-noticed",
-        changelog.Follower,
+        change_log.Follower,
         "take",
         "(frame.number > self.last + 1 or frame.wrong) and",
         "False and",
@@ -314,7 +315,7 @@
     ),
     Seed(
         "unwritten-not-told",
-        channel.Channel,
+        upstream_channel.Channel,
         "_pump_one",
         "command.unwritten()",
         "pass",
@@ -323,7 +324,7 @@
     ),
     Seed(
         "rest-forgotten",
-        channel.Channel,
+        upstream_channel.Channel,
         "_pump_one",
         "self._rest = self._rest[sent:]",
         "self._rest = b''",
@@ -332,7 +333,7 @@
     ),
     Seed(
         "end-not-looked-for",
-        channel.Channel,
+        upstream_channel.Channel,
         "_ended",
         "self.close()",
         "return False",
@@ -507,7 +508,7 @@
     ),
     Seed(
         "told-twice",
-        channel.Channel,
+        upstream_channel.Channel,
         "close",
         "self._stop()",
         "self._stop(); self._owner.closed(self, '')",
@@ -516,7 +517,7 @@
     ),
     Seed(
         "queue-turned-round",
-        channel.Channel,
+        upstream_channel.Channel,
         "_pump_one",
         "self._queue.appendleft(command)",
         "self._queue.append(command)",
--- a/stonecove/explore/seeds_coordination.py
+++ b/stonecove/explore/seeds_coordination.py
@@ -4,8 +4,8 @@
 
 from typing import Any, NamedTuple
 
-from stonecove.membership import merge, roster
-from stonecove.wire import zkpresence, zksession, zktree
+from stonecove.discovery import merge, roster
+from stonecove.protocols.zookeeper import registration, session as zksession, tree_watch
 
 
 class Fault(NamedTuple):
@@ -24,7 +24,7 @@
 FAULTS: tuple[Fault, ...] = (
     Fault(
         "zk-data-watch-not-left",
-        zktree.Tree,
+        tree_watch.Tree,
         "_read_some",
         "watch=not self._recursive",
         "watch=False",
@@ -33,7 +33,7 @@
     ),
     Fault(
         "zk-list-watch-not-left",
-        zktree.Tree,
+        tree_watch.Tree,
         "_list",
         "watch=not self._recursive",
         "watch=False",
@@ -42,7 +42,7 @@
     ),
     Fault(
         "zk-lost-reads-forgotten",
-        zktree.Tree,
+        tree_watch.Tree,
         "_came",
         "self._want(name)\n        return",
         "return",
@@ -51,7 +51,7 @@
     ),
     Fault(
         "zk-recursive-not-read-again",
-        zktree.Tree,
+        tree_watch.Tree,
         "_go_on",
         "if self._recursive:",
         "if False:",
@@ -60,7 +60,7 @@
     ),
     Fault(
         "zk-deleted-event-ignored",
-        zktree.Tree,
+        tree_watch.Tree,
         "_watched",
         "self._forget((name,))",
         "pass",
@@ -69,7 +69,7 @@
     ),
     Fault(
         "zk-confirmed-though-asked-before",
-        zktree.Tree,
+        tree_watch.Tree,
         "_list",
         "self._confirmed, False",
         "True, False",
@@ -277,7 +277,7 @@
     ),
     Fault(
         "own-node-of-last-session",
-        zkpresence.Registrar,
+        registration.Registrar,
         "feed",
         "self._told, self._busy = None, False",
         "pass",
@@ -286,7 +286,7 @@
     ),
     Fault(
         "own-node-lost-with-its-reply",
-        zkpresence.Registrar,
+        registration.Registrar,
         "_created",
         "if reply.error is Err.OK:",
         "if reply.error in (Err.OK, Err.CONNECTION_LOSS):",
@@ -295,7 +295,7 @@
     ),
     Fault(
         "own-node-state-not-told",
-        zkpresence.Registrar,
+        registration.Registrar,
         "_looked",
         "self._told = data  # our own create, whose reply was lost",
         "self._told = self._record",
--- a/stonecove/explore/seeds_fleet.py
+++ b/stonecove/explore/seeds_fleet.py
@@ -4,7 +4,7 @@
 
 from stonecove.explore.seeds_coordination import Fault
 from stonecove.fleet import restart, rolling
-from stonecove.sharing import leases, credit
+from stonecove.quotas import leases, credit
 
 FAULTS: tuple[Fault, ...] = (
     Fault(
--- a/stonecove/explore/seeds_swarm.py
+++ b/stonecove/explore/seeds_swarm.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from stonecove.explore.seeds_coordination import Fault
-from stonecove.swarm import gossip, shares, swarm, view
+from stonecove.gossip import gossip, shares, swarm, view
 
 _LIVES, _PART, _LOST = ("swarm-lives",), ("swarm-part",), ("swarm-lost",)
 _Shares = shares.Shares
--- a/stonecove/explore/simulation.py
+++ b/stonecove/explore/simulation.py
@@ -21,15 +21,16 @@
 from stonecove.runtime.clock import Clock, CpuCredit
 from stonecove.runtime.timers import Timers
 from stonecove.interface import Ended, Event, Get, Node, NodeState, Request
-from stonecove.membership import MembersUpdate, PurgeUpdate, Told
-from stonecove.memory.budget import Budget
-from stonecove.stages.admit import MARGIN
-from stonecove.stages.route import BACKSTOP, Route
-from stonecove.stages.send import Link, connection_limit
-from stonecove.wire import fastcgi, resp
-from stonecove.wire.buffer import Buffer
-from stonecove.wire.changelog import Follower, frames
-from stonecove.wire.front import Front
+from stonecove.discovery import MembersUpdate, PurgeUpdate, Told
+from stonecove.state.budget import Budget
+from stonecove.pipeline.admit import MARGIN
+from stonecove.pipeline.route import BACKSTOP, Route
+from stonecove.pipeline.send import Link, connection_limit
+from stonecove.protocols.fastcgi import codec as fastcgi
+from stonecove.protocols import resp
+from stonecove.protocols.buffer import Buffer
+from stonecove.protocols.change_log import Follower, frames
+from stonecove.frontends.fastcgi import Front
 
 START = 1_000_000.0  # the Unix second at which every run begins
 HAIR = 1e-7  # seconds past an alarm's time to which a wait goes, so that equal times are one instant
--- a/stonecove/explore/swarm.py
+++ b/stonecove/explore/swarm.py
@@ -13,11 +13,11 @@
 from typing import NamedTuple
 
 from stonecove.explore.fleet import Machine
-from stonecove.swarm.figures import Figures
-from stonecove.swarm.shares import Shares
-from stonecove.swarm.swarm import Swarm
-from stonecove.swarm.words import Datagram, Standing, Word, ident_of, over
-from stonecove.wire.gossip import decode, encode
+from stonecove.gossip.figures import Figures
+from stonecove.gossip.shares import Shares
+from stonecove.gossip.swarm import Swarm
+from stonecove.gossip.words import Datagram, Standing, Word, ident_of, over
+from stonecove.protocols.gossip import decode, encode
 
 WINDOW, TICK, EPOCH = 1.0, 0.25, 1_700_000_000_000.0
 FIGURES = Figures(
--- a/stonecove/fleet/lender.py
+++ b/stonecove/fleet/lender.py
@@ -13,10 +13,10 @@
 
 from stonecove.runtime.log import log, log_some
 from stonecove.runtime.unix import accept_all, bound
-from stonecove.lifecycle.leases import LeaseFile
-from stonecove.operator.records import Fleet
-from stonecove.sharing.lending import Lending, LendingError
-from stonecove.sharing.quota import Limit, Plan, PlanError
+from stonecove.server.leases import LeaseFile
+from stonecove.operator_config.records import Fleet
+from stonecove.quotas.lending import Lending, LendingError
+from stonecove.quotas.quota import Limit, Plan, PlanError
 
 SOCKET = "leases.sock"
 MOST_LINE = 4096
--- a/stonecove/fleet/probe.py
+++ b/stonecove/fleet/probe.py
@@ -6,7 +6,7 @@
 
 import trio
 
-from stonecove.wire import fastcgi
+from stonecove.protocols.fastcgi import codec as fastcgi
 
 PATH = b"/status/live"
 MOST = 4096  # bytes of an answer that is worth reading
--- a/stonecove/fleet/supervisor.py
+++ b/stonecove/fleet/supervisor.py
@@ -31,9 +31,9 @@
 from stonecove.runtime.log import log
 from stonecove.runtime.notify import notify, reloading, watchdog_every
 from stonecove.runtime.unix import accept_all, bound
-from stonecove.operator.grammar import OperatorError
-from stonecove.operator.reader import read
-from stonecove.operator.records import Fleet, FleetInstance
+from stonecove.operator_config.grammar import OperatorError
+from stonecove.operator_config.reader import read
+from stonecove.operator_config.records import Fleet, FleetInstance
 
 LAUNCH = Path(__file__).with_name("launch.py")
 STARTING_EVERY = 0.05  # seconds between two health checks of an instance that is starting
--- /dev/null
+++ b/stonecove/frontends/__init__.py
@@ -0,0 +1,1 @@
+"""Frontends: translate client protocols into requests of the pipeline and answers back."""
--- a/stonecove/wire/front.py
+++ b/stonecove/frontends/fastcgi.py
@@ -7,15 +7,15 @@
 
 from stonecove.interface import Settings
 from stonecove.runtime.log import log_some
-from stonecove.memory.requests import OpenRequest
-from stonecove.stages.intake import Intake
-from stonecove.stages.route import Route
+from stonecove.state.requests import OpenRequest
+from stonecove.pipeline.intake import Intake
+from stonecove.pipeline.route import Route
 from stonecove.exchange import Answer, ClientRequest, BadRequestError, Verdict
-from stonecove.wire.fastcgi import COMPLETE
-from stonecove.wire.session import Session
+from stonecove.protocols.fastcgi.codec import COMPLETE
+from stonecove.protocols.fastcgi.session import Session
 
 if TYPE_CHECKING:
-    from stonecove.wire.token_check import TokenChecker
+    from stonecove.frontends.token_check import TokenChecker
 
 READY_PATH = "/status/live"
 _LINES = {
@@ -108,7 +108,7 @@
 
     def _let_in(self, connection: Session, ident: int, params: dict[str, str], asked: ClientRequest) -> bool:
         """Has the token checked; a request that may not go in is refused at once, and never sent on."""
-        from stonecove.wire.token_fastcgi import presented, refusal
+        from stonecove.frontends.fastcgi_tokens import presented, refusal
 
         assert self.desk is not None
         decision = self.desk.check(presented(params, asked, self.desk.depot))
--- a/stonecove/wire/token_fastcgi.py
+++ b/stonecove/frontends/fastcgi_tokens.py
@@ -6,7 +6,7 @@
 from stonecove.access.grants import Request
 from stonecove.access.reasons import status_of
 from stonecove.exchange import ClientRequest
-from stonecove.wire.http import cookies_of
+from stonecove.protocols.http import cookies_of
 
 
 def presented(params: dict[str, str], asked: ClientRequest, depot: str) -> Request:
--- a/stonecove/wire/httpfront.py
+++ b/stonecove/frontends/http.py
@@ -18,12 +18,12 @@
 from stonecove.runtime.clock import Clock
 from stonecove.runtime.log import log_some
 from stonecove.interface import ClassSettings, Settings
-from stonecove.memory.requests import OpenRequest
-from stonecove.stages.intake import Intake
-from stonecove.stages.route import Route
-from stonecove.wire.token_check import TokenChecker
-from stonecove.wire.front import READY_PATH
-from stonecove.wire.http import HttpError, HttpRequest, byte_range
+from stonecove.state.requests import OpenRequest
+from stonecove.pipeline.intake import Intake
+from stonecove.pipeline.route import Route
+from stonecove.frontends.token_check import TokenChecker
+from stonecove.frontends.fastcgi import READY_PATH
+from stonecove.protocols.http import HttpError, HttpRequest, byte_range
 
 Fields = list[tuple[str, str]]
 Reply = Callable[[int, Fields, bytes], None]
--- a/stonecove/swarm/gossip.py
+++ b/stonecove/gossip/gossip.py
@@ -7,16 +7,14 @@
 from collections import Counter
 from typing import Any, NamedTuple
 
-from stonecove.swarm.figures import Figures
-from stonecove.swarm.health import Health
-from stonecove.swarm.probing import Outbox, Purpose, Sent
-from stonecove.swarm.rumours import Rumours
-from stonecove.swarm.shares import Shares
-from stonecove.swarm.table import Member, Suspicion, Table
-from stonecove.swarm.view import Views
-from stonecove.swarm.words import (
-    MOST_INCARNATION, NOBODY, Datagram, Kind, Standing, Word, over, shown,
-)  # fmt: skip
+from stonecove.gossip.figures import Figures
+from stonecove.gossip.health import Health
+from stonecove.gossip.probing import Outbox, Purpose, Sent
+from stonecove.gossip.rumours import Rumours
+from stonecove.gossip.shares import Shares
+from stonecove.gossip.table import Member, Suspicion, Table
+from stonecove.gossip.view import Views
+from stonecove.gossip.words import MOST_INCARNATION, NOBODY, Datagram, Kind, Standing, Word, over, shown
 
 MOST_WORDS = 10  # that a datagram holds
 FAN = 3  # who are told at once of what can't wait
--- a/stonecove/swarm/probing.py
+++ b/stonecove/gossip/probing.py
@@ -7,7 +7,7 @@
 from enum import IntEnum
 from functools import lru_cache
 
-from stonecove.swarm.words import NOBODY, Word
+from stonecove.gossip.words import NOBODY, Word
 
 KEPT = 5.0  # seconds for which a number that was sent is known
 MOST_KEPT = 4096
--- a/stonecove/swarm/rumours.py
+++ b/stonecove/gossip/rumours.py
@@ -4,7 +4,7 @@
 
 import math
 
-from stonecove.swarm.words import Word
+from stonecove.gossip.words import Word
 
 REPEATS = 4.0  # times the logarithm of the number of routers: each word reaches all but surely
 
--- a/stonecove/swarm/status.py
+++ b/stonecove/gossip/status.py
@@ -6,9 +6,9 @@
 from collections.abc import Mapping
 from typing import Any
 
-from stonecove.swarm.swarm import Swarm
-from stonecove.swarm.table import Member
-from stonecove.swarm.words import Standing, ident_of, shown
+from stonecove.gossip.swarm import Swarm
+from stonecove.gossip.table import Member
+from stonecove.gossip.words import Standing, ident_of, shown
 
 
 def _ago(now: float, at: float) -> float | None:
--- a/stonecove/swarm/swarm.py
+++ b/stonecove/gossip/swarm.py
@@ -12,12 +12,12 @@
 
 import math
 
-from stonecove.swarm.figures import Figures
-from stonecove.swarm.gossip import MOST_AHEAD, MOST_WORDS, Gossip
-from stonecove.swarm.probing import Probe, Purpose, Sent, target
-from stonecove.swarm.shares import Shares, Stand
-from stonecove.swarm.table import Member
-from stonecove.swarm.words import Datagram, Kind, Standing, Word, over, shown
+from stonecove.gossip.figures import Figures
+from stonecove.gossip.gossip import MOST_AHEAD, MOST_WORDS, Gossip
+from stonecove.gossip.probing import Probe, Purpose, Sent, target
+from stonecove.gossip.shares import Shares, Stand
+from stonecove.gossip.table import Member
+from stonecove.gossip.words import Datagram, Kind, Standing, Word, over, shown
 
 TICK = 0.05  # seconds between two calls of `tick` while something is under way
 MOST_REST = 0.2  # and while nothing is; with it a stop is still told from a rest (`health.GAP`)
--- a/stonecove/swarm/table.py
+++ b/stonecove/gossip/table.py
@@ -8,7 +8,7 @@
 from collections.abc import Iterable, Iterator
 from dataclasses import dataclass, field
 
-from stonecove.swarm.words import Standing, Word, over
+from stonecove.gossip.words import Standing, Word, over
 
 MOST_EVIDENCE = 24  # lines kept of each
 MOST_MEMBERS = 20_000  # names that a table holds; who comes when it is full takes the place of one long over
--- a/stonecove/swarm/view.py
+++ b/stonecove/gossip/view.py
@@ -11,7 +11,7 @@
 from collections import deque
 from typing import NamedTuple
 
-from stonecove.swarm.table import digest_of
+from stonecove.gossip.table import digest_of
 
 MOST_HISTORY = 256
 MOST_HEARD = 64
--- a/stonecove/operator/evaluate.py
+++ b/stonecove/operator_config/evaluate.py
@@ -5,7 +5,7 @@
 import re
 from typing import Any
 
-from stonecove.operator.grammar import (
+from stonecove.operator_config.grammar import (
     Bounded,
     Conjunction,
     Disjunction,
@@ -17,7 +17,7 @@
     Reference,
     StructOf,
 )
-from stonecove.operator.values import (
+from stonecove.operator_config.values import (
     KINDS,
     NUMBERS,
     Bottom,
--- a/stonecove/operator/reader.py
+++ b/stonecove/operator_config/reader.py
@@ -9,10 +9,20 @@
 from pathlib import Path
 from typing import Any, NamedTuple
 
-from stonecove.operator.evaluate import Evaluator, Scope, at_path, plain, settled
-from stonecove.operator.grammar import OperatorError, Pos, Problem, parse
-from stonecove.operator.records import Operator, operator_of
-from stonecove.operator.values import Bottom, Choice, ListValue, Notes, Scalar, Struct, Type, Value, unify
+from stonecove.operator_config.evaluate import Evaluator, Scope, at_path, plain, settled
+from stonecove.operator_config.grammar import OperatorError, Pos, Problem, parse
+from stonecove.operator_config.records import Operator, operator_of
+from stonecove.operator_config.values import (
+    Bottom,
+    Choice,
+    ListValue,
+    Notes,
+    Scalar,
+    Struct,
+    Type,
+    Value,
+    unify,
+)
 
 SCHEMA = "schema.cue"
 MOST_BYTES = 1 << 20
@@ -48,7 +58,7 @@
 
 def read_text(text: str, name: str) -> Read:
     """The same for a text that is at hand; raises OperatorError."""
-    schema = resources.files("stonecove.operator").joinpath(SCHEMA).read_text()
+    schema = resources.files("stonecove.operator_config").joinpath(SCHEMA).read_text()
     table, value = checked(text, name, schema, "#Operator", _check)
     return Read(operator_of(table), value)
 
--- a/stonecove/operator/values.py
+++ b/stonecove/operator_config/values.py
@@ -14,7 +14,7 @@
 from dataclasses import dataclass, field, replace
 from typing import Any
 
-from stonecove.operator.grammar import Pos, Problem
+from stonecove.operator_config.grammar import Pos, Problem
 
 NUMBERS = frozenset(("int", "float"))
 KINDS = frozenset(("int", "float", "string", "bool", "null", "duration", "size"))
--- a/stonecove/stages/admit.py
+++ b/stonecove/pipeline/admit.py
@@ -6,8 +6,8 @@
 
 from stonecove.interface import Settings
 from stonecove.runtime.clock import CpuCredit
-from stonecove.memory.budget import Budget
-from stonecove.memory.requests import OpenRequest, OpenRequests
+from stonecove.state.budget import Budget
+from stonecove.state.requests import OpenRequest, OpenRequests
 from stonecove.exchange import ClientRequest
 
 MARGIN = 15.0  # ms before the client's own limit at which the answer is due: it has to get there
--- a/stonecove/stages/book.py
+++ b/stonecove/pipeline/book.py
@@ -8,8 +8,8 @@
 from stonecove.interface import NOT_RUN, Ended, Event, Outcome
 from stonecove.runtime.clock import Clock
 from stonecove.runtime.log import log
-from stonecove.memory.requests import Attempt, OpenRequest
-from stonecove.stages.admit import Admit
+from stonecove.state.requests import Attempt, OpenRequest
+from stonecove.pipeline.admit import Admit
 
 
 class Book:
--- a/stonecove/stages/relay.py
+++ b/stonecove/pipeline/relay.py
@@ -7,8 +7,8 @@
 
 from stonecove.interface import ClassSettings, Note, Outcome, Settings
 from stonecove.runtime.log import log_some
-from stonecove.memory.requests import Attempt, OpenRequest
-from stonecove.stages.book import Book
+from stonecove.state.requests import Attempt, OpenRequest
+from stonecove.pipeline.book import Book
 from stonecove.exchange import Answer, Verdict
 
 SLACK = 50.0  # ms by which a copy may seem older than was asked for
--- a/stonecove/stages/route.py
+++ b/stonecove/pipeline/route.py
@@ -30,14 +30,14 @@
 from stonecove.runtime.clock import Clock
 from stonecove.runtime.timers import Timers, nobody
 from stonecove.runtime.log import log
-from stonecove.membership import MembersUpdate, PurgeUpdate, Told
-from stonecove.memory.budget import Budget
-from stonecove.memory.nodes import NodeTable
-from stonecove.memory.requests import Attempt, OpenRequest, OpenRequests
-from stonecove.stages.admit import Admit
-from stonecove.stages.book import Book
-from stonecove.stages.relay import Relay
-from stonecove.stages.send import Connect, Send
+from stonecove.discovery import MembersUpdate, PurgeUpdate, Told
+from stonecove.state.budget import Budget
+from stonecove.state.nodes import NodeTable
+from stonecove.state.requests import Attempt, OpenRequest, OpenRequests
+from stonecove.pipeline.admit import Admit
+from stonecove.pipeline.book import Book
+from stonecove.pipeline.relay import Relay
+from stonecove.pipeline.send import Connect, Send
 from stonecove.exchange import Answer, ClientRequest, Verdict
 
 Gate = Callable[
--- a/stonecove/stages/send.py
+++ b/stonecove/pipeline/send.py
@@ -10,12 +10,12 @@
 from stonecove.runtime.clock import Clock
 from stonecove.runtime.timers import Timers
 from stonecove.runtime.log import log_some
-from stonecove.memory.nodes import NodeTable
-from stonecove.memory.requests import Attempt
-from stonecove.stages.book import Book
-from stonecove.stages.relay import Relay, Reply
-from stonecove.wire import resp
-from stonecove.wire.channel import Channel, Owner
+from stonecove.state.nodes import NodeTable
+from stonecove.state.requests import Attempt
+from stonecove.pipeline.book import Book
+from stonecove.pipeline.relay import Relay, Reply
+from stonecove.protocols import resp
+from stonecove.protocols.upstream_channel import Channel, Owner
 
 IDLE_PART = 0.6  # a connection idle for this part of the allowed time is closed before the cache does it
 SILENT = 3.0  # connect time-outs without a byte, though some are owed, after which a connection gets no more
--- /dev/null
+++ b/stonecove/protocols/__init__.py
@@ -0,0 +1,1 @@
+"""Protocol codecs and sessions without I/O."""
--- a/stonecove/wire/changelog.py
+++ b/stonecove/protocols/change_log.py
@@ -8,8 +8,8 @@
 
 from stonecove.interface import Node, NodeState, Settings
 from stonecove.runtime.log import log_some
-from stonecove.membership import Member, MembershipSink, MembersUpdate, PurgeUpdate, Told
-from stonecove.wire.buffer import Buffer
+from stonecove.discovery import Member, MembershipSink, MembersUpdate, PurgeUpdate, Told
+from stonecove.protocols.buffer import Buffer
 
 MOST_FRAME = 4 << 20
 
--- /dev/null
+++ b/stonecove/protocols/fastcgi/__init__.py
@@ -0,0 +1,1 @@
+"""FastCGI towards web servers, without I/O."""
--- a/stonecove/wire/session.py
+++ b/stonecove/protocols/fastcgi/session.py
@@ -1,7 +1,8 @@
 """The life of one client connection, without its I/O: requests in, answers out by turns.
 
 Whoever does the I/O makes a `Session`, tells it what happens (`received`, `writable`, `ended`) and does
-what `_blocked`, `_stop_reading`, `_stop_writing` and `close` ask for. `wire/client.py` does so with trio.
+what `_blocked`, `_stop_reading`, `_stop_writing` and `close` ask for. `transport/client_connection.py` does
+so with trio.
 """
 
 from __future__ import annotations
@@ -11,10 +12,10 @@
 from collections.abc import Callable
 from typing import Protocol
 
-from stonecove.memory.budget import Budget
-from stonecove.wire.buffer import Buffer
-from stonecove.wire.channel import Socket
-from stonecove.wire.fastcgi import (
+from stonecove.state.budget import Budget
+from stonecove.protocols.buffer import Buffer
+from stonecove.protocols.upstream_channel import Socket
+from stonecove.protocols.fastcgi.codec import (
     COMPLETE,
     Aborted,
     Arrived,
--- a/stonecove/wire/gossip.py
+++ b/stonecove/protocols/gossip.py
@@ -15,7 +15,7 @@
 import struct
 import zlib
 
-from stonecove.swarm.words import MOST_LIFE, Datagram, Kind, Standing, Word
+from stonecove.gossip.words import MOST_LIFE, Datagram, Kind, Standing, Word
 
 MOST_BYTES = 256
 VERSION = 1
--- a/stonecove/wire/resp.py
+++ b/stonecove/protocols/resp.py
@@ -5,7 +5,7 @@
 import re
 from collections.abc import Iterator, Sequence
 
-from stonecove.wire.buffer import Buffer
+from stonecove.protocols.buffer import Buffer
 
 MOST_ITEMS = 16
 MOST_BULK = 1 << 18
--- a/stonecove/wire/channel.py
+++ b/stonecove/protocols/upstream_channel.py
@@ -1,7 +1,7 @@
 """The life of one connection to a server, without its I/O: connecting, up, half written, over.
 
 Whoever does the I/O makes a `Channel`, tells it what happens (`opened`, `received`, `writable`, `failed`,
-`ended`) and carries out `_blocked` and `_stop`. `wire/connection.py` does so with trio.
+`ended`) and carries out `_blocked` and `_stop`. `transport/upstream_connection.py` does so with trio.
 """
 
 from __future__ import annotations
@@ -11,8 +11,8 @@
 from collections.abc import Callable
 from typing import Protocol
 
-from stonecove.wire.buffer import Buffer
-from stonecove.wire.resp import MOST_BULK, Decoder
+from stonecove.protocols.buffer import Buffer
+from stonecove.protocols.resp import MOST_BULK, Decoder
 
 
 class Socket(Protocol):
--- /dev/null
+++ b/stonecove/protocols/zookeeper/__init__.py
@@ -0,0 +1,1 @@
+"""ZooKeeper's protocol, sessions and recipes, without I/O."""
--- a/stonecove/wire/zookeeper.py
+++ b/stonecove/protocols/zookeeper/messages.py
@@ -13,9 +13,9 @@
 from enum import IntEnum
 from typing import NamedTuple
 
-from stonecove.wire import jute
-from stonecove.wire.buffer import Buffer
-from stonecove.wire.jute import JuteError, Reader
+from stonecove.protocols.zookeeper import jute
+from stonecove.protocols.buffer import Buffer
+from stonecove.protocols.zookeeper.jute import JuteError, Reader
 
 MOST_FRAME = 1 << 20  # bytes: `jute.maxbuffer` of server and client, as shipped
 XID_EVENT, XID_PING, XID_AUTH, XID_SET_WATCHES = -1, -2, -4, -8
--- a/stonecove/wire/zknode.py
+++ b/stonecove/protocols/zookeeper/node_watch.py
@@ -8,10 +8,10 @@
 
 from typing import Protocol
 
-from stonecove.wire import zookeeper as zk
-from stonecove.wire.zksession import Reply, SessionEvent, Up, Watched
-from stonecove.wire.zktree import Ask
-from stonecove.wire.zookeeper import Err, Stat
+from stonecove.protocols.zookeeper import messages as zk
+from stonecove.protocols.zookeeper.session import Reply, SessionEvent, Up, Watched
+from stonecove.protocols.zookeeper.tree_watch import Ask
+from stonecove.protocols.zookeeper.messages import Err, Stat
 
 
 class NodeSink(Protocol):
--- a/stonecove/wire/zkpresence.py
+++ b/stonecove/protocols/zookeeper/registration.py
@@ -5,10 +5,10 @@
 from collections.abc import Callable
 from functools import partial
 
-from stonecove.wire import zookeeper as zk
-from stonecove.wire.zksession import Down, Expired, Reply, SessionEvent, Up
-from stonecove.wire.zktree import Ask
-from stonecove.wire.zookeeper import Err
+from stonecove.protocols.zookeeper import messages as zk
+from stonecove.protocols.zookeeper.session import Down, Expired, Reply, SessionEvent, Up
+from stonecove.protocols.zookeeper.tree_watch import Ask
+from stonecove.protocols.zookeeper.messages import Err
 
 
 class Registrar:
--- a/stonecove/wire/zksession.py
+++ b/stonecove/protocols/zookeeper/session.py
@@ -25,10 +25,10 @@
 from enum import Enum
 from typing import NamedTuple
 
-from stonecove.wire import zookeeper as zk
-from stonecove.wire.buffer import Buffer
-from stonecove.wire.jute import Reader
-from stonecove.wire.zookeeper import Err, EventType, WatchEvent, ZooKeeperError
+from stonecove.protocols.zookeeper import messages as zk
+from stonecove.protocols.buffer import Buffer
+from stonecove.protocols.zookeeper.jute import Reader
+from stonecove.protocols.zookeeper.messages import Err, EventType, WatchEvent, ZooKeeperError
 
 Server = tuple[str, int]
 WATCHES_IN_FRAME = 128 * 1024  # bytes of paths in one setWatches, as other clients do
--- a/stonecove/wire/zktree.py
+++ b/stonecove/protocols/zookeeper/tree_watch.py
@@ -12,9 +12,9 @@
 from functools import partial
 from typing import Protocol
 
-from stonecove.wire import zookeeper as zk
-from stonecove.wire.zksession import Expired, Reply, SessionEvent, Up, Watched
-from stonecove.wire.zookeeper import Err, EventType, Stat
+from stonecove.protocols.zookeeper import messages as zk
+from stonecove.protocols.zookeeper.session import Expired, Reply, SessionEvent, Up, Watched
+from stonecove.protocols.zookeeper.messages import Err, EventType, Stat
 
 MOST_READS = 256  # that are out at a time: a long list must not fill the server's queue for us
 
--- a/stonecove/sharing/lending.py
+++ b/stonecove/quotas/lending.py
@@ -25,9 +25,9 @@
 from typing import NamedTuple
 
 from stonecove.interface import RETRIES, NodeId
-from stonecove.sharing.buckets import Hierarchy
-from stonecove.sharing.leases import Grant, Lessor, own_part
-from stonecove.sharing.quota import MOST_TOKENS, Path, Plan
+from stonecove.quotas.buckets import Hierarchy
+from stonecove.quotas.leases import Grant, Lessor, own_part
+from stonecove.quotas.quota import MOST_TOKENS, Path, Plan
 
 MOST_HOLDERS = 10_000
 MOST_NODES = 10_000  # nodes with an account; a cold one that is asked for anew needs no old one
--- a/stonecove/sharing/quota.py
+++ b/stonecove/quotas/quota.py
@@ -16,7 +16,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from stonecove.sharing.buckets import Hierarchy
+from stonecove.quotas.buckets import Hierarchy
 
 Path = tuple[str, str, str]  # zone, class, client
 
--- a/stonecove/scale/hollow_configuration.py
+++ b/stonecove/scale/hollow_configuration.py
@@ -6,15 +6,15 @@
 from collections.abc import Awaitable, Callable
 
 from stonecove.interface import Settings
-from stonecove.lifecycle.config import Config
-from stonecove.lifecycle.configuration import ConfigurationKeeper
-from stonecove.lifecycle.reconfigure import Reconfigure
-from stonecove.operator.records import ConfigurationRecord
+from stonecove.server.config import Config
+from stonecove.server.configuration import ConfigurationKeeper
+from stonecove.server.reconfigure import Reconfigure
+from stonecove.operator_config.records import ConfigurationRecord
 from stonecove.runtime.clock import Clock
 from stonecove.scale.hollow import HEADER_BYTES, Traffic
-from stonecove.stages.route import Route
-from stonecove.wire.ensemble import Ensemble
-from stonecove.wire.zksession import Figures, Server, Session
+from stonecove.pipeline.route import Route
+from stonecove.transport.zookeeper import Ensemble
+from stonecove.protocols.zookeeper.session import Figures, Server, Session
 
 SESSION = Figures(timeout=10.0)
 
--- a/stonecove/scale/hollow_process.py
+++ b/stonecove/scale/hollow_process.py
@@ -16,7 +16,7 @@
 
 import trio
 
-from stonecove.lifecycle.config import Config, config_from
+from stonecove.server.config import Config, config_from
 from stonecove.runtime.log import divert
 from stonecove.scale import child
 from stonecove.scale.hollow import CountedDatagrams, HollowRouter, Traffic
@@ -90,8 +90,8 @@
         config: Config = hollow.config
         if not config.peer_listen:
             return
-        from stonecove.lifecycle.swarm import SwarmKeeper, bound
-        from stonecove.operator.reader import read_text
+        from stonecove.server.swarm import SwarmKeeper, bound
+        from stonecove.operator_config.reader import read_text
 
         record = read_text("swarm: {}", "scale").operator.swarm
         assert record is not None
--- a/stonecove/scale/options.py
+++ b/stonecove/scale/options.py
@@ -12,8 +12,8 @@
 from pathlib import Path
 from typing import Any
 
-from stonecove.operator.grammar import OperatorError
-from stonecove.operator.reader import checked, text_of
+from stonecove.operator_config.grammar import OperatorError
+from stonecove.operator_config.reader import checked, text_of
 
 SCHEMA = "schema.cue"
 MEMORY_INFO = Path("/proc/meminfo")
--- a/stonecove/lifecycle/access.py
+++ b/stonecove/server/access.py
@@ -17,9 +17,9 @@
 from stonecove.access.routes import Policy, Routes
 from stonecove.runtime.clock import Clock
 from stonecove.runtime.log import log
-from stonecove.operator.records import Access
-from stonecove.stages.route import Route
-from stonecove.wire.token_check import TokenChecker
+from stonecove.operator_config.records import Access
+from stonecove.pipeline.route import Route
+from stonecove.frontends.token_check import TokenChecker
 
 MOST_FILE = 1 << 24
 
--- a/stonecove/lifecycle/config.py
+++ b/stonecove/server/config.py
@@ -11,9 +11,9 @@
 import ujson
 
 from stonecove.interface import Settings
-from stonecove.membership import Told
+from stonecove.discovery import Told
 from stonecove.settings import settings_from
-from stonecove.wire.changelog import ChangeLogError, known_events
+from stonecove.protocols.change_log import ChangeLogError, known_events
 
 
 LEAST_SOCKETS = 16
--- a/stonecove/lifecycle/configuration.py
+++ b/stonecove/server/configuration.py
@@ -12,9 +12,9 @@
 import trio
 
 from stonecove.interface import Settings
-from stonecove.lifecycle.config import Config
-from stonecove.lifecycle.reconfigure import SettingsRefused
-from stonecove.operator.records import ConfigurationRecord
+from stonecove.server.config import Config
+from stonecove.server.reconfigure import SettingsRefused
+from stonecove.operator_config.records import ConfigurationRecord
 from stonecove.rollout.follower import Follower
 from stonecove.rollout.health import HealthWindow, worth_reporting
 from stonecove.rollout.merge import settings_with
@@ -31,12 +31,12 @@
 )
 from stonecove.runtime.clock import Clock
 from stonecove.runtime.log import log, log_some
-from stonecove.wire import zookeeper as zk
-from stonecove.wire.ensemble import Ensemble
-from stonecove.wire.zknode import NodeWatch
-from stonecove.wire.zkpresence import Registrar
-from stonecove.wire.zksession import Reply, SessionEvent, Up
-from stonecove.wire.zookeeper import Err, Stat
+from stonecove.protocols.zookeeper import messages as zk
+from stonecove.transport.zookeeper import Ensemble
+from stonecove.protocols.zookeeper.node_watch import NodeWatch
+from stonecove.protocols.zookeeper.registration import Registrar
+from stonecove.protocols.zookeeper.session import Reply, SessionEvent, Up
+from stonecove.protocols.zookeeper.messages import Err, Stat
 
 HEALTH_PERIOD = 10.0  # seconds between two looks at the health while nothing is rolled out
 START_POLL = 0.005  # seconds between two looks at whether the target is in force, at the start
--- a/stonecove/lifecycle/coordination.py
+++ b/stonecove/server/coordination.py
@@ -11,16 +11,16 @@
 from stonecove.runtime.clock import Clock
 from stonecove.runtime.log import log, log_some
 from stonecove.interface import NodeId
-from stonecove.lifecycle.config import Config
-from stonecove.membership import presence
-from stonecove.membership.records import Names, RecordError
-from stonecove.membership.roster import Claim, Roster, Rules
-from stonecove.operator.records import Presence, ZooKeeperSource
-from stonecove.wire.ensemble import Ensemble
-from stonecove.wire.zkpresence import Registrar
-from stonecove.wire.zksession import Down, Expired, Figures, SessionEvent
-from stonecove.wire.zktree import Tree
-from stonecove.wire.zookeeper import Stat
+from stonecove.server.config import Config
+from stonecove.discovery import presence
+from stonecove.discovery.records import Names, RecordError
+from stonecove.discovery.roster import Claim, Roster, Rules
+from stonecove.operator_config.records import Presence, ZooKeeperSource
+from stonecove.transport.zookeeper import Ensemble
+from stonecove.protocols.zookeeper.registration import Registrar
+from stonecove.protocols.zookeeper.session import Down, Expired, Figures, SessionEvent
+from stonecove.protocols.zookeeper.tree_watch import Tree
+from stonecove.protocols.zookeeper.messages import Stat
 
 Spawn = Callable[[Callable[[], Awaitable[None]]], None]
 
--- a/stonecove/lifecycle/http.py
+++ b/stonecove/server/http.py
@@ -13,10 +13,10 @@
 from stonecove.access.gate import Decision
 from stonecove.exchange import BadRequestError
 from stonecove.runtime.log import log, log_some
-from stonecove.memory.requests import OpenRequest
-from stonecove.operator.records import Http
-from stonecove.wire.http import HttpError, HttpRequest, HttpSession, State
-from stonecove.wire.httpfront import Fields, HttpFront, told
+from stonecove.state.requests import OpenRequest
+from stonecove.operator_config.records import Http
+from stonecove.protocols.http import HttpError, HttpRequest, HttpSession, State
+from stonecove.frontends.http import Fields, HttpFront, told
 
 GULP = 65_536
 HEAD_WITHIN = 2.0  # seconds from a request's first byte to its last
--- a/stonecove/lifecycle/leases.py
+++ b/stonecove/server/leases.py
@@ -21,9 +21,9 @@
 from stonecove.runtime.clock import Clock
 from stonecove.runtime.log import log, log_some
 from stonecove.interface import Piece, Settings, Terms, Unspent, Want
-from stonecove.sharing.leases import LIFE_PART, Grant, Holder
-from stonecove.sharing.quota import Plan, PlanError, Quota
-from stonecove.stages.route import Route
+from stonecove.quotas.leases import LIFE_PART, Grant, Holder
+from stonecove.quotas.quota import Plan, PlanError, Quota
+from stonecove.pipeline.route import Route
 
 BACK_OFF = 0.05, 1.0  # seconds between two attempts to reach the lessor
 FETCH_EVERY = 0.05  # seconds between two looks at which admission tokens to fetch
--- a/stonecove/lifecycle/members.py
+++ b/stonecove/server/members.py
@@ -1,7 +1,7 @@
 """Membership from several sources: joins sessions, rosters and the merge to the router. Off on the platform.
 
-Decisions are in `stonecove.membership` (roster, merge, presence, pace) and `stonecove.wire.zksession`; here
-they are given clocks, sockets and each other.
+Decisions are in `stonecove.discovery` (roster, merge, presence, pace) and
+`stonecove.protocols.zookeeper.session`; here they are given clocks, sockets and each other.
 """
 
 from __future__ import annotations
@@ -23,21 +23,21 @@
 from stonecove.runtime.log import log
 from stonecove.runtime.unix import accept_all, bound
 from stonecove.interface import NodeId, NodeState, Peers, Settings
-from stonecove.lifecycle.config import Config
-from stonecove.lifecycle.coordination import Coordination, Spawn, connection_of, rules_of
-from stonecove.membership import Member, MembersUpdate, PurgeUpdate, Told, presence
-from stonecove.membership.merge import Merge, Source
-from stonecove.membership.pace import Pace
-from stonecove.membership.records import Names, RecordError, node_id
-from stonecove.membership.roster import Claim
-from stonecove.membership.trace import Trace, explained
-from stonecove.memory.requests import Attempt
-from stonecove.operator.grammar import OperatorError
-from stonecove.operator.reader import read
-from stonecove.operator.records import Operator
-from stonecove.stages.route import Route
-from stonecove.wire.ensemble import Ensemble
-from stonecove.wire.follow import ChangeLog
+from stonecove.server.config import Config
+from stonecove.server.coordination import Coordination, Spawn, connection_of, rules_of
+from stonecove.discovery import Member, MembersUpdate, PurgeUpdate, Told, presence
+from stonecove.discovery.merge import Merge, Source
+from stonecove.discovery.pace import Pace
+from stonecove.discovery.records import Names, RecordError, node_id
+from stonecove.discovery.roster import Claim
+from stonecove.discovery.trace import Trace, explained
+from stonecove.state.requests import Attempt
+from stonecove.operator_config.grammar import OperatorError
+from stonecove.operator_config.reader import read
+from stonecove.operator_config.records import Operator
+from stonecove.pipeline.route import Route
+from stonecove.transport.zookeeper import Ensemble
+from stonecove.transport.change_log_follower import ChangeLog
 
 FIRST_LIST = 3.0  # seconds for which serving waits for the first list
 HOUSEKEEPING = 0.25  # seconds between two looks at what only time brings about
--- a/stonecove/lifecycle/reconfigure.py
+++ b/stonecove/server/reconfigure.py
@@ -12,7 +12,7 @@
 
 from stonecove.choice import Director
 from stonecove.interface import ClassSettings, Peers, Settings
-from stonecove.stages.route import Route
+from stonecove.pipeline.route import Route
 
 # Fields that hold until the process ends, with the reason that is told.
 FIXED = {
--- a/stonecove/lifecycle/serve.py
+++ b/stonecove/server/serve.py
@@ -20,27 +20,27 @@
 from stonecove.interface import Peers, Settings
 from stonecove.runtime.clock import Clock
 from stonecove.runtime.timers import Timers
-from stonecove.lifecycle.config import Config, ConfigError, read_config
+from stonecove.server.config import Config, ConfigError, read_config
 from stonecove.runtime.log import divert, log, log_some
-from stonecove.memory.budget import Budget
-from stonecove.stages.route import Route
-from stonecove.stages.send import connection_limit
-from stonecove.wire.changelog import Follower
-from stonecove.wire.channel import Owner
-from stonecove.wire.client import Connection as Client
-from stonecove.wire.connection import NO_DESCRIPTOR, Connection
-from stonecove.wire.follow import ChangeLog
-from stonecove.wire.front import Front
+from stonecove.state.budget import Budget
+from stonecove.pipeline.route import Route
+from stonecove.pipeline.send import connection_limit
+from stonecove.protocols.change_log import Follower
+from stonecove.protocols.upstream_channel import Owner
+from stonecove.transport.client_connection import Connection as Client
+from stonecove.transport.upstream_connection import NO_DESCRIPTOR, Connection
+from stonecove.transport.change_log_follower import ChangeLog
+from stonecove.frontends.fastcgi import Front
 
 if TYPE_CHECKING:
-    from stonecove.lifecycle.access import AccessKeeper
-    from stonecove.lifecycle.configuration import ConfigurationKeeper
-    from stonecove.lifecycle.http import HttpListener
-    from stonecove.lifecycle.leases import Leases
-    from stonecove.lifecycle.members import Members
-    from stonecove.lifecycle.reconfigure import Reconfigure
-    from stonecove.lifecycle.swarm import SwarmKeeper
-    from stonecove.operator.records import ConfigurationRecord, Operator
+    from stonecove.server.access import AccessKeeper
+    from stonecove.server.configuration import ConfigurationKeeper
+    from stonecove.server.http import HttpListener
+    from stonecove.server.leases import Leases
+    from stonecove.server.members import Members
+    from stonecove.server.reconfigure import Reconfigure
+    from stonecove.server.swarm import SwarmKeeper
+    from stonecove.operator_config.records import ConfigurationRecord, Operator
 
 BACKLOG = 1024
 SIGNALS = signal.SIGTERM, signal.SIGINT, signal.SIGHUP
@@ -112,7 +112,7 @@
         self._members: Members | None = None
         self._leases: Leases | None = None
         if leases := os.environ.get("STONECOVE_LEASES"):
-            from stonecove.lifecycle.leases import leases_from
+            from stonecove.server.leases import leases_from
 
             self._leases = leases_from(
                 Path(leases), config.name, config.settings, self._route, self._clock, self._spawn
@@ -120,21 +120,21 @@
         self._http: HttpListener | None = None
         self._access: AccessKeeper | None = None
         if operator is not None:
-            from stonecove.operator.reader import read
+            from stonecove.operator_config.reader import read
 
             self._more_fronts(read(operator).operator)
         if tracing := os.environ.get("STONECOVE_TRACE"):
-            from stonecove.lifecycle.tracing import trace_from
+            from stonecove.server.tracing import trace_from
 
             trace_from(tracing, config, self._route)
         if operator is not None:
-            from stonecove.lifecycle.members import Members
+            from stonecove.server.members import Members
 
             self._members = Members(operator, config, self._route, self._clock, self._changelog, self._spawn)
         self._swarm: SwarmKeeper | None = None
         record = self._members.operator.swarm if self._members is not None else None
         if self._members is not None and record is not None and datagrams is not None:
-            from stonecove.lifecycle.swarm import SwarmKeeper
+            from stonecove.server.swarm import SwarmKeeper
 
             self._swarm = SwarmKeeper(record, config, datagrams, self._route, self._clock, self._leases)
             self._members.sized = self._swarm.present
@@ -165,7 +165,7 @@
             if members is not None:
                 members.also.pop("configuration", None)
         elif self._reconfigure is None:
-            from stonecove.lifecycle.reconfigure import Reconfigure
+            from stonecove.server.reconfigure import Reconfigure
 
             others = [one for one in (self._leases, self._swarm) if one is not None]
             self._reconfigure = Reconfigure(
@@ -184,7 +184,7 @@
         self, members: Members, record: ConfigurationRecord, reconfigure: Reconfigure
     ) -> None:
         """Changes of the settings come by the session with the coordination service."""
-        from stonecove.lifecycle.configuration import ConfigurationKeeper
+        from stonecove.server.configuration import ConfigurationKeeper
 
         keeper = ConfigurationKeeper(
             record, self._config, self._config.table, reconfigure, self._route.book.counts, self._clock
@@ -216,14 +216,14 @@
         settings = self._config.settings
         depot = settings.zones[settings.zone] if settings.zone < len(settings.zones) else ""
         if operator.access is not None:
-            from stonecove.lifecycle.access import AccessKeeper
+            from stonecove.server.access import AccessKeeper
 
             self._access = AccessKeeper(operator.access, depot, self._clock, self._route)
             if operator.access.fastcgi:
                 self._front.desk = self._access.desk
         if operator.http is not None:
-            from stonecove.lifecycle.http import HttpListener
-            from stonecove.wire.httpfront import HttpFront
+            from stonecove.server.http import HttpListener
+            from stonecove.frontends.http import HttpFront
 
             desk = self._access.desk if self._access is not None else None
             scheme = "https" if operator.http.certificate else "http"
@@ -404,7 +404,7 @@
 
     def _take_settings(self, config: Config, reconfigure: Reconfigure) -> dict[str, object]:
         """Puts the settings of a file in force, or tells why not; what the log line says of it."""
-        from stonecove.lifecycle.reconfigure import SettingsRefused
+        from stonecove.server.reconfigure import SettingsRefused
 
         try:
             if self._configuration is not None:
@@ -417,8 +417,8 @@
 
     def _reload_fronts(self, path: Path) -> None:
         """Keys, policies, revocations and certificates, each whole or not at all."""
-        from stonecove.operator.grammar import OperatorError
-        from stonecove.operator.reader import read
+        from stonecove.operator_config.grammar import OperatorError
+        from stonecove.operator_config.reader import read
 
         try:
             operator = read(path).operator
@@ -650,11 +650,11 @@
 
 def _datagrams(config: Config, operator: Path) -> socket.socket | None:
     """Where other routers speak to us, if they are to; raises OSError."""
-    from stonecove.operator.reader import read
+    from stonecove.operator_config.reader import read
 
     if read(operator).operator.swarm is None:
         return None
-    from stonecove.lifecycle.swarm import bound
+    from stonecove.server.swarm import bound
 
     return bound(config)
 
@@ -662,7 +662,7 @@
 def _check_shared() -> str:
     """What is wrong with the supervisor's own words; empty if nothing is."""
     if leases := os.environ.get("STONECOVE_LEASES"):
-        from stonecove.lifecycle.leases import LeaseFile, LeaseFileError
+        from stonecove.server.leases import LeaseFile, LeaseFileError
 
         try:
             LeaseFile.read(Path(leases))
@@ -675,15 +675,15 @@
     """What is wrong with an operator's file; empty if it can be used. Guards against finding out half
     started.
     """
-    from stonecove.operator.grammar import OperatorError
-    from stonecove.operator.reader import read
+    from stonecove.operator_config.grammar import OperatorError
+    from stonecove.operator_config.reader import read
 
     try:
         found = read(operator).operator
     except OperatorError as error:
         return str(error)
     if found.access is not None:
-        from stonecove.lifecycle.access import AccessError, policies_of, read_ring
+        from stonecove.server.access import AccessError, policies_of, read_ring
 
         try:
             read_ring(Path(found.access.ring))
@@ -691,7 +691,7 @@
         except AccessError as error:
             return f"stonecove: {error}"
     if found.swarm is not None:
-        from stonecove.lifecycle.swarm import usable
+        from stonecove.server.swarm import usable
 
         if wrong := usable(config):
             return f"stonecove: {operator}: {wrong}"
--- a/stonecove/lifecycle/swarm.py
+++ b/stonecove/server/swarm.py
@@ -19,18 +19,18 @@
 from stonecove.runtime.clock import Clock
 from stonecove.runtime.log import log, log_some
 from stonecove.interface import Peers, Settings, Terms
-from stonecove.lifecycle.config import Config, ConfigError, address_of
-from stonecove.lifecycle.leases import Leases
-from stonecove.memory.requests import Attempt
-from stonecove.operator.records import SwarmRecord
-from stonecove.stages.route import Route
-from stonecove.swarm.figures import Figures
-from stonecove.swarm.health import GAP
-from stonecove.swarm.shares import Shares, Stand
-from stonecove.swarm.swarm import Swarm
-from stonecove.swarm.status import answer
-from stonecove.swarm.words import Standing, Word, ident_of
-from stonecove.wire.gossip import MOST_BYTES, GossipError, decode, encode, number_of
+from stonecove.server.config import Config, ConfigError, address_of
+from stonecove.server.leases import Leases
+from stonecove.state.requests import Attempt
+from stonecove.operator_config.records import SwarmRecord
+from stonecove.pipeline.route import Route
+from stonecove.gossip.figures import Figures
+from stonecove.gossip.health import GAP
+from stonecove.gossip.shares import Shares, Stand
+from stonecove.gossip.swarm import Swarm
+from stonecove.gossip.status import answer
+from stonecove.gossip.words import Standing, Word, ident_of
+from stonecove.protocols.gossip import MOST_BYTES, GossipError, decode, encode, number_of
 
 BATCH = 64  # datagrams that are read between two looks at other sockets
 MOST_FROM_ONE = 200  # datagrams a second from one address that are read; guards against a flood
--- a/stonecove/lifecycle/tracing.py
+++ b/stonecove/server/tracing.py
@@ -27,9 +27,9 @@
 from stonecove.choice import mix
 from stonecove.exchange import Answer, ClientRequest
 from stonecove.interface import Outcome
-from stonecove.lifecycle.config import Config
-from stonecove.memory.requests import Attempt, OpenRequest
-from stonecove.stages.route import Route
+from stonecove.server.config import Config
+from stonecove.state.requests import Attempt, OpenRequest
+from stonecove.pipeline.route import Route
 
 EXPORT_EVERY = 500  # ms
 MOST_QUEUED = 8192  # spans that wait to be written; more are dropped, and nothing waits for them
--- a/stonecove/standins/depot.py
+++ b/stonecove/standins/depot.py
@@ -13,8 +13,8 @@
 from ipaddress import IPv4Address
 from typing import NamedTuple
 
-from stonecove.wire import resp
-from stonecove.wire.buffer import Buffer
+from stonecove.protocols import resp
+from stonecove.protocols.buffer import Buffer
 
 NOTHING, WHOLE_LIST, CHANGES, OBJECT_PURGE, GROUP_PURGE = range(5)  # kinds of frames
 _HEAD = struct.Struct(">IQB")
--- a/stonecove/standins/webserver.py
+++ b/stonecove/standins/webserver.py
@@ -6,7 +6,7 @@
 import socket
 import struct
 
-from stonecove.wire import fastcgi
+from stonecove.protocols.fastcgi import codec as fastcgi
 
 PATIENCE = 20.0  # seconds for an answer
 CLASSES = (("item-image", "pure", 3000.0), ("pick-confirm", "side_effect", 3000.0))
--- a/stonecove/standins/zkdata.py
+++ b/stonecove/standins/zkdata.py
@@ -13,8 +13,8 @@
 from dataclasses import dataclass, field
 from typing import NamedTuple
 
-from stonecove.wire import jute
-from stonecove.wire.zookeeper import ANY_VERSION, XID_EVENT, Acl, Err, EventType, Stat
+from stonecove.protocols.zookeeper import jute
+from stonecove.protocols.zookeeper.messages import ANY_VERSION, XID_EVENT, Acl, Err, EventType, Stat
 
 READ, WRITE, CREATE, DELETE, ADMIN = 1, 2, 4, 8, 16
 EPHEMERAL, SEQUENTIAL, CONTAINER = 1, 2, 4
--- a/stonecove/memory/nodes.py
+++ b/stonecove/state/nodes.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from stonecove.interface import NodeId, NodeState
-from stonecove.membership import Member, MembersUpdate
+from stonecove.discovery import Member, MembersUpdate
 
 
 class NodeTable:
--- /dev/null
+++ b/stonecove/transport/__init__.py
@@ -0,0 +1,1 @@
+"""Connections over sockets, on trio."""
--- a/stonecove/wire/follow.py
+++ b/stonecove/transport/change_log_follower.py
@@ -11,10 +11,10 @@
 
 from stonecove.runtime.log import log, log_some
 from stonecove.runtime.timers import nobody
-from stonecove.membership import MembershipSink
-from stonecove.wire.buffer import Buffer, BufferFullError
-from stonecove.wire.changelog import MOST_FRAME, ChangeLogError, Follower, frames
-from stonecove.wire.connection import NO_DESCRIPTOR
+from stonecove.discovery import MembershipSink
+from stonecove.protocols.buffer import Buffer, BufferFullError
+from stonecove.protocols.change_log import MOST_FRAME, ChangeLogError, Follower, frames
+from stonecove.transport.upstream_connection import NO_DESCRIPTOR
 
 # What is in the log counts as told 7 s later at the latest: all waits in a row must fit into that. The worst
 # chain that is borne: the log falls silent, the next connection comes up and says nothing, two more never
--- a/stonecove/wire/ensemble.py
+++ b/stonecove/transport/zookeeper.py
@@ -8,8 +8,18 @@
 import trio
 
 from stonecove.runtime.log import log
-from stonecove.wire import zookeeper as zk
-from stonecove.wire.zksession import Down, Expired, Figures, Reply, Server, Session, SessionEvent, State, Up
+from stonecove.protocols.zookeeper import messages as zk
+from stonecove.protocols.zookeeper.session import (
+    Down,
+    Expired,
+    Figures,
+    Reply,
+    Server,
+    Session,
+    SessionEvent,
+    State,
+    Up,
+)
 
 GULP = 65_536
 Feed = Callable[[SessionEvent], None]
--- a/stonecove/trial/model.py
+++ b/stonecove/trial/model.py
@@ -15,11 +15,11 @@
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass, field
 
-from stonecove.swarm.figures import Figures
-from stonecove.swarm.shares import Shares
-from stonecove.swarm.swarm import TICK, Swarm
-from stonecove.swarm.words import Standing, Word, ident_of, over
-from stonecove.wire.gossip import decode, encode, number_of
+from stonecove.gossip.figures import Figures
+from stonecove.gossip.shares import Shares
+from stonecove.gossip.swarm import TICK, Swarm
+from stonecove.gossip.words import Standing, Word, ident_of, over
+from stonecove.protocols.gossip import decode, encode, number_of
 
 EPOCH = 1_700_000_000_000.0  # Unix ms at the start
 
--- a/stonecove/trial/schedule.py
+++ b/stonecove/trial/schedule.py
@@ -8,9 +8,9 @@
 from pathlib import Path
 from typing import Any
 
-from stonecove.operator.evaluate import at_path
-from stonecove.operator.reader import checked, text_of
-from stonecove.operator.values import Notes, Value
+from stonecove.operator_config.evaluate import at_path
+from stonecove.operator_config.reader import checked, text_of
+from stonecove.operator_config.values import Notes, Value
 from stonecove.standins.loaded import Bears
 from stonecove.trial.open_loop import ClientBehaviour
 
--- a/stonecove/trial/testbed.py
+++ b/stonecove/trial/testbed.py
@@ -13,7 +13,7 @@
 from stonecove.standins.webserver import settings
 from stonecove.standins.depot import HOST, Cache, Depot
 from stonecove.standins.loaded import LoadedDepot
-from stonecove.swarm.words import ident_of, shown
+from stonecove.gossip.words import ident_of, shown
 from stonecove.trial.open_loop import OpenLoopClients
 from stonecove.trial.closed_loop import ClosedLoopClients
 from stonecove.trial.processes import RouterProcess, free_address
--- a/tests/test_attempt_crossings.py
+++ b/tests/test_attempt_crossings.py
@@ -12,11 +12,11 @@
 from stonecove.runtime.clock import Clock
 from stonecove.runtime.timers import Timers
 from stonecove.interface import ClassSettings, Effect, KeyGroup
-from stonecove.membership import Member, MembersUpdate
-from stonecove.memory.budget import Budget
-from stonecove.stages.route import Route
-from stonecove.wire import resp
-from stonecove.wire.channel import Channel, Owner
+from stonecove.discovery import Member, MembersUpdate
+from stonecove.state.budget import Budget
+from stonecove.pipeline.route import Route
+from stonecove.protocols import resp
+from stonecove.protocols.upstream_channel import Channel, Owner
 
 
 class Wire(Channel):
--- a/tests/test_capacity_control.py
+++ b/tests/test_capacity_control.py
@@ -23,11 +23,11 @@
     start_within,
     vanish,
 )
-from stonecove.membership import Told
+from stonecove.discovery import Told
 from stonecove.runtime.log import divert
-from stonecove.wire.changelog import Follower
-from stonecove.wire.follow import ChangeLog
-from stonecove.wire.gossip import FIXED
+from stonecove.protocols.change_log import Follower
+from stonecove.transport.change_log_follower import ChangeLog
+from stonecove.protocols.gossip import FIXED
 
 HOST = "127.0.0.1"
 
--- a/tests/test_capacity_router.py
+++ b/tests/test_capacity_router.py
@@ -12,9 +12,9 @@
 from benchmarks.capacity_data import Load, Spent
 from benchmarks.capacity_popularity import COUNTS_HALVE, SketchPopularity
 from stonecove.choice import HEADROOM, ColdBudget, Popularity
-from stonecove.membership import MembersUpdate, PurgeUpdate
-from stonecove.wire.buffer import Buffer
-from stonecove.wire.changelog import frames
+from stonecove.discovery import MembersUpdate, PurgeUpdate
+from stonecove.protocols.buffer import Buffer
+from stonecove.protocols.change_log import frames
 
 NOW = 1e12
 
--- a/tests/test_client_crossings.py
+++ b/tests/test_client_crossings.py
@@ -20,15 +20,15 @@
 from stonecove.exchange import Answer, ClientRequest
 from stonecove.runtime.clock import Clock
 from stonecove.runtime.timers import Timers
-from stonecove.lifecycle.serve import Server
-from stonecove.membership import Member, MembersUpdate
-from stonecove.memory.budget import Budget
-from stonecove.memory.requests import OpenRequest
-from stonecove.stages.route import Route
-from stonecove.wire.channel import Channel, Owner
-from stonecove.wire.front import Front
-from stonecove.wire.client import Connection
-from stonecove.wire.session import Session
+from stonecove.server.serve import Server
+from stonecove.discovery import Member, MembersUpdate
+from stonecove.state.budget import Budget
+from stonecove.state.requests import OpenRequest
+from stonecove.pipeline.route import Route
+from stonecove.protocols.upstream_channel import Channel, Owner
+from stonecove.frontends.fastcgi import Front
+from stonecove.transport.client_connection import Connection
+from stonecove.protocols.fastcgi.session import Session
 
 from stand import Client, Stand, record
 
--- a/tests/test_configuration_processes.py
+++ b/tests/test_configuration_processes.py
@@ -18,14 +18,14 @@
 from stand import PATIENCE, Stand
 from stonecove.fleet.rollout_controller import Controller, service_session
 from stonecove.interface import Settings
-from stonecove.lifecycle.config import config_from
-from stonecove.lifecycle.configuration import ConfigurationKeeper
-from stonecove.lifecycle.reconfigure import SettingsRefused
-from stonecove.operator.records import ConfigurationRecord
+from stonecove.server.config import config_from
+from stonecove.server.configuration import ConfigurationKeeper
+from stonecove.server.reconfigure import SettingsRefused
+from stonecove.operator_config.records import ConfigurationRecord
 from stonecove.rollout.messages import Bounds, Report, RolloutState, Target
 from stonecove.runtime.clock import Clock
-from stonecove.wire.ensemble import Ensemble
-from stonecove.wire.zksession import Figures
+from stonecove.transport.zookeeper import Ensemble
+from stonecove.protocols.zookeeper.session import Figures
 
 PATH = "/stonecove/configuration"
 FIGURES = Figures(timeout=1.0, connect_wait=0.5, back_off=(0.02, 0.1))
--- a/tests/test_ephemeral.py
+++ b/tests/test_ephemeral.py
@@ -500,9 +500,10 @@
         maps = Path(f"/proc/{stand.process.pid}/maps").read_text()
         assert "lark" not in maps
         code = (
-            "import sys, stonecove.lifecycle.serve; sys.exit(any(name in sys.modules for name in "
-            "('lark', 'stonecove.operator', 'stonecove.membership.merge', 'stonecove.wire.zookeeper', "
-            "'stonecove.lifecycle.members', 'stonecove.standins', 'click')))"
+            "import sys, stonecove.server.serve; sys.exit(any(name in sys.modules for name in "
+            "('lark', 'stonecove.operator_config', 'stonecove.discovery.merge', "
+            "'stonecove.protocols.zookeeper.messages', "
+            "'stonecove.server.members', 'stonecove.standins', 'click')))"
         )
         assert subprocess.run([sys.executable, "-c", code], check=False).returncode == 0
         assert not stand.lines("coordination-up")
--- a/tests/test_explore.py
+++ b/tests/test_explore.py
@@ -32,18 +32,19 @@
     "exchange": 1,
     "settings": 1,
     "choice": 1,
-    "membership": 1,
-    "sharing": 1,
-    "swarm": 1,
+    "discovery": 1,
+    "quotas": 1,
+    "gossip": 1,
     "overload": 1,
     "rollout": 1,
     "access": 1,
-    "operator": 1,
-    "wire": 2,
-    "memory": 2,
-    "stages": 3,
-    "wire.front": 4,
-    "lifecycle": 5,
+    "operator_config": 1,
+    "protocols": 2,
+    "transport": 2,
+    "state": 2,
+    "pipeline": 3,
+    "frontends": 4,
+    "server": 5,
     "explore": 6,
     "fleet": 6,
     "scale": 6,
@@ -82,16 +83,15 @@
 
 
 def floor_of(module: str) -> int:
-    """The floor of a module of ours; the fronts stand above the stages that they join to the wire."""
+    """Return the floor of a module of this project."""
     name = module.removeprefix("stonecove").removeprefix(".")
-    fronts = ("wire.front", "wire.httpfront")
-    return FLOORS["wire.front"] if name in fronts else FLOORS[name.partition(".")[0]]
+    return FLOORS[name.partition(".")[0]]
 
 
 def test_imports_go_down_only() -> None:
     for path in (ROOT / "stonecove").rglob("*.py"):
         module = ".".join(path.relative_to(ROOT).with_suffix("").parts).removesuffix(".__init__")
-        if module in ("stonecove.__main__", "stonecove.benchlink"):
+        if module in ("stonecove.__main__", "stonecove.simulator_adapter"):
             continue
         for node in ast.walk(ast.parse(path.read_text())):
             if isinstance(node, ast.ImportFrom) and node.module and node.module.startswith("stonecove"):
@@ -120,12 +120,12 @@
 @pytest.mark.parametrize(
     ("module", "absent"),
     [
-        ("stonecove.stages.route", ("trio",)),
-        ("stonecove.wire.channel", ("trio",)),
-        ("stonecove.wire.session", ("trio",)),
+        ("stonecove.pipeline.route", ("trio",)),
+        ("stonecove.protocols.upstream_channel", ("trio",)),
+        ("stonecove.protocols.fastcgi.session", ("trio",)),
         ("stonecove.explore.simulation", ("trio",)),
         (
-            "stonecove.lifecycle.serve",
+            "stonecove.server.serve",
             ("click", "rich", "numpy", "xxhash", "opentelemetry", "cryptography", "joserfc", "h11")
             + tuple(
                 f"stonecove.{one}"
@@ -133,9 +133,9 @@
                     "explore",
                     "commands",
                     "access",
-                    "sharing",
-                    "operator",
-                    "swarm",
+                    "quotas",
+                    "operator_config",
+                    "gossip",
                     "overload",
                     "trial",
                 )
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -12,9 +12,9 @@
 
 import pytest
 from stonecove.fleet import logs, probe, runfile
-from stonecove.sharing.buckets import Bucket, Hierarchy
+from stonecove.quotas.buckets import Bucket, Hierarchy
 from stonecove.fleet.journal import HEAD, MAGIC, Journal, JournalError, decode, encode
-from stonecove.sharing.leases import Grant, Holder, Lessor, own_part
+from stonecove.quotas.leases import Grant, Holder, Lessor, own_part
 from stonecove.fleet.placement import Demand, Host, place
 from stonecove.fleet.restart import Do, Instance, Phase, Policy
 from stonecove.fleet.rolling import Roll, RollState
@@ -545,7 +545,7 @@
 
 @pytest.mark.parametrize(("status", "good"), [(b"200 OK", True), (b"503 Service Unavailable", False)])
 def test_an_answer_to_a_health_check_is_read_from_any_pieces(status: bytes, good: bool) -> None:
-    from stonecove.wire import fastcgi
+    from stonecove.protocols.fastcgi import codec as fastcgi
 
     data = fastcgi.record(fastcgi.STDOUT, 1, b"Status: " + status + b"\r\n\r\n") + fastcgi.record(
         fastcgi.END, 1, bytes(8)
--- a/tests/test_http.py
+++ b/tests/test_http.py
@@ -22,7 +22,7 @@
 from cryptography.hazmat.primitives.asymmetric import ec
 from stonecove.access import formats
 from stonecove.access.keys import KeyRing, generate
-from stonecove.wire.http import MOST_BODY, HttpError, HttpSession, State, byte_range
+from stonecove.protocols.http import MOST_BODY, HttpError, HttpSession, State, byte_range
 
 from stand import PATIENCE, Stand, free_address
 
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -9,11 +9,11 @@
 import pytest
 from stonecove.choice import Director
 from stonecove.interface import Get, Listed, ListKind, NodeId, NodeState, Peers, Request
-from stonecove.membership import Member, presence
-from stonecove.membership.merge import Merge, Source, Told, merged
-from stonecove.membership.pace import MOST_WAIT, Pace
-from stonecove.membership.records import Names, RecordError, member_of, record_of
-from stonecove.membership.roster import Claim, Roster, Rules
+from stonecove.discovery import Member, presence
+from stonecove.discovery.merge import Merge, Source, Told, merged
+from stonecove.discovery.pace import MOST_WAIT, Pace
+from stonecove.discovery.records import Names, RecordError, member_of, record_of
+from stonecove.discovery.roster import Claim, Roster, Rules
 
 from conftest import gets, make_nodes, make_settings
 
--- a/tests/test_operator.py
+++ b/tests/test_operator.py
@@ -10,10 +10,10 @@
 import pytest
 from hypothesis import given, seed, settings
 from hypothesis import strategies as st
-from stonecove.operator.evaluate import Evaluator, plain
-from stonecove.operator.grammar import OperatorError, parse
-from stonecove.operator.reader import explain, read, read_text, show
-from stonecove.operator.values import Notes
+from stonecove.operator_config.evaluate import Evaluator, plain
+from stonecove.operator_config.grammar import OperatorError, parse
+from stonecove.operator_config.reader import explain, read, read_text, show
+from stonecove.operator_config.values import Notes
 
 ROOT = Path(__file__).parent.parent
 ZOOKEEPER = 'sources: zookeeper: {servers: ["10.0.0.1:2181"], path: "/b"}\n'
--- a/tests/test_other_settings.py
+++ b/tests/test_other_settings.py
@@ -15,11 +15,11 @@
 
 import pytest
 
-from stonecove.memory.budget import Budget
-from stonecove.memory.requests import OpenRequests
+from stonecove.state.budget import Budget
+from stonecove.state.requests import OpenRequests
 from stonecove.settings import settings_from
-from stonecove.stages.admit import Admit
-from stonecove.stages.intake import Intake
+from stonecove.pipeline.admit import Admit
+from stonecove.pipeline.intake import Intake
 
 from stand import PATIENCE, Cache, Client, Fetch, Stand
 
--- a/tests/test_router.py
+++ b/tests/test_router.py
@@ -16,10 +16,10 @@
 from typing import Any
 
 import pytest
-from stonecove.memory.budget import Budget
-from stonecove.memory.requests import OpenRequests
+from stonecove.state.budget import Budget
+from stonecove.state.requests import OpenRequests
 from stonecove.settings import settings_from
-from stonecove.stages.admit import Admit
+from stonecove.pipeline.admit import Admit
 
 from stand import (
     PATIENCE,
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -22,7 +22,7 @@
     Probed,
     Refuse,
 )
-from stonecove.stages.send import Link
+from stonecove.pipeline.send import Link
 
 READY = NodeState.READY
 
--- a/tests/test_settings_change.py
+++ b/tests/test_settings_change.py
@@ -26,20 +26,20 @@
 from stand import PATIENCE, SETTINGS, ChangeLog, Stand
 
 from stonecove.interface import Effect, Peers, Settings
-from stonecove.lifecycle.config import config_from
-from stonecove.lifecycle.leases import LeaseFile, Leases
-from stonecove.lifecycle.members import Members
-from stonecove.lifecycle.reconfigure import Reconfigure, SettingsRefused
-from stonecove.lifecycle.swarm import SwarmKeeper
-from stonecove.memory.budget import Budget
-from stonecove.operator.reader import read_text
-from stonecove.operator.records import ConfigurationRecord
+from stonecove.server.config import config_from
+from stonecove.server.leases import LeaseFile, Leases
+from stonecove.server.members import Members
+from stonecove.server.reconfigure import Reconfigure, SettingsRefused
+from stonecove.server.swarm import SwarmKeeper
+from stonecove.state.budget import Budget
+from stonecove.operator_config.reader import read_text
+from stonecove.operator_config.records import ConfigurationRecord
 from stonecove.runtime.clock import Clock
 from stonecove.runtime.timers import Timers
 from stonecove.runtime.unix import accept_all, bound
-from stonecove.stages.route import Route
-from stonecove.wire.changelog import Follower
-from stonecove.wire.follow import ChangeLog as ChangeLogFollower
+from stonecove.pipeline.route import Route
+from stonecove.protocols.change_log import Follower
+from stonecove.transport.change_log_follower import ChangeLog as ChangeLogFollower
 
 FOLLOWS = "configuration: settings: true\n"
 
@@ -114,7 +114,7 @@
 
 
 def test_nothing_of_it_is_imported_without_the_record() -> None:
-    code = "import sys, stonecove.lifecycle.serve; sys.exit('stonecove.lifecycle.reconfigure' in sys.modules)"
+    code = "import sys, stonecove.server.serve; sys.exit('stonecove.server.reconfigure' in sys.modules)"
     assert subprocess.run([sys.executable, "-c", code], check=False).returncode == 0
 
 
--- a/tests/test_sharing.py
+++ b/tests/test_sharing.py
@@ -18,10 +18,10 @@
 
 from stand import Stand
 from stonecove.interface import RETRIES, Listed, ListKind, Piece, Terms, Unspent, Want
-from stonecove.lifecycle.leases import LeaseFile, LeaseFileError
-from stonecove.sharing.lending import Lending, LendingError
-from stonecove.sharing.credit import LeasedCredit
-from stonecove.sharing.quota import Limit, Plan, PlanError, Quota
+from stonecove.server.leases import LeaseFile, LeaseFileError
+from stonecove.quotas.lending import Lending, LendingError
+from stonecove.quotas.credit import LeasedCredit
+from stonecove.quotas.quota import Limit, Plan, PlanError, Quota
 
 WINDOW = 3.0
 
--- a/tests/test_benchlink.py
+++ b/tests/test_simulator_adapter.py
@@ -10,9 +10,9 @@
 
 import pytest
 
-from stonecove import benchlink
+from stonecove import simulator_adapter
 from stonecove import interface as i
-from stonecove.benchlink import Link, WireError, serve
+from stonecove.simulator_adapter import Link, WireError, serve
 from stonecove.settings import read_settings
 
 SETTINGS = {
@@ -111,7 +111,7 @@
         (i.Log("hi"), (50, 3, 2, b"hi"), ">BIH2s"),
     ]
     for action, fields, form in expected:
-        assert struct.unpack(form, benchlink._WRITERS[type(action)](3, action)) == fields
+        assert struct.unpack(form, simulator_adapter._WRITERS[type(action)](3, action)) == fields
 
 
 def test_an_exception_becomes_a_bug_report(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -142,7 +142,9 @@
     ],
 )
 def test_malformed_frames_are_refused(data: bytes) -> None:
-    done = subprocess.run([sys.executable, "-m", "stonecove.benchlink"], input=data, capture_output=True)
+    done = subprocess.run(
+        [sys.executable, "-m", "stonecove.simulator_adapter"], input=data, capture_output=True
+    )
     if done.returncode == 0:
         pytest.fail("accepted")
     assert b"malformed input" in done.stderr and b"Traceback" not in done.stderr
--- a/tests/test_stop_crossings.py
+++ b/tests/test_stop_crossings.py
@@ -18,9 +18,9 @@
 import pytest
 import trio
 import trio.testing
-from stonecove.memory.budget import Budget
-from stonecove.wire.client import Connection
-from stonecove.wire.session import TAKE_IN, Session
+from stonecove.state.budget import Budget
+from stonecove.transport.client_connection import Connection
+from stonecove.protocols.fastcgi.session import TAKE_IN, Session
 
 from stand import PATIENCE, SETTINGS, ChangeLog, Client, Hanging, Stand, resp
 
@@ -203,7 +203,7 @@
     host, port = config["listen"].split(":")
     program = f"""if True:
         import os, select, signal, socket, sys
-        from stonecove.lifecycle import serve
+        from stonecove.server import serve
         look, late = select.select, []
         def last(*lists):
             if not (found := look(*lists)[0]):
--- a/tests/test_swarm.py
+++ b/tests/test_swarm.py
@@ -8,14 +8,14 @@
 import pytest
 from hypothesis import given, seed, settings
 from hypothesis import strategies as st
-from stonecove.swarm.figures import Figures
-from stonecove.swarm.rumours import Rumours
-from stonecove.swarm.shares import Shares
-from stonecove.swarm.table import Table
-from stonecove.swarm.view import Views
-from stonecove.swarm.words import Datagram, Kind, Standing, Word, ident_of, over
+from stonecove.gossip.figures import Figures
+from stonecove.gossip.rumours import Rumours
+from stonecove.gossip.shares import Shares
+from stonecove.gossip.table import Table
+from stonecove.gossip.view import Views
+from stonecove.gossip.words import Datagram, Kind, Standing, Word, ident_of, over
 from stonecove.trial.model import SwarmModel, NetworkConditions
-from stonecove.wire.gossip import MOST_BYTES, GossipError, decode, encode, number_of
+from stonecove.protocols.gossip import MOST_BYTES, GossipError, decode, encode, number_of
 
 WORD = Word(7, 1_700_000_000_000, 3, Standing.SUSPECT, 2)
 WHOLE = Datagram(Kind.ASK, 9, WORD, 4, 1 << 63, 1 << 47, 12, 5, 6, 1.5, True, (WORD,) * 6, tuple(range(16)))
--- a/tests/test_trial.py
+++ b/tests/test_trial.py
@@ -17,7 +17,7 @@
 from stonecove.explore.copying import run
 from stonecove.explore.trace import simulation_start
 from stonecove.explore.simulation import Simulation
-from stonecove.operator.grammar import OperatorError
+from stonecove.operator_config.grammar import OperatorError
 from stonecove.standins.depot import Fetched
 from stonecove.trial.testbed import Testbed, TrialRecord
 from stonecove.trial.judge import judge
--- a/tests/test_watch_crossings.py
+++ b/tests/test_watch_crossings.py
@@ -15,9 +15,10 @@
 import pytest
 
 from stand import PATIENCE, SETTINGS, ChangeLog, Hanging, Listener, Stand
-from stonecove.membership import PurgeUpdate, Told
-from stonecove.wire import changelog, follow
-from stonecove.wire.buffer import Buffer
+from stonecove.discovery import PurgeUpdate, Told
+from stonecove.protocols import change_log
+from stonecove.transport import change_log_follower
+from stonecove.protocols.buffer import Buffer
 
 PURGE = struct.pack(">HQ", 40, 1)
 UNREADABLE = b"12345"  # as a list: no whole number of records
@@ -165,10 +166,14 @@
     """All that is in the log counts as told 7 s later at the latest, 4 s after it stops or SIGHUP moves it,
     2 s after a break. Some is left for the connection that comes up and speaks.
     """
-    pause, fail, left = follow.BACK_OFF[1], follow.BACK_OFF[1] + follow.CONNECT_WAIT, 0.5
-    silent, mute = follow.QUIET + pause, follow.FIRST + pause
+    pause, fail, left = (
+        change_log_follower.BACK_OFF[1],
+        change_log_follower.BACK_OFF[1] + change_log_follower.CONNECT_WAIT,
+        0.5,
+    )
+    silent, mute = change_log_follower.QUIET + pause, change_log_follower.FIRST + pause
     assert silent + mute + 2 * fail <= 7.0 - left
-    assert silent + mute + follow.QUIET + pause <= 7.0  # two that are mute in a row
+    assert silent + mute + change_log_follower.QUIET + pause <= 7.0  # two that are mute in a row
     assert max(silent + fail, mute + 2 * fail) <= 4.0 - left / 2
     assert pause + fail <= 2.0 - left
     assert pause <= 0.2  # after a return, less than the usual grace of drains
@@ -321,12 +326,12 @@
     events: list[bytes], fails: dict[int, int], groups: list[int], rounds: int
 ) -> None:
     """`rounds` is how often the log is asked until all went through."""
-    follower, sink, needed = changelog.Follower(1), Sink(fails), 0
+    follower, sink, needed = change_log.Follower(1), Sink(fails), 0
     whole = False
     while not whole and needed < 5:
         needed += 1
         buffer = Buffer(4096)
         buffer.feed(b"".join(events))
-        with contextlib.suppress(RuntimeError, changelog.ChangeLogError):
-            whole = all(follower.take(one, sink) for one in changelog.frames(buffer))
+        with contextlib.suppress(RuntimeError, change_log.ChangeLogError):
+            whole = all(follower.take(one, sink) for one in change_log.frames(buffer))
     assert (sink.groups, needed) == (groups, rounds)
--- a/tests/test_zookeeper.py
+++ b/tests/test_zookeeper.py
@@ -12,11 +12,21 @@
 from kazoo.client import KazooClient
 from kazoo.exceptions import BadVersionError, NodeExistsError, NoNodeError, NotEmptyError, RolledBackError
 from stonecove.standins.zkdata import Leader, Wanted, ZkError
-from stonecove.wire import jute
-from stonecove.wire import zookeeper as zk
-from stonecove.wire.buffer import Buffer
-from stonecove.wire.zksession import Down, Expired, Figures, Reply, Session, SessionEvent, State, Up, Watched
-from stonecove.wire.zookeeper import Err, EventType, Op, ZooKeeperError
+from stonecove.protocols.zookeeper import jute
+from stonecove.protocols.zookeeper import messages as zk
+from stonecove.protocols.buffer import Buffer
+from stonecove.protocols.zookeeper.session import (
+    Down,
+    Expired,
+    Figures,
+    Reply,
+    Session,
+    SessionEvent,
+    State,
+    Up,
+    Watched,
+)
+from stonecove.protocols.zookeeper.messages import Err, EventType, Op, ZooKeeperError
 
 from keeper import Keeper
 from stand import PATIENCE, Stand
