--- a/benchmarks/capacity_cold.py
+++ b/benchmarks/capacity_cold.py
@@ -27,8 +27,8 @@
     parent_carries,
     sizes_kb,
 )
-from stonecove.choice import HEADROOM, ColdBudget, Director
-from stonecove.interface import Ended, Event, Get, Listed, ListKind, Node, Note, Outcome, Request, Settings
+from stonecove.routing.director import HEADROOM, ColdBudget, Director
+from stonecove.routing.events import Ended, Event, Get, Listed, ListKind, Node, Note, Outcome, Request, Settings
 
 START = 1e12  # ms
 COLD = 4242
--- a/benchmarks/capacity_popularity.py
+++ b/benchmarks/capacity_popularity.py
@@ -15,8 +15,8 @@
 import numpy
 
 from benchmarks.capacity_sizes import ROUTER_REQUESTS, zipf_keys, zipf_ranks
-from stonecove import choice
-from stonecove.choice import HALF_LIFE, TOP_SHARE, Popularity, mix
+from stonecove.routing import director as choice
+from stonecove.routing.director import HALF_LIFE, TOP_SHARE, Popularity, mix
 
 WARM_UP = 16_000.0  # ms, of a cache in the made-up settings
 COUNTS_HALVE = HALF_LIFE * WARM_UP
--- a/benchmarks/capacity_router.py
+++ b/benchmarks/capacity_router.py
@@ -33,8 +33,8 @@
     node,
     zipf_keys,
 )
-from stonecove.choice import PURGE_MARGIN, TABLE_MOST, Purges, Rendezvous
-from stonecove.interface import NodeState, Purged
+from stonecove.routing.director import PURGE_MARGIN, TABLE_MOST, Purges, Rendezvous
+from stonecove.routing.events import NodeState, Purged
 from stonecove.discovery import Member, MembersUpdate, PurgeUpdate
 from stonecove.state.budget import Budget
 from stonecove.runtime.clock import Clock
--- a/benchmarks/capacity_sizes.py
+++ b/benchmarks/capacity_sizes.py
@@ -12,7 +12,7 @@
 
 import numpy
 
-from stonecove.interface import Node, NodeState, Settings
+from stonecove.routing.events import Node, NodeState, Settings
 from stonecove.settings import settings_from
 from stonecove.standins.webserver import settings as small_settings
 
--- a/benchmarks/membership.py
+++ b/benchmarks/membership.py
@@ -27,7 +27,7 @@
 
 from stonecove.commands.demo import free_port, wait_ready
 from stonecove.runtime.log import divert
-from stonecove.interface import NodeState
+from stonecove.routing.events import NodeState
 from stonecove.discovery import Member
 from stonecove.discovery.merge import Merge, Source, Told, merged
 from stonecove.discovery.records import Names, member_of
--- a/stonecove/discovery/merge.py
+++ b/stonecove/discovery/merge.py
@@ -23,7 +23,7 @@
 from collections.abc import Iterable, Mapping
 from typing import NamedTuple
 
-from stonecove.interface import NodeId, NodeState
+from stonecove.routing.events import NodeId, NodeState
 from stonecove.discovery import Member
 from stonecove.discovery.roster import Claim
 
--- a/stonecove/discovery/records.py
+++ b/stonecove/discovery/records.py
@@ -16,7 +16,7 @@
 
 import ujson
 
-from stonecove.interface import Node, NodeId, NodeState
+from stonecove.routing.events import Node, NodeId, NodeState
 from stonecove.discovery import Member
 
 MOST_BYTES = 4096
--- a/stonecove/discovery/roster.py
+++ b/stonecove/discovery/roster.py
@@ -22,7 +22,7 @@
 from collections.abc import Callable, Iterable
 from typing import NamedTuple
 
-from stonecove.interface import NodeId, NodeState
+from stonecove.routing.events import NodeId, NodeState
 from stonecove.discovery import Member
 from stonecove.discovery.records import Names, RecordError, member_of
 
--- a/stonecove/discovery/trace.py
+++ b/stonecove/discovery/trace.py
@@ -7,7 +7,7 @@
 from collections import deque
 from typing import Any
 
-from stonecove.interface import NodeId, NodeState
+from stonecove.routing.events import NodeId, NodeState
 from stonecove.discovery.merge import Explanation
 
 
--- a/stonecove/explore/coordination.py
+++ b/stonecove/explore/coordination.py
@@ -17,7 +17,7 @@
 import ujson
 
 from stonecove.explore.machine import Violation
-from stonecove.interface import NodeId, NodeState
+from stonecove.routing.events import NodeId, NodeState
 from stonecove.discovery.merge import Merge, Source, Told, merged
 from stonecove.discovery.records import Names, member_of
 from stonecove.discovery.roster import Claim, Roster, Rules
--- a/stonecove/explore/fingerprint.py
+++ b/stonecove/explore/fingerprint.py
@@ -15,12 +15,12 @@
 
 import xxhash
 
-from stonecove import choice
+from stonecove.routing import director as choice
 from stonecove.explore import peers
 from stonecove.explore.properties import PropertyMonitor
 from stonecove.explore.scope import Scope
 from stonecove.runtime.timers import Timers
-from stonecove.interface import Get, Node, NodeState
+from stonecove.routing.events import Get, Node, NodeState
 from stonecove.state import budget, nodes, requests
 from stonecove.pipeline import admit, relay, route, send
 from stonecove.pipeline.book import Book
--- a/stonecove/explore/fleet.py
+++ b/stonecove/explore/fleet.py
@@ -14,10 +14,10 @@
 from stonecove.explore.coordination import _canon as canon
 from stonecove.explore.machine import Violation
 from stonecove.quotas.leases import Grant, Holder, Lessor
-from stonecove.quotas.credit import LeasedCredit
+from stonecove.routing.leased_budget import LeasedCredit
 from stonecove.fleet.restart import Do, Instance, Phase, Policy
 from stonecove.fleet.rolling import Roll, RollState
-from stonecove.interface import Piece
+from stonecove.routing.events import Piece
 
 NODE, WINDOW, RULE, OWN, PIECE, LIFE = 7, 4.0, 10.0, 0.3, 0.5, 0.25
 TICK, JUMP = 0.5, 1.5  # half the life of a piece, and one and a half
--- a/stonecove/explore/properties.py
+++ b/stonecove/explore/properties.py
@@ -10,7 +10,7 @@
 from typing import NamedTuple
 
 from stonecove.explore.machine import Violation
-from stonecove.interface import ClassSettings, Effect, KeyGroup, Node, NodeState, Outcome
+from stonecove.routing.events import ClassSettings, Effect, KeyGroup, Node, NodeState, Outcome
 from stonecove.pipeline.relay import SLACK
 
 
--- a/stonecove/explore/reach.py
+++ b/stonecove/explore/reach.py
@@ -21,7 +21,7 @@
 
 ROOT = Path(stonecove.__file__).parent
 CORE = (
-    "choice.py",
+    "routing/director.py",
     "exchange.py",
     "runtime/timers.py",
     "state/budget.py",
@@ -45,28 +45,28 @@
 # Why a line may be left out, by what its function is for; the first that fits holds.
 REASONS: tuple[tuple[str, str, str], ...] = (
     (
-        "choice.py",
+        "routing/director.py",
         "note|_evict|_rescale|_rebuild|rank|admitted|byte_share|_spread|_cache_choices",
         "popularity of thousands of requests; a scope has two, a walk hundreds",
     ),
     (
-        "choice.py",
+        "routing/director.py",
         "_has_copy|_copied|_crowded|_link_crowded|learn|pace",
         "load of a crowded link; the bench's days play it",
     ),
-    ("choice.py", "present|fits", "a cold budget that is used up takes more requests than a scope has"),
+    ("routing/director.py", "present|fits", "a cold budget that is used up takes more requests than a scope has"),
     (
-        "choice.py",
+        "routing/director.py",
         "_on_list|_on_request|Director.__init__|handle",
         "lists by asking and unknown classes, which the simulator alone has",
     ),
     (
-        "choice.py",
+        "routing/director.py",
         "change|_take_over|_on_settings",
         "settings that change, and numbers of directors: tests/test_reconfigured.py",
     ),
-    ("choice.py", "_leave|_may_repeat|_copy_wanted", "cold budgets, no second copies, stale times"),
-    ("choice.py", "_on_end", "guards against late events, which the stages never send"),
+    ("routing/director.py", "_leave|_may_repeat|_copy_wanted", "cold budgets, no second copies, stale times"),
+    ("routing/director.py", "_on_end", "guards against late events, which the stages never send"),
     ("exchange.py", "__init__", "bad requests: tests/test_router.py"),
     ("runtime/timers.py", "next_due|_make", "an alarm that raises; the seeded faults and tests play it"),
     ("pipeline/book.py", "ended", "the second line against a second end: every caller looks first"),
--- a/stonecove/explore/scope.py
+++ b/stonecove/explore/scope.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass, field, replace
 from typing import Any
 
-from stonecove.interface import ClassSettings, Effect, KeyGroup, Settings
+from stonecove.routing.events import ClassSettings, Effect, KeyGroup, Settings
 
 # Spans are short, so that few alarms lie between a request and its end: it is their order that matters.
 DEADLINE = 400.0
--- a/stonecove/explore/seeds.py
+++ b/stonecove/explore/seeds.py
@@ -12,7 +12,7 @@
 import textwrap
 from typing import Any, NamedTuple
 
-from stonecove import choice
+from stonecove.routing import director as choice
 from stonecove.explore import seeds_coordination, seeds_fleet, seeds_swarm
 from stonecove.state import nodes, requests
 from stonecove.pipeline import admit, book, relay, route, send
--- a/stonecove/explore/seeds_fleet.py
+++ b/stonecove/explore/seeds_fleet.py
@@ -4,7 +4,8 @@
 
 from stonecove.explore.seeds_coordination import Fault
 from stonecove.fleet import restart, rolling
-from stonecove.quotas import leases, credit
+from stonecove.quotas import leases
+from stonecove.routing import leased_budget
 
 FAULTS: tuple[Fault, ...] = (
     Fault(
@@ -63,7 +64,7 @@
     ),
     Fault(
         "credit-spends-twice",
-        credit.LeasedCredit,
+        leased_budget.LeasedCredit,
         "spend",
         "piece[1] -= part",
         "pass",
@@ -72,7 +73,7 @@
     ),
     Fault(
         "credit-passes-over-the-end",
-        credit.LeasedCredit,
+        leased_budget.LeasedCredit,
         "add",
         "if piece.work <= 0:",
         "if False:",
@@ -81,7 +82,7 @@
     ),
     Fault(
         "credit-keeps-what-is-over",
-        credit.LeasedCredit,
+        leased_budget.LeasedCredit,
         "left",
         "held.pop(number)[1]",
         "held[number][1]",
--- a/stonecove/explore/simulation.py
+++ b/stonecove/explore/simulation.py
@@ -10,7 +10,7 @@
 import struct
 from typing import Any
 
-from stonecove.choice import Rendezvous, part_key
+from stonecove.routing.director import Rendezvous, part_key
 from stonecove.explore import scope as bounds
 from stonecove.explore.fingerprint import encode_state
 from stonecove.explore.machine import Violation
@@ -20,7 +20,7 @@
 from stonecove.runtime import log as runtime_log
 from stonecove.runtime.clock import Clock, CpuCredit
 from stonecove.runtime.timers import Timers
-from stonecove.interface import Ended, Event, Get, Node, NodeState, Request
+from stonecove.routing.events import Ended, Event, Get, Node, NodeState, Request
 from stonecove.discovery import MembersUpdate, PurgeUpdate, Told
 from stonecove.state.budget import Budget
 from stonecove.pipeline.admit import MARGIN
--- a/stonecove/frontends/http.py
+++ b/stonecove/frontends/http.py
@@ -17,7 +17,7 @@
 from stonecove.exchange import Answer, ClientRequest, BadRequestError, Verdict
 from stonecove.runtime.clock import Clock
 from stonecove.runtime.log import log_some
-from stonecove.interface import ClassSettings, Settings
+from stonecove.routing.events import ClassSettings, Settings
 from stonecove.state.requests import OpenRequest
 from stonecove.pipeline.intake import Intake
 from stonecove.pipeline.route import Route
--- a/stonecove/pipeline/admit.py
+++ b/stonecove/pipeline/admit.py
@@ -4,7 +4,7 @@
 
 import random
 
-from stonecove.interface import Settings
+from stonecove.routing.events import Settings
 from stonecove.runtime.clock import CpuCredit
 from stonecove.state.budget import Budget
 from stonecove.state.requests import OpenRequest, OpenRequests
--- a/stonecove/pipeline/book.py
+++ b/stonecove/pipeline/book.py
@@ -5,7 +5,7 @@
 from collections import Counter
 from collections.abc import Callable
 
-from stonecove.interface import NOT_RUN, Ended, Event, Outcome
+from stonecove.routing.events import NOT_RUN, Ended, Event, Outcome
 from stonecove.runtime.clock import Clock
 from stonecove.runtime.log import log
 from stonecove.state.requests import Attempt, OpenRequest
--- a/stonecove/pipeline/intake.py
+++ b/stonecove/pipeline/intake.py
@@ -5,7 +5,7 @@
 import re
 from collections.abc import Callable, Mapping
 
-from stonecove.interface import Effect, Settings
+from stonecove.routing.events import Effect, Settings
 from stonecove.exchange import Answer, ClientRequest, BadRequestError
 
 PATH = "/svc/"
--- a/stonecove/pipeline/relay.py
+++ b/stonecove/pipeline/relay.py
@@ -5,7 +5,7 @@
 import re
 from typing import NamedTuple
 
-from stonecove.interface import ClassSettings, Note, Outcome, Settings
+from stonecove.routing.events import ClassSettings, Note, Outcome, Settings
 from stonecove.runtime.log import log_some
 from stonecove.state.requests import Attempt, OpenRequest
 from stonecove.pipeline.book import Book
--- a/stonecove/pipeline/route.py
+++ b/stonecove/pipeline/route.py
@@ -8,8 +8,8 @@
 from functools import partial
 from typing import Any
 
-from stonecove.choice import Director
-from stonecove.interface import (
+from stonecove.routing.director import Director
+from stonecove.routing.events import (
     Cancel,
     Due,
     Event,
--- a/stonecove/pipeline/send.py
+++ b/stonecove/pipeline/send.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable
 from functools import partial
 
-from stonecove.interface import Effect, Get, How, NodeId, Outcome, Settings
+from stonecove.routing.events import Effect, Get, How, NodeId, Outcome, Settings
 from stonecove.runtime.clock import Clock
 from stonecove.runtime.timers import Timers
 from stonecove.runtime.log import log_some
--- a/stonecove/protocols/change_log.py
+++ b/stonecove/protocols/change_log.py
@@ -6,7 +6,7 @@
 from collections.abc import Iterator
 from typing import Any, NamedTuple
 
-from stonecove.interface import Node, NodeState, Settings
+from stonecove.routing.events import Node, NodeState, Settings
 from stonecove.runtime.log import log_some
 from stonecove.discovery import Member, MembershipSink, MembersUpdate, PurgeUpdate, Told
 from stonecove.protocols.buffer import Buffer
--- a/stonecove/quotas/lending.py
+++ b/stonecove/quotas/lending.py
@@ -24,7 +24,7 @@
 from dataclasses import dataclass, field
 from typing import NamedTuple
 
-from stonecove.interface import RETRIES, NodeId
+from stonecove.routing.events import RETRIES, NodeId
 from stonecove.quotas.buckets import Hierarchy
 from stonecove.quotas.leases import Grant, Lessor, own_part
 from stonecove.quotas.quota import MOST_TOKENS, Path, Plan
--- a/stonecove/choice.py
+++ b/stonecove/routing/director.py
@@ -15,13 +15,13 @@
 from functools import lru_cache
 from typing import TYPE_CHECKING, Any
 
-from stonecove.interface import (NOT_RUN, RETRIES, Action, Cancel, ClassSettings, Due, Effect, Ended, Event,
+from stonecove.routing.events import (NOT_RUN, RETRIES, Action, Cancel, ClassSettings, Due, Effect, Ended, Event,
                                  Fail, Get, How, KeyGroup, Left, Listed, ListKind, Log, Node, NodeId,
                                  NodeState, Note, Outcome, Peers, Piece, Purged, Reconfigured, Refuse,
                                  Request, Settings, Terms, Timer, Want, Watch)
 
 if TYPE_CHECKING:
-    from stonecove.quotas.credit import LeasedCredit
+    from stonecove.routing.leased_budget import LeasedCredit
 
 # The design's open values.
 TOP_SHARE = 0.9  # P_th: the top set is the most popular objects whose summed share first reaches it
@@ -468,7 +468,7 @@
 
     def _on_terms(self, now: float, event: Terms) -> None:
         """A part of what cold nodes bear, and of retries, is ours; the rest comes in pieces."""
-        from stonecove.quotas.credit import LeasedCredit  # only where directors share
+        from stonecove.routing.leased_budget import LeasedCredit  # only where directors share
 
         self._credit = self._cold_caches.credit = self._cold_parents.credit = self._credit or LeasedCredit()
         self._cold_caches.own = self._cold_parents.own = event.own
--- a/stonecove/quotas/credit.py
+++ b/stonecove/routing/leased_budget.py
@@ -4,7 +4,7 @@
 
 import math
 
-from stonecove.interface import NodeId, Piece, Unspent
+from stonecove.routing.events import NodeId, Piece, Unspent
 
 
 class LeasedCredit:
--- a/stonecove/server/coordination.py
+++ b/stonecove/server/coordination.py
@@ -10,7 +10,7 @@
 
 from stonecove.runtime.clock import Clock
 from stonecove.runtime.log import log, log_some
-from stonecove.interface import NodeId
+from stonecove.routing.events import NodeId
 from stonecove.server.config import Config
 from stonecove.discovery import presence
 from stonecove.discovery.records import Names, RecordError
--- a/stonecove/server/leases.py
+++ b/stonecove/server/leases.py
@@ -20,7 +20,7 @@
 from stonecove.exchange import ClientRequest
 from stonecove.runtime.clock import Clock
 from stonecove.runtime.log import log, log_some
-from stonecove.interface import Piece, Settings, Terms, Unspent, Want
+from stonecove.routing.events import Piece, Settings, Terms, Unspent, Want
 from stonecove.quotas.leases import LIFE_PART, Grant, Holder
 from stonecove.quotas.quota import Plan, PlanError, Quota
 from stonecove.pipeline.route import Route
--- a/stonecove/server/members.py
+++ b/stonecove/server/members.py
@@ -22,7 +22,7 @@
 from stonecove.runtime.clock import Clock
 from stonecove.runtime.log import log
 from stonecove.runtime.unix import accept_all, bound
-from stonecove.interface import NodeId, NodeState, Peers, Settings
+from stonecove.routing.events import NodeId, NodeState, Peers, Settings
 from stonecove.server.config import Config
 from stonecove.server.coordination import Coordination, Spawn, connection_of, rules_of
 from stonecove.discovery import Member, MembersUpdate, PurgeUpdate, Told, presence
--- a/stonecove/server/reconfigure.py
+++ b/stonecove/server/reconfigure.py
@@ -10,8 +10,8 @@
 from dataclasses import fields, replace
 from typing import Any, Protocol
 
-from stonecove.choice import Director
-from stonecove.interface import ClassSettings, Peers, Settings
+from stonecove.routing.director import Director
+from stonecove.routing.events import ClassSettings, Peers, Settings
 from stonecove.pipeline.route import Route
 
 # Fields that hold until the process ends, with the reason that is told.
--- a/stonecove/server/serve.py
+++ b/stonecove/server/serve.py
@@ -17,7 +17,7 @@
 
 import trio
 
-from stonecove.interface import Peers, Settings
+from stonecove.routing.events import Peers, Settings
 from stonecove.runtime.clock import Clock
 from stonecove.runtime.timers import Timers
 from stonecove.server.config import Config, ConfigError, read_config
--- a/stonecove/server/swarm.py
+++ b/stonecove/server/swarm.py
@@ -18,7 +18,7 @@
 
 from stonecove.runtime.clock import Clock
 from stonecove.runtime.log import log, log_some
-from stonecove.interface import Peers, Settings, Terms
+from stonecove.routing.events import Peers, Settings, Terms
 from stonecove.server.config import Config, ConfigError, address_of
 from stonecove.server.leases import Leases
 from stonecove.state.requests import Attempt
--- a/stonecove/server/tracing.py
+++ b/stonecove/server/tracing.py
@@ -24,9 +24,9 @@
 from opentelemetry.sdk.trace.sampling import TraceIdRatioBased
 from opentelemetry.trace import Span, set_span_in_context
 
-from stonecove.choice import mix
+from stonecove.routing.director import mix
 from stonecove.exchange import Answer, ClientRequest
-from stonecove.interface import Outcome
+from stonecove.routing.events import Outcome
 from stonecove.server.config import Config
 from stonecove.state.requests import Attempt, OpenRequest
 from stonecove.pipeline.route import Route
--- a/stonecove/settings.py
+++ b/stonecove/settings.py
@@ -7,7 +7,7 @@
 
 import ujson
 
-from stonecove import interface as i
+from stonecove.routing import events as i
 
 _EFFECTS = {"pure": i.Effect.SAFE, "token": i.Effect.KEYED, "side_effect": i.Effect.UNSAFE}
 CONNECT_TIMEOUT = 1000.0  # ms, where the settings name none: at 0 no connection would ever come up
--- a/stonecove/simulator_adapter.py
+++ b/stonecove/simulator_adapter.py
@@ -11,8 +11,8 @@
 from collections.abc import Callable
 from typing import Any, BinaryIO
 
-from stonecove import interface as i
-from stonecove.choice import Director
+from stonecove.routing import events as i
+from stonecove.routing.director import Director
 from stonecove.settings import read_settings
 
 _HEAD = struct.Struct(">dII")
--- a/stonecove/state/nodes.py
+++ b/stonecove/state/nodes.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from stonecove.interface import NodeId, NodeState
+from stonecove.routing.events import NodeId, NodeState
 from stonecove.discovery import Member, MembersUpdate
 
 
--- a/stonecove/state/requests.py
+++ b/stonecove/state/requests.py
@@ -5,7 +5,7 @@
 from collections.abc import Iterator
 from dataclasses import dataclass, field
 
-from stonecove.interface import ClassSettings, Get
+from stonecove.routing.events import ClassSettings, Get
 from stonecove.runtime.timers import Alarm
 from stonecove.exchange import ClientRequest
 
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -7,8 +7,8 @@
 
 import pytest
 
-from stonecove.choice import Director
-from stonecove.interface import (
+from stonecove.routing.director import Director
+from stonecove.routing.events import (
     Action,
     ClassSettings,
     Effect,
--- a/tests/test_attempt_crossings.py
+++ b/tests/test_attempt_crossings.py
@@ -11,7 +11,7 @@
 from stonecove.exchange import Answer, ClientRequest, Verdict
 from stonecove.runtime.clock import Clock
 from stonecove.runtime.timers import Timers
-from stonecove.interface import ClassSettings, Effect, KeyGroup
+from stonecove.routing.events import ClassSettings, Effect, KeyGroup
 from stonecove.discovery import Member, MembersUpdate
 from stonecove.state.budget import Budget
 from stonecove.pipeline.route import Route
--- a/tests/test_capacity_router.py
+++ b/tests/test_capacity_router.py
@@ -11,7 +11,7 @@
 from benchmarks.capacity_cold import Scenario
 from benchmarks.capacity_data import Load, Spent
 from benchmarks.capacity_popularity import COUNTS_HALVE, SketchPopularity
-from stonecove.choice import HEADROOM, ColdBudget, Popularity
+from stonecove.routing.director import HEADROOM, ColdBudget, Popularity
 from stonecove.discovery import MembersUpdate, PurgeUpdate
 from stonecove.protocols.buffer import Buffer
 from stonecove.protocols.change_log import frames
--- a/tests/test_choice.py
+++ b/tests/test_choice.py
@@ -12,8 +12,8 @@
 import pytest
 from conftest import CACHES, ORIGIN, PARENTS, World, gets, make_class, make_nodes, make_settings
 
-from stonecove.choice import FRESH_FOR, HALF_LIFE, TABLE_MOST, Director, Load, Popularity, Rendezvous
-from stonecove.interface import (
+from stonecove.routing.director import FRESH_FOR, HALF_LIFE, TABLE_MOST, Director, Load, Popularity, Rendezvous
+from stonecove.routing.events import (
     Due,
     Effect,
     Ended,
@@ -500,7 +500,7 @@
 import sys
 sys.path.insert(0, "tests")
 from conftest import World, gets, make_settings
-from stonecove.interface import Due, Outcome, Purged
+from stonecove.routing.events import Due, Outcome, Purged
 def play(worlds):
     lines = [[] for _ in worlds]
     for n in range(500):
--- a/tests/test_cold_fleet.py
+++ b/tests/test_cold_fleet.py
@@ -12,8 +12,8 @@
 
 import pytest
 from conftest import make_settings
-from stonecove.choice import Director
-from stonecove.interface import (
+from stonecove.routing.director import Director
+from stonecove.routing.events import (
     Action,
     Ended,
     Event,
--- a/tests/test_configuration_processes.py
+++ b/tests/test_configuration_processes.py
@@ -17,7 +17,7 @@
 from keeper import Keeper
 from stand import PATIENCE, Stand
 from stonecove.fleet.rollout_controller import Controller, service_session
-from stonecove.interface import Settings
+from stonecove.routing.events import Settings
 from stonecove.server.config import config_from
 from stonecove.server.configuration import ConfigurationKeeper
 from stonecove.server.reconfigure import SettingsRefused
--- a/tests/test_explore.py
+++ b/tests/test_explore.py
@@ -27,11 +27,10 @@
 TRACES = sorted((Path(__file__).parent / "traces").glob("*.json"))
 FLOORS = {
     "": 0,
-    "interface": 0,
     "runtime": 0,
     "exchange": 1,
     "settings": 1,
-    "choice": 1,
+    "routing": 1,
     "discovery": 1,
     "quotas": 1,
     "gossip": 1,
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -7,8 +7,8 @@
 from typing import Any
 
 import pytest
-from stonecove.choice import Director
-from stonecove.interface import Get, Listed, ListKind, NodeId, NodeState, Peers, Request
+from stonecove.routing.director import Director
+from stonecove.routing.events import Get, Listed, ListKind, NodeId, NodeState, Peers, Request
 from stonecove.discovery import Member, presence
 from stonecove.discovery.merge import Merge, Source, Told, merged
 from stonecove.discovery.pace import MOST_WAIT, Pace
--- a/tests/test_reconfigured.py
+++ b/tests/test_reconfigured.py
@@ -9,8 +9,8 @@
 import pytest
 from conftest import CACHES, PARENTS, World, gets, make_class, make_nodes, make_settings
 
-from stonecove.choice import FRESH_FOR, PURGE_MARGIN, Popularity, Purges, Rendezvous
-from stonecove.interface import (
+from stonecove.routing.director import FRESH_FOR, PURGE_MARGIN, Popularity, Purges, Rendezvous
+from stonecove.routing.events import (
     Action,
     Due,
     Effect,
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -5,7 +5,7 @@
 import pytest
 from conftest import CACHES, ORIGIN, PARENTS, World, gets, make_class, make_nodes, make_settings
 
-from stonecove.interface import (
+from stonecove.routing.events import (
     Due,
     Effect,
     Fail,
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -9,7 +9,7 @@
 import pytest
 from conftest import CACHES, ORIGIN, World, gets, make_nodes, make_settings
 
-from stonecove.interface import (
+from stonecove.routing.events import (
     Ended,
     Fail,
     Get,
--- a/tests/test_settings_change.py
+++ b/tests/test_settings_change.py
@@ -25,7 +25,7 @@
 from conftest import make_class, make_settings
 from stand import PATIENCE, SETTINGS, ChangeLog, Stand
 
-from stonecove.interface import Effect, Peers, Settings
+from stonecove.routing.events import Effect, Peers, Settings
 from stonecove.server.config import config_from
 from stonecove.server.leases import LeaseFile, Leases
 from stonecove.server.members import Members
--- a/tests/test_sharing.py
+++ b/tests/test_sharing.py
@@ -17,10 +17,10 @@
 from test_fleet_daemon import Daemon
 
 from stand import Stand
-from stonecove.interface import RETRIES, Listed, ListKind, Piece, Terms, Unspent, Want
+from stonecove.routing.events import RETRIES, Listed, ListKind, Piece, Terms, Unspent, Want
 from stonecove.server.leases import LeaseFile, LeaseFileError
 from stonecove.quotas.lending import Lending, LendingError
-from stonecove.quotas.credit import LeasedCredit
+from stonecove.routing.leased_budget import LeasedCredit
 from stonecove.quotas.quota import Limit, Plan, PlanError, Quota
 
 WINDOW = 3.0
--- a/tests/test_simulator_adapter.py
+++ b/tests/test_simulator_adapter.py
@@ -11,7 +11,7 @@
 import pytest
 
 from stonecove import simulator_adapter
-from stonecove import interface as i
+from stonecove.routing import events as i
 from stonecove.simulator_adapter import Link, WireError, serve
 from stonecove.settings import read_settings
 
