--- a/benchmarks/capacity_cold.py
+++ b/benchmarks/capacity_cold.py
@@ -27,8 +27,19 @@
     parent_carries,
     sizes_kb,
 )
-from stonecove.routing.director import HEADROOM, ColdBudget, Director
-from stonecove.routing.events import Ended, Event, Get, Listed, ListKind, Node, Note, Outcome, Request, Settings
+from stonecove.routing.director import Director
+from stonecove.routing.slow_start import BUDGET_UTILIZATION, SlowStartBudget
+from stonecove.routing.actions import SendAttempt
+from stonecove.routing.endpoints import EndpointListKind, Node
+from stonecove.routing.events import (
+    AttemptEnded,
+    CacheStatus,
+    EndpointListUpdate,
+    Event,
+    Outcome,
+    RequestReceived,
+)
+from stonecove.routing.settings import Settings
 
 START = 1e12  # ms
 COLD = 4242
@@ -42,14 +53,17 @@
 
     window: float
     carries: float
-    budget: ColdBudget
+    budget: SlowStartBudget
     sent: list[tuple[float, float]] = field(default_factory=list)
     offered: list[tuple[float, float]] = field(default_factory=list)
     requests: int = 0
 
     def rule(self, now: float) -> float:
         """The work that it bears within the window that ends now."""
-        return self.budget.rule(now, node(COLD)._replace(started=START), self.carries) / HEADROOM
+        return (
+            self.budget.fleet_limit_ms(now, node(COLD)._replace(started_ms=START), self.carries)
+            / BUDGET_UTILIZATION
+        )
 
     def allowed(self, until: float) -> float:
         """The work that it bears up to then."""
@@ -87,14 +101,14 @@
 def cache_list() -> tuple[Node, ...]:
     """A zone in which the cold cache alone is left: nothing else can take its work."""
     others = (node(5000, PARENT_KIND, 0, 1e6), node(9000, ORIGIN_KIND, 0, 1e6))
-    return (node(COLD)._replace(started=START), *others)
+    return (node(COLD)._replace(started_ms=START), *others)
 
 
 def parent_list(parents: int) -> tuple[Node, ...]:
     """Warm caches of a zone, the origin, and of the parents the cold one: only its objects are asked for."""
     carries = parent_carries(parents)
     caches = [node(1000 + place) for place in range(ZONE_CACHES)]
-    cold = node(COLD, PARENT_KIND, 0, carries)._replace(started=START)
+    cold = node(COLD, PARENT_KIND, 0, carries)._replace(started_ms=START)
     return (*caches, cold, node(9000, ORIGIN_KIND, 0, 1e6))
 
 
@@ -104,7 +118,7 @@
     def __init__(self, settings: Settings, count: int, nodes: tuple[Node, ...]) -> None:
         self.directors = [Director(settings, seed) for seed in range(count)]
         for director in self.directors:
-            director.handle(START, Listed(ListKind.FULL, nodes))
+            director.handle(START, EndpointListUpdate(EndpointListKind.SNAPSHOT, nodes))
         self._ends: list[tuple[float, int, int, Event]] = []
         self._order = itertools.count()
 
@@ -121,14 +135,14 @@
     count: int, nodes: tuple[Node, ...], carries: float, press: float, lasts: float, parent: bool
 ) -> Play:
     """`press`: work asked of the cold node, as a multiple of what it carries when warm; `lasts`: ms."""
-    settings = edge_settings(**({"fleet": count} if parent else {"zone_directors": (0, count)}))
-    budget = ColdBudget(settings.fall_window)
-    budget.change(
-        settings.parent_cold_from if parent else settings.cold_from,
-        settings.parent_warm_up if parent else settings.warm_up,
-        settings.parent_fall_multiple if parent else settings.fall_multiple,
+    settings = edge_settings(**({"fleet_size": count} if parent else {"routers_by_zone": (0, count)}))
+    budget = SlowStartBudget(settings.overload_window_ms)
+    budget.configure(
+        settings.parent_slow_start_initial_fraction if parent else settings.slow_start_initial_fraction,
+        settings.parent_slow_start_ms if parent else settings.slow_start_ms,
+        settings.parent_overload_multiple if parent else settings.overload_multiple,
     )
-    result = Play(settings.fall_window, carries, budget)
+    result = Play(settings.overload_window_ms, carries, budget)
     clock, chooser, sizes = _Clock(settings, count, nodes), random.Random(11), sizes_kb(13)
     fills = MISSES if parent else 1.0
     gap = MEAN_WORK * fills / (press * carries)  # ms between two requests
@@ -147,23 +161,29 @@
     filled = chooser.random() < MISSES
     if filled or not parent:
         result.offered.append((now, work))
-    request = Request(result.requests, 0, chooser.getrandbits(60) | 1, GRACE, size, 3, 0)
+    request = RequestReceived(result.requests, 0, chooser.getrandbits(60) | 1, GRACE, size, 3, 0)
     for action in clock.directors[place].handle(now, request):
-        if isinstance(action, Get):
-            if (action.source if parent else action.node) == COLD and (filled or not parent):
+        if isinstance(action, SendAttempt):
+            if (action.source_id if parent else action.node_id) == COLD and (filled or not parent):
                 result.sent.append((now, work))
             took = work + (FILL_TAKES if filled else 1.0)
-            note = Note.FILLED if filled else Note.HIT
-            end = Ended(request.req, 0, action.node, Outcome.OK, took, True, note, FILL_TAKES * filled, ())
+            note = CacheStatus.FILLED if filled else CacheStatus.HIT
+            end = AttemptEnded(
+                request.request_id, 0, action.node_id, Outcome.OK, took, True, note, FILL_TAKES * filled, ()
+            )
             clock.later(now + took, place, end)
 
 
 def own_requests(count: int, carries: float, parent: bool) -> float:
     """Mean transfers that a router's share of a window holds in the moment of the start, at its emptiest."""
     settings = edge_settings()
-    cold_from = settings.parent_cold_from if parent else settings.cold_from
-    multiple = settings.parent_fall_multiple if parent else settings.fall_multiple
-    return multiple * cold_from * settings.fall_window * carries * HEADROOM / count / MEAN_WORK
+    cold_from = (
+        settings.parent_slow_start_initial_fraction if parent else settings.slow_start_initial_fraction
+    )
+    multiple = settings.parent_overload_multiple if parent else settings.overload_multiple
+    return (
+        multiple * cold_from * settings.overload_window_ms * carries * BUDGET_UTILIZATION / count / MEAN_WORK
+    )
 
 
 @dataclass(frozen=True)
@@ -201,7 +221,7 @@
 
 def measure(scenarios: tuple[Scenario, ...]) -> dict[str, float]:
     """Used part of the rule, worst window, and how many requests a router's share holds at the start."""
-    figures = {"cold_headroom": HEADROOM}
+    figures = {"cold_headroom": BUDGET_UTILIZATION}
     for one in scenarios:
         played, end = one.play(), START + one.lasts
         found = {
--- a/benchmarks/capacity_popularity.py
+++ b/benchmarks/capacity_popularity.py
@@ -15,11 +15,13 @@
 import numpy
 
 from benchmarks.capacity_sizes import ROUTER_REQUESTS, zipf_keys, zipf_ranks
-from stonecove.routing import director as choice
-from stonecove.routing.director import HALF_LIFE, TOP_SHARE, Popularity, mix
+from stonecove.routing.popularity import MAX_TRACKED_OBJECTS
+from stonecove.routing.popularity import ADMITTED_REQUEST_SHARE, Popularity
+from stonecove.routing.rendezvous import mix64
+from stonecove.routing.state import POPULARITY_HALF_LIFE_IN_SLOW_STARTS
 
 WARM_UP = 16_000.0  # ms, of a cache in the made-up settings
-COUNTS_HALVE = HALF_LIFE * WARM_UP
+COUNTS_HALVE = POPULARITY_HALF_LIFE_IN_SLOW_STARTS * WARM_UP
 SIZE_KB = 100.0
 ROWS = 4  # of the sketch
 HEAVY = 4.0  # requests of late from which an object's size is kept
@@ -30,10 +32,10 @@
 class Counts(Protocol):
     """What both ways of counting can do."""
 
-    def note(self, now: float, key: int, size: float, part: int) -> None:
+    def record_request(self, now: float, key: int, size: float, part: int) -> None:
         """A request for the object."""
 
-    def admitted(self, key: int) -> bool:
+    def is_admitted(self, key: int) -> bool:
         """Whether it belongs to the top set."""
 
 
@@ -57,7 +59,7 @@
         self._least, self._least_at = 0.0, -1.0
 
     def _places(self, key: int) -> list[int]:
-        mixed = mix(key)
+        mixed = mix64(key)
         first, second, width = mixed & 0xFFFFFFFF, mixed >> 32 | 1, self._width
         return [row * width + (first + row * second) % width for row in range(ROWS)]
 
@@ -88,7 +90,7 @@
     def _edge(step: int) -> float:
         return float(2.0 ** (step / STEPS))
 
-    def note(self, now: float, key: int, size: float, part: int) -> None:
+    def record_request(self, now: float, key: int, size: float, part: int) -> None:
         """A request for the object."""
         weight, cells, places = self._weight(now), self._cells, self._places(key)
         before = min(cells[place] for place in places)
@@ -129,11 +131,11 @@
         reached = 0.0
         for step in sorted(self._weights, reverse=True):
             reached += self._weights[step]
-            if reached >= TOP_SHARE * self._total:
+            if reached >= ADMITTED_REQUEST_SHARE * self._total:
                 return self._edge(step)
         return 0.0
 
-    def admitted(self, key: int) -> bool:
+    def is_admitted(self, key: int) -> bool:
         """Whether it belongs to the top set."""
         estimate = self._estimate(key)
         return 0 < self._least <= estimate
@@ -151,20 +153,20 @@
         call()
         self.sorts.append(time.perf_counter() - began)
 
-    def _rebuild(self) -> None:
-        self._timed(super()._rebuild)
+    def _rebuild_ranks(self) -> None:
+        self._timed(super()._rebuild_ranks)
 
-    def _evict(self) -> None:
-        self._timed(super()._evict)
+    def _evict_less_popular_half(self) -> None:
+        self._timed(super()._evict_less_popular_half)
 
 
 def held_share(counts: Counts, keys: list[int], requests_a_second: float) -> tuple[float, float]:
     """The part of the later half of the requests that were in the top set as they came; us for each note."""
     gap, half, held, spent = 1000.0 / requests_a_second, len(keys) // 2, 0, 0.0
     for place, key in enumerate(keys):
-        held += place >= half and counts.admitted(key)
+        held += place >= half and counts.is_admitted(key)
         began = time.perf_counter()
-        counts.note(1e12 + place * gap, key, SIZE_KB, 0)
+        counts.record_request(1e12 + place * gap, key, SIZE_KB, 0)
         spent += time.perf_counter() - began
     return held / (len(keys) - half), spent / len(keys) * 1e6
 
@@ -178,7 +180,7 @@
 def top_set(objects: int, exponent: float) -> int:
     """Objects in the top set if the popularity of all is known."""
     shares = numpy.cumsum(numpy.arange(1, objects + 1, dtype=float) ** -exponent)
-    return int(numpy.searchsorted(shares, TOP_SHARE * shares[-1])) + 1
+    return int(numpy.searchsorted(shares, ADMITTED_REQUEST_SHARE * shares[-1])) + 1
 
 
 def pooled_share(objects: int, exponent: float, requests_a_second: float, seconds: int) -> float:
@@ -190,7 +192,7 @@
         if second % 5 == 0:
             ordered = numpy.sort(counts)[::-1]
             reached = numpy.cumsum(ordered)
-            at = int(numpy.searchsorted(reached, TOP_SHARE * reached[-1]))
+            at = int(numpy.searchsorted(reached, ADMITTED_REQUEST_SHARE * reached[-1]))
             least = max(float(ordered[min(at, objects - 1)]), 1e-9)
         if second >= seconds // 2:
             held += int((counts[step] >= least).sum())
@@ -207,7 +209,7 @@
     before = tracemalloc.get_traced_memory()[0]
     counts = Popularity(COUNTS_HALVE)
     for key in zipf_keys(10 * entries, 0.0, entries):
-        counts.note(1e12, key, SIZE_KB + key % 7, 0)
+        counts.record_request(1e12, key, SIZE_KB + key % 7, 0)
     held = tracemalloc.get_traced_memory()[0] - before
     size = len(counts._table)
     tracemalloc.stop()
@@ -228,7 +230,7 @@
 
 def measure(seconds: int, objects: int, exponents: tuple[float, ...]) -> dict[str, float]:
     """All figures of the counts at a router's pace."""
-    entries, width, heavy = choice.TABLE_MOST, 1 << 17, 8_000
+    entries, width, heavy = MAX_TRACKED_OBJECTS, 1 << 17, 8_000
     figures = {
         "table_bytes_an_object": table_bytes(entries),
         "sketch_mb": sketch_bytes(width, heavy) / 1e6,
--- a/benchmarks/capacity_router.py
+++ b/benchmarks/capacity_router.py
@@ -33,8 +33,11 @@
     node,
     zipf_keys,
 )
-from stonecove.routing.director import PURGE_MARGIN, TABLE_MOST, Purges, Rendezvous
-from stonecove.routing.events import NodeState, Purged
+from stonecove.routing.popularity import MAX_TRACKED_OBJECTS
+from stonecove.routing.purges import PURGE_RETENTION_MARGIN, PurgeHistory
+from stonecove.routing.rendezvous import RendezvousHash
+from stonecove.routing.endpoints import NodeState
+from stonecove.routing.events import PurgeReceived
 from stonecove.discovery import Member, MembersUpdate, PurgeUpdate
 from stonecove.state.budget import Budget
 from stonecove.runtime.clock import Clock
@@ -54,9 +57,9 @@
 TURNS = (NodeState.DRAINING, NodeState.READY)  # of a node whose changes are told
 
 
-def ring(count: int) -> Rendezvous:
+def ring(count: int) -> RendezvousHash:
     """An order over so many nodes."""
-    return Rendezvous([node(1000 + place) for place in range(count)], True)
+    return RendezvousHash([node(1000 + place) for place in range(count)], True)
 
 
 def cpu_each(call: Callable[[int], object], count: int, rounds: int = 3) -> float:
@@ -85,7 +88,7 @@
 
 def missing_share(keys: list[int], between: float) -> float:
     """The part of the requests whose order is not kept, where all are thrown away each so many seconds."""
-    kept = lru_cache(TABLE_MOST)(_nothing)
+    kept = lru_cache(MAX_TRACKED_OBJECTS)(_nothing)
     every, misses = max(1, int(between * ROUTER_REQUESTS)), 0
     for place, key in enumerate(keys):
         if place and place % every == 0:
@@ -175,7 +178,7 @@
 def list_frame(number: int, members: tuple[Member, ...], whole: bool) -> bytes:
     """The change log's frame of a list, or of changes in it."""
     payload = b"".join(
-        _RECORD.pack(one.node.node, 0x7F000001, one.port, 0, one.node.zone, one.node.kind, 0, 1000, 0)
+        _RECORD.pack(one.node.node_id, 0x7F000001, one.port, 0, one.node.zone, one.node.kind, 0, 1000, 0)
         for one in members
     )
     return _HEAD.pack(9 + len(payload), number, 1 if whole else 2) + payload
@@ -193,11 +196,11 @@
     settings = edge_settings()
     tracemalloc.start()
     before = tracemalloc.get_traced_memory()[0]
-    purges, most, held = Purges(), 0, 0
-    purges.change(0.0, settings.purge_done * PURGE_MARGIN + settings.purge_grace)
+    purges, most, held = PurgeHistory(), 0, 0
+    purges.configure(0.0, settings.purge_settled_ms * PURGE_RETENTION_MARGIN + settings.purge_grace_ms)
     for number in range(int(seconds * PURGES)):
-        purges.told(1e12 + number * 1000.0 / PURGES, Purged(0.0, 0, 10**12 + number))
-        most = max(most, len(purges._moments))
+        purges.record(1e12 + number * 1000.0 / PURGES, PurgeReceived(0.0, 0, 10**12 + number))
+        most = max(most, len(purges._purged_at_ms))
         held = max(held, tracemalloc.get_traced_memory()[0] - before)
     tracemalloc.stop()
     return most, float(held)
--- a/benchmarks/capacity_sizes.py
+++ b/benchmarks/capacity_sizes.py
@@ -12,7 +12,8 @@
 
 import numpy
 
-from stonecove.routing.events import Node, NodeState, Settings
+from stonecove.routing.endpoints import Node, NodeState
+from stonecove.routing.settings import Settings
 from stonecove.settings import settings_from
 from stonecove.standins.webserver import settings as small_settings
 
@@ -45,14 +46,14 @@
     zone_link = ZONE_CACHES * CACHE_CARRIES * CLIENT_KB
     sized = replace(
         base,
-        fleet=ROUTERS,
-        zone_directors=(0, *[ZONE_ROUTERS] * ZONES),
-        zone_link=(0.0, *[zone_link] * ZONES),
-        weighted=True,
-        purge_done=PURGE_DONE,
-        parent_cold_from=0.1,
-        parent_warm_up=17_000.0,
-        parent_fall_multiple=2.0,
+        fleet_size=ROUTERS,
+        routers_by_zone=(0, *[ZONE_ROUTERS] * ZONES),
+        zone_link_kb_per_s=(0.0, *[zone_link] * ZONES),
+        weights_known=True,
+        purge_settled_ms=PURGE_DONE,
+        parent_slow_start_initial_fraction=0.1,
+        parent_slow_start_ms=17_000.0,
+        parent_overload_multiple=2.0,
     )
     return replace(sized, **changes)
 
--- a/benchmarks/membership.py
+++ b/benchmarks/membership.py
@@ -27,7 +27,7 @@
 
 from stonecove.commands.demo import free_port, wait_ready
 from stonecove.runtime.log import divert
-from stonecove.routing.events import NodeState
+from stonecove.routing.endpoints import NodeState
 from stonecove.discovery import Member
 from stonecove.discovery.merge import Merge, Source, Told, merged
 from stonecove.discovery.records import Names, member_of
@@ -370,12 +370,12 @@
         merge.say(source, True, 0.0)
     number = 0
     for member in members:
-        claims[member.node.node] = {}
+        claims[member.node.node_id] = {}
         for source in sources:
             number += 1
             claim = Claim(NodeState.READY, member, "up")
-            claims[member.node.node][source] = Told(claim, number, 0.0)
-            merge.claim(source, member.node.node, claim, 0.0)
+            claims[member.node.node_id][source] = Told(claim, number, 0.0)
+            merge.claim(source, member.node.node_id, claim, 0.0)
     merge.take()
     say = dict.fromkeys(sources, True)
     chooser = random.Random(1)
@@ -385,14 +385,14 @@
     ]
     began = time.perf_counter()
     for member, state in picked:
-        merge.claim(sources[1], member.node.node, Claim(state, member, "x"), 0.0)
+        merge.claim(sources[1], member.node.node_id, Claim(state, member, "x"), 0.0)
         merge.take()
     mine = (time.perf_counter() - began) / changes * 1e6
     few = picked[:5]
     began = time.perf_counter()
     for member, state in few:
         number += 1
-        claims[member.node.node][sources[1]] = Told(Claim(state, member, "x"), number, 0.0)
+        claims[member.node.node_id][sources[1]] = Told(Claim(state, member, "x"), number, 0.0)
         merged(claims, say)
     plain = (time.perf_counter() - began) / len(few) * 1e6
     print(f"one change among {nodes} nodes: index {mine:.1f} us, plain dict made anew {plain:.0f} us")
--- a/benchmarks/rollout.py
+++ b/benchmarks/rollout.py
@@ -18,7 +18,7 @@
 import trio
 
 from stonecove.fleet.rollout_controller import Controller, service_session
-from stonecove.routing.events import Settings
+from stonecove.routing.settings import Settings
 from stonecove.server.config import config_from
 from stonecove.server.configuration import ConfigurationKeeper
 from stonecove.operator_config.records import ConfigurationRecord
--- a/stonecove/discovery/__init__.py
+++ b/stonecove/discovery/__init__.py
@@ -4,7 +4,7 @@
 
 from typing import NamedTuple, Protocol
 
-from stonecove.routing.events import Node
+from stonecove.routing.endpoints import Node
 
 
 class Member(NamedTuple):
--- a/stonecove/discovery/merge.py
+++ b/stonecove/discovery/merge.py
@@ -23,7 +23,7 @@
 from collections.abc import Iterable, Mapping
 from typing import NamedTuple
 
-from stonecove.routing.events import NodeId, NodeState
+from stonecove.routing.endpoints import NodeId, NodeState
 from stonecove.discovery import Member
 from stonecove.discovery.roster import Claim
 
@@ -59,7 +59,7 @@
     claims: tuple[tuple[Source, bool, Told], ...]  # source, whether it has a say, and what it says
 
 
-UNKNOWN = Verdict(NodeState.GONE, None, "no source knows it")
+UNKNOWN = Verdict(NodeState.REMOVED, None, "no source knows it")
 
 
 def decide(claims: Iterable[tuple[Source, bool, Told]], anybody: bool, keep: bool) -> Verdict:
@@ -73,22 +73,22 @@
     living = [
         told.claim.member
         for _, _, told in known
-        if told.claim.member is not None and told.claim.state is not NodeState.GONE
+        if told.claim.member is not None and told.claim.state is not NodeState.REMOVED
     ]
     member = (living or members)[0]
-    latest = max(found.node.started for found in (living or members))
-    if latest != member.node.started:
-        member = member._replace(node=member.node._replace(started=latest))
+    latest = max(found.node.started_ms for found in (living or members))
+    if latest != member.node.started_ms:
+        member = member._replace(node=member.node._replace(started_ms=latest))
     having = [one for one in known if one[1]] or ([] if anybody or not keep else known)
     if not having:
         if not living:
-            return Verdict(NodeState.GONE, member, f"{known[0][0].name}: {known[0][2].claim.why}")
+            return Verdict(NodeState.REMOVED, member, f"{known[0][0].name}: {known[0][2].claim.why}")
         why = "no source with a say knows it" if anybody else "no source has a say"
         return Verdict(NodeState.DRAINING, member, why)
     top, _, newest = having[0]
     if newest.claim.state is not NodeState.READY:
         # Gone here, but others still list it: draining, so that what is out may end.
-        state = NodeState.DRAINING if living else NodeState.GONE
+        state = NodeState.DRAINING if living else NodeState.REMOVED
         return Verdict(state, member, f"{top.name}: {newest.claim.why}")
     for source, _, told in known:
         if told.claim.state is not NodeState.READY and told.number > newest.number:
@@ -137,7 +137,7 @@
         self._number += 1
         node = self._nodes.get(ident)
         if node is None:
-            if claim.state is NodeState.GONE:
+            if claim.state is NodeState.REMOVED:
                 return
             node = self._nodes[ident] = _Node()
         before = node.claims.get(source)
@@ -188,8 +188,8 @@
             member = node.verdict.member
             if member is not None:
                 found.append(member._replace(node=member.node._replace(state=node.verdict.state)))
-            if node.verdict.state is NodeState.GONE and all(
-                told.claim.state is NodeState.GONE for told in node.claims.values()
+            if node.verdict.state is NodeState.REMOVED and all(
+                told.claim.state is NodeState.REMOVED for told in node.claims.values()
             ):
                 self._drop(ident)
         return found
@@ -265,7 +265,7 @@
 
     def _youth(self, ident: NodeId) -> tuple[float, int]:
         node = self._nodes[ident]
-        return (node.base.member.node.started if node.base.member else 0.0, node.number)
+        return (node.base.member.node.started_ms if node.base.member else 0.0, node.number)
 
     def _drop(self, ident: NodeId) -> None:
         for source in self._nodes.pop(ident).claims:
@@ -294,7 +294,7 @@
         def youth(ident: NodeId) -> tuple[float, int]:
             member = found[ident].member
             numbers = [told.number for told in claims[ident].values() if told.claim.state is NodeState.READY]
-            return (member.node.started if member else 0.0, max(numbers, default=0))
+            return (member.node.started_ms if member else 0.0, max(numbers, default=0))
 
         youngest = max(rivals, key=youth)
         for ident in rivals:
--- a/stonecove/discovery/records.py
+++ b/stonecove/discovery/records.py
@@ -16,7 +16,7 @@
 
 import ujson
 
-from stonecove.routing.events import Node, NodeId, NodeState
+from stonecove.routing.endpoints import Node, NodeId, NodeState
 from stonecove.discovery import Member
 
 MOST_BYTES = 4096
@@ -112,13 +112,13 @@
     node = member.node
     return ujson.dumps(
         {
-            "id": f"s-{node.node:08x}",
+            "id": f"s-{node.node_id:08x}",
             "address": f"{member.host}:{member.port}",
             "zone": names.zones[node.zone],
             "kind": names.kinds[node.kind],
             "cell": node.cell,
             "weight": node.weight,
-            "started": int(node.started),
+            "started": int(node.started_ms),
             "state": "up" if node.state is NodeState.READY else "draining",
         }
     ).encode()
--- a/stonecove/discovery/roster.py
+++ b/stonecove/discovery/roster.py
@@ -22,7 +22,7 @@
 from collections.abc import Callable, Iterable
 from typing import NamedTuple
 
-from stonecove.routing.events import NodeId, NodeState
+from stonecove.routing.endpoints import NodeId, NodeState
 from stonecove.discovery import Member
 from stonecove.discovery.records import Names, RecordError, member_of
 
@@ -148,7 +148,7 @@
 
     def _ident(self, name: str) -> NodeId:
         member = self._entries[name].member
-        return 0 if member is None else member.node.node
+        return 0 if member is None else member.node.node_id
 
     def whole(self, names: frozenset[str], confirmed: bool, now: float) -> None:
         """The list was read with all its data."""
@@ -200,7 +200,7 @@
             past.at + self.rules.linger
             for ident, past in self._past.items()
             if ident in self._claims
-            and self._claims[ident].state is not NodeState.GONE
+            and self._claims[ident].state is not NodeState.REMOVED
             and ident not in self._by_id
         ]
         dues += self._held_back.values()
@@ -229,7 +229,7 @@
         before = self._entries.pop(name, None)
         touched: set[NodeId] = set()
         if before is not None and before.member is not None:
-            ident = before.member.node.node
+            ident = before.member.node.node_id
             nodes = self._by_id[ident]
             del nodes[name]
             touched.add(ident)
@@ -239,7 +239,7 @@
         if entry is not None:
             self._entries[name] = entry
             if entry.member is not None:
-                ident = entry.member.node.node
+                ident = entry.member.node.node_id
                 self._by_id.setdefault(ident, {})[name] = entry
                 touched.add(ident)
                 self._came_back(ident, entry, now)
@@ -254,8 +254,8 @@
         del self._past[ident]
         if entry.owner == past.owner and entry.czxid == past.czxid:
             return  # it was there all the time: only its record has changed
-        told = entry.member.node.started
-        same = told == past.member.node.started if told > 0 else entry.owner == past.owner
+        told = entry.member.node.started_ms
+        same = told == past.member.node.started_ms if told > 0 else entry.owner == past.owner
         if not same and told <= 0:
             self._started[ident] = (entry.name, entry.ctime)
         away = now - past.at
@@ -287,9 +287,9 @@
     def _begun(self, ident: NodeId, entry: Entry) -> float:
         assert entry.member is not None
         concluded = self._started.get(ident)
-        if entry.member.node.started <= 0 and concluded is not None and concluded[0] == entry.name:
+        if entry.member.node.started_ms <= 0 and concluded is not None and concluded[0] == entry.name:
             return concluded[1]
-        return entry.member.node.started
+        return entry.member.node.started_ms
 
     def _judge(self, ident: NodeId, now: float) -> None:
         """Tells the claim of an id if it is another one now, and judges those that shared its address."""
@@ -322,12 +322,12 @@
         if not nodes:
             past = self._past[ident]
             if now >= past.at + self.rules.linger:
-                return Claim(NodeState.GONE, past.member, "departed")
+                return Claim(NodeState.REMOVED, past.member, "departed")
             return Claim(NodeState.DRAINING, past.member, "departed, what is out may end")
         best = self._best(ident)
         assert best.member is not None
         member = best.member._replace(
-            node=best.member.node._replace(started=self._begun(ident, best), state=NodeState.READY)
+            node=best.member.node._replace(started_ms=self._begun(ident, best), state=NodeState.READY)
         )
         if len(nodes) > 1:
             self._alarm("members-id-twice", ident, nodes=",".join(sorted(nodes)), taken=best.name)
@@ -354,9 +354,9 @@
     def _tell(self, ident: NodeId, claim: Claim) -> None:
         if claim == self._claims.get(ident):
             return
-        if claim.state is NodeState.GONE and ident not in self._claims:
+        if claim.state is NodeState.REMOVED and ident not in self._claims:
             return
-        if claim.state is NodeState.GONE:
+        if claim.state is NodeState.REMOVED:
             del self._claims[ident]
         else:
             self._claims[ident] = claim
--- a/stonecove/discovery/trace.py
+++ b/stonecove/discovery/trace.py
@@ -7,7 +7,7 @@
 from collections import deque
 from typing import Any
 
-from stonecove.routing.events import NodeId, NodeState
+from stonecove.routing.endpoints import NodeId, NodeState
 from stonecove.discovery.merge import Explanation
 
 
@@ -17,7 +17,7 @@
     __slots__ = ("state", "told_at", "as_target", "as_source")
 
     def __init__(self) -> None:
-        self.state = NodeState.GONE
+        self.state = NodeState.REMOVED
         self.told_at = 0.0  # when it last stopped being ready
         self.as_target = 0.0  # when the first byte of the last request to it was written
         self.as_source = 0.0  # the same for the last request that names it as source of a fill
@@ -99,7 +99,7 @@
         "address": f"{member.host}:{member.port}" if member else "",
         "zone": member.node.zone if member else -1,
         "kind": member.node.kind if member else -1,
-        "started": member.node.started if member else 0.0,
+        "started": member.node.started_ms if member else 0.0,
         "claims": [
             {
                 "source": source.name,
--- a/stonecove/explore/coordination.py
+++ b/stonecove/explore/coordination.py
@@ -17,7 +17,7 @@
 import ujson
 
 from stonecove.explore.machine import Violation
-from stonecove.routing.events import NodeId, NodeState
+from stonecove.routing.endpoints import NodeId, NodeState
 from stonecove.discovery.merge import Merge, Source, Told, merged
 from stonecove.discovery.records import Names, member_of
 from stonecove.discovery.roster import Claim, Roster, Rules
@@ -560,7 +560,7 @@
         self._log(NodeState.READY)
 
     def _on_log_gone(self) -> None:
-        self._log(NodeState.GONE)
+        self._log(NodeState.REMOVED)
 
     def _on_log_silent(self) -> None:
         self.log_says = False
@@ -701,7 +701,7 @@
                     "coming-back", f"{ident} is back, and the most trusted source has not said so since"
                 )
             name = next(name for name, number in IDS.items() if number == ident)
-            started = mine.member.node.started if mine.member else 0.0
+            started = mine.member.node.started_ms if mine.member else 0.0
             if (
                 name in self.told
                 and self.told[name][0] == "up"
--- a/stonecove/explore/copying.py
+++ b/stonecove/explore/copying.py
@@ -17,7 +17,7 @@
 
 from stonecove.explore.machine import Machine
 from stonecove.explore.scope import Scope
-from stonecove.routing.events import ClassSettings, Settings
+from stonecove.routing.settings import ClassSettings, Settings
 from stonecove.pipeline.intake import Intake
 
 _shared: list[object] = []
--- a/stonecove/explore/fingerprint.py
+++ b/stonecove/explore/fingerprint.py
@@ -15,12 +15,27 @@
 
 import xxhash
 
-from stonecove.routing import director as choice
+from stonecove.routing.candidates import CandidateSelector
+from stonecove.routing.class_statistics import ClassStatistics
+from stonecove.routing.director import Director
+from stonecove.routing.dispatch import AttemptDispatcher
+from stonecove.routing.endpoint_table import EndpointTable
+from stonecove.routing.hedging import RetryBudget
+from stonecove.routing.outcomes import OutcomeRecorder
+from stonecove.routing.state import RoutingState
+from stonecove.routing.stored_copies import StoredCopies
+from stonecove.routing.in_flight import Attempt, InFlightRequest
+from stonecove.routing.link_load import LinkLoad
+from stonecove.routing.outlier_detection import OutlierDetector
+from stonecove.routing.popularity import Popularity
+from stonecove.routing.purges import PurgeHistory
+from stonecove.routing.slow_start import SlowStartBudget
 from stonecove.explore import peers
 from stonecove.explore.properties import PropertyMonitor
 from stonecove.explore.scope import Scope
 from stonecove.runtime.timers import Timers
-from stonecove.routing.events import Get, Node, NodeState
+from stonecove.routing.actions import SendAttempt
+from stonecove.routing.endpoints import Node, NodeState
 from stonecove.state import budget, nodes, requests
 from stonecove.pipeline import admit, relay, route, send
 from stonecove.pipeline.book import Book
@@ -41,7 +56,7 @@
         {
             "_clock": WIRING,
             "_timers": WIRING,
-            "_director": WIRING,
+            "director": WIRING,
             "nodes": WIRING,
             "requests": WIRING,
             "admit": WIRING,
@@ -147,58 +162,79 @@
         "_taking open turned_away keep closing _part _left _padding part_since",
         {"_budget": WIRING, "_clock": WIRING},
     ),
-    choice.Director: (
-        "_listed _popularity _cache_health _source_health _cold_caches _cold_parents _purges _held "
-        "_loads _wait _origin _link _copies _mean_work _hedges",
+    Director: (
+        "",
         {
-            "_set": FIXED,
-            "_pace": FIXED,
-            "_shortest": FIXED,
-            "_random": "always the middle here",
-            "_zone_share": FIXED,
-            "_crowded_at": FIXED,
-            "_link_size": FIXED,
-            "_out": "handed over already",
-            "_origins": DERIVED,
-            "_parents": DERIVED,
-            "_caches": DERIVED,
-            "_pause": FIXED,
+            "state": WIRING,
+            "_dispatcher": WIRING,
+            "_outcomes": WIRING,
             "_handlers": FIXED,
             "handle": "the monitor's own",
-            "_burst": FIXED,
-            "_answered": "all requests of a class are of one size here, whose share is that of all",
-            "_credit": "nobody lends in the explorer's installation; its machine is explore.fleet",
         },
     ),
-    choice.Held: (
-        "work deadline aim attempts missed spares turned_away tried bad_sources",
-        {"request": DERIVED, "cls": DERIVED, "told": DERIVED, "tier": DERIVED},
+    AttemptDispatcher: ("", {"_state": WIRING, "_candidates": WIRING}),
+    CandidateSelector: ("", {"_state": WIRING}),
+    OutcomeRecorder: ("", {"_state": WIRING}),
+    RoutingState: (
+        "endpoints popularity cache_detectors source_detectors cache_budget parent_budget purges in_flight "
+        "link_loads fill_wait_ms origin_load zone_link copies statistics retries",
+        {
+            "settings": FIXED,
+            "share": FIXED,
+            "random": "always the middle here",
+            "actions": "handed over already",
+            "leased": "nobody lends in the explorer's installation; its machine is explore.fleet",
+        },
+    ),
+    EndpointTable: ("listed", {"origins": DERIVED, "parents": DERIVED, "caches": DERIVED}),
+    ClassStatistics: (
+        "mean_work",
+        {"answered": "all requests of a class are of one size here, whose share is that of all"},
+    ),
+    RetryBudget: (
+        "tokens",
+        {"max_tokens": FIXED, "leased": "nobody lends in the explorer's installation"},
+    ),
+    StoredCopies: ("stored_at_ms", {}),
+    InFlightRequest: (
+        "work_ms deadline_ms objective_ms attempts missed bypasses_origin rejected_by_origin attempted_nodes "
+        "failed_sources",
+        {"request": DERIVED, "class_settings": DERIVED, "size_known": DERIVED, "size_tier": DERIVED},
+    ),
+    Attempt: (
+        "node_id source_id sent_ms overdue_at_ms expects_fill source_charge concurrent pending may_have_run "
+        "overdue",
+        {"cache_load": DERIVED, "source_load": DERIVED},
     ),
-    choice.Attempt: (
-        "node source sent due fills budget beside pending may_have_run overdue",
-        {"load": DERIVED, "source_load": DERIVED},
+    LinkLoad: (
+        "capacity headroom objective_ms in_flight in_flight_work_ms observed_ms expected_ms observed_at_ms",
+        {},
     ),
-    choice.Load: ("carries room span out work took sent at", {}),
-    choice.Health: ("heard marks until broke", {}),
-    choice.ColdBudget: (
-        "sent",
+    OutlierDetector: ("last_success_ms failure_count ejected_until_ms last_reset_ms", {}),
+    SlowStartBudget: (
+        "charges",
         {
-            "_from": FIXED,
-            "_warm_up": FIXED,
-            "_multiple": FIXED,
-            "_window": FIXED,
-            "room": "written and read within one decision",
-            "own": FIXED,
-            "credit": "nobody lends in the explorer's installation",
+            "_initial_fraction": FIXED,
+            "_duration_ms": FIXED,
+            "_overload_multiple": FIXED,
+            "_window_ms": FIXED,
+            "remaining_ms": "written and read within one decision",
+            "unleased_fraction": FIXED,
+            "leased": "nobody lends in the explorer's installation",
         },
     ),
-    choice.Purges: (
-        "_moments",
-        {"_lasts": FIXED, "_wanted": FIXED, "_next_sweep": "when what is over is dropped; it has no effect"},
+    PurgeHistory: (
+        "_purged_at_ms",
+        {
+            "_retention_ms": FIXED,
+            "_next_retention_ms": FIXED,
+            "_next_sweep_ms": "when what is over is dropped; it has no effect",
+        },
     ),
-    choice.Popularity: (
-        "_table _total _bytes _origin _seen _rebuild_at _least _cuts",
-        {"_half_life": FIXED},
+    Popularity: (
+        "_table _total_count _total_kb _epoch_ms _requests_seen _rebuild_at _min_admitted_count "
+        "_rank_densities",
+        {"_half_life_ms": FIXED},
     ),
 }
 
@@ -386,9 +422,9 @@
     def node(self, node: Node) -> tuple[Any, ...]:
         """An entry of the list."""
         return (
-            node.node,
+            node.node_id,
             node.kind,
-            self.time(node.started),
+            self.time(node.started_ms),
             int(node.state),
             node.cell,
             node.zone,
@@ -400,9 +436,16 @@
         """Whether an alarm is set."""
         return -1 if alarm is None else int(alarm.call is not None)
 
-    def order(self, get: Get) -> tuple[Any, ...]:
+    def order(self, get: SendAttempt) -> tuple[Any, ...]:
         """An order, without the number of its request."""
-        return (get.node, self.time(get.cut_at), get.source, get.keep, _number(get.age), get.how)
+        return (
+            get.node_id,
+            self.time(get.deadline_ms),
+            get.source_id,
+            get.cache_rank,
+            _number(get.max_age_ms),
+            get.fetch_mode,
+        )
 
     def attempt(self, attempt: requests.Attempt) -> tuple[Any, ...]:
         """An attempt of the stages."""
@@ -498,110 +541,116 @@
     # -- the decision module --
 
     def director(self) -> tuple[Any, ...]:
-        """The decision module."""
-        d, time = self._simulation.route._director, self.time
-        listed = tuple(self.node(d._listed[key]) for key in sorted(d._listed))
-        popularity = d._popularity
-        table = tuple(
-            (key, _number(item.size), _number(item.count), item.parts)
-            for key, item in sorted(popularity._table.items())
-        )
-        counted = (
-            table,
-            _number(popularity._total),
-            _number(popularity._bytes),
-            time(popularity._origin),
-            popularity._seen,
-            popularity._rebuild_at,
-            _number(popularity._least),
-            popularity._cuts,
-        )
-        health = tuple(
+        """Return the decision module."""
+        state, time = self._simulation.route.director.state, self.time
+        listed = tuple(self.node(state.endpoints.listed[key]) for key in sorted(state.endpoints.listed))
+        detectors = tuple(
             tuple(
                 (key, *found)
                 for key, value in sorted(each.items())
-                if (found := self.health(value)) is not None
+                if (found := self.detector(value)) is not None
             )
-            for each in (d._cache_health, d._source_health)
+            for each in (state.cache_detectors, state.source_detectors)
         )
-        cold = tuple(
+        charges = tuple(
             tuple(
-                (key, tuple((time(at), _number(work)) for at, work in entries))
-                for key, entries in sorted(each.sent.items())
+                (key, tuple((time(charge.sent_ms), _number(charge.work_ms)) for charge in each))
+                for key, each in sorted(budget.charges.items())
             )
-            for each in (d._cold_caches, d._cold_parents)
+            for budget in (state.cache_budget, state.parent_budget)
         )
-        purges = tuple((key, time(at)) for key, at in sorted(d._purges._moments.items()))
-        held = tuple(sorted((self.request_place(req), *self.held(value)) for req, value in d._held.items()))
-        loads = tuple((key, *self.load(value)) for key, value in sorted(d._loads.items()))
-        copies = tuple((key, time(at)) for key, at in sorted(d._copies.items()))
-        means = tuple((count, _number(mean)) for count, mean in d._mean_work)
+        purges = tuple((key, time(at)) for key, at in sorted(state.purges._purged_at_ms.items()))
+        in_flight = tuple(
+            sorted(
+                (self.request_place(req), *self.in_flight(value)) for req, value in state.in_flight.items()
+            )
+        )
+        loads = tuple((key, *self.load(value)) for key, value in sorted(state.link_loads.items()))
+        copies = tuple((tuple(key), time(at)) for key, at in sorted(state.copies.stored_at_ms.items()))
+        means = tuple((mean.samples, _number(mean.mean_ms)) for mean in state.statistics.mean_work)
         return (
             listed,
-            counted,
-            health,
-            cold,
+            self.popularity(state.popularity),
+            detectors,
+            charges,
             purges,
-            held,
+            in_flight,
             loads,
-            _number(d._wait),
-            self.load(d._origin),
-            self.load(d._link),
+            _number(state.fill_wait_ms),
+            self.load(state.origin_load),
+            self.load(state.zone_link),
             copies,
             means,
-            _number(d._hedges),
+            _number(state.retries.tokens),
+        )
+
+    def popularity(self, popularity: Popularity) -> tuple[Any, ...]:
+        """Return the counted objects."""
+        table = tuple(
+            (key, _number(item.size_kb), _number(item.count), item.chunks)
+            for key, item in sorted(popularity._table.items())
+        )
+        return (
+            table,
+            _number(popularity._total_count),
+            _number(popularity._total_kb),
+            self.time(popularity._epoch_ms),
+            popularity._requests_seen,
+            popularity._rebuild_at,
+            _number(popularity._min_admitted_count),
+            popularity._rank_densities,
         )
 
-    def health(self, health: choice.Health) -> tuple[float, ...] | None:
-        """A node's health; None if nothing is known."""
+    def detector(self, detector: OutlierDetector) -> tuple[float, ...] | None:
+        """Return a node's failures; None if nothing is known."""
         found = (
-            self.time(health.heard),
-            float(health.marks),
-            self.time(health.until),
-            self.time(health.broke),
+            self.time(detector.last_success_ms),
+            float(detector.failure_count),
+            self.time(detector.ejected_until_ms),
+            self.time(detector.last_reset_ms),
         )
         return None if found == (-float("inf"), 0.0, -float("inf"), -float("inf")) else found
 
-    def load(self, load: choice.Load) -> tuple[Any, ...]:
-        """A link's load."""
+    def load(self, load: LinkLoad) -> tuple[Any, ...]:
+        """Return a link's load."""
         return (
-            _number(load.carries),
-            _number(load.room),
-            load.out,
-            _number(load.work),
-            _number(load.took),
-            _number(load.sent),
-            self.time(load.at),
+            _number(load.capacity),
+            _number(load.headroom),
+            load.in_flight,
+            _number(load.in_flight_work_ms),
+            _number(load.observed_ms),
+            _number(load.expected_ms),
+            self.time(load.observed_at_ms),
         )
 
-    def held(self, held: choice.Held) -> tuple[Any, ...]:
-        """A request of the module."""
+    def in_flight(self, in_flight: InFlightRequest) -> tuple[Any, ...]:
+        """Return a request of the decision module."""
         attempts = tuple(
             (
-                attempt.node,
-                attempt.source,
-                self.time(attempt.sent),
-                self.time(attempt.due),
-                attempt.fills,
-                self.time(attempt.budget[0]),
-                _number(attempt.budget[1]),
-                attempt.beside,
+                attempt.node_id,
+                attempt.source_id,
+                self.time(attempt.sent_ms),
+                self.time(attempt.overdue_at_ms),
+                attempt.expects_fill,
+                self.time(attempt.source_charge.sent_ms),
+                _number(attempt.source_charge.work_ms),
+                attempt.concurrent,
                 attempt.pending,
                 attempt.may_have_run,
                 attempt.overdue,
             )
-            for attempt in held.attempts
+            for attempt in in_flight.attempts
         )
         return (
-            _number(held.work),
-            self.time(held.deadline),
-            _number(held.aim),
+            _number(in_flight.work_ms),
+            self.time(in_flight.deadline_ms),
+            _number(in_flight.objective_ms),
             attempts,
-            held.missed,
-            held.spares,
-            held.turned_away,
-            tuple(sorted(held.tried)),
-            tuple(sorted(held.bad_sources)),
+            in_flight.missed,
+            in_flight.bypasses_origin,
+            in_flight.rejected_by_origin,
+            tuple(sorted(in_flight.attempted_nodes)),
+            tuple(sorted(in_flight.failed_sources)),
         )
 
     # -- peers and the monitor --
@@ -705,7 +754,8 @@
 def all_parts(simulation: SimulationState) -> list[object]:
     """The objects in a simulation whose fields `check_fields` is to compare with the ledger."""
     route = simulation.route
-    director = route._director
+    director = route.director
+    state = director.state
     found: list[object] = [
         route,
         route.admit,
@@ -719,16 +769,24 @@
         simulation.session,
         simulation.session._decoder,
         director,
-        director._popularity,
-        director._purges,
-        director._cold_caches,
-        director._link,
+        director._dispatcher,
+        director._dispatcher._candidates,
+        director._outcomes,
+        state,
+        state.endpoints,
+        state.popularity,
+        state.purges,
+        state.cache_budget,
+        state.zone_link,
+        state.statistics,
+        state.retries,
+        state.copies,
     ]
     for request in route.requests:
         found += [request, *request.attempts]
     for one in simulation.channels:
         found += [one, one.sock, one.link, one.decoder]
-    for held in director._held.values():
-        found += [held, *held.attempts]
-    found += list(director._cache_health.values())
+    for in_flight in state.in_flight.values():
+        found += [in_flight, *in_flight.attempts]
+    found += list(state.cache_detectors.values())
     return found
--- a/stonecove/explore/fleet.py
+++ b/stonecove/explore/fleet.py
@@ -14,10 +14,10 @@
 from stonecove.explore.coordination import _canon as canon
 from stonecove.explore.machine import Violation
 from stonecove.quotas.leases import Grant, Holder, Lessor
-from stonecove.routing.leased_budget import LeasedCredit
+from stonecove.routing.leased_budget import LeasedBudget
 from stonecove.fleet.restart import Do, Instance, Phase, Policy
 from stonecove.fleet.rolling import Roll, RollState
-from stonecove.routing.events import Piece
+from stonecove.routing.events import LeaseGranted
 
 NODE, WINDOW, RULE, OWN, PIECE, LIFE = 7, 4.0, 10.0, 0.3, 0.5, 0.25
 TICK, JUMP = 0.5, 1.5  # half the life of a piece, and one and a half
@@ -104,7 +104,7 @@
         self.lives = [0] * bounds.holders
         self.spent: list[tuple[float, float]] = []
         self.unix = 0.0  # what the system's clock is ahead of the steady one
-        self.credits = [LeasedCredit() for _ in range(bounds.holders)]
+        self.credits = [LeasedBudget() for _ in range(bounds.holders)]
         self.ends: list[tuple[float, int, int]] = []  # true moments at which the module is told of an end
         self.back: set[tuple[int, int]] = set()  # pieces given back
         self.lessor.rule(NODE, RULE, self.now)
@@ -121,7 +121,7 @@
             steps.append(f"take {place}")
             if len(self.flying) < self.bounds.flying:
                 steps.append(f"ask {place}")
-            if holder.left(NODE, self.now) > 0 or holder._pieces or self.credits[place].pieces.get(NODE):
+            if holder.left(NODE, self.now) > 0 or holder._pieces or self.credits[place].leases.get(NODE):
                 steps.append(f"spend {place}")
         steps += [f"answer {number}" for number in range(len(self.flying))]
         if self.faults:
@@ -165,7 +165,7 @@
             self.flying.pop(place)
         elif word == "spend" and self.bounds.credit:
             credit = self.credits[place]
-            work = credit.left(self.now + self.unix, NODE)
+            work = credit.remaining(self.now + self.unix, NODE)
             if work > 0 and credit.spend(self.now + self.unix, NODE, work):
                 self.spent.append((self.true, work))
             self._give_back(place)
@@ -192,25 +192,27 @@
         """As `lifecycle.leases` does: what is granted goes to the module at once, and its end in time."""
         if self.holders[place].granted(grant, self.now) and self.bounds.credit:
             for number, left, until in self.holders[place].hand_over(NODE):
-                self.credits[place].add(self.now + self.unix, Piece(number, NODE, left, until + self.unix))
+                self.credits[place].grant(
+                    self.now + self.unix, LeaseGranted(number, NODE, left, until + self.unix)
+                )
                 self.ends.append((self.true + until - self.now, place, number))
                 self._give_back(place)
 
     def _tell_ends(self) -> None:
         for _, place, number in [end for end in self.ends if end[0] <= self.true]:
-            self.credits[place].add(self.now + self.unix, Piece(number, NODE, 0.0, 0.0))
+            self.credits[place].grant(self.now + self.unix, LeaseGranted(number, NODE, 0.0, 0.0))
             self._give_back(place)
         self.ends = [end for end in self.ends if end[0] > self.true]
 
     def _give_back(self, place: int) -> None:
         """What is left of pieces goes back to the lessor, each once."""
         credit = self.credits[place]
-        for unspent in credit.over:
-            if (place, unspent.number) in self.back:
-                self.broken("lease-once", f"piece {unspent.number} was given back twice")
-            self.back.add((place, unspent.number))
-            self.lessor.give_back(self.names[place], unspent.number, unspent.work, self.now)
-        credit.over.clear()
+        for unspent in credit.returned:
+            if (place, unspent.lease_id) in self.back:
+                self.broken("lease-once", f"piece {unspent.lease_id} was given back twice")
+            self.back.add((place, unspent.lease_id))
+            self.lessor.give_back(self.names[place], unspent.lease_id, unspent.work_ms, self.now)
+        credit.returned.clear()
 
     def _look(self) -> None:
         self.spent = [one for one in self.spent if one[0] > self.true - WINDOW]
@@ -281,8 +283,12 @@
                 sorted((round(at - self.true, 6), round(work, 6)) for at, work in self.spent),
                 [
                     [
-                        (self.holders[place]._number - key, rel(until - self.unix), round(left, 6))
-                        for key, (until, left) in sorted(credit.pieces.get(NODE, {}).items())
+                        (
+                            self.holders[place]._number - key,
+                            rel(lease.expires_at_ms - self.unix),
+                            round(lease.remaining_ms, 6),
+                        )
+                        for key, lease in sorted(credit.leases.get(NODE, {}).items())
                     ]
                     for place, credit in enumerate(self.credits)
                 ],
--- a/stonecove/explore/properties.py
+++ b/stonecove/explore/properties.py
@@ -10,7 +10,9 @@
 from typing import NamedTuple
 
 from stonecove.explore.machine import Violation
-from stonecove.routing.events import ClassSettings, Effect, KeyGroup, Node, NodeState, Outcome
+from stonecove.routing.endpoints import Node, NodeState
+from stonecove.routing.events import Outcome
+from stonecove.routing.settings import ClassSettings, DeduplicationScope, Idempotency
 from stonecove.pipeline.relay import SLACK
 
 
@@ -228,7 +230,7 @@
         if whole:
             self.nodes = {}
         for node in nodes:
-            self.nodes[node.node] = node
+            self.nodes[node.node_id] = node
 
     def _ready(self, node: int) -> bool:
         return node in self.nodes and self.nodes[node].state is NodeState.READY
@@ -246,24 +248,24 @@
             self.broken("no-repeat", f"attempt {number} of {seen.cls} is written twice")
         cls = self._classes[seen.cls]
         for sent in seen.sent:
-            if sent.not_run or cls.effect is Effect.SAFE:
+            if sent.not_run or cls.idempotency is Idempotency.IDEMPOTENT:
                 continue
-            if cls.effect is Effect.UNSAFE:
+            if cls.idempotency is Idempotency.NON_IDEMPOTENT:
                 self.broken(
                     "no-repeat", f"attempt {number} of {seen.cls} goes out; {sent.number} may have run"
                 )
             elif not self._same_group(cls, sent.node, node):
                 self.broken("no-repeat", f"attempt {number} of {seen.cls} leaves the group of {sent.number}")
-            elif now - sent.at > cls.window + 1.0:
+            elif now - sent.at > cls.deduplication_window_ms + 1.0:
                 self.broken("no-repeat", f"attempt {number} of {seen.cls} goes out after its window")
         seen.sent.append(Sent(number, node, now, len(self.purges)))
         if len(seen.sent) > self._most:
             self.broken("allowed-attempts", f"{len(seen.sent)} attempts of {seen.cls} on sockets")
 
     def _same_group(self, cls: ClassSettings, one: int, other: int) -> bool:
-        if cls.group is KeyGroup.ALL or one == other:
+        if cls.deduplication_scope is DeduplicationScope.ALL or one == other:
             return True
-        if cls.group is KeyGroup.ZONE:
+        if cls.deduplication_scope is DeduplicationScope.ZONE:
             return self.nodes[one].zone == self.nodes[other].zone
         return self.nodes[one].cell == self.nodes[other].cell
 
@@ -298,16 +300,19 @@
         seen.ended.append(number)
         sent = next((sent for sent in seen.sent if sent.number == number), None)
         if sent is None:
-            if outcome not in (Outcome.CONNECT_FAILED, Outcome.MOOT, Outcome.CANCELLED):
+            if outcome not in (Outcome.CONNECT_FAILED, Outcome.EXPIRED_UNSENT, Outcome.CANCELLED):
                 self.broken(
                     "unrun-is-unrun",
                     f"attempt {number} of {seen.cls} ends as {outcome.name}, and was never written",
                 )
             return
         word = seen.words.get(number, "")
-        proof = {"404": Outcome.MISS, "503": Outcome.FULL, "504": Outcome.MOOT}.get(word)
+        proof = {"404": Outcome.MISS, "503": Outcome.REJECTED_OVERLOADED, "504": Outcome.EXPIRED_UNSENT}.get(
+            word
+        )
         if (
-            outcome in (Outcome.MISS, Outcome.FULL, Outcome.MOOT, Outcome.CONNECT_FAILED)
+            outcome
+            in (Outcome.MISS, Outcome.REJECTED_OVERLOADED, Outcome.EXPIRED_UNSENT, Outcome.CONNECT_FAILED)
             and outcome is not proof
         ):
             self.broken(
@@ -340,7 +345,11 @@
         if verdict == "refused":
             unsure = [sent for sent in seen.sent if not sent.not_run]
             if unsure and (
-                cls.effect is Effect.UNSAFE or (cls.effect is Effect.KEYED and cls.group is not KeyGroup.ALL)
+                cls.idempotency is Idempotency.NON_IDEMPOTENT
+                or (
+                    cls.idempotency is Idempotency.IDEMPOTENCY_KEY
+                    and cls.deduplication_scope is not DeduplicationScope.ALL
+                )
             ):
                 self.broken(
                     "harmless-refusal", f"{seen.cls} is refused; attempt {unsure[0].number} may have run"
@@ -351,7 +360,7 @@
             self.broken("as-made", f"{seen.cls} is served {body[:24]!r}, which no cache made for it")
             return
         born, out, known = seen.births[body]
-        if cls.never_kept:
+        if cls.never_cached:
             return
         for told, purged, group, key in self.purges[:known]:
             if born < purged - SLACK - 1.0:
@@ -361,7 +370,7 @@
                     f"a copy born {purged - born:.0f} ms before the purge of {name}, told "
                     f"{out - told:.0f} ms before its first byte",
                 )
-        if cls.fresh and born < out - cls.fresh - cls.stale - SLACK - 1.0:
+        if cls.fresh_ms and born < out - cls.fresh_ms - cls.stale_ms - SLACK - 1.0:
             self.broken("not-too-old", f"a copy {out - born:.0f} ms old")
 
     def overdue(self, now: float) -> None:
--- a/stonecove/explore/simulation.py
+++ b/stonecove/explore/simulation.py
@@ -10,7 +10,7 @@
 import struct
 from typing import Any
 
-from stonecove.routing.director import Rendezvous, part_key
+from stonecove.routing.rendezvous import RendezvousHash, chunk_key
 from stonecove.explore import scope as bounds
 from stonecove.explore.fingerprint import encode_state
 from stonecove.explore.machine import Violation
@@ -20,7 +20,9 @@
 from stonecove.runtime import log as runtime_log
 from stonecove.runtime.clock import Clock, CpuCredit
 from stonecove.runtime.timers import Timers
-from stonecove.routing.events import Ended, Event, Get, Node, NodeState, Request
+from stonecove.routing.actions import SendAttempt
+from stonecove.routing.endpoints import Node, NodeState
+from stonecove.routing.events import AttemptEnded, Event, RequestReceived
 from stonecove.discovery import MembersUpdate, PurgeUpdate, Told
 from stonecove.state.budget import Budget
 from stonecove.pipeline.admit import MARGIN
@@ -78,9 +80,9 @@
 def _item(cls: str, caches: tuple[int, ...]) -> int:
     """The least object of the class whose caches in hash order are those, so that c1 is always the home."""
     nodes = [Node(node, CACHE, 0.0, NodeState.READY, 0, 1, 1.0) for node in caches]
-    ring = Rendezvous(nodes, False)
+    ring = RendezvousHash(nodes, False)
     key = 1000 * (1 + bounds.ORDER.index(cls))
-    while ring.order(part_key(Request(1, 0, key, 0.0, 0.0, 0, 0))) != caches:
+    while ring.order(chunk_key(RequestReceived(1, 0, key, 0.0, 0.0, 0, 0))) != caches:
         key += 1
     return key
 
@@ -105,9 +107,9 @@
         self.channels: list[ServerChannel] = []  # those of which the router has not been told the end
         self.route = Route(settings, 7, self.clock, self.timers, self.budget, 0.0, self._connect)
         self.route.admit.cpu = FixedCredit()
-        for chooser in (self.route.admit, self.route._director):
-            setattr(chooser, "_random", FixedRandom())  # noqa: B010
-        setattr(self.route._director, "handle", MonitoredHandle(self))  # noqa: B010
+        setattr(self.route.admit, "_random", FixedRandom())  # noqa: B010
+        setattr(self.route.director.state, "random", FixedRandom())  # noqa: B010
+        setattr(self.route.director, "handle", MonitoredHandle(self))  # noqa: B010
         self.route.send.most_links = connection_limit(SOCKETS)
         self.front = Front(settings, self.route)
         self.front.ready = True
@@ -163,8 +165,8 @@
 
     def _handle(self, event: Event) -> None:
         """Reports the end of an attempt to the monitor before the decision module sees it."""
-        if isinstance(event, Ended) and (txn := self.txn_of(event.req)):
-            self.monitor.ended(txn, event.attempt, event.outcome)
+        if isinstance(event, AttemptEnded) and (txn := self.txn_of(event.request_id)):
+            self.monitor.ended(txn, event.attempt_index, event.outcome)
 
     def txn_of(self, req: int) -> str:
         """The id of an open request; empty for one that is over."""
@@ -185,7 +187,7 @@
         for name in names:
             node = self.names[name]
             _, state, started = self.members[node]
-            code = {NodeState.READY: 0, NodeState.DRAINING: 1, NodeState.GONE: 2}[state]
+            code = {NodeState.READY: 0, NodeState.DRAINING: 1, NodeState.REMOVED: 2}[state]
             zone = 1 if name[0] in "cn" else 0
             cell = 1 if name == "c3" else 0
             records.append(
@@ -487,7 +489,7 @@
                 f"{len(self.log)} events, {self.told_events} told, last {self.follower.last}",
             )
         for attempt in self.route.send._where:
-            if attempt.request.answered and self.settings.may_cancel:
+            if attempt.request.answered and self.settings.cancellation_allowed:
                 broken("cancelled", f"attempt {attempt.number} of {attempt.request.asked.cls} stays out")
         for channel in self.channels:
             if not channel.over and not self.route.nodes.lists(channel.link.node):
@@ -552,8 +554,8 @@
         self.monitor.taken(txn, cls, now, min(now + TTL - MARGIN, self.route.admit.latest) + BACKSTOP)
         if self.session.finished:
             self.session = ClientSession(ClientSocket(self._record), self.front, self.clock.now, self.budget)
-        body = b"b" * 8 if CLASSES[cls].never_kept else b""
-        seen = "aa11" if self.scope.seen and not CLASSES[cls].never_kept else ""
+        body = b"b" * 8 if CLASSES[cls].never_cached else b""
+        seen = "aa11" if self.scope.seen and not CLASSES[cls].never_cached else ""
         self.session.feed(request_bytes(int(place) + 1, cls, txn, f"{self.items[cls]:016x}", TTL, seen, body))
 
     def _do_abort(self, place: str) -> None:
@@ -698,7 +700,7 @@
         self._tell_list([name])
 
     def _do_gone(self, name: str) -> None:
-        self._set(name, NodeState.GONE)
+        self._set(name, NodeState.REMOVED)
         self._tell_list([name])
 
     def _do_restart(self, name: str) -> None:
@@ -712,7 +714,7 @@
         self.names[fresh] = node = self.names[name] + 0x1000
         self.addresses[fresh] = self.addresses[name]
         self.processes[self.addresses[name]] = node
-        self._set(name, NodeState.GONE)
+        self._set(name, NodeState.REMOVED)
         self.members[node] = (fresh, NodeState.READY, 0.0)
         self._tell_list([name, fresh])
 
@@ -732,7 +734,7 @@
 
     def _do_purge(self) -> None:
         cls = next(
-            (cls for cls in self.scope.requests if not CLASSES[cls].never_kept), self.scope.requests[0]
+            (cls for cls in self.scope.requests if not CLASSES[cls].never_cached), self.scope.requests[0]
         )
         self._event(3, struct.pack(">QQ", self.items[cls], round(self.now)))
 
@@ -797,8 +799,8 @@
         self._leaks()
 
     def _leaks(self) -> None:
-        route, director = self.route, self.route._director
-        loads = [*director._loads.values(), director._link]
+        route, state = self.route, self.route.director.state
+        loads = [*state.link_loads.values(), state.zone_link]
         held: dict[str, object] = {
             "open requests": len(route.requests),
             "request ids": len(route.requests._txns),
@@ -810,9 +812,9 @@
             "answers unsent": 0
             if self.session.finished
             else len(self.session._answers) + self.session._unsent,
-            "requests in the module": len(director._held),
-            "load in the module": sum(abs(load.out) for load in loads)
-            + round(sum(abs(load.work) for load in loads), 6),
+            "requests in the module": len(state.in_flight),
+            "load in the module": sum(abs(load.in_flight) for load in loads)
+            + round(sum(abs(load.in_flight_work_ms) for load in loads), 6),
         }
         for name, count in held.items():
             if count:
@@ -836,12 +838,12 @@
 
     def __init__(self, simulation: Simulation) -> None:
         self._simulation = simulation
-        self._director = simulation.route._director
+        self._director = simulation.route.director
 
     def __call__(self, now: float, event: Event) -> list[Any]:
         self._simulation._handle(event)
         actions = type(self._director).handle(self._director, now, event)
         for act in actions:
-            if isinstance(act, Get) and (txn := self._simulation.txn_of(act.req)):
+            if isinstance(act, SendAttempt) and (txn := self._simulation.txn_of(act.request_id)):
                 self._simulation.monitor.ordered(txn)
         return actions
--- a/stonecove/frontends/fastcgi.py
+++ b/stonecove/frontends/fastcgi.py
@@ -5,7 +5,7 @@
 from functools import lru_cache, partial
 from typing import TYPE_CHECKING
 
-from stonecove.routing.events import Settings
+from stonecove.routing.settings import Settings
 from stonecove.runtime.log import log_some
 from stonecove.state.requests import OpenRequest
 from stonecove.pipeline.intake import Intake
--- a/stonecove/frontends/http.py
+++ b/stonecove/frontends/http.py
@@ -17,7 +17,7 @@
 from stonecove.exchange import Answer, ClientRequest, BadRequestError, Verdict
 from stonecove.runtime.clock import Clock
 from stonecove.runtime.log import log_some
-from stonecove.routing.events import ClassSettings, Settings
+from stonecove.routing.settings import ClassSettings, Settings
 from stonecove.state.requests import OpenRequest
 from stonecove.pipeline.intake import Intake
 from stonecove.pipeline.route import Route
@@ -91,7 +91,7 @@
         known = self._kinds.get(cls)
         if known is None:
             raise BadRequestError(404, "no such class")
-        if (request.method == "POST") is not known.never_kept:
+        if (request.method == "POST") is not known.never_cached:
             raise BadRequestError(405, f"{request.method} is not for {cls}")
         seen = request.fields.get("if-none-match", "")
         fields = {
@@ -99,7 +99,7 @@
             "X-Row": item,
             "X-Seg": part,
             "X-Bucket": request.fields.get("x-bucket", "0"),
-            "X-Ttl-Ms": request.fields.get("x-ttl-ms") or f"{known.deadline:.0f}",
+            "X-Ttl-Ms": request.fields.get("x-ttl-ms") or f"{known.deadline_ms:.0f}",
             "X-Working-Set-Kb": request.fields.get("x-working-set-kb", "0"),
             "X-Etag": "" if "," in seen or seen == "*" else seen,
         }
@@ -138,12 +138,12 @@
         if answer.verdict is Verdict.FAILED:
             return 502, [("Cache-Control", "no-store")], b""
         fields: Fields = []
-        if cls.never_kept:
+        if cls.never_cached:
             fields.append(("Cache-Control", "no-store"))
         else:
             kind = "private" if decision is not None and decision.subject else "public"
             age = max(0.0, self._clock.now() - answer.born) / 1000.0 if answer.born else 0.0
-            fresh = f"max-age={cls.fresh / 1000.0:.0f}" if cls.fresh else "no-cache"
+            fresh = f"max-age={cls.fresh_ms / 1000.0:.0f}" if cls.fresh_ms else "no-cache"
             fields += [("Cache-Control", f"{kind}, {fresh}"), ("Age", f"{age:.0f}")]
         if answer.tag:
             fields.append(("ETag", f'"{answer.tag}"'))
--- a/stonecove/pipeline/admit.py
+++ b/stonecove/pipeline/admit.py
@@ -4,7 +4,7 @@
 
 import random
 
-from stonecove.routing.events import Settings
+from stonecove.routing.settings import Settings
 from stonecove.runtime.clock import CpuCredit
 from stonecove.state.budget import Budget
 from stonecove.state.requests import OpenRequest, OpenRequests
@@ -37,17 +37,19 @@
     def reconfigure(self, settings: Settings) -> None:
         """These settings hold for requests that come from now on."""
         self._classes = settings.classes
-        self._longest_pause = settings.longest_pause if settings.may_pause else 0.0
-        mean = sum(cls.worth for cls in settings.classes) / max(1, len(settings.classes))
-        self._priority = [min(2.0, cls.worth / mean) if mean > 0 else 1.0 for cls in settings.classes]
+        self._longest_pause = settings.max_retry_after_ms if settings.retry_after_allowed else 0.0
+        mean = sum(cls.priority_weight for cls in settings.classes) / max(1, len(settings.classes))
+        self._priority = [
+            min(2.0, cls.priority_weight / mean) if mean > 0 else 1.0 for cls in settings.classes
+        ]
         self._patience = [
-            max(LEAST_PATIENCE, PATIENCE * priority * cls.aim)
+            max(LEAST_PATIENCE, PATIENCE * priority * cls.latency_objective_ms)
             for priority, cls in zip(self._priority, settings.classes, strict=True)
         ]
-        self._longest = max(LONGEST, *(cls.deadline for cls in settings.classes))
-        self._most = min(settings.most_held, MOST_OPEN)
-        told = settings.client_pace > 0 and self._pace > 0
-        self._bytes_per_kb = self._pace / settings.client_pace if told else 1000.0
+        self._longest = max(LONGEST, *(cls.deadline_ms for cls in settings.classes))
+        self._most = min(settings.max_open_requests, MOST_OPEN)
+        told = settings.client_kb_per_s > 0 and self._pace > 0
+        self._bytes_per_kb = self._pace / settings.client_kb_per_s if told else 1000.0
 
     def enter(self, now: float, asked: ClientRequest) -> OpenRequest | None:
         """The request, now open; None if there is no room for it and its answer."""
--- a/stonecove/pipeline/book.py
+++ b/stonecove/pipeline/book.py
@@ -5,7 +5,7 @@
 from collections import Counter
 from collections.abc import Callable
 
-from stonecove.routing.events import NOT_RUN, Ended, Event, Outcome
+from stonecove.routing.events import AttemptEnded, Event, Outcome, PROVEN_NOT_EXECUTED
 from stonecove.runtime.clock import Clock
 from stonecove.runtime.log import log
 from stonecove.state.requests import Attempt, OpenRequest
@@ -33,15 +33,23 @@
         if attempt.ended:
             return
         attempt.ended = True
-        attempt.not_run = outcome in NOT_RUN
+        attempt.not_run = outcome in PROVEN_NOT_EXECUTED
         if attempt.alarm is not None:
             attempt.alarm.off()
         self.counts[outcome.name.lower()] += 1
         request, order = attempt.request, attempt.order
         took = self._clock.now() - (attempt.written_at or attempt.ordered_at)
         self._post(
-            Ended(
-                request.req, attempt.number, order.node, outcome, took, request.answered, note, waited, load
+            AttemptEnded(
+                request.req,
+                attempt.number,
+                order.node_id,
+                outcome,
+                took,
+                request.answered,
+                note,
+                waited,
+                load,
             )
         )
         self.close_if_over(request)
--- a/stonecove/pipeline/intake.py
+++ b/stonecove/pipeline/intake.py
@@ -5,7 +5,7 @@
 import re
 from collections.abc import Callable, Mapping
 
-from stonecove.routing.events import Effect, Settings
+from stonecove.routing.settings import Idempotency, Settings
 from stonecove.exchange import Answer, ClientRequest, BadRequestError
 
 PATH = "/svc/"
@@ -49,7 +49,7 @@
     """Checks requests against the settings."""
 
     def __init__(self, settings: Settings) -> None:
-        self._keyed = {cls.name for cls in settings.classes if cls.effect is Effect.KEYED}
+        self._keyed = {cls.name for cls in settings.classes if cls.idempotency is Idempotency.IDEMPOTENCY_KEY}
         self._kinds = {cls.name: place for place, cls in enumerate(settings.classes)}
 
     def take(
--- a/stonecove/pipeline/relay.py
+++ b/stonecove/pipeline/relay.py
@@ -5,7 +5,8 @@
 import re
 from typing import NamedTuple
 
-from stonecove.routing.events import ClassSettings, Note, Outcome, Settings
+from stonecove.routing.events import CacheStatus, Outcome
+from stonecove.routing.settings import ClassSettings, Settings
 from stonecove.runtime.log import log_some
 from stonecove.state.requests import Attempt, OpenRequest
 from stonecove.pipeline.book import Book
@@ -19,23 +20,23 @@
     "200": Outcome.OK,
     "304": Outcome.OK,
     "404": Outcome.MISS,
-    "503": Outcome.FULL,
+    "503": Outcome.REJECTED_OVERLOADED,
     "500": Outcome.ERROR,
-    "504": Outcome.MOOT,
+    "504": Outcome.EXPIRED_UNSENT,
 }
 _TAG = re.compile(r"[0-9A-Za-z._-]{1,64}")
 _FIGURE = re.compile(r"[0-9]{1,15}(\.[0-9]{1,12})?")
 _NOTES = {
-    "hit": Note.HIT,
-    "filled": Note.FILLED,
-    "via_origin": Note.FILLED_BY_ORIGIN,
-    "joined": Note.JOINED,
-    "stale": Note.OLD_COPY,
-    "src_refused": Note.SOURCE_REFUSED,
-    "src_broke": Note.SOURCE_BROKE,
-    "src_lacks": Note.SOURCE_LACKS,
-    "no_slot": Note.NO_FILL_PLACE,
-    "origin_failed": Note.ORIGIN_FAILED,
+    "hit": CacheStatus.HIT,
+    "filled": CacheStatus.FILLED,
+    "via_origin": CacheStatus.FILLED_BY_ORIGIN,
+    "joined": CacheStatus.JOINED,
+    "stale": CacheStatus.STALE,
+    "src_refused": CacheStatus.SOURCE_REJECTED,
+    "src_broke": CacheStatus.SOURCE_DISCONNECTED,
+    "src_lacks": CacheStatus.SOURCE_MISSING_OBJECT,
+    "no_slot": CacheStatus.NO_FILL_SLOT,
+    "origin_failed": CacheStatus.ORIGIN_FAILED,
 }
 
 
@@ -61,7 +62,7 @@
 
     def reconfigure(self, settings: Settings) -> None:
         """These settings hold from now on; each request keeps the class it came under."""
-        self._report_fields = settings.report_fields
+        self._report_fields = settings.load_report_fields
 
     def answer(self, request: OpenRequest, answer: Answer) -> None:
         """The final answer; only the first counts."""
@@ -89,7 +90,7 @@
             return "an error with bytes" if reply.body else ""
         if len(reply.body) > MOST_BODY:
             return f"an answer of {len(reply.body)} bytes"
-        kept = not attempt.request.cls.never_kept
+        kept = not attempt.request.cls.never_cached
         tag, born = (reply.fields.get(name, "") for name in ("ver", "born"))
         if kept and not (_TAG.fullmatch(tag) and _number(born)):
             return "a copy without a tag or an age"
@@ -99,7 +100,7 @@
         """A cache has answered an attempt that is out."""
         outcome = OUTCOMES[reply.word]
         if outcome is Outcome.OK and (wrong := self._wrong(attempt, reply)):
-            log_some("bad-copy", node=f"s-{attempt.order.node:08x}", why=wrong)
+            log_some("bad-copy", node=f"s-{attempt.order.node_id:08x}", why=wrong)
             outcome = Outcome.ERROR
         if outcome is Outcome.OK:
             verdict = Verdict.UNCHANGED if reply.word == "304" else Verdict.SERVED
@@ -112,7 +113,7 @@
                     born=_number(reply.fields.get("born", "")) or 0.0,
                 ),
             )
-        note = _NOTES.get(reply.fields.get("tell", ""), Note.NONE)
+        note = _NOTES.get(reply.fields.get("tell", ""), CacheStatus.NONE)
         self._book.ended(
             attempt,
             outcome,
@@ -130,14 +131,14 @@
             return "unchanged, but with bytes"
         oldest = self._oldest(cls, attempt)
         born = _number(reply.fields.get("born", "")) or 0.0
-        if not cls.never_kept and oldest and born < attempt.written_at - oldest - SLACK:
+        if not cls.never_cached and oldest and born < attempt.written_at - oldest - SLACK:
             return f"{attempt.written_at - born:.0f} ms old, asked for {oldest:.0f}"
         return ""
 
     @staticmethod
     def _oldest(cls: ClassSettings, attempt: Attempt) -> float:
         """The age that was asked for; 0: any."""
-        return attempt.order.age or cls.fresh
+        return attempt.order.max_age_ms or cls.fresh_ms
 
     def _load(self, meter: str) -> tuple[float, ...]:
         """The load report, in the order of the settings; empty without a whole one.
--- a/stonecove/pipeline/route.py
+++ b/stonecove/pipeline/route.py
@@ -9,24 +9,26 @@
 from typing import Any
 
 from stonecove.routing.director import Director
+from stonecove.routing.actions import (
+    CancelAttempt,
+    FailRequest,
+    RejectRequest,
+    SendAttempt,
+    StartTimer,
+    WriteLog,
+)
+from stonecove.routing.endpoints import EndpointListKind
 from stonecove.routing.events import (
-    Cancel,
-    Due,
+    ClientDisconnected,
+    EndpointListUpdate,
     Event,
-    Fail,
-    Get,
-    Left,
-    Listed,
-    ListKind,
-    Log,
     Outcome,
-    Purged,
-    Reconfigured,
-    Refuse,
-    Request,
-    Settings,
-    Timer,
+    PurgeReceived,
+    RequestReceived,
+    SettingsChanged,
+    TimerExpired,
 )
+from stonecove.routing.settings import Settings
 from stonecove.runtime.clock import Clock
 from stonecove.runtime.timers import Timers, nobody
 from stonecove.runtime.log import log
@@ -65,7 +67,7 @@
     ) -> None:
         """`connect` opens connections to caches; `wake` is called when a request waits to be decided."""
         self._clock, self._timers = clock, timers
-        self._director = Director(settings, seed)
+        self.director = Director(settings, seed)
         self._events: deque[Event] = deque()
         self._busy = False
         self.nodes = NodeTable()
@@ -77,12 +79,12 @@
         self.relay = Relay(settings, self.book)
         self.send = Send(clock, timers, self.nodes, settings, self.book, self.relay, connect)
         self._carry: dict[type, Callable[[Any], None]] = {
-            Get: self._get,
-            Cancel: self._cancel,
-            Refuse: self._refuse,
-            Fail: self._fail,
-            Timer: self._timer,
-            Log: self._log,
+            SendAttempt: self._get,
+            CancelAttempt: self._cancel,
+            RejectRequest: self._refuse,
+            FailRequest: self._fail,
+            StartTimer: self._timer,
+            WriteLog: self._log,
         }
         self._said: dict[str, float] = {}
         self.gate: Gate | None = None  # limits that routers share, where the operator has set some
@@ -99,7 +101,7 @@
         """
         while self.decide():
             pass
-        self.post(Reconfigured(settings))
+        self.post(SettingsChanged(settings))
         self.admit.reconfigure(settings)
         self.relay.reconfigure(settings)
         self.send.reconfigure(settings)
@@ -142,7 +144,7 @@
             self.relay.answer(request, Answer(Verdict.REFUSED, pause=self.admit.pause()))
         else:
             self.post(
-                Request(
+                RequestReceived(
                     request.req,
                     asked.kind,
                     asked.key,
@@ -159,13 +161,13 @@
             if request.asked.gone is not None:
                 request.asked.gone()
             self.relay.left(request)
-            self.post(Left(request.req))
+            self.post(ClientDisconnected(request.req))
 
     def told(self, event: Told) -> None:
         """News of nodes or a purge. What waits to be written is looked at again, once the module knows."""
         waiting = self.requests.waiting()
         if isinstance(event, PurgeUpdate):
-            self.post(Purged(max(0.0, self._clock.now() - event.time), event.group, event.key))
+            self.post(PurgeReceived(max(0.0, self._clock.now() - event.time), event.group, event.key))
             for attempt in waiting:
                 asked = attempt.request.asked
                 attempt.outdated |= asked.key == event.key if event.key else asked.group == event.group
@@ -176,19 +178,19 @@
 
     def _listed(self, event: MembersUpdate) -> None:
         self.nodes.apply(event)
-        form = ListKind.FULL if event.whole else ListKind.DELTA
-        self.post(Listed(form, tuple(member.node for member in event.members)))
+        form = EndpointListKind.SNAPSHOT if event.whole else EndpointListKind.DELTA
+        self.post(EndpointListUpdate(form, tuple(member.node for member in event.members)))
         for member in event.members:
             node = member.node
-            if node.started > 0:
-                self.send.started(node.node, node.started)
+            if node.started_ms > 0:
+                self.send.started(node.node_id, node.started_ms)
             log(
                 "node",
-                id=f"s-{node.node:08x}",
+                id=f"s-{node.node_id:08x}",
                 state=node.state.name.lower(),
                 kind=node.kind,
                 zone=node.zone,
-                started=f"{node.started:.0f}",
+                started=f"{node.started_ms:.0f}",
                 at=f"{member.host}:{member.port}",
             )
         self.send.gone()
@@ -208,48 +210,48 @@
     def _one(self, event: Event) -> None:
         """Guards against a slip in one decision that ends the process or leaves a request unanswered."""
         try:
-            for action in self._director.handle(self._clock.now(), event):
+            for action in self.director.handle(self._clock.now(), event):
                 if carry := self._carry.get(type(action)):
                     carry(action)
         except Exception as error:
             where = traceback.extract_tb(error.__traceback__)[-1]
             log("bug", where=f"{where.filename.rpartition('/')[2]}:{where.lineno}", error=repr(error))
-            if isinstance(event, Request) and (request := self.requests.get(event.req)):
-                self._fail(Fail(request.req))
+            if isinstance(event, RequestReceived) and (request := self.requests.get(event.request_id)):
+                self._fail(FailRequest(request.req))
 
     # -- what is to be done --
 
-    def _get(self, act: Get) -> None:
-        request = self.requests.get(act.req)
+    def _get(self, act: SendAttempt) -> None:
+        request = self.requests.get(act.request_id)
         if request is None:
             return
-        cut_at = min(act.cut_at, request.deadline) if act.cut_at > 0 else request.deadline
-        attempt = Attempt(request, len(request.attempts), act._replace(cut_at=cut_at), self._clock.now())
+        cut_at = min(act.deadline_ms, request.deadline) if act.deadline_ms > 0 else request.deadline
+        attempt = Attempt(request, len(request.attempts), act._replace(deadline_ms=cut_at), self._clock.now())
         request.attempts.append(attempt)
         if request.expired:
-            self.book.ended(attempt, Outcome.MOOT)
+            self.book.ended(attempt, Outcome.EXPIRED_UNSENT)
         else:
             self.send.order(attempt)
 
-    def _cancel(self, act: Cancel) -> None:
-        request = self.requests.get(act.req)
-        if request is not None and act.attempt < len(request.attempts):
-            attempt = request.attempts[act.attempt]
+    def _cancel(self, act: CancelAttempt) -> None:
+        request = self.requests.get(act.request_id)
+        if request is not None and act.attempt_index < len(request.attempts):
+            attempt = request.attempts[act.attempt_index]
             if not attempt.ended:
                 self.send.cancel(attempt)
 
-    def _refuse(self, act: Refuse) -> None:
-        if request := self.requests.get(act.req):
-            self.relay.answer(request, Answer(Verdict.REFUSED, pause=act.pause))
+    def _refuse(self, act: RejectRequest) -> None:
+        if request := self.requests.get(act.request_id):
+            self.relay.answer(request, Answer(Verdict.REFUSED, pause=act.retry_after_ms))
 
-    def _fail(self, act: Fail) -> None:
-        if request := self.requests.get(act.req):
+    def _fail(self, act: FailRequest) -> None:
+        if request := self.requests.get(act.request_id):
             self.relay.answer(request, Answer(Verdict.FAILED))
 
-    def _timer(self, act: Timer) -> None:
-        self._timers.at(act.at, partial(self.post, Due(act.token)))
+    def _timer(self, act: StartTimer) -> None:
+        self._timers.at(act.expires_at_ms, partial(self.post, TimerExpired(act.token)))
 
-    def _log(self, act: Log) -> None:
+    def _log(self, act: WriteLog) -> None:
         """Guards against a log full of one line: the same text comes once a second at most."""
         now = self._clock.now()
         self._said = {text: at for text, at in self._said.items() if 0 <= now - at < SAID_FOR}
@@ -264,7 +266,7 @@
         if not request.answered:
             log("backstop", req=request.asked.txn)
             self.relay.answer(request, Answer(Verdict.FAILED))
-            self.post(Left(request.req))
+            self.post(ClientDisconnected(request.req))
         for attempt in request.attempts:
             if not attempt.ended:
                 self.send.cancel(attempt)
--- a/stonecove/pipeline/send.py
+++ b/stonecove/pipeline/send.py
@@ -6,7 +6,10 @@
 from collections.abc import Callable
 from functools import partial
 
-from stonecove.routing.events import Effect, Get, How, NodeId, Outcome, Settings
+from stonecove.routing.actions import FetchMode, SendAttempt
+from stonecove.routing.endpoints import NodeId
+from stonecove.routing.events import Outcome
+from stonecove.routing.settings import Idempotency, Settings
 from stonecove.runtime.clock import Clock
 from stonecove.runtime.timers import Timers
 from stonecove.runtime.log import log_some
@@ -27,10 +30,10 @@
 SLOW = 0.25  # part of the connect time-out after which what waits goes by another connection
 STUCK = 400.0  # ms, or a connect time-out, without a byte of an answer begun, after which its connection goes
 MODES = (
-    (How.JOIN, "wait-for"),
-    (How.HELD_ONLY, "no-fetch"),
-    (How.NO_PARENT_COPY, "no-keep"),
-    (How.RENEW, "background"),
+    (FetchMode.JOIN_FILL, "wait-for"),
+    (FetchMode.CACHED_ONLY, "no-fetch"),
+    (FetchMode.NO_PARENT_COPY, "no-keep"),
+    (FetchMode.REVALIDATE, "background"),
 )
 
 # Opens a connection for its owner, to that address, within so many seconds.
@@ -44,15 +47,15 @@
         ("cls", asked.cls),
         ("item", asked.item),
         ("chunk", asked.chunk),
-        ("limit", str(max(1, int(order.cut_at - now)))),
+        ("limit", str(max(1, int(order.deadline_ms - now)))),
     ]
-    if order.source != order.node:
-        fields.append(("from", f"s-{order.source:08x}"))
-    if order.keep:
-        fields.append(("rank", str(order.keep)))
-    if order.age > 0:
-        fields.append(("oldest", str(max(1, int(order.age)))))
-    if mode := "+".join(word for bit, word in MODES if order.how & bit):
+    if order.source_id != order.node_id:
+        fields.append(("from", f"s-{order.source_id:08x}"))
+    if order.cache_rank:
+        fields.append(("rank", str(order.cache_rank)))
+    if order.max_age_ms > 0:
+        fields.append(("oldest", str(max(1, int(order.max_age_ms)))))
+    if mode := "+".join(word for bit, word in MODES if order.fetch_mode & bit):
         fields.append(("mode", mode))
     if asked.seen:
         fields.append(("seen", asked.seen))
@@ -197,7 +200,7 @@
 
     def order(self, attempt: Attempt) -> None:
         """Sends an attempt on its way."""
-        attempt.alarm = self._timers.at(attempt.order.cut_at, partial(self.late, attempt))
+        attempt.alarm = self._timers.at(attempt.order.deadline_ms, partial(self.late, attempt))
         self._place(attempt)
 
     def _place(self, attempt: Attempt) -> None:
@@ -207,8 +210,8 @@
             return
         link = self._link(attempt, self._clock.now())
         if link is None:  # our own lack, which says nothing of the cache
-            log_some("no-connection", node=f"s-{order.node:08x}", links=self.links())
-            self._book.ended(attempt, Outcome.MOOT)
+            log_some("no-connection", node=f"s-{order.node_id:08x}", links=self.links())
+            self._book.ended(attempt, Outcome.EXPIRED_UNSENT)
             return
         self._put(attempt, link)
 
@@ -241,10 +244,12 @@
         what may be repeated shares a few: guards against all routers holding as many to a cache as they have
         requests there.
         """
-        node, txn = attempt.order.node, attempt.request.asked.txn
-        shares = self._settings.handshakes_priced and attempt.request.cls.effect is Effect.SAFE
-        few = min(SHARED, self._settings.streams) if shares else 1
-        silence = SILENT * max(self._settings.connect_timeout, 100.0)
+        node, txn = attempt.order.node_id, attempt.request.asked.txn
+        shares = (
+            self._settings.handshakes_priced and attempt.request.cls.idempotency is Idempotency.IDEMPOTENT
+        )
+        few = min(SHARED, self._settings.streams_per_connection) if shares else 1
+        silence = SILENT * max(self._settings.connect_timeout_ms, 100.0)
         address, links = self._nodes.address(node), self._links.get(node, [])
         prompt = [link for link in links if not self._slow(link, now)]
         for link in sorted((link for link in prompt if len(link.open) < few), key=_load):
@@ -252,24 +257,26 @@
                 link.used_at = now
                 return link
         fair = max(2, self.most_links // max(1, len(self._links)))
-        most = max(MOST_LINKS, MOST_OUT // self._settings.streams)
+        most = max(MOST_LINKS, MOST_OUT // self._settings.streams_per_connection)
         if len(links) < min(most, fair) and (self.links() < self.most_links or self._make_room()):
             link = Link(node, self, address, now)
             # Guards against a node that is gone and is noticed later, as its connections are tried in a row.
-            left = self._settings.connect_timeout - (now - attempt.ordered_at)
-            patience = left if left > 0 else self._settings.connect_timeout
+            left = self._settings.connect_timeout_ms - (now - attempt.ordered_at)
+            patience = left if left > 0 else self._settings.connect_timeout_ms
             link.connection = self._connect(link, address, max(patience, 1.0) / 1000.0)
             self._links.setdefault(node, []).append(link)
             return link
         for link in sorted(links, key=_load):
-            if link.address == address and link.takes(txn, now, self._settings.streams, silence):
+            if link.address == address and link.takes(
+                txn, now, self._settings.streams_per_connection, silence
+            ):
                 link.used_at = now
                 return link
         return None
 
     def _slow(self, link: Link, now: float) -> bool:
         """Whether a connection has been coming up for long: nothing more is to wait for it."""
-        return not link.connection.up and now - link.opened_at >= SLOW * self._settings.connect_timeout
+        return not link.connection.up and now - link.opened_at >= SLOW * self._settings.connect_timeout_ms
 
     def _hurry(self, link: Link, now: float) -> None:
         """Puts what waits for a slow connection on another one, once; the first that is up has it.
@@ -300,16 +307,16 @@
         Guards against drains, ends and purges that were told after the order, against a request that has
         its answer by now, and against a repeat whose window has passed while it waited.
         """
-        order: Get = attempt.order
+        order: SendAttempt = attempt.order
         if attempt.ended:
             return False
         over = attempt.request.answered or attempt.outdated or self._window_over(attempt)
         if (
             over
-            or not self._nodes.ready(order.node)
-            or (order.source != order.node and not self._nodes.ready(order.source))
+            or not self._nodes.ready(order.node_id)
+            or (order.source_id != order.node_id and not self._nodes.ready(order.source_id))
         ):
-            self._finish(attempt, Outcome.MOOT)
+            self._finish(attempt, Outcome.EXPIRED_UNSENT)
             return False
         return True
 
@@ -319,8 +326,10 @@
         Whichever was ordered first: the other may have been written before it.
         """
         cls = attempt.request.cls
-        return cls.effect is Effect.KEYED and any(
-            other.written_at and not other.not_run and self._clock.now() - other.written_at >= cls.window
+        return cls.idempotency is Idempotency.IDEMPOTENCY_KEY and any(
+            other.written_at
+            and not other.not_run
+            and self._clock.now() - other.written_at >= cls.deduplication_window_ms
             for other in attempt.request.attempts
         )
 
@@ -332,7 +341,7 @@
             return None
         if self.outlived is not None and self.outlived(attempt):
             # Guards against what was decided on a share of before we were stopped.
-            self._finish(attempt, Outcome.MOOT)
+            self._finish(attempt, Outcome.EXPIRED_UNSENT)
             return None
         now = self._clock.now()
         attempt.written_at = now
@@ -349,7 +358,7 @@
             silent_for = self._clock.now() - max(attempt.written_at, link.heard_at)
             link.used_at = self._clock.now()
             # Guards against a connection on which nothing comes back taking the next attempt, too.
-            link.doubtful |= silent_for > SILENT * max(self._settings.connect_timeout, 100.0)
+            link.doubtful |= silent_for > SILENT * max(self._settings.connect_timeout_ms, 100.0)
         self._finish(attempt, outcome)
 
     def late(self, attempt: Attempt) -> None:
@@ -412,7 +421,7 @@
                 self._place(attempt)
             else:
                 ours = link.connection.lacking or (excused and not link.connection.up)
-                unseen = Outcome.MOOT if ours else Outcome.CONNECT_FAILED
+                unseen = Outcome.EXPIRED_UNSENT if ours else Outcome.CONNECT_FAILED
                 self._finish(attempt, Outcome.RESET if attempt.written_at else unseen)
 
     def _excused(self, link: Link) -> bool:
@@ -449,13 +458,13 @@
         Guards against writing into one that the cache is closing, and against one that stays open in the
         middle of an answer, or goes on for ever with one that was given up.
         """
-        now, stuck_after = self._clock.now(), max(STUCK, self._settings.connect_timeout)
+        now, stuck_after = self._clock.now(), max(STUCK, self._settings.connect_timeout_ms)
         self._timers.at(now + SWEEP, self._sweep)
         for links in list(self._links.values()):
             for link in list(links):
                 if self._slow(link, now) and not link.connection.over:
                     self._hurry(link, now)
-                idle = now - link.used_at > IDLE_PART * self._settings.conn_idle
+                idle = now - link.used_at > IDLE_PART * self._settings.connection_idle_ms
                 halfway = link.connection.halfway_at
                 since = halfway if link.open else min(halfway, link.used_at)
                 stuck = halfway and now - since > stuck_after
--- a/stonecove/protocols/change_log.py
+++ b/stonecove/protocols/change_log.py
@@ -6,7 +6,8 @@
 from collections.abc import Iterator
 from typing import Any, NamedTuple
 
-from stonecove.routing.events import Node, NodeState, Settings
+from stonecove.routing.endpoints import Node, NodeState
+from stonecove.routing.settings import Settings
 from stonecove.runtime.log import log_some
 from stonecove.discovery import Member, MembershipSink, MembersUpdate, PurgeUpdate, Told
 from stonecove.protocols.buffer import Buffer
@@ -18,8 +19,8 @@
 _OBJECT = struct.Struct(">QQ")
 _GROUP = struct.Struct(">HQ")
 _NOTHING, _WHOLE, _CHANGES, _OBJECT_PURGE, _GROUP_PURGE = range(5)
-_STATES = {0: NodeState.READY, 1: NodeState.DRAINING, 2: NodeState.GONE}
-_WORDS = {"up": NodeState.READY, "draining": NodeState.DRAINING, "removed": NodeState.GONE}
+_STATES = {0: NodeState.READY, 1: NodeState.DRAINING, 2: NodeState.REMOVED}
+_WORDS = {"up": NodeState.READY, "draining": NodeState.DRAINING, "removed": NodeState.REMOVED}
 
 
 class ChangeLogError(Exception):
--- a/stonecove/quotas/lending.py
+++ b/stonecove/quotas/lending.py
@@ -24,7 +24,8 @@
 from dataclasses import dataclass, field
 from typing import NamedTuple
 
-from stonecove.routing.events import RETRIES, NodeId
+from stonecove.routing.actions import RETRY_LEASE
+from stonecove.routing.endpoints import NodeId
 from stonecove.quotas.buckets import Hierarchy
 from stonecove.quotas.leases import Grant, Lessor, own_part
 from stonecove.quotas.quota import MOST_TOKENS, Path, Plan
@@ -191,7 +192,7 @@
             "granted": self._lessor.granted,
             "refused": self._lessor.refused,
             "nodes": {
-                "retries" if node == RETRIES else f"s-{node:08x}": {
+                "retries" if node == RETRY_LEASE else f"s-{node:08x}": {
                     "pool": told.pool,
                     "rule": round(told.rule(now), 1),
                     "lent": round(self._lessor.booked(node, now), 1),
--- a/stonecove/rollout/merge.py
+++ b/stonecove/rollout/merge.py
@@ -5,7 +5,7 @@
 from collections.abc import Mapping
 from typing import Any
 
-from stonecove.routing.events import Settings
+from stonecove.routing.settings import Settings
 from stonecove.rollout.messages import MessageError, Overlay
 from stonecove.settings import settings_from
 
--- /dev/null
+++ b/stonecove/routing/endpoints.py
@@ -0,0 +1,37 @@
+"""The nodes that requests can be routed to, as the endpoint list names them."""
+
+from __future__ import annotations
+
+from enum import IntEnum
+from typing import NamedTuple
+
+NodeId = int
+
+
+class NodeState(IntEnum):
+    """State of a listed node."""
+
+    DRAINING = 0
+    REMOVED = 1
+    READY = 2
+
+
+class EndpointListKind(IntEnum):
+    """What an update of the endpoint list contains."""
+
+    DELTA = 0
+    SNAPSHOT = 1
+    CACHED_SNAPSHOT = 2  # the list that was known at the start, which may be out of date
+    FAILED = 3
+
+
+class Node(NamedTuple):
+    """One entry of the endpoint list. `started_ms` is 0 where the start is unknown."""
+
+    node_id: NodeId
+    kind: int
+    started_ms: float
+    state: NodeState
+    cell: int
+    zone: int
+    weight: float
--- a/stonecove/routing/leased_budget.py
+++ b/stonecove/routing/leased_budget.py
@@ -1,42 +1,60 @@
-"""Pieces that a director holds of what many share, and spends by itself between two words of the lessor."""
+"""Leases of a shared budget that a router holds and spends without asking again."""
 
 from __future__ import annotations
 
 import math
+from dataclasses import dataclass
 
-from stonecove.routing.events import NodeId, Piece, Unspent
+from stonecove.routing.actions import ReturnLease
+from stonecove.routing.endpoints import NodeId
+from stonecove.routing.events import LeaseGranted
 
 
-class LeasedCredit:
-    """Pieces of what the directors of a host share; each is spent once, and not after it has expired."""
+@dataclass(slots=True)
+class HeldLease:
+    """A lease that has not expired as far as is known."""
+
+    expires_at_ms: float
+    remaining_ms: float
+
+
+class LeasedBudget:
+    """Hold leases by node. Each is spent once, and not after it has expired."""
 
     def __init__(self) -> None:
-        self.pieces: dict[NodeId, dict[int, list[float]]] = {}  # by node and number: until when, what is left
-        self.over: list[Unspent] = []
-
-    def add(self, now: float, piece: Piece) -> None:
-        """Takes a piece, or the word that one is over."""
-        held = self.pieces.setdefault(piece.node, {})
-        held.setdefault(piece.number, [piece.until, piece.work])
-        if piece.work <= 0:
-            held[piece.number][0] = -math.inf
-        self.left(now, piece.node)
-
-    def left(self, now: float, node: NodeId) -> float:
-        """What may be spent; pieces whose time is over are given back."""
-        if not (held := self.pieces.get(node)):
+        self.leases: dict[NodeId, dict[int, HeldLease]] = {}
+        self.returned: list[ReturnLease] = []  # to be sent back by the caller
+
+    def grant(self, now_ms: float, granted: LeaseGranted) -> None:
+        """Add a lease, or end the one of that id if no work is granted."""
+        held = self.leases.setdefault(granted.node_id, {})
+        lease = held.setdefault(granted.lease_id, HeldLease(granted.expires_at_ms, granted.work_ms))
+        if granted.work_ms <= 0:
+            lease.expires_at_ms = -math.inf
+        self.remaining(now_ms, granted.node_id)
+
+    def remaining(self, now_ms: float, node_id: NodeId) -> float:
+        """Return the work that may still be spent on a node; expired leases are returned."""
+        held = self.leases.get(node_id)
+        if not held:
             return 0.0
-        for number in [number for number, (until, left) in held.items() if until <= now or left <= 0]:
-            if (left := held.pop(number)[1]) > 0:
-                self.over.append(Unspent(number, left))
-        return sum(left for _, left in held.values())
-
-    def spend(self, now: float, node: NodeId, work: float) -> bool:
-        """All of it, or nothing."""
-        if self.left(now, node) < work:
+        over = [
+            lease_id
+            for lease_id, lease in held.items()
+            if lease.expires_at_ms <= now_ms or lease.remaining_ms <= 0
+        ]
+        for lease_id in over:
+            unspent_ms = held.pop(lease_id).remaining_ms
+            if unspent_ms > 0:
+                self.returned.append(ReturnLease(lease_id, unspent_ms))
+        return sum(lease.remaining_ms for lease in held.values())
+
+    def spend(self, now_ms: float, node_id: NodeId, work_ms: float) -> bool:
+        """Spend the work if the leases of the node cover all of it; return whether they did."""
+        if self.remaining(now_ms, node_id) < work_ms:
             return False
-        for piece in self.pieces.get(node, {}).values():
-            part = min(work, piece[1])
-            piece[1] -= part
-            work -= part
+        for lease in self.leases.get(node_id, {}).values():
+            spent_ms = min(work_ms, lease.remaining_ms)
+            lease.remaining_ms -= spent_ms
+            work_ms -= spent_ms
         return True
--- /dev/null
+++ b/stonecove/routing/slow_start.py
@@ -0,0 +1,107 @@
+"""Slow start: how much work a node gets while it warms up."""
+
+from __future__ import annotations
+
+from collections import deque
+from collections.abc import Container
+from dataclasses import dataclass
+from typing import TYPE_CHECKING
+
+from stonecove.routing.endpoints import Node, NodeId
+from stonecove.routing.link_load import LinkShare
+
+if TYPE_CHECKING:
+    from stonecove.routing.leased_budget import LeasedBudget
+
+BUDGET_UTILIZATION = 0.6  # sizes are rough and routers uneven, so a part of the limit stays unused
+LEASE_REQUEST_FRACTION = 0.5  # a lease is requested once this fraction of the unleased budget is left
+
+
+@dataclass(slots=True)
+class SlowStartCharge:
+    """Work sent to a node in slow start."""
+
+    sent_ms: float
+    work_ms: float
+
+
+class SlowStartBudget:
+    """Limit the work sent to a node in slow start to this router's share of its overload limit.
+
+    Without it the routers of a fleet, each within reason, overload a warming node together.
+    """
+
+    def __init__(self, window_ms: float) -> None:
+        self._window_ms = window_ms
+        self.charges: dict[NodeId, deque[SlowStartCharge]] = {}
+        self.remaining_ms: dict[NodeId, float] = {}  # of the unleased budget, when it was last checked
+        self.unleased_fraction = 1.0
+        self.leased: LeasedBudget | None = None
+
+    def configure(self, initial_fraction: float, duration_ms: float, overload_multiple: float) -> None:
+        """Set the limits from now on. Charges stay, or a change would grant a second budget at once."""
+        self._initial_fraction = initial_fraction
+        self._duration_ms = duration_ms
+        self._overload_multiple = overload_multiple
+
+    def capacity_fraction(self, now_ms: float, started_ms: float) -> float:
+        """Return the fraction of its capacity that a node has at least; 1 once it is surely warm."""
+        age_ms = now_ms - started_ms
+        if started_ms <= 0 or age_ms >= self._duration_ms + self._window_ms:
+            return 1.0
+        warmed = max(0.0, age_ms - self._window_ms) / max(self._duration_ms, 1.0)
+        return self._initial_fraction + (1 - self._initial_fraction) * min(1.0, warmed)
+
+    def admits(self, now_ms: float, node: Node, work_ms: float, link: LinkShare) -> bool:
+        """Return whether this much transfer time may be sent to the node now."""
+        if self.capacity_fraction(now_ms, node.started_ms) >= 1.0:
+            self.charges.pop(node.node_id, None)
+            return True
+        charges = self.charges.setdefault(node.node_id, deque())
+        while charges and charges[0].sent_ms <= now_ms - self._window_ms:
+            charges.popleft()
+        limit_ms = self.unleased_fraction * link.share * self.fleet_limit_ms(now_ms, node, link.capacity)
+        self.remaining_ms[node.node_id] = limit_ms - sum(charge.work_ms for charge in charges)
+        if work_ms <= self.remaining_ms[node.node_id]:
+            return True
+        return self.leased is not None and work_ms <= self.leased.remaining(now_ms, node.node_id)
+
+    def fleet_limit_ms(self, now_ms: float, node: Node, capacity: float) -> float:
+        """Return the work that all routers together may send to the node within a window."""
+        fraction = self.capacity_fraction(now_ms, node.started_ms)
+        return self._overload_multiple * fraction * self._window_ms * capacity * BUDGET_UTILIZATION
+
+    def should_request_lease(self, now_ms: float, node: Node, work_ms: float, link: LinkShare) -> bool:
+        """Return whether the remaining budget calls for another lease."""
+        if self.leased is None or node.node_id not in self.charges:
+            return False
+        limit_ms = self.unleased_fraction * link.share * self.fleet_limit_ms(now_ms, node, link.capacity)
+        threshold_ms = max(work_ms, LEASE_REQUEST_FRACTION * limit_ms)
+        if self.remaining_ms.get(node.node_id, 0.0) >= threshold_ms:
+            return False
+        return self.leased.remaining(now_ms, node.node_id) < 2 * work_ms
+
+    def charge(self, now_ms: float, node_id: NodeId, work_ms: float) -> SlowStartCharge:
+        """Charge an attempt, whatever its end, if the node is in slow start; return the charge."""
+        charge = SlowStartCharge(now_ms, work_ms)
+        if node_id not in self.charges:
+            return charge
+        if self.leased is None or work_ms <= self.remaining_ms.get(node_id, 0.0):
+            self.charges[node_id].append(charge)
+        else:
+            self.leased.spend(now_ms, node_id, work_ms)
+        return charge
+
+    def forget_removed(self, since_ms: float, listed: Container[NodeId]) -> None:
+        """Drop what is known of nodes that are not listed, but for charges that are later than `since_ms`.
+
+        Without those a node that is removed and listed again would get a second budget.
+        """
+        self.charges = {
+            node_id: charges
+            for node_id, charges in self.charges.items()
+            if node_id in listed or (charges and charges[-1].sent_ms > since_ms)
+        }
+        self.remaining_ms = {
+            node_id: left for node_id, left in self.remaining_ms.items() if node_id in listed
+        }
--- a/stonecove/scale/hollow_configuration.py
+++ b/stonecove/scale/hollow_configuration.py
@@ -5,7 +5,7 @@
 import time
 from collections.abc import Awaitable, Callable
 
-from stonecove.routing.events import Settings
+from stonecove.routing.settings import Settings
 from stonecove.server.config import Config
 from stonecove.server.configuration import ConfigurationKeeper
 from stonecove.server.reconfigure import Reconfigure
--- a/stonecove/server/config.py
+++ b/stonecove/server/config.py
@@ -10,7 +10,7 @@
 
 import ujson
 
-from stonecove.routing.events import Settings
+from stonecove.routing.settings import Settings
 from stonecove.discovery import Told
 from stonecove.settings import settings_from
 from stonecove.protocols.change_log import ChangeLogError, known_events
--- a/stonecove/server/configuration.py
+++ b/stonecove/server/configuration.py
@@ -11,7 +11,7 @@
 
 import trio
 
-from stonecove.routing.events import Settings
+from stonecove.routing.settings import Settings
 from stonecove.server.config import Config
 from stonecove.server.reconfigure import SettingsRefused
 from stonecove.operator_config.records import ConfigurationRecord
--- a/stonecove/server/coordination.py
+++ b/stonecove/server/coordination.py
@@ -10,7 +10,7 @@
 
 from stonecove.runtime.clock import Clock
 from stonecove.runtime.log import log, log_some
-from stonecove.routing.events import NodeId
+from stonecove.routing.endpoints import NodeId
 from stonecove.server.config import Config
 from stonecove.discovery import presence
 from stonecove.discovery.records import Names, RecordError
@@ -171,7 +171,9 @@
         self.registrar: Registrar | None = None
         self.fleet: presence.Fleet | None = None
         if own is not None:
-            least = presence.FleetSize(owner.config.settings.fleet, owner.config.settings.zone_directors)
+            least = presence.FleetSize(
+                owner.config.settings.fleet_size, owner.config.settings.routers_by_zone
+            )
             self.fleet = presence.Fleet(
                 len(names.zones), peer.zone, presence.Calm(own.grow, own.shrink), least
             )
--- a/stonecove/server/leases.py
+++ b/stonecove/server/leases.py
@@ -20,7 +20,9 @@
 from stonecove.exchange import ClientRequest
 from stonecove.runtime.clock import Clock
 from stonecove.runtime.log import log, log_some
-from stonecove.routing.events import Piece, Settings, Terms, Unspent, Want
+from stonecove.routing.actions import RequestLease, ReturnLease
+from stonecove.routing.events import LeaseGranted, LeaseTerms
+from stonecove.routing.settings import Settings
 from stonecove.quotas.leases import LIFE_PART, Grant, Holder
 from stonecove.quotas.quota import Plan, PlanError, Quota
 from stonecove.pipeline.route import Route
@@ -79,9 +81,9 @@
 
 def parts_of(settings: Settings) -> dict[str, float]:
     """This router's part of each pool, by the settings."""
-    zone, by_zone = settings.zone, settings.zone_directors
-    directors = by_zone[zone] if 0 <= zone < len(by_zone) else settings.fleet
-    return {f"zone:{zone}": 1.0 / max(1, directors), "fleet": 1.0 / max(1, settings.fleet)}
+    zone, by_zone = settings.zone, settings.routers_by_zone
+    directors = by_zone[zone] if 0 <= zone < len(by_zone) else settings.fleet_size
+    return {f"zone:{zone}": 1.0 / max(1, directors), "fleet": 1.0 / max(1, settings.fleet_size)}
 
 
 class Leases:
@@ -110,8 +112,8 @@
         self._talking = trio.CancelScope()
         self._own = file.own
         self._scale = 1.0  # of it, as long as the routers among themselves say so
-        route.carries(Want, self._want)
-        route.carries(Unspent, self._unspent)
+        route.carries(RequestLease, self._want)
+        route.carries(ReturnLease, self._unspent)
         self._post_terms()
         if self._quota is not None:
             route.gate = self._gate
@@ -149,7 +151,7 @@
 
     def _post_terms(self) -> None:
         own = self._own if time.monotonic() >= self._rest_until else 0.0
-        self._route.post(Terms(own * self._scale, self._file.retries))
+        self._route.post(LeaseTerms(own * self._scale, self._file.retries))
 
     # -- what the decisions want --
 
@@ -163,11 +165,11 @@
             return False
         return True
 
-    def _want(self, want: Want) -> None:
+    def _want(self, want: RequestLease) -> None:
         now = time.monotonic()
-        if not self._here or (number := self._holder.wants(want.node, now)) is None:
+        if not self._here or (number := self._holder.wants(want.node_id, now)) is None:
             return
-        if not math.isfinite(want.rule + want.rises):
+        if not math.isfinite(want.fleet_limit_ms + want.growth_ms_per_s):
             self._holder.refused(number)
             return
         self._route.book.counts["lease_asked"] += 1
@@ -176,18 +178,18 @@
             {
                 "do": "ask",
                 "number": number,
-                "node": want.node,
-                "work": want.work,
-                "rule": want.rule,
-                "rises": want.rises,
+                "node": want.node_id,
+                "work": want.work_ms,
+                "rule": want.fleet_limit_ms,
+                "rises": want.growth_ms_per_s,
                 "pool": pool,
             }
         )
         if not said:
             self._holder.refused(number)
 
-    def _unspent(self, unspent: Unspent) -> None:
-        self._say({"do": "back", "number": unspent.number, "left": unspent.work})
+    def _unspent(self, unspent: ReturnLease) -> None:
+        self._say({"do": "back", "number": unspent.lease_id, "left": unspent.work_ms})
 
     def _gate(self, asked: ClientRequest) -> str:
         assert self._quota is not None
@@ -271,7 +273,7 @@
         return {
             "do": "hello",
             "name": self._name,
-            "window": self._settings.fall_window / 1000.0,
+            "window": self._settings.overload_window_ms / 1000.0,
             "parts": parts_of(self._settings),
             "born": self._born,
         }
@@ -315,11 +317,11 @@
         They go by the system's clock, pieces by the steady one: guards against a clock that is set back, by
         which a piece would be good for longer than it is.
         """
-        self._route.post(Piece(number, node, work, self._clock.now() + (until - now) * 1000.0))
+        self._route.post(LeaseGranted(number, node, work, self._clock.now() + (until - now) * 1000.0))
 
         async def end() -> None:
             await trio.sleep(max(0.0, until - time.monotonic()))
-            self._route.post(Piece(number, node, 0.0, 0.0))
+            self._route.post(LeaseGranted(number, node, 0.0, 0.0))
 
         self._spawn(end)
 
--- a/stonecove/server/members.py
+++ b/stonecove/server/members.py
@@ -22,7 +22,9 @@
 from stonecove.runtime.clock import Clock
 from stonecove.runtime.log import log
 from stonecove.runtime.unix import accept_all, bound
-from stonecove.routing.events import NodeId, NodeState, Peers, Settings
+from stonecove.routing.endpoints import NodeId, NodeState
+from stonecove.routing.events import FleetSizeChanged
+from stonecove.routing.settings import Settings
 from stonecove.server.config import Config
 from stonecove.server.coordination import Coordination, Spawn, connection_of, rules_of
 from stonecove.discovery import Member, MembersUpdate, PurgeUpdate, Told, presence
@@ -82,9 +84,11 @@
         self._socket_scope = trio.CancelScope()
         self._coordination: Coordination | None = None
         self._next: Coordination | None = None  # takes over once it has read its list
-        self.sized: Callable[[Peers], None] = route.post  # told of the fleet's size, where it is derived
+        self.sized: Callable[[FleetSizeChanged], None] = (
+            route.post
+        )  # told of the fleet's size, where it is derived
         self.also: dict[str, Callable[[list[str]], dict[str, Any]]] = {}  # others who answer on the socket
-        self._peers: Peers | None = None  # the fleet's size that was derived last
+        self._peers: FleetSizeChanged | None = None  # the fleet's size that was derived last
         self._taken_at = 0.0  # when our name was found to be taken, in trio's seconds
         self._session_users: list[Callable[[Ensemble], None]] = []
         if self.operator.zookeeper is not None:
@@ -145,22 +149,22 @@
             self._route.told(event)
             return
         now = self.clock.now()
-        listed = {member.node.node for member in event.members}
+        listed = {member.node.node_id for member in event.members}
         if event.whole:
             for ident in self._logged - listed:
                 self._claim(
-                    self._log_source, ident, Claim(NodeState.GONE, None, "no longer in the whole list")
+                    self._log_source, ident, Claim(NodeState.REMOVED, None, "no longer in the whole list")
                 )
             self._logged.clear()
         for member in event.members:
-            ident, state = member.node.node, member.node.state
+            ident, state = member.node.node_id, member.node.state
             if event.whole and self._no_news(self._log_source, ident, state, member):
                 self._logged.add(ident)
                 continue
             self._claim(
                 self._log_source, ident, Claim(state, member, f"the change log says {state.name.lower()}")
             )
-            if state is NodeState.GONE:
+            if state is NodeState.REMOVED:
                 self._logged.discard(ident)
             else:
                 self._logged.add(ident)
@@ -180,7 +184,7 @@
         self.names = Names(settings.zones, settings.kinds)
         self.config = replace(self.config, settings=settings)
 
-    def counted(self) -> Peers | None:
+    def counted(self) -> FleetSizeChanged | None:
         """The routers that the coordination service lists; None where the settings say how many."""
         presence_record = self.operator.presence
         return self._peers if presence_record is not None and presence_record.derived else None
@@ -308,7 +312,9 @@
             if not self._no_news(self._zk_source, ident, claim.state, claim.member):
                 self._claim(self._zk_source, ident, claim)
         for ident in before - set(one.roster.claims):
-            self._claim(self._zk_source, ident, Claim(NodeState.GONE, None, "not listed by the new ensemble"))
+            self._claim(
+                self._zk_source, ident, Claim(NodeState.REMOVED, None, "not listed by the new ensemble")
+            )
 
     def _drop_coordination(self, now: float) -> None:
         """The file names no ensemble any more: its claims lose their say, and what it alone knew drains."""
@@ -318,7 +324,7 @@
         if self._coordination is not None:
             for ident in list(self._coordination.roster.claims):
                 self._claim(
-                    self._zk_source, ident, Claim(NodeState.GONE, None, "its source is configured no more")
+                    self._zk_source, ident, Claim(NodeState.REMOVED, None, "its source is configured no more")
                 )
         self._coordination = self._next = None
         self.merge.say(self._zk_source, False, now)
@@ -336,7 +342,7 @@
         urgent = self.merge.urgent
         strict = []
         for member in self.merge.take():
-            ident = member.node.node
+            ident = member.node.node_id
             self._pending[ident] = member
             verdict = self.merge.verdict(ident)
             self.trace.decided(now, ident, member.node.state, verdict.why)
@@ -400,7 +406,7 @@
                 "fleet-size", fleet=size.fleet, by_zone=",".join(map(str, size.by_zone)), used=one.own.derived
             )
             if one.own.derived:
-                self._peers = Peers(size.fleet, size.by_zone)
+                self._peers = FleetSizeChanged(size.fleet, size.by_zone)
                 self.sized(self._peers)
 
     def _retry_name(self, one: Coordination) -> None:
@@ -430,7 +436,7 @@
                 one.registrar.tell(presence.record_of(self._peer(self.operator), self.names), heard)
 
     def _written(self, attempt: Attempt) -> None:
-        self.trace.written(attempt.written_at, attempt.order.node, attempt.order.source)
+        self.trace.written(attempt.written_at, attempt.order.node_id, attempt.order.source_id)
 
     # -- the socket for `stonecove members` --
 
--- a/stonecove/server/reconfigure.py
+++ b/stonecove/server/reconfigure.py
@@ -11,17 +11,19 @@
 from typing import Any, Protocol
 
 from stonecove.routing.director import Director
-from stonecove.routing.events import ClassSettings, Peers, Settings
+from stonecove.routing.events import FleetSizeChanged
+from stonecove.routing.settings import ClassSettings, Settings
 from stonecove.pipeline.route import Route
+from stonecove.settings import reported_name
 
 # Fields that hold until the process ends, with the reason that is told.
 FIXED = {
     "zone": "the place of the router",
     "parent_kind": "what is booked and learned of a node is of its role",
     "origin_kind": "what is booked and learned of a node is of its role",
-    "client_pace": "all work that is booked and learned is told in it",
-    "fall_window": "bookings at cold nodes go back for one window",
-    "list_by_asking": "the source of the list is that of the start",
+    "client_kb_per_s": "all work that is booked and learned is told in it",
+    "overload_window_ms": "bookings at cold nodes go back for one window",
+    "endpoint_list_polled": "the source of the list is that of the start",
 }
 APPENDED = "zones", "kinds"  # nodes of the list hold places in them
 
@@ -49,7 +51,7 @@
         version: int,
         route: Route,
         holders: Sequence[SettingsHolder],
-        counted: Callable[[], Peers | None],
+        counted: Callable[[], FleetSizeChanged | None],
         now: Callable[[], float],
     ) -> None:
         """`counted`: how many routers there are, where that is counted and not told by the settings.
@@ -96,7 +98,7 @@
         if counted is None:
             self._route.reconfigure(settings)
         else:
-            shared = replace(settings, fleet=counted.fleet, zone_directors=counted.by_zone)
+            shared = replace(settings, fleet_size=counted.fleet_size, routers_by_zone=counted.routers_by_zone)
             self._route.reconfigure(shared)
         for holder in self._holders:
             holder.reconfigure(settings)
@@ -122,7 +124,7 @@
     for name, why in FIXED.items():
         before, after = getattr(old, name), getattr(new, name)
         if before != after:
-            return f"{name}: {after} in place of {before} needs a restart: {why}"
+            return f"{reported_name(name)}: {after} in place of {before} needs a restart: {why}"
     for name in APPENDED:
         if why := _not_appended(name, getattr(old, name), getattr(new, name)):
             return why
@@ -147,5 +149,5 @@
             value = getattr(part, field.name) if field.name not in FIXED else 0.0
             for number in value if isinstance(value, tuple) else (value,):
                 if isinstance(number, (int, float)) and not 0.0 <= number < math.inf:
-                    return f"{path}{field.name}: {number:g} is no figure to go by"
+                    return f"{path}{reported_name(field.name)}: {number:g} is no figure to go by"
     return ""
--- a/stonecove/server/serve.py
+++ b/stonecove/server/serve.py
@@ -17,7 +17,8 @@
 
 import trio
 
-from stonecove.routing.events import Peers, Settings
+from stonecove.routing.events import FleetSizeChanged
+from stonecove.routing.settings import Settings
 from stonecove.runtime.clock import Clock
 from stonecove.runtime.timers import Timers
 from stonecove.server.config import Config, ConfigError, read_config
@@ -146,7 +147,7 @@
 
     def _time_drain(self, settings: Settings) -> None:
         """How long a drain may take: SIGKILL comes by the longest deadline."""
-        longest = max(cls.deadline for cls in settings.classes) / 1000.0
+        longest = max(cls.deadline_ms for cls in settings.classes) / 1000.0
         kill = min(longest, LONGEST_COUNTED) + KILL_AFTER  # seconds after SIGTERM, as is:
         self._last_answer = max(kill - KILL_MARGIN, min(GRACE, kill - LEAST_MARGIN))
         self._last_write = min(LAST_WRITE, kill - LEAST_MARGIN / 2 - self._last_answer)
@@ -193,7 +194,7 @@
         self._spawn(keeper.run)
         self._configuration = keeper
 
-    def _counted(self) -> Peers | None:
+    def _counted(self) -> FleetSizeChanged | None:
         """How many routers there are, where that is counted."""
         if self._swarm is not None:
             return self._swarm.counted()
@@ -310,7 +311,7 @@
             self._nursery.start_soon(task)
         self._nursery.start_soon(self._changelog.run, told)
         with trio.CancelScope() as self._starting:
-            await self._changelog.caught_up(self._config.settings.drain_grace / 1000.0)
+            await self._changelog.caught_up(self._config.settings.drain_grace_ms / 1000.0)
         self._nursery.start_soon(self._accept, listener)
         if self._leases is not None:
             self._leases.start()
--- a/stonecove/server/swarm.py
+++ b/stonecove/server/swarm.py
@@ -18,7 +18,9 @@
 
 from stonecove.runtime.clock import Clock
 from stonecove.runtime.log import log, log_some
-from stonecove.routing.events import Peers, Settings, Terms
+from stonecove.settings import reported_name
+from stonecove.routing.events import FleetSizeChanged, LeaseTerms
+from stonecove.routing.settings import Settings
 from stonecove.server.config import Config, ConfigError, address_of
 from stonecove.server.leases import Leases
 from stonecove.state.requests import Attempt
@@ -52,7 +54,7 @@
 
 def usable(config: Config) -> str:
     """Why a swarm can't be had with this configuration; empty if it can."""
-    if not config.settings.may_message:
+    if not config.settings.router_messages_allowed:
         return "swarm: the settings allow no messages between routers"
     if not config.peer_listen:
         return "swarm: the configuration names no peer_listen"
@@ -98,13 +100,13 @@
         self._settings = settings = config.settings
         self._socket = datagrams
         now, unix = time.monotonic(), clock.now()
-        figures, routers = figures_of(record), max(settings.fleet, len(self._slots) + 1)
-        shares = Shares(len(self._slots), settings.zone, settings.fleet, settings.zone_directors,
-                        settings.fall_window / 1000.0, now, record.own,
+        figures, routers = figures_of(record), max(settings.fleet_size, len(self._slots) + 1)
+        shares = Shares(len(self._slots), settings.zone, settings.fleet_size, settings.routers_by_zone,
+                        settings.overload_window_ms / 1000.0, now, record.own,
                         figures.lease_of(routers))  # fmt: skip
         me = Word(ident_of(record.name or config.name), int(unix), 0, Standing.ALIVE, settings.zone)
-        self._present = Peers(0, ())  # as a coordination service counts
-        self._told: tuple[float, Peers] | None = None
+        self._present = FleetSizeChanged(0, ())  # as a coordination service counts
+        self._told: tuple[float, FleetSizeChanged] | None = None
         self._ticked = time.monotonic()
         self._rest = trio.CancelScope()  # ends with the wait until the next look at the time
         self.name = record.name or config.name
@@ -134,22 +136,23 @@
 
     def objection(self, settings: Settings) -> str:
         """Why these settings can't be taken over: the sum of all shares rests on one number of routers."""
-        if not settings.may_message:
-            return "may_message: the swarm goes by messages between routers"
-        for name in ("fleet", "zone_directors"):
+        if not settings.router_messages_allowed:
+            return f"{reported_name('router_messages_allowed')}: the swarm goes by messages between routers"
+        for name in ("fleet_size", "routers_by_zone"):
             if self._counted and getattr(settings, name) != getattr(self._settings, name):
-                return f"{name}: needs a restart: the swarm's shares are made for that of the start"
+                reason = "the swarm's shares are made for that of the start"
+                return f"{reported_name(name)}: needs a restart: {reason}"
         return ""
 
     def reconfigure(self, settings: Settings) -> None:
         """These settings hold from now on."""
         self._settings = settings
 
-    def counted(self) -> Peers | None:
+    def counted(self) -> FleetSizeChanged | None:
         """The routers that count; None where the settings say how many."""
         return self._told[1] if self._told is not None else None
 
-    def present(self, peers: Peers) -> None:
+    def present(self, peers: FleetSizeChanged) -> None:
         """A coordination service counts so many routers: where both count, the greater number holds.
 
         Guards against the one that knows less: a number too small overloads, one too large only wastes.
@@ -286,17 +289,17 @@
         if self._leases is not None:
             self._leases.scale(stand.own)
         else:
-            self._route.post(Terms(stand.own, 1.0))
+            self._route.post(LeaseTerms(stand.own, 1.0))
         log(
             "swarm-share",
             joined=stand.joined,
             own=f"{stand.own:.3f}",
-            fleet=told[1].fleet,
-            by_zone=",".join(map(str, told[1].by_zone)),
+            fleet=told[1].fleet_size,
+            by_zone=",".join(map(str, told[1].routers_by_zone)),
             view=self.swarm.gossip.views.now.number,
         )
 
-    def _peers(self, stand: Stand) -> Peers:
+    def _peers(self, stand: Stand) -> FleetSizeChanged:
         present = self._present
-        zones = [max(pair) for pair in zip(stand.by_zone, present.by_zone, strict=False)]
-        return Peers(max(stand.fleet, present.fleet), (*zones, *stand.by_zone[len(zones) :]))
+        zones = [max(pair) for pair in zip(stand.by_zone, present.routers_by_zone, strict=False)]
+        return FleetSizeChanged(max(stand.fleet, present.fleet_size), (*zones, *stand.by_zone[len(zones) :]))
--- a/stonecove/server/tracing.py
+++ b/stonecove/server/tracing.py
@@ -24,7 +24,7 @@
 from opentelemetry.sdk.trace.sampling import TraceIdRatioBased
 from opentelemetry.trace import Span, set_span_in_context
 
-from stonecove.routing.director import mix
+from stonecove.routing.rendezvous import mix64
 from stonecove.exchange import Answer, ClientRequest
 from stonecove.routing.events import Outcome
 from stonecove.server.config import Config
@@ -37,7 +37,7 @@
 
 def trace_id_of(txn: str) -> int:
     """128 bits that belong to an id of 16 hex digits; mixed, as the ratio is taken from the low half."""
-    return int(txn, 16) << 64 | mix(int(txn, 16))
+    return int(txn, 16) << 64 | mix64(int(txn, 16))
 
 
 class ByRequest(IdGenerator):
@@ -170,10 +170,10 @@
                 context=set_span_in_context(parent),
                 attributes={
                     "number": attempt.number,
-                    "node": f"s-{order.node:08x}",
-                    "source": f"s-{order.source:08x}",
-                    "keep": order.keep,
-                    "how": int(order.how),
+                    "node": f"s-{order.node_id:08x}",
+                    "source": f"s-{order.source_id:08x}",
+                    "keep": order.cache_rank,
+                    "how": int(order.fetch_mode),
                 },
             )
         inner(attempt)
--- a/stonecove/simulator_adapter.py
+++ b/stonecove/simulator_adapter.py
@@ -1,6 +1,7 @@
-"""Wire adapter: reads batches of events on standard input, writes actions on standard output.
+"""Adapter to the simulator: reads batches of events on standard input, writes actions on standard output.
 
-It hosts one Director for each instance and decides nothing.
+It hosts one `Director` for each simulated router and decides nothing. Numbers are big-endian; a node's id is
+its address and port.
 """
 
 from __future__ import annotations
@@ -9,210 +10,353 @@
 import sys
 import traceback
 from collections.abc import Callable
-from typing import Any, BinaryIO
-
-from stonecove.routing import events as i
+from enum import IntEnum
+from typing import Any, BinaryIO, NamedTuple
+
+from stonecove.routing.actions import (
+    Action,
+    CancelAttempt,
+    FailRequest,
+    RejectRequest,
+    SendAttempt,
+    SendHealthCheck,
+    StartTimer,
+    WatchEndpointList,
+    WriteLog,
+)
 from stonecove.routing.director import Director
+from stonecove.routing.endpoints import EndpointListKind, Node, NodeId, NodeState
+from stonecove.routing.events import (
+    AttemptEnded,
+    ClientDisconnected,
+    EndpointListUpdate,
+    Event,
+    HealthCheckEnded,
+    Outcome,
+    PurgeReceived,
+    RequestReceived,
+    ResponseStarted,
+    TimerExpired,
+)
 from stonecove.settings import read_settings
 
-_HEAD = struct.Struct(">dII")
-_REPLY = struct.Struct(">II")
-_INST = struct.Struct(">I")
+MAX_TEXT_BYTES = 60_000
+TRACEBACK_LINES = 6
+_PORT_BITS = 16
+_PORT_MASK = (1 << _PORT_BITS) - 1
+
+
+class RecordCode(IntEnum):
+    """The code that begins a record of a batch."""
+
+    PURGE = 10
+    TIMER_EXPIRED = 20
+    ENDPOINT_LIST = 30
+    RESPONSE_STARTED = 40
+    STOP = 50
+    ATTEMPT_ENDED = 60
+    LAUNCH = 70
+    REQUEST = 80
+    PEER_MESSAGE = 90
+    HEALTH_CHECK_ENDED = 100
+    CLIENT_DISCONNECTED = 110
+
+
+class ActionCode(IntEnum):
+    """The code that begins an action of a reply."""
+
+    HEALTH_CHECK = 20
+    CANCEL = 30
+    FAIL = 40
+    LOG = 50
+    REJECT = 60
+    WATCH = 70
+    SEND = 80
+    ADAPTER_ERROR = 100
+    TIMER = 110
+
+
+_BATCH_HEADER = struct.Struct(">dII")
+_REPLY_HEADER = struct.Struct(">II")
+_INSTANCE = struct.Struct(">I")
 _LAUNCH = struct.Struct(">IQI")
-_LIST = struct.Struct(">IBII")
-_ENTRY = struct.Struct(">BdBHIHHf")
-_INCOMING = struct.Struct(">IIHHQdfffH")
-_DONE = struct.Struct(">IIBIHBdBIdB")
-_DUE = struct.Struct(">II")
-_STARTED = struct.Struct(">IIBIHd")
-_PROBED = struct.Struct(">IdBIHB")
-_PURGED = struct.Struct(">IdHQ")
-_PEER = struct.Struct(">IHH")
-_OUT_GET = struct.Struct(">BIIIHdIHBdB")
-_OUT_CANCEL = struct.Struct(">BIIB")
-_OUT_REFUSE = struct.Struct(">BIId")
-_OUT_FAIL = struct.Struct(">BII")
-_OUT_TIMER = struct.Struct(">BIId")
-_OUT_PROBE = struct.Struct(">BIIH")
-_OUT_WATCH = struct.Struct(">BIB")
-_OUT_TEXT = struct.Struct(">BIH")
-
-_OUTCOMES = {int(o): o for o in i.Outcome}
-_STATES = {int(s): s for s in i.NodeState}
-_FORMS = {int(f): f for f in i.ListKind}
-_LAUNCH_CODE, _STOP_CODE, _LIST_CODE, _PEER_CODE = 70, 50, 30, 90
+_ENDPOINT_LIST = struct.Struct(">IBII")
+_ENDPOINT = struct.Struct(">BdBHIHHf")
+_REQUEST = struct.Struct(">IIHHQdfffH")
+_ATTEMPT_ENDED = struct.Struct(">IIBIHBdBIdB")
+_INSTANCE_AND_ID = struct.Struct(">II")
+_RESPONSE_STARTED = struct.Struct(">IIBIHd")
+_HEALTH_CHECK_ENDED = struct.Struct(">IdBIHB")
+_PURGE = struct.Struct(">IdHQ")
+_PEER_MESSAGE = struct.Struct(">IHH")
+_SEND = struct.Struct(">BIIIHdIHBdB")
+_CANCEL = struct.Struct(">BIIB")
+_REJECT = struct.Struct(">BIId")
+_FAIL = struct.Struct(">BII")
+_TIMER = struct.Struct(">BIId")
+_HEALTH_CHECK = struct.Struct(">BIIH")
+_WATCH = struct.Struct(">BIB")
+_TEXT = struct.Struct(">BIH")
+
+_OUTCOMES = {int(outcome): outcome for outcome in Outcome}
+_NODE_STATES = {int(state): state for state in NodeState}
+_LIST_KINDS = {int(kind): kind for kind in EndpointListKind}
 
 
 class WireError(Exception):
-    """A frame that cannot be read."""
+    """A batch cannot be read."""
+
+
+class DecodedEvent(NamedTuple):
+    """An event for one instance, and the offset behind its record."""
+
+    instance: int
+    event: Event
+    end: int
 
 
-def _floats(body: bytes, at: int, count: int) -> tuple[tuple[float, ...], int]:
-    return struct.unpack_from(f">{count}f", body, at), at + 4 * count
+def _node_id(address: int, port: int) -> NodeId:
+    return address << _PORT_BITS | port
 
 
-def _read_request(body: bytes, at: int) -> tuple[int, i.Event, int]:
-    inst, req, kind, _, key, grace, size, group, part, _ = _INCOMING.unpack_from(body, at)
-    return inst, i.Request(req, kind, key, grace, size, int(group), int(part)), at + _INCOMING.size
+def _read_floats(body: bytes, offset: int, count: int) -> tuple[tuple[float, ...], int]:
+    """Return some numbers, and the offset behind them."""
+    return struct.unpack_from(f">{count}f", body, offset), offset + 4 * count
 
 
-def _read_done(body: bytes, at: int) -> tuple[int, i.Event, int]:
-    inst, req, attempt, addr, port, code, took, closed, note, waited, count = _DONE.unpack_from(body, at)
-    load, end = _floats(body, at + _DONE.size, count)
-    node, outcome = addr << 16 | port, _OUTCOMES.get(code, i.Outcome.UNKNOWN)
-    return inst, i.Ended(req, attempt, node, outcome, took, bool(closed), note, waited, load), end
+def _read_request(body: bytes, offset: int) -> DecodedEvent:
+    fields = _REQUEST.unpack_from(body, offset)
+    instance, request_id, class_index, _, object_key, timeout_ms, size_kb, group, chunk_index, _ = fields
+    event = RequestReceived(
+        request_id, class_index, object_key, timeout_ms, size_kb, int(group), int(chunk_index)
+    )
+    return DecodedEvent(instance, event, offset + _REQUEST.size)
+
+
+def _read_attempt_ended(body: bytes, offset: int) -> DecodedEvent:
+    fields = _ATTEMPT_ENDED.unpack_from(body, offset)
+    (
+        instance,
+        request_id,
+        attempt_index,
+        address,
+        port,
+        code,
+        duration_ms,
+        answered,
+        status,
+        wait_ms,
+        count,
+    ) = fields
+    load_report, end = _read_floats(body, offset + _ATTEMPT_ENDED.size, count)
+    event = AttemptEnded(
+        request_id,
+        attempt_index,
+        _node_id(address, port),
+        _OUTCOMES.get(code, Outcome.UNKNOWN),
+        duration_ms,
+        bool(answered),
+        status,
+        wait_ms,
+        load_report,
+    )
+    return DecodedEvent(instance, event, end)
 
 
-def _read_due(body: bytes, at: int) -> tuple[int, i.Event, int]:
-    inst, token = _DUE.unpack_from(body, at)
-    return inst, i.Due(token), at + _DUE.size
+def _read_timer_expired(body: bytes, offset: int) -> DecodedEvent:
+    instance, token = _INSTANCE_AND_ID.unpack_from(body, offset)
+    return DecodedEvent(instance, TimerExpired(token), offset + _INSTANCE_AND_ID.size)
 
 
-def _read_started(body: bytes, at: int) -> tuple[int, i.Event, int]:
-    inst, req, attempt, addr, port, _ = _STARTED.unpack_from(body, at)
-    return inst, i.Started(req, attempt, addr << 16 | port), at + _STARTED.size
+def _read_response_started(body: bytes, offset: int) -> DecodedEvent:
+    instance, request_id, attempt_index, address, port, _ = _RESPONSE_STARTED.unpack_from(body, offset)
+    event = ResponseStarted(request_id, attempt_index, _node_id(address, port))
+    return DecodedEvent(instance, event, offset + _RESPONSE_STARTED.size)
 
 
-def _read_probed(body: bytes, at: int) -> tuple[int, i.Event, int]:
-    inst, took, code, addr, port, count = _PROBED.unpack_from(body, at)
-    load, end = _floats(body, at + _PROBED.size, count)
-    return inst, i.Probed(addr << 16 | port, code == i.Outcome.OK, took, load), end
+def _read_health_check_ended(body: bytes, offset: int) -> DecodedEvent:
+    instance, duration_ms, code, address, port, count = _HEALTH_CHECK_ENDED.unpack_from(body, offset)
+    load_report, end = _read_floats(body, offset + _HEALTH_CHECK_ENDED.size, count)
+    event = HealthCheckEnded(_node_id(address, port), code == Outcome.OK, duration_ms, load_report)
+    return DecodedEvent(instance, event, end)
 
 
-def _read_purged(body: bytes, at: int) -> tuple[int, i.Event, int]:
-    inst, age, group, key = _PURGED.unpack_from(body, at)
-    return inst, i.Purged(age, group, key), at + _PURGED.size
+def _read_purge(body: bytes, offset: int) -> DecodedEvent:
+    instance, age_ms, group, object_key = _PURGE.unpack_from(body, offset)
+    return DecodedEvent(instance, PurgeReceived(age_ms, group, object_key), offset + _PURGE.size)
 
 
-def _read_left(body: bytes, at: int) -> tuple[int, i.Event, int]:
-    inst, req = _DUE.unpack_from(body, at)
-    return inst, i.Left(req), at + _DUE.size
+def _read_client_disconnected(body: bytes, offset: int) -> DecodedEvent:
+    instance, request_id = _INSTANCE_AND_ID.unpack_from(body, offset)
+    return DecodedEvent(instance, ClientDisconnected(request_id), offset + _INSTANCE_AND_ID.size)
 
 
-def _read_list(body: bytes, at: int) -> tuple[int, i.Event, int]:
-    inst, form, _, count = _LIST.unpack_from(body, at)
-    at += _LIST.size
-    end = at + count * _ENTRY.size
+def _read_endpoint_list(body: bytes, offset: int) -> DecodedEvent:
+    instance, kind_code, _, count = _ENDPOINT_LIST.unpack_from(body, offset)
+    offset += _ENDPOINT_LIST.size
+    end = offset + count * _ENDPOINT.size
     nodes = []
-    for kind, started, state, cell, addr, port, zone, weight in _ENTRY.iter_unpack(body[at:end]):
-        state = _STATES.get(state, i.NodeState.DRAINING)
-        nodes.append(i.Node(addr << 16 | port, kind, started, state, cell, zone, weight))
+    for kind, started_ms, state_code, cell, address, port, zone, weight in _ENDPOINT.iter_unpack(
+        body[offset:end]
+    ):
+        state = _NODE_STATES.get(state_code, NodeState.DRAINING)
+        nodes.append(Node(_node_id(address, port), kind, started_ms, state, cell, zone, weight))
     if len(nodes) != count:
         raise WireError("a list ends early")
-    return inst, i.Listed(_FORMS.get(form, i.ListKind.FAILED), tuple(nodes)), end
-
-
-_READERS: dict[int, Callable[[bytes, int], tuple[int, i.Event, int]]] = {
-    10: _read_purged,
-    20: _read_due,
-    _LIST_CODE: _read_list,
-    40: _read_started,
-    60: _read_done,
-    80: _read_request,
-    100: _read_probed,
-    110: _read_left,
+    kind = _LIST_KINDS.get(kind_code, EndpointListKind.FAILED)
+    return DecodedEvent(instance, EndpointListUpdate(kind, tuple(nodes)), end)
+
+
+_READERS: dict[int, Callable[[bytes, int], DecodedEvent]] = {
+    RecordCode.PURGE: _read_purge,
+    RecordCode.TIMER_EXPIRED: _read_timer_expired,
+    RecordCode.ENDPOINT_LIST: _read_endpoint_list,
+    RecordCode.RESPONSE_STARTED: _read_response_started,
+    RecordCode.ATTEMPT_ENDED: _read_attempt_ended,
+    RecordCode.REQUEST: _read_request,
+    RecordCode.HEALTH_CHECK_ENDED: _read_health_check_ended,
+    RecordCode.CLIENT_DISCONNECTED: _read_client_disconnected,
 }
 
 
-def _write_get(inst: int, act: i.Get) -> bytes:
-    node, source = act.node, act.source
-    return _OUT_GET.pack(
-        80,
-        inst,
-        act.req,
-        node >> 16,
-        node & 65535,
-        act.cut_at,
-        source >> 16,
-        source & 65535,
-        act.keep,
-        act.age,
-        act.how,
+def _write_send(instance: int, action: SendAttempt) -> bytes:
+    return _SEND.pack(
+        ActionCode.SEND,
+        instance,
+        action.request_id,
+        action.node_id >> _PORT_BITS,
+        action.node_id & _PORT_MASK,
+        action.deadline_ms,
+        action.source_id >> _PORT_BITS,
+        action.source_id & _PORT_MASK,
+        action.cache_rank,
+        action.max_age_ms,
+        action.fetch_mode,
     )
 
 
-def _write_text(code: int, inst: int, text: str) -> bytes:
-    data = text.encode("utf-8", "replace")[:60000]
-    return _OUT_TEXT.pack(code, inst, len(data)) + data
+def _write_cancel(instance: int, action: CancelAttempt) -> bytes:
+    return _CANCEL.pack(ActionCode.CANCEL, instance, action.request_id, action.attempt_index)
+
+
+def _write_reject(instance: int, action: RejectRequest) -> bytes:
+    return _REJECT.pack(ActionCode.REJECT, instance, action.request_id, action.retry_after_ms)
+
+
+def _write_fail(instance: int, action: FailRequest) -> bytes:
+    return _FAIL.pack(ActionCode.FAIL, instance, action.request_id)
+
+
+def _write_timer(instance: int, action: StartTimer) -> bytes:
+    return _TIMER.pack(ActionCode.TIMER, instance, action.token, action.expires_at_ms)
+
+
+def _write_health_check(instance: int, action: SendHealthCheck) -> bytes:
+    address, port = action.node_id >> _PORT_BITS, action.node_id & _PORT_MASK
+    return _HEALTH_CHECK.pack(ActionCode.HEALTH_CHECK, instance, address, port)
+
+
+def _write_watch(instance: int, action: WatchEndpointList) -> bytes:
+    return _WATCH.pack(ActionCode.WATCH, instance, 1)
+
+
+def _write_log(instance: int, action: WriteLog) -> bytes:
+    return _write_text(ActionCode.LOG, instance, action.text)
+
+
+def _write_text(code: ActionCode, instance: int, text: str) -> bytes:
+    data = text.encode("utf-8", "replace")[:MAX_TEXT_BYTES]
+    return _TEXT.pack(code, instance, len(data)) + data
 
 
 _WRITERS: dict[type, Callable[[int, Any], bytes]] = {
-    i.Get: _write_get,
-    i.Cancel: lambda inst, act: _OUT_CANCEL.pack(30, inst, act.req, act.attempt),
-    i.Refuse: lambda inst, act: _OUT_REFUSE.pack(60, inst, act.req, act.pause),
-    i.Fail: lambda inst, act: _OUT_FAIL.pack(40, inst, act.req),
-    i.Timer: lambda inst, act: _OUT_TIMER.pack(110, inst, act.token, act.at),
-    i.Probe: lambda inst, act: _OUT_PROBE.pack(20, inst, act.node >> 16, act.node & 65535),
-    i.Watch: lambda inst, act: _OUT_WATCH.pack(70, inst, 1),
-    i.Log: lambda inst, act: _write_text(50, inst, act.text),
+    SendAttempt: _write_send,
+    CancelAttempt: _write_cancel,
+    RejectRequest: _write_reject,
+    FailRequest: _write_fail,
+    StartTimer: _write_timer,
+    SendHealthCheck: _write_health_check,
+    WatchEndpointList: _write_watch,
+    WriteLog: _write_log,
 }
 
 
-class Link:
-    """The instances of one process."""
+def _write_action(instance: int, action: Action) -> bytes:
+    return _WRITERS[type(action)](instance, action)
+
+
+class SimulatorAdapter:
+    """Host the directors of one process."""
 
     def __init__(self) -> None:
         self.directors: dict[int, Director] = {}
 
-    def _launch(self, body: bytes, at: int) -> int:
-        inst, entropy, count = _LAUNCH.unpack_from(body, at)
-        at += _LAUNCH.size
-        if at + count > len(body):
-            raise WireError("settings end early")
-        self.directors[inst] = Director(read_settings(body[at : at + count]), entropy)
-        return int(at + count)
-
-    def _one(self, now: float, body: bytes, at: int, out: list[bytes]) -> int:
-        """Hands one record to its director; returns where the next begins."""
-        code, at = body[at], at + 1
-        if code == _LAUNCH_CODE:
-            return self._launch(body, at)
-        if code == _STOP_CODE:
-            self.directors.pop(_INST.unpack_from(body, at)[0], None)
-            return at + _INST.size
-        if code == _PEER_CODE:
-            _, _, count = _PEER.unpack_from(body, at)
-            return int(at + _PEER.size + count)
-        reader = _READERS.get(code)
-        if reader is None:
-            raise WireError(f"unknown event code {code}")
-        inst, event, end = reader(body, at)
-        director = self.directors.get(inst)
-        if director is not None:
-            out.extend(_WRITERS[type(act)](inst, act) for act in director.handle(now, event))
-        return end
+    def handle_batch(self, now_ms: float, count: int, body: bytes) -> bytes:
+        """Return the reply to a batch of `count` records; raise WireError if it cannot be read.
 
-    def batch(self, now: float, count: int, body: bytes) -> bytes:
-        """The reply to one batch."""
+        An error in a decision ends the batch and is reported in the reply.
+        """
         out: list[bytes] = []
-        at = 0
+        offset = 0
         for _ in range(count):
-            start = at
+            start = offset
             try:
-                at = self._one(now, body, at, out)
+                offset = self._handle_record(now_ms, body, offset, out)
             except (struct.error, IndexError) as error:
                 if start >= len(body) or "unpack" in str(error):
                     raise WireError(f"a record is cut short: {error}") from error
-                out.append(self._bug(body, start))
+                out.append(self._error_report(body, start))
                 break
             except WireError:
                 raise
             except Exception:
-                out.append(self._bug(body, start))
+                out.append(self._error_report(body, start))
                 break
         else:
-            if at != len(body):
+            if offset != len(body):
                 raise WireError("bytes are left over after the last record")
         data = b"".join(out)
-        return _REPLY.pack(len(out), _REPLY.size + len(data)) + data
+        return _REPLY_HEADER.pack(len(out), _REPLY_HEADER.size + len(data)) + data
+
+    def _handle_record(self, now_ms: float, body: bytes, offset: int, out: list[bytes]) -> int:
+        """Hand one record to its director; return the offset of the next."""
+        code, offset = body[offset], offset + 1
+        if code == RecordCode.LAUNCH:
+            return self._launch(body, offset)
+        if code == RecordCode.STOP:
+            self.directors.pop(_INSTANCE.unpack_from(body, offset)[0], None)
+            return offset + _INSTANCE.size
+        if code == RecordCode.PEER_MESSAGE:
+            _, _, count = _PEER_MESSAGE.unpack_from(body, offset)
+            return int(offset + _PEER_MESSAGE.size + count)
+        reader = _READERS.get(code)
+        if reader is None:
+            raise WireError(f"unknown event code {code}")
+        decoded = reader(body, offset)
+        director = self.directors.get(decoded.instance)
+        if director is not None:
+            actions = director.handle(now_ms, decoded.event)
+            out.extend(_write_action(decoded.instance, action) for action in actions)
+        return decoded.end
+
+    def _launch(self, body: bytes, offset: int) -> int:
+        """Start an instance, in place of one of the same number; return the offset of the next record."""
+        instance, entropy, count = _LAUNCH.unpack_from(body, offset)
+        offset += _LAUNCH.size
+        if offset + count > len(body):
+            raise WireError("settings end early")
+        self.directors[instance] = Director(read_settings(body[offset : offset + count]), entropy)
+        return int(offset + count)
 
     @staticmethod
-    def _bug(body: bytes, start: int) -> bytes:
-        inst = _INST.unpack_from(body, start + 1)[0]
-        return _write_text(100, inst, "\n".join(traceback.format_exc().splitlines()[-6:]))
+    def _error_report(body: bytes, start: int) -> bytes:
+        instance = _INSTANCE.unpack_from(body, start + 1)[0]
+        text = "\n".join(traceback.format_exc().splitlines()[-TRACEBACK_LINES:])
+        return _write_text(ActionCode.ADAPTER_ERROR, instance, text)
 
 
 def _read(stream: BinaryIO, count: int) -> bytes:
+    """Read `count` bytes, or fewer at the end of the input."""
     data = b""
     while len(data) < count:
         more = stream.read(count - len(data))
@@ -223,21 +367,21 @@
 
 
 def serve(source: BinaryIO, sink: BinaryIO) -> None:
-    """Answers batches until the input ends."""
-    link = Link()
-    while head := _read(source, _HEAD.size):
-        if len(head) < _HEAD.size:
+    """Answer batches until the input ends; raise WireError for malformed input."""
+    adapter = SimulatorAdapter()
+    while header := _read(source, _BATCH_HEADER.size):
+        if len(header) < _BATCH_HEADER.size:
             raise WireError("the input ends within a header")
-        now, length, count = _HEAD.unpack(head)
-        body = _read(source, length - _HEAD.size) if length >= _HEAD.size else b""
-        if len(body) != length - _HEAD.size:
+        now_ms, length, count = _BATCH_HEADER.unpack(header)
+        body = _read(source, length - _BATCH_HEADER.size) if length >= _BATCH_HEADER.size else b""
+        if len(body) != length - _BATCH_HEADER.size:
             raise WireError("the input ends within a batch, or its length is wrong")
-        sink.write(link.batch(now, count, body))
+        sink.write(adapter.handle_batch(now_ms, count, body))
         sink.flush()
 
 
 def main() -> int:
-    """Entry point of the adapter."""
+    """Run the adapter; return its exit code."""
     try:
         serve(sys.stdin.buffer, sys.stdout.buffer)
     except WireError as error:
--- a/stonecove/state/nodes.py
+++ b/stonecove/state/nodes.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from stonecove.routing.events import NodeId, NodeState
+from stonecove.routing.endpoints import NodeId, NodeState
 from stonecove.discovery import Member, MembersUpdate
 
 
@@ -20,10 +20,10 @@
         if told.whole:
             self._members = {}
         for member in told.members:
-            if member.node.state is NodeState.GONE:
-                self._members.pop(member.node.node, None)
+            if member.node.state is NodeState.REMOVED:
+                self._members.pop(member.node.node_id, None)
             else:
-                self._members[member.node.node] = member
+                self._members[member.node.node_id] = member
 
     def lists(self, node: NodeId) -> bool:
         """Whether the list names the node, in whatever state."""
--- a/stonecove/state/requests.py
+++ b/stonecove/state/requests.py
@@ -5,7 +5,8 @@
 from collections.abc import Iterator
 from dataclasses import dataclass, field
 
-from stonecove.routing.events import ClassSettings, Get
+from stonecove.routing.actions import SendAttempt
+from stonecove.routing.settings import ClassSettings
 from stonecove.runtime.timers import Alarm
 from stonecove.exchange import ClientRequest
 
@@ -16,7 +17,7 @@
 
     request: OpenRequest
     number: int
-    order: Get
+    order: SendAttempt
     ordered_at: float
     written_at: float = 0.0  # when its first byte was written; 0: never sent so far
     outdated: bool = False  # a purge came after the order
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -8,22 +8,10 @@
 import pytest
 
 from stonecove.routing.director import Director
-from stonecove.routing.events import (
-    Action,
-    ClassSettings,
-    Effect,
-    Ended,
-    Event,
-    Get,
-    KeyGroup,
-    Listed,
-    ListKind,
-    Node,
-    NodeState,
-    Outcome,
-    Request,
-    Settings,
-)
+from stonecove.routing.actions import Action, SendAttempt
+from stonecove.routing.endpoints import EndpointListKind, Node, NodeState
+from stonecove.routing.events import AttemptEnded, EndpointListUpdate, Event, Outcome, RequestReceived
+from stonecove.routing.settings import ClassSettings, DeduplicationScope, Idempotency, Settings
 
 import known_red
 
@@ -40,18 +28,18 @@
 def make_class(**changes: Any) -> ClassSettings:
     base = ClassSettings(
         name="pictures",
-        worth=2.0,
-        late_worth=0.1,
-        aim=700.0,
-        aim_stretch=1.5,
-        deadline=4000.0,
-        effect=Effect.SAFE,
-        group=KeyGroup.ALL,
-        window=2000.0,
-        fresh=0.0,
-        stale=0.0,
-        stale_worth=0.5,
-        never_kept=False,
+        priority_weight=2.0,
+        late_priority_weight=0.1,
+        latency_objective_ms=700.0,
+        objective_stretch=1.5,
+        deadline_ms=4000.0,
+        idempotency=Idempotency.IDEMPOTENT,
+        deduplication_scope=DeduplicationScope.ALL,
+        deduplication_window_ms=2000.0,
+        fresh_ms=0.0,
+        stale_ms=0.0,
+        stale_priority_weight=0.5,
+        never_cached=False,
     )
     return replace(base, **changes)
 
@@ -60,35 +48,35 @@
     base = Settings(
         classes=classes or (make_class(),),
         zone=1,
-        fleet=2,
-        zone_directors=(0, 1, 1),
-        zone_link=(0.0, 20000.0, 20000.0),
-        client_pace=1000.0,
+        fleet_size=2,
+        routers_by_zone=(0, 1, 1),
+        zone_link_kb_per_s=(0.0, 20000.0, 20000.0),
+        client_kb_per_s=1000.0,
         parent_kind=1,
         origin_kind=2,
-        joins=True,
-        weighted=False,
-        may_bypass=False,
+        fill_joining_allowed=True,
+        weights_known=False,
+        parent_bypass_allowed=False,
         siblings="any",
-        cold_from=0.2,
-        warm_up=10000.0,
-        fall_multiple=2.0,
-        fall_window=1000.0,
-        parent_cold_from=0.1,
-        parent_warm_up=12000.0,
-        parent_fall_multiple=2.0,
-        purge_grace=500.0,
-        purge_done=5000.0,
-        drain_grace=250.0,
-        most_attempts=4,
-        second_copies=True,
-        may_cancel=True,
-        may_probe=True,
-        may_pause=True,
-        longest_pause=900.0,
-        connect_timeout=300.0,
-        report_fields=(),
-        list_by_asking=False,
+        slow_start_initial_fraction=0.2,
+        slow_start_ms=10000.0,
+        overload_multiple=2.0,
+        overload_window_ms=1000.0,
+        parent_slow_start_initial_fraction=0.1,
+        parent_slow_start_ms=12000.0,
+        parent_overload_multiple=2.0,
+        purge_grace_ms=500.0,
+        purge_settled_ms=5000.0,
+        drain_grace_ms=250.0,
+        max_attempts=4,
+        hedging_allowed=True,
+        cancellation_allowed=True,
+        health_checks_allowed=True,
+        retry_after_allowed=True,
+        max_retry_after_ms=900.0,
+        connect_timeout_ms=300.0,
+        load_report_fields=(),
+        endpoint_list_polled=False,
     )
     return replace(base, **changes)
 
@@ -108,20 +96,20 @@
         self.now = 100_000.0
         self.next = 0
         self.nodes = make_nodes() if nodes is None else nodes
-        self.give(Listed(ListKind.CACHED, tuple(self.nodes)))
+        self.give(EndpointListUpdate(EndpointListKind.CACHED_SNAPSHOT, tuple(self.nodes)))
 
     def give(self, event: Event, wait: float = 0.0) -> list[Action]:
         self.now += wait
         return self.director.handle(self.now, event)
 
-    def ask(self, key: int = 5, wait: float = 1.0, **changes: Any) -> list[Action]:
+    def ask(self, object_key: int = 5, wait: float = 1.0, **changes: Any) -> list[Action]:
         self.next += 1
-        request = Request(self.next, 0, key, 4000.0, 100.0, 3, 0)
+        request = RequestReceived(self.next, 0, object_key, 4000.0, 100.0, 3, 0)
         return self.give(request._replace(**changes), wait)
 
     def end(
         self,
-        get: Get,
+        get: SendAttempt,
         outcome: Outcome = Outcome.OK,
         wait: float = 1.0,
         note: int = 0,
@@ -129,15 +117,19 @@
         closed: bool | None = None,
     ) -> list[Action]:
         over = outcome is Outcome.OK if closed is None else closed
-        return self.give(Ended(get.req, attempt, get.node, outcome, wait, over, note, 0.0, ()), wait)
+        return self.give(
+            AttemptEnded(get.request_id, attempt, get.node_id, outcome, wait, over, note, 0.0, ()), wait
+        )
 
-    def list(self, node: int, kind: ListKind = ListKind.DELTA, **changes: Any) -> list[Action]:
-        entry = next(n for n in self.nodes if n.node == node)
-        return self.give(Listed(kind, (entry._replace(**changes),)))
+    def list(
+        self, node: int, kind: EndpointListKind = EndpointListKind.DELTA, **changes: Any
+    ) -> list[Action]:
+        entry = next(n for n in self.nodes if n.node_id == node)
+        return self.give(EndpointListUpdate(kind, (entry._replace(**changes),)))
 
 
-def gets(actions: list[Action]) -> list[Get]:
-    return [act for act in actions if isinstance(act, Get)]
+def gets(actions: list[Action]) -> list[SendAttempt]:
+    return [act for act in actions if isinstance(act, SendAttempt)]
 
 
 @pytest.fixture
--- a/tests/test_attempt_crossings.py
+++ b/tests/test_attempt_crossings.py
@@ -11,7 +11,7 @@
 from stonecove.exchange import Answer, ClientRequest, Verdict
 from stonecove.runtime.clock import Clock
 from stonecove.runtime.timers import Timers
-from stonecove.routing.events import ClassSettings, Effect, KeyGroup
+from stonecove.routing.settings import ClassSettings, DeduplicationScope, Idempotency
 from stonecove.discovery import Member, MembersUpdate
 from stonecove.state.budget import Budget
 from stonecove.pipeline.route import Route
@@ -85,7 +85,9 @@
         )
         self.route.send.most_links = 100
         self.members = [
-            Member(node, "127.0.0.1", node.node) for node in make_nodes() if node.node not in CACHES[caches:]
+            Member(node, "127.0.0.1", node.node_id)
+            for node in make_nodes()
+            if node.node_id not in CACHES[caches:]
         ]
         self.route.told(MembersUpdate(True, tuple(self.members)))
         self.answers: dict[str, list[Answer]] = {}
@@ -118,22 +120,28 @@
         return [wire for wire in self.wires if wire.carries(txn)]
 
 
-def keyed(window: float, group: KeyGroup = KeyGroup.ALL) -> ClassSettings:
-    return make_class(effect=Effect.KEYED, group=group, window=window, never_kept=True)
+def keyed(window: float, group: DeduplicationScope = DeduplicationScope.ALL) -> ClassSettings:
+    return make_class(
+        idempotency=Idempotency.IDEMPOTENCY_KEY,
+        deduplication_scope=group,
+        deduplication_window_ms=window,
+        never_cached=True,
+    )
 
 
 # -- repeated attempts --
 
 
 @pytest.mark.parametrize(
-    ("group", "verdict"), [(KeyGroup.ALL, Verdict.REFUSED), (KeyGroup.ZONE, Verdict.FAILED)]
+    ("group", "verdict"),
+    [(DeduplicationScope.ALL, Verdict.REFUSED), (DeduplicationScope.ZONE, Verdict.FAILED)],
 )
 @pytest.mark.parametrize(("up_after", "goes"), [(90.0, True), (110.0, False)])
 def test_no_repeat_begins_after_its_window(
-    up_after: float, goes: bool, group: KeyGroup, verdict: Verdict
+    up_after: float, goes: bool, group: DeduplicationScope, verdict: Verdict
 ) -> None:
     """It was ordered within the window, but its connection came up late."""
-    seam = Seam(keyed(200.0, group), connect_timeout=1000.0)
+    seam = Seam(keyed(200.0, group), connect_timeout_ms=1000.0)
     txn = seam.ask()
     seam.wires[0].come_up()
     seam.pass_time(100.0)
@@ -176,7 +184,7 @@
 @pytest.mark.parametrize("leaves", [True, False])
 def test_nothing_begins_for_a_request_that_has_its_answer(leaves: bool) -> None:
     """Where attempts may not be called off, they still don't go out once nobody waits for them."""
-    seam = Seam(may_cancel=False)
+    seam = Seam(cancellation_allowed=False)
     txn = seam.ask()
     seam.wires[0].come_up(room=0)
     if leaves:
@@ -205,7 +213,7 @@
     ],
 )
 def test_a_copy_is_current_only_if_a_cache_has_named_it(fields: str, current: bool, never_kept: bool) -> None:
-    seam = Seam(make_class(never_kept=never_kept))
+    seam = Seam(make_class(never_cached=never_kept))
     txn = seam.ask(seen="aa11")
     seam.wires[0].come_up()
     with contextlib.suppress(resp.RespError):  # which ends the connection
@@ -255,10 +263,10 @@
     capsys: pytest.CaptureFixture[str],
 ) -> None:
     """We close the old connection ourselves; what waited for it goes by another one."""
-    seam = Seam(make_class(effect=Effect.UNSAFE, never_kept=True), caches=1)
+    seam = Seam(make_class(idempotency=Idempotency.NON_IDEMPOTENT, never_cached=True), caches=1)
     txn = seam.ask()
     seam.pass_time(10.0)
-    seam.route.told(members(seam, started=seam.clock.now()))
+    seam.route.told(members(seam, started_ms=seam.clock.now()))
     assert seam.wires[0].over
     seam.wires[0].ended()
     assert len(next(iter(seam.route.requests)).attempts) == 1 and "ejected" not in capsys.readouterr().err
@@ -270,7 +278,7 @@
 def test_one_late_connection_beside_one_that_works_ejects_no_cache(
     capsys: pytest.CaptureFixture[str],
 ) -> None:
-    seam = Seam(make_class(effect=Effect.UNSAFE, never_kept=True), caches=1)
+    seam = Seam(make_class(idempotency=Idempotency.NON_IDEMPOTENT, never_cached=True), caches=1)
     first, second = seam.ask(), seam.ask()
     seam.wires[0].come_up()
     seam.pass_time(300.0)
@@ -304,7 +312,7 @@
 
 
 def test_what_waits_for_a_late_connection_takes_one_that_comes_free_and_goes_once() -> None:
-    seam = Seam(make_class(effect=Effect.UNSAFE, never_kept=True), caches=1)
+    seam = Seam(make_class(idempotency=Idempotency.NON_IDEMPOTENT, never_cached=True), caches=1)
     first, second, third = seam.ask(), seam.ask(), seam.ask()
     used, late, later = seam.wires
     used.come_up()
@@ -321,7 +329,11 @@
 @pytest.mark.parametrize("first_up", [0, 1])
 def test_what_waits_for_a_slow_connection_goes_by_the_first_of_two(first_up: int) -> None:
     """And a node to which neither comes up is noticed no later for it."""
-    seam = Seam(make_class(effect=Effect.UNSAFE, never_kept=True), caches=1, connect_timeout=400.0)
+    seam = Seam(
+        make_class(idempotency=Idempotency.NON_IDEMPOTENT, never_cached=True),
+        caches=1,
+        connect_timeout_ms=400.0,
+    )
     txn = seam.ask()
     seam.pass_time(390.0)
     assert len(seam.wires) == 2  # once, however often it is looked at
--- a/tests/test_capacity_router.py
+++ b/tests/test_capacity_router.py
@@ -11,7 +11,8 @@
 from benchmarks.capacity_cold import Scenario
 from benchmarks.capacity_data import Load, Spent
 from benchmarks.capacity_popularity import COUNTS_HALVE, SketchPopularity
-from stonecove.routing.director import HEADROOM, ColdBudget, Popularity
+from stonecove.routing.popularity import Popularity
+from stonecove.routing.slow_start import BUDGET_UTILIZATION, SlowStartBudget
 from stonecove.discovery import MembersUpdate, PurgeUpdate
 from stonecove.protocols.buffer import Buffer
 from stonecove.protocols.change_log import frames
@@ -32,7 +33,7 @@
     own = [node for node in nodes if node.kind == 0 and node.zone == settings.zone]
     assert len(nodes) == capacity_sizes.CACHES + 20 + 1
     assert len(own) in (15, 16)
-    assert len({node.node for node in nodes}) == len(nodes)
+    assert len({node.node_id for node in nodes}) == len(nodes)
 
 
 def test_zipf_draws_the_first_object_as_often_as_its_share_says() -> None:
@@ -65,12 +66,12 @@
 def test_a_sketch_counts_never_too_little_and_halves() -> None:
     sketch = SketchPopularity(COUNTS_HALVE, 1 << 12, 50)
     for _ in range(8):
-        sketch.note(NOW, 5, 10.0, 0)
+        sketch.record_request(NOW, 5, 10.0, 0)
     assert sketch._estimate(5) == pytest.approx(8.0)
-    sketch.note(NOW + COUNTS_HALVE, 6, 10.0, 0)
+    sketch.record_request(NOW + COUNTS_HALVE, 6, 10.0, 0)
     assert sketch._estimate(6) == pytest.approx(2.0)  # the present weight: 8 old ones count as 4
     for number in range(1000):
-        sketch.note(NOW + COUNTS_HALVE, 1000 + number % 200, 10.0, 0)
+        sketch.record_request(NOW + COUNTS_HALVE, 1000 + number % 200, 10.0, 0)
     assert all(sketch._estimate(1000 + number) >= 2 * 5 * 0.999 for number in range(200))
     assert len(sketch._heavy) <= 50
 
@@ -78,8 +79,8 @@
 def test_a_sketch_keeps_its_proportions_over_a_rescale() -> None:
     sketch = SketchPopularity(1000.0, 1 << 10, 50)
     for _ in range(16):
-        sketch.note(NOW, 5, 10.0, 0)
-    sketch.note(NOW + 17_000.0, 6, 10.0, 0)
+        sketch.record_request(NOW, 5, 10.0, 0)
+    sketch.record_request(NOW + 17_000.0, 6, 10.0, 0)
     assert sketch._estimate(6) == pytest.approx(1.0)
     assert sketch._estimate(5) == pytest.approx(16.0 * 2.0**-17)
     assert sketch._total == pytest.approx(1.0 + 16.0 * 2.0**-17)
@@ -110,8 +111,8 @@
 
 
 def cold_play() -> capacity_cold.Play:
-    budget = ColdBudget(3000.0)
-    budget.change(0.25, 16_000.0, 4.0)
+    budget = SlowStartBudget(3000.0)
+    budget.configure(0.25, 16_000.0, 4.0)
     return capacity_cold.Play(3000.0, 10.0, budget)
 
 
@@ -134,14 +135,14 @@
     play = Scenario("cache", 38, 0, 1.0, 2500.0).play()
     assert play.requests > 1000 and play.sent
     assert 0.0 < play.used(capacity_cold.START + 2500.0) < play.offered_part(capacity_cold.START + 2500.0)
-    assert play.worst() <= HEADROOM * 1.1
+    assert play.worst() <= BUDGET_UTILIZATION * 1.1
 
 
 def test_directors_together_keep_a_cold_parents_rule() -> None:
     one = Scenario("parent", 100, 85, 1.0, 2000.0)
     play = one.play()
     assert play.sent
-    assert play.worst() <= HEADROOM + 0.01
+    assert play.worst() <= BUDGET_UTILIZATION + 0.01
     fleet = capacity_cold.own_requests(730, one.carries, True)
     assert fleet == pytest.approx(capacity_cold.own_requests(73, one.carries, True) / 10)
 
--- a/tests/test_client_crossings.py
+++ b/tests/test_client_crossings.py
@@ -88,7 +88,9 @@
         self.budget.most = memory
         self.channels: list[Channel] = []
         self.answers: list[Answer] = []
-        settings = make_settings(make_class(deadline=60_000.0, aim=30_000.0), may_cancel=may_cancel)
+        settings = make_settings(
+            make_class(deadline_ms=60_000.0, latency_objective_ms=30_000.0), cancellation_allowed=may_cancel
+        )
         self.route = Route(settings, 7, self.clock, self.timers, self.budget, 0.0, self._connect)
         self.route.send.most_links = 100
         self.route.told(MembersUpdate(True, tuple(Member(node, "127.0.0.1", 1) for node in make_nodes())))
--- a/tests/test_cold_fleet.py
+++ b/tests/test_cold_fleet.py
@@ -13,18 +13,15 @@
 import pytest
 from conftest import make_settings
 from stonecove.routing.director import Director
+from stonecove.routing.actions import Action, SendAttempt
+from stonecove.routing.endpoints import EndpointListKind, Node, NodeState
 from stonecove.routing.events import (
-    Action,
-    Ended,
+    AttemptEnded,
+    CacheStatus,
+    EndpointListUpdate,
     Event,
-    Get,
-    Listed,
-    ListKind,
-    Node,
-    NodeState,
-    Note,
     Outcome,
-    Request,
+    RequestReceived,
 )
 
 ROUTERS = 30
@@ -37,17 +34,17 @@
 COLD, WARM, PARENT, COLD_PARENT = 11, 12, 21, 22
 WEIGHT = 30.0  # transfers at once
 SETTINGS = make_settings(
-    fleet=ROUTERS,
-    zone_directors=(0, ROUTERS),
-    zone_link=(0.0, 1e7),
-    weighted=True,
-    cold_from=0.2,
-    warm_up=6000.0,
-    fall_multiple=2.0,
-    fall_window=1000.0,
-    parent_cold_from=0.2,
-    parent_warm_up=6000.0,
-    parent_fall_multiple=2.0,
+    fleet_size=ROUTERS,
+    routers_by_zone=(0, ROUTERS),
+    zone_link_kb_per_s=(0.0, 1e7),
+    weights_known=True,
+    slow_start_initial_fraction=0.2,
+    slow_start_ms=6000.0,
+    overload_multiple=2.0,
+    overload_window_ms=1000.0,
+    parent_slow_start_initial_fraction=0.2,
+    parent_slow_start_ms=6000.0,
+    parent_overload_multiple=2.0,
 )
 
 
@@ -64,9 +61,9 @@
     def node(self, started: float, state: NodeState = NodeState.READY) -> Node:
         return Node(self.ident, self.kind, started, state, 0, self.zone, WEIGHT)
 
-    def asked(self, get: Get) -> bool:
+    def asked(self, get: SendAttempt) -> bool:
         """Whether the attempt is work for it."""
-        return self.ident == (get.source if self.kind else get.node)
+        return self.ident == (get.source_id if self.kind else get.node_id)
 
 
 def warm(ident: int, kind: int, zone: int) -> Node:
@@ -88,7 +85,7 @@
         self.sent: list[tuple[float, float]] = []  # when, and how much work
         self.requests = 0
         self._random = random.Random(7)
-        self._answers: list[tuple[float, int, int, Ended]] = []  # when, order, director
+        self._answers: list[tuple[float, int, int, AttemptEnded]] = []  # when, order, director
         self._sizes: dict[int, float] = {}
         self.now = BEGIN
 
@@ -100,16 +97,19 @@
 
     def whole(self, *nodes: Node) -> None:
         """The whole list, to all."""
-        self.tell(Listed(ListKind.FULL, (*self.role.others, *nodes)))
+        self.tell(EndpointListUpdate(EndpointListKind.SNAPSHOT, (*self.role.others, *nodes)))
 
     def change(self, *nodes: Node) -> None:
         """What has changed in the list, to all."""
-        self.tell(Listed(ListKind.DELTA, nodes))
+        self.tell(EndpointListUpdate(EndpointListKind.DELTA, nodes))
 
     def renew(self, place: int) -> None:
         """A router that was restarted knows the list and nothing else."""
         self.directors[place] = Director(SETTINGS, 200 + place)
-        self.tell(Listed(ListKind.FULL, (*self.role.others, self.role.node(self.started))), place)
+        self.tell(
+            EndpointListUpdate(EndpointListKind.SNAPSHOT, (*self.role.others, self.role.node(self.started))),
+            place,
+        )
 
     def play(self, news: News) -> None:
         """Load until the end, and the news in between."""
@@ -129,19 +129,21 @@
         place = self._random.randrange(ROUTERS)
         size, key = self._random.uniform(SMALLEST, LARGEST), self._random.randrange(1, 1 << 40)
         self._sizes[self.requests] = size
-        request = Request(self.requests, 0, key, 4000.0, size, 3, 0)
+        request = RequestReceived(self.requests, 0, key, 4000.0, size, 3, 0)
         self._carry(place, self.directors[place].handle(self.now, request))
 
     def _carry(self, place: int, actions: Sequence[Action]) -> None:
         for action in actions:
-            if not isinstance(action, Get):
+            if not isinstance(action, SendAttempt):
                 continue
-            work = self._sizes[action.req]
+            work = self._sizes[action.request_id]
             if self.role.asked(action):
                 self.sent.append((self.now, work))
             took = WAY + work
-            ended = Ended(action.req, 0, action.node, Outcome.OK, took, True, int(Note.FILLED), 5.0, ())
-            heapq.heappush(self._answers, (self.now + took, action.req, place, ended))
+            ended = AttemptEnded(
+                action.request_id, 0, action.node_id, Outcome.OK, took, True, int(CacheStatus.FILLED), 5.0, ()
+            )
+            heapq.heappush(self._answers, (self.now + took, action.request_id, place, ended))
 
     def _answer(self, until: float) -> None:
         while self._answers and self._answers[0][0] <= until:
@@ -153,13 +155,17 @@
     def allowed(self, at: float) -> float:
         """Requests of mean work that the settings let the node bear in the window that ends then."""
         cold_from, warm_up, multiple = (
-            (SETTINGS.parent_cold_from, SETTINGS.parent_warm_up, SETTINGS.parent_fall_multiple)
+            (
+                SETTINGS.parent_slow_start_initial_fraction,
+                SETTINGS.parent_slow_start_ms,
+                SETTINGS.parent_overload_multiple,
+            )
             if self.role.kind
-            else (SETTINGS.cold_from, SETTINGS.warm_up, SETTINGS.fall_multiple)
+            else (SETTINGS.slow_start_initial_fraction, SETTINGS.slow_start_ms, SETTINGS.overload_multiple)
         )
-        warmed = max(0.0, at - self.started - SETTINGS.fall_window) / warm_up
+        warmed = max(0.0, at - self.started - SETTINGS.overload_window_ms) / warm_up
         present = cold_from + (1.0 - cold_from) * min(1.0, warmed)
-        return multiple * present * SETTINGS.fall_window * WEIGHT / MEAN
+        return multiple * present * SETTINGS.overload_window_ms * WEIGHT / MEAN
 
     def worst(self) -> tuple[float, float, float]:
         """Most work in a window against the bound: the part of it, in requests of mean work, and when."""
@@ -167,7 +173,7 @@
         for at, work in self.sent:
             within.append((at, work))
             total += work
-            while within[0][0] <= at - SETTINGS.fall_window:
+            while within[0][0] <= at - SETTINGS.overload_window_ms:
                 total -= within.popleft()[1]
             n = self.allowed(at)
             most = max(most, (total / MEAN / (n + 2.0 * math.sqrt(n) + 2.0), total / MEAN, at - BEGIN))
@@ -195,7 +201,7 @@
 
     yield 300.0, comes
     yield 400.0, lambda fleet: fleet.change(role.warm._replace(state=NodeState.DRAINING))
-    yield 700.0, lambda fleet: fleet.change(role.warm._replace(state=NodeState.GONE))
+    yield 700.0, lambda fleet: fleet.change(role.warm._replace(state=NodeState.REMOVED))
 
 
 def _again_and_again(role: Role, goes: Callable[[Fleet], None], comes: Callable[[Fleet], None]) -> News:
@@ -218,7 +224,7 @@
     """It leaves the list and returns to it, and was not restarted: its cold start goes on."""
     yield from _again_and_again(
         role,
-        lambda fleet: fleet.change(role.node(BEGIN, NodeState.GONE)),
+        lambda fleet: fleet.change(role.node(BEGIN, NodeState.REMOVED)),
         lambda fleet: fleet.change(role.node(BEGIN)),
     )
 
@@ -260,7 +266,7 @@
     fleet = Fleet(role)
     fleet.play(story(role))
     assert len(fleet.sent) > 0.3 * fleet.allowed(BEGIN)  # it is used, and there is more to do
-    assert fleet.requests / LASTS * SETTINGS.fall_window > 2.0 * fleet.allowed(BEGIN)
+    assert fleet.requests / LASTS * SETTINGS.overload_window_ms > 2.0 * fleet.allowed(BEGIN)
     part, count, at = fleet.worst()
     return f"{count:.0f} requests of mean work, {part:.2f} of the bound, at {at:.0f} ms" if part > 1.0 else ""
 
--- a/tests/test_configuration_processes.py
+++ b/tests/test_configuration_processes.py
@@ -17,7 +17,7 @@
 from keeper import Keeper
 from stand import PATIENCE, Stand
 from stonecove.fleet.rollout_controller import Controller, service_session
-from stonecove.routing.events import Settings
+from stonecove.routing.settings import Settings
 from stonecove.server.config import config_from
 from stonecove.server.configuration import ConfigurationKeeper
 from stonecove.server.reconfigure import SettingsRefused
@@ -40,8 +40,8 @@
         self.unreadable: list[tuple[int, str]] = []
 
     def apply(self, settings: Settings, version: int) -> None:
-        if settings.warm_up in self.refuses:
-            raise SettingsRefused(f"rules.warm_up: {settings.warm_up:g} can't be taken over")
+        if settings.slow_start_ms in self.refuses:
+            raise SettingsRefused(f"rules.warm_up: {settings.slow_start_ms:g} can't be taken over")
         self.settings = settings
 
     def refuse(self, why: str, version: int) -> None:
@@ -74,7 +74,7 @@
 
     @property
     def warm_up(self) -> float:
-        return self.router.settings.warm_up if self.router.settings is not None else -1.0
+        return self.router.settings.slow_start_ms if self.router.settings is not None else -1.0
 
 
 def addresses_of(servers: list[str]) -> tuple[tuple[str, int], ...]:
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -8,7 +8,9 @@
 
 import pytest
 from stonecove.routing.director import Director
-from stonecove.routing.events import Get, Listed, ListKind, NodeId, NodeState, Peers, Request
+from stonecove.routing.actions import SendAttempt
+from stonecove.routing.endpoints import EndpointListKind, NodeId, NodeState
+from stonecove.routing.events import EndpointListUpdate, FleetSizeChanged, RequestReceived
 from stonecove.discovery import Member, presence
 from stonecove.discovery.merge import Merge, Source, Told, merged
 from stonecove.discovery.pace import MOST_WAIT, Pace
@@ -18,7 +20,7 @@
 from conftest import gets, make_nodes, make_settings
 
 NAMES = Names(("hub", "edge-1"), ("box", "parent", "origin"))
-READY, DRAINING, GONE = NodeState.READY, NodeState.DRAINING, NodeState.GONE
+READY, DRAINING, GONE = NodeState.READY, NodeState.DRAINING, NodeState.REMOVED
 
 
 def table(ident: int = 1, **changes: Any) -> dict[str, Any]:
@@ -141,7 +143,7 @@
     def started(self, ident: int) -> float:
         member = self.claims[ident].member
         assert member is not None
-        return member.node.started
+        return member.node.started_ms
 
 
 def test_departed_drains_at_once_and_is_gone_after_a_while() -> None:
@@ -372,7 +374,7 @@
     both.tell(ZK, READY, weight=3.0, started=8000, address="10.0.0.2:1")
     both.tell(LOG, READY, weight=4.0, started=0, address="10.0.0.1:1")
     member = both.merge.verdict(1).member
-    assert member is not None and (member.node.weight, member.node.started, member.host) == (
+    assert member is not None and (member.node.weight, member.node.started_ms, member.host) == (
         4.0,
         8000,
         "10.0.0.1",
@@ -435,14 +437,14 @@
             )
         if chooser.random() < 0.3:
             for member in all_of.merge.take():
-                told[member.node.node] = member
+                told[member.node.node_id] = member
             all_of.claims = {ident: by for ident, by in all_of.claims.items() if ident in all_of.merge.ids()}
         expected = merged(all_of.claims, all_of.says, keep)
         for ident in range(1, 12):
             wanted = expected[ident].state if ident in expected else GONE
             assert all_of.merge.verdict(ident).state is wanted, (step, ident)
     for member in all_of.merge.take():
-        told[member.node.node] = member
+        told[member.node.node_id] = member
     assert all(told[ident].node.state is all_of.merge.verdict(ident).state for ident in told)
 
 
@@ -487,13 +489,13 @@
     sent = {}
     for fleet in (1, 8):
         director = Director(make_settings(), 7)
-        cold = [node._replace(started=100_000.0) if node.kind == 0 else node for node in make_nodes()]
-        director.handle(100_000.0, Listed(ListKind.FULL, tuple(cold)))
-        director.handle(100_000.0, Peers(fleet, (0, fleet, 0)))
+        cold = [node._replace(started_ms=100_000.0) if node.kind == 0 else node for node in make_nodes()]
+        director.handle(100_000.0, EndpointListUpdate(EndpointListKind.SNAPSHOT, tuple(cold)))
+        director.handle(100_000.0, FleetSizeChanged(fleet, (0, fleet, 0)))
         sent[fleet] = sum(
-            isinstance(act, Get)
+            isinstance(act, SendAttempt)
             for req in range(400)
-            for act in gets(director.handle(100_001.0, Request(req, 0, req, 4000.0, 100.0, 3, 0)))
+            for act in gets(director.handle(100_001.0, RequestReceived(req, 0, req, 4000.0, 100.0, 3, 0)))
         )
     assert 0 < sent[8] < sent[1]
 
--- a/tests/test_other_settings.py
+++ b/tests/test_other_settings.py
@@ -324,4 +324,4 @@
 def test_connections_have_time_to_come_up_where_the_settings_name_none() -> None:
     for limits in ({}, {"connect_timeout": 0.0}):
         settings = settings_from({"zone": 0, "classes": [cls("a", "pure", 5.0, 5.0)], "limits": limits})
-        assert settings.connect_timeout >= 100.0
+        assert settings.connect_timeout_ms >= 100.0
--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -171,9 +171,9 @@
 
 def test_settings_under_an_overlay_keep_what_the_own_file_says() -> None:
     settings = settings_with(SETTINGS, Overlay(1, {"rules": {"warm_up": 123.0}}))
-    assert settings.warm_up == 123.0
+    assert settings.slow_start_ms == 123.0
     assert settings.zone == SETTINGS["zone"]
-    assert settings.cold_from == SETTINGS["rules"]["cold_from"]
+    assert settings.slow_start_initial_fraction == SETTINGS["rules"]["cold_from"]
 
 
 @pytest.mark.parametrize(
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -9,50 +9,42 @@
 import pytest
 from conftest import CACHES, ORIGIN, World, gets, make_nodes, make_settings
 
-from stonecove.routing.events import (
-    Ended,
-    Fail,
-    Get,
-    Listed,
-    ListKind,
-    Node,
-    NodeState,
-    Note,
-    Outcome,
-    Probed,
-    Refuse,
-)
+from stonecove.routing.actions import FailRequest, RejectRequest, SendAttempt
+from stonecove.routing.endpoints import EndpointListKind, Node, NodeState
+from stonecove.routing.events import AttemptEnded, CacheStatus, EndpointListUpdate, HealthCheckEnded, Outcome
 from stonecove.pipeline.send import Link
 
 READY = NodeState.READY
 
 
-def answered(world: World, requests: int) -> list[Get]:
+def answered(world: World, requests: int) -> list[SendAttempt]:
     """Asks so many times; every request is sent, refused or failed at once."""
     sent = []
     for key in range(requests):
-        actions = world.ask(key=key)
+        actions = world.ask(object_key=key)
         sent += gets(actions)
-        assert gets(actions) or isinstance(actions[-1], (Refuse, Fail))
+        assert gets(actions) or isinstance(actions[-1], (RejectRequest, FailRequest))
         for get in gets(actions):
-            world.end(get, note=Note.HIT)
+            world.end(get, note=CacheStatus.HIT)
     return sent
 
 
 def test_hundreds_of_nodes_and_directors() -> None:
     nodes = [Node(n + 1, 0, 0.0, READY, n, n % 40, 1.0) for n in range(400)]
     nodes += [Node(1000 + n, 1, 0.0, READY, 0, 0, 1.0) for n in range(100)]
-    settings = make_settings(fleet=600, zone_directors=(0, *[15] * 40), zone_link=(0.0, *[9000.0] * 40))
+    settings = make_settings(
+        fleet_size=600, routers_by_zone=(0, *[15] * 40), zone_link_kb_per_s=(0.0, *[9000.0] * 40)
+    )
     sent = answered(World(settings, [*nodes, Node(ORIGIN + 5000, 2, 0.0, READY, 0, 0, 1.0)]), 300)
-    assert len({get.source for get in sent}) > 50
-    assert {get.node % 40 for get in sent} == {2}
+    assert len({get.source_id for get in sent}) > 50
+    assert {get.node_id % 40 for get in sent} == {2}
 
 
 @pytest.mark.parametrize(
     "changes",
     [
-        {"fleet": 10**9, "zone_directors": (0, 10**9, 0)},
-        {"zone_directors": (0, 0, 0), "fleet": 0},
+        {"fleet_size": 10**9, "routers_by_zone": (0, 10**9, 0)},
+        {"routers_by_zone": (0, 0, 0), "fleet_size": 0},
         {"zone": 77},
         {"zone": -1},
     ],
@@ -63,37 +55,45 @@
 
 
 def test_a_location_with_one_cache() -> None:
-    sent = answered(World(nodes=[n for n in make_nodes() if n.node not in CACHES[1:]]), 40)
-    assert {get.node for get in sent} == {CACHES[0]}
+    sent = answered(World(nodes=[n for n in make_nodes() if n.node_id not in CACHES[1:]]), 40)
+    assert {get.node_id for get in sent} == {CACHES[0]}
 
 
 def test_all_caches_replaced_at_once_while_hundreds_are_held() -> None:
-    world = World(make_settings(most_attempts=6), [n._replace(weight=500.0) for n in make_nodes()])
-    held = [gets(world.ask(key=n, size=1.0))[0] for n in range(300)]
+    world = World(make_settings(max_attempts=6), [n._replace(weight=500.0) for n in make_nodes()])
+    held = [gets(world.ask(object_key=n, size_kb=1.0))[0] for n in range(300)]
     fresh = [Node(100 + n, 0, world.now, READY, 0, 1, 1.0) for n in range(4)]
-    world.give(Listed(ListKind.FULL, (*fresh, *[n for n in world.nodes if n.node not in CACHES])))
+    world.give(
+        EndpointListUpdate(
+            EndpointListKind.SNAPSHOT, (*fresh, *[n for n in world.nodes if n.node_id not in CACHES])
+        )
+    )
     for get in held:
-        actions = world.give(Ended(get.req, 0, get.node, Outcome.RESET, 5.0, False, 0, 0.0, ()))
-        assert all(again.node >= 100 for again in gets(actions))
-        assert gets(actions) or isinstance(actions[-1], Refuse)
+        actions = world.give(
+            AttemptEnded(get.request_id, 0, get.node_id, Outcome.RESET, 5.0, False, 0, 0.0, ())
+        )
+        assert all(again.node_id >= 100 for again in gets(actions))
+        assert gets(actions) or isinstance(actions[-1], RejectRequest)
 
 
 def test_weights_that_change_with_every_list() -> None:
-    world = World(make_settings(weighted=True))
+    world = World(make_settings(weights_known=True))
     for turn, weight in enumerate((0.0, 1e-9, 4.0, 1e9, -3.0) * 4):
         world.list(CACHES[turn % 4], weight=weight)
-        for get in gets(world.ask(key=turn)):
-            world.end(get, note=Note.HIT)
+        for get in gets(world.ask(object_key=turn)):
+            world.end(get, note=CacheStatus.HIT)
 
 
 @pytest.mark.parametrize("load", [(), (0.0,), (math.nan, math.inf, -1.0, 1e30, 7.0)])
 def test_reports_of_any_kind_mislead_nobody(load: tuple[float, ...]) -> None:
-    world = World(make_settings(report_fields=("busy_reqs", "x1")))
-    home = gets(world.ask(key=1))[0]
-    world.give(Ended(home.req, 0, home.node, Outcome.OK, 1.0, True, Note.HIT, 0.0, load))
-    for node in (home.node, 999):
-        assert world.give(Probed(node, True, 1.0, load)) == []
-    assert gets(world.ask(key=1))[0].node == home.node
+    world = World(make_settings(load_report_fields=("busy_reqs", "x1")))
+    home = gets(world.ask(object_key=1))[0]
+    world.give(
+        AttemptEnded(home.request_id, 0, home.node_id, Outcome.OK, 1.0, True, CacheStatus.HIT, 0.0, load)
+    )
+    for node in (home.node_id, 999):
+        assert world.give(HealthCheckEnded(node, True, 1.0, load)) == []
+    assert gets(world.ask(object_key=1))[0].node_id == home.node_id
 
 
 class Compared(str):
--- a/tests/test_settings_change.py
+++ b/tests/test_settings_change.py
@@ -25,7 +25,8 @@
 from conftest import make_class, make_settings
 from stand import PATIENCE, SETTINGS, ChangeLog, Stand
 
-from stonecove.routing.events import Effect, Peers, Settings
+from stonecove.routing.events import FleetSizeChanged
+from stonecove.routing.settings import Idempotency, Settings
 from stonecove.server.config import config_from
 from stonecove.server.leases import LeaseFile, Leases
 from stonecove.server.members import Members
@@ -371,7 +372,7 @@
     return Route(settings, 7, clock, timers, Budget(), 0.0, lambda *_: None)  # type: ignore[arg-type]
 
 
-def made(part: Part, counted: Peers | None = None) -> tuple[Route, Reconfigure]:
+def made(part: Part, counted: FleetSizeChanged | None = None) -> tuple[Route, Reconfigure]:
     async def make() -> Route:
         return new_route(make_settings())
 
@@ -383,8 +384,8 @@
     part = Part("fleet: no")
     route, reconfigure = made(part)
     with pytest.raises(SettingsRefused, match="fleet: no"):
-        reconfigure.apply(make_settings(fleet=9), 5)
-    assert reconfigure.current == make_settings() == route._director._set and not part.settings
+        reconfigure.apply(make_settings(fleet_size=9), 5)
+    assert reconfigure.current == make_settings() == route.director.state.settings and not part.settings
     assert reconfigure.answer([])["configuration"] == {
         "version": 4,
         "in_force_since_ms": 5,
@@ -394,19 +395,26 @@
 
 def test_what_is_counted_holds_over_what_the_settings_say() -> None:
     part = Part()
-    route, reconfigure = made(part, Peers(30, (0, 15, 15)))
-    reconfigure.apply(make_settings(fleet=9, most_attempts=2))
-    director = route._director
-    assert director._set.fleet == 30 and director._zone_share == 1 / 15 and director._set.most_attempts == 2
-    assert part.settings == [make_settings(fleet=9, most_attempts=2)] == [reconfigure.current]
+    route, reconfigure = made(part, FleetSizeChanged(30, (0, 15, 15)))
+    reconfigure.apply(make_settings(fleet_size=9, max_attempts=2))
+    director = route.director
+    assert (
+        director.state.settings.fleet_size == 30
+        and director.state.share.zone_share == 1 / 15
+        and director.state.settings.max_attempts == 2
+    )
+    assert part.settings == [make_settings(fleet_size=9, max_attempts=2)] == [reconfigure.current]
 
 
 def test_what_is_not_decided_yet_is_decided_by_the_settings_it_was_checked_by() -> None:
     route, reconfigure = made(Part())
-    decided: list[Effect] = []
-    route.decide = lambda: bool(decided.append(route._director._set.classes[0].effect))  # type: ignore[method-assign,func-returns-value]
-    reconfigure.apply(make_settings(make_class(effect=Effect.UNSAFE)))
-    assert decided == [Effect.SAFE] and route._director._set.classes[0].effect is Effect.UNSAFE
+    decided: list[Idempotency] = []
+    route.decide = lambda: bool(decided.append(route.director.state.settings.classes[0].idempotency))  # type: ignore[method-assign,func-returns-value]
+    reconfigure.apply(make_settings(make_class(idempotency=Idempotency.NON_IDEMPOTENT)))
+    assert (
+        decided == [Idempotency.IDEMPOTENT]
+        and route.director.state.settings.classes[0].idempotency is Idempotency.NON_IDEMPOTENT
+    )
 
 
 def test_a_lessor_is_told_other_parts_in_a_new_connection(tmp_path: Path) -> None:
@@ -437,9 +445,9 @@
                 leases = Leases(file, "n0", settings, new_route(settings), Clock(), nursery.start_soon)
                 leases.start()
                 await heard(1)
-                leases.reconfigure(replace(settings, most_attempts=1))
+                leases.reconfigure(replace(settings, max_attempts=1))
                 assert not leases._talking.cancel_called  # its parts are the same
-                leases.reconfigure(replace(settings, fleet=4, zone_directors=(0, 2, 2)))
+                leases.reconfigure(replace(settings, fleet_size=4, routers_by_zone=(0, 2, 2)))
                 await heard(2)
                 nursery.cancel_scope.cancel()
 
@@ -455,7 +463,7 @@
     record = read_text(f'swarm: shares: "{shares}"', "f.cue").operator.swarm
     assert record is not None
     config = config_from(Stand.plain_config(), {})
-    settings = replace(config.settings, may_message=True)
+    settings = replace(config.settings, router_messages_allowed=True)
     config = replace(config, settings=settings, peer_listen="127.0.0.1:1", peers=("127.0.0.1:2",))
 
     async def play() -> list[str]:
@@ -464,10 +472,10 @@
             return [
                 keeper.objection(replace(settings, **changes))
                 for changes in (
-                    {"fleet": 9},
-                    {"zone_directors": (0, 9)},
-                    {"may_message": False},
-                    {"streams": 3},
+                    {"fleet_size": 9},
+                    {"routers_by_zone": (0, 9)},
+                    {"router_messages_allowed": False},
+                    {"streams_per_connection": 3},
                 )
             ]
 
@@ -493,6 +501,6 @@
 
     members = trio.run(play)
     assert members.objection(more).startswith("zones:") == zookeeper
-    assert not members.objection(replace(settings, streams=3))
+    assert not members.objection(replace(settings, streams_per_connection=3))
     members.reconfigure(more)
     assert members.names.zones == more.zones and members.config.settings == more and members.counted() is None
