--- a/tests/test_sharing.py
+++ b/tests/test_sharing.py
@@ -17,10 +17,12 @@
 from test_fleet_daemon import Daemon
 
 from stand import Stand
-from stonecove.routing.events import RETRIES, Listed, ListKind, Piece, Terms, Unspent, Want
+from stonecove.routing.actions import RETRY_LEASE, RequestLease, ReturnLease
+from stonecove.routing.endpoints import EndpointListKind
+from stonecove.routing.events import EndpointListUpdate, LeaseGranted, LeaseTerms
 from stonecove.server.leases import LeaseFile, LeaseFileError
 from stonecove.quotas.lending import Lending, LendingError
-from stonecove.routing.leased_budget import LeasedCredit
+from stonecove.routing.leased_budget import LeasedBudget
 from stonecove.quotas.quota import Limit, Plan, PlanError, Quota
 
 WINDOW = 3.0
@@ -31,54 +33,64 @@
 
 def cold_world(own: float) -> World:
     """A director before one cold cache, sharing with others."""
-    world = World(make_settings(zone_link=(0.0, 4000.0, 4000.0), fall_multiple=1.0))
-    cold = next(node for node in make_nodes() if node.node == 11)
-    world.give(Listed(ListKind.FULL, (cold._replace(started=world.now - 100.0), *make_nodes()[4:])))
-    world.give(Terms(own, 0.1))
+    world = World(make_settings(zone_link_kb_per_s=(0.0, 4000.0, 4000.0), overload_multiple=1.0))
+    cold = next(node for node in make_nodes() if node.node_id == 11)
+    world.give(
+        EndpointListUpdate(
+            EndpointListKind.SNAPSHOT, (cold._replace(started_ms=world.now - 100.0), *make_nodes()[4:])
+        )
+    )
+    world.give(LeaseTerms(own, 0.1))
     return world
 
 
 def sent_to_cold(world: World, wait: float = 0.0) -> int:
-    return sum(len(gets(world.ask(key=key, size=20.0, wait=wait))) for key in range(60))
+    return sum(len(gets(world.ask(object_key=key, size_kb=20.0, wait=wait))) for key in range(60))
 
 
 def test_without_a_piece_the_own_part_is_the_bound_and_a_piece_adds_its_work() -> None:
     whole, part = cold_world(1.0), cold_world(0.5)
     all_of_it, half = sent_to_cold(whole), sent_to_cold(part)
     assert 0 < half <= all_of_it / 2 + 1 and all_of_it > 3
-    wants = [act for act in part.ask(key=7, size=20.0) if isinstance(act, Want)]
-    assert wants and wants[0].node == 11 and wants[0].zonal and wants[0].share == 1.0
-    assert half * 20.0 <= 0.5 * wants[0].rule * wants[0].share <= half * 20.0 + 20.0
-    assert part.give(Piece(1, 11, 50.0, part.now + 500.0)) == []
+    wants = [act for act in part.ask(object_key=7, size_kb=20.0) if isinstance(act, RequestLease)]
+    assert wants and wants[0].node_id == 11 and wants[0].zonal and wants[0].share == 1.0
+    assert half * 20.0 <= 0.5 * wants[0].fleet_limit_ms * wants[0].share <= half * 20.0 + 20.0
+    assert part.give(LeaseGranted(1, 11, 50.0, part.now + 500.0)) == []
     assert sent_to_cold(part) == 2  # 40 of the 50 fit
 
 
 def test_a_piece_is_spent_once_and_not_after_its_time() -> None:
     world = cold_world(0.0)
     assert sent_to_cold(world) == 0
-    world.give(Piece(1, 11, 40.0, world.now + 100.0))
+    world.give(LeaseGranted(1, 11, 40.0, world.now + 100.0))
     world.now += 200.0
     assert sent_to_cold(world) == 0
-    assert world.give(Piece(2, 11, 40.0, world.now + 500.0)) == [Unspent(1, 40.0)]
-    assert world.give(Piece(2, 11, 40.0, world.now + 500.0)) == []  # told twice: it counts once
+    assert world.give(LeaseGranted(2, 11, 40.0, world.now + 500.0)) == [ReturnLease(1, 40.0)]
+    assert world.give(LeaseGranted(2, 11, 40.0, world.now + 500.0)) == []  # told twice: it counts once
     assert sent_to_cold(world) == 2
-    world.give(Piece(3, 11, 40.0, world.now + 500.0))
-    assert Unspent(3, 40.0) in world.give(Piece(3, 11, 0.0, 0.0))  # the steady clock's word goes first
+    world.give(LeaseGranted(3, 11, 40.0, world.now + 500.0))
+    assert ReturnLease(3, 40.0) in world.give(
+        LeaseGranted(3, 11, 0.0, 0.0)
+    )  # the steady clock's word goes first
     assert sent_to_cold(world) == 0
 
 
 def test_retries_beyond_the_own_part_come_in_pieces() -> None:
-    credit = LeasedCredit()
-    credit.add(0.0, Piece(1, RETRIES, 2.0, 100.0))
-    assert [credit.spend(1.0, RETRIES, 1.0) for _ in range(3)] == [True, True, False]
+    credit = LeasedBudget()
+    credit.grant(0.0, LeaseGranted(1, RETRY_LEASE, 2.0, 100.0))
+    assert [credit.spend(1.0, RETRY_LEASE, 1.0) for _ in range(3)] == [True, True, False]
     world = World()
-    world.give(Terms(0.3, 0.015))  # one of 20: no more than one retry is saved up
-    assert world.director._burst == 1.0
-    acts = [act for _ in range(2) for act in world.director.handle(world.now, Piece(9, 99, 0.0, 0.0))]
+    world.give(LeaseTerms(0.3, 0.015))  # one of 20: no more than one retry is saved up
+    assert world.director.state.retries.max_tokens == 1.0
+    acts = [act for _ in range(2) for act in world.director.handle(world.now, LeaseGranted(9, 99, 0.0, 0.0))]
     assert acts == []
-    assert world.director._may_spend(world.now) and not world.director._may_spend(world.now)
-    world.give(Piece(1, RETRIES, 1.0, world.now + 100.0))
-    assert world.director._may_spend(world.now) and not world.director._may_spend(world.now)
+    assert world.director.state.retries.try_spend(
+        world.now, []
+    ) and not world.director.state.retries.try_spend(world.now, [])
+    world.give(LeaseGranted(1, RETRY_LEASE, 1.0, world.now + 100.0))
+    assert world.director.state.retries.try_spend(
+        world.now, []
+    ) and not world.director.state.retries.try_spend(world.now, [])
 
 
 # -- the lessor --
--- a/tests/test_simulator_adapter.py
+++ b/tests/test_simulator_adapter.py
@@ -11,8 +11,16 @@
 import pytest
 
 from stonecove import simulator_adapter
-from stonecove.routing import events as i
-from stonecove.simulator_adapter import Link, WireError, serve
+from stonecove.routing.actions import (
+    CancelAttempt,
+    FailRequest,
+    RejectRequest,
+    SendHealthCheck,
+    StartTimer,
+    WatchEndpointList,
+    WriteLog,
+)
+from stonecove.simulator_adapter import SimulatorAdapter, WireError, serve
 from stonecove.settings import read_settings
 
 SETTINGS = {
@@ -99,33 +107,33 @@
 
 
 def test_actions_are_written_out() -> None:
-    link = Link()
-    link.batch(0.0, 2, launch(3) + listed(3))
+    adapter = SimulatorAdapter()
+    adapter.handle_batch(0.0, 2, launch(3) + listed(3))
     expected = [
-        (i.Cancel(1, 2), (30, 3, 1, 2), ">BIIB"),
-        (i.Fail(1), (40, 3, 1), ">BII"),
-        (i.Refuse(1, 5.0), (60, 3, 1, 5.0), ">BIId"),
-        (i.Probe(0xA0000010050), (20, 3, 0xA000001, 80), ">BIIH"),
-        (i.Watch(), (70, 3, 1), ">BIB"),
-        (i.Timer(4, 9.0), (110, 3, 4, 9.0), ">BIId"),
-        (i.Log("hi"), (50, 3, 2, b"hi"), ">BIH2s"),
+        (CancelAttempt(1, 2), (30, 3, 1, 2), ">BIIB"),
+        (FailRequest(1), (40, 3, 1), ">BII"),
+        (RejectRequest(1, 5.0), (60, 3, 1, 5.0), ">BIId"),
+        (SendHealthCheck(0xA0000010050), (20, 3, 0xA000001, 80), ">BIIH"),
+        (WatchEndpointList(), (70, 3, 1), ">BIB"),
+        (StartTimer(4, 9.0), (110, 3, 4, 9.0), ">BIId"),
+        (WriteLog("hi"), (50, 3, 2, b"hi"), ">BIH2s"),
     ]
     for action, fields, form in expected:
         assert struct.unpack(form, simulator_adapter._WRITERS[type(action)](3, action)) == fields
 
 
 def test_an_exception_becomes_a_bug_report(monkeypatch: pytest.MonkeyPatch) -> None:
-    link = Link()
-    link.batch(0.0, 2, launch(3) + listed(3))
+    adapter = SimulatorAdapter()
+    adapter.handle_batch(0.0, 2, launch(3) + listed(3))
 
     def broken(now: float, event: object) -> list[object]:
         raise KeyError("a slip")
 
-    monkeypatch.setattr(link.directors[3], "handle", broken)
-    reply = link.batch(1.0, 1, incoming(3, 8))
+    monkeypatch.setattr(adapter.directors[3], "handle", broken)
+    reply = adapter.handle_batch(1.0, 1, incoming(3, 8))
     assert reply[8] == 100 and b"a slip" in reply
     bad = json.dumps({"classes": []}).encode()
-    reply = link.batch(2.0, 1, struct.pack(">BIQI", 70, 5, 1, len(bad)) + bad)
+    reply = adapter.handle_batch(2.0, 1, struct.pack(">BIQI", 70, 5, 1, len(bad)) + bad)
     assert reply[8] == 100 and b"zone" in reply
 
 
@@ -152,7 +160,7 @@
 
 def test_a_short_record_within_a_sound_frame_is_a_wire_error() -> None:
     with pytest.raises(WireError):
-        Link().batch(0.0, 1, incoming(3, 8)[:-3])
+        SimulatorAdapter().handle_batch(0.0, 1, incoming(3, 8)[:-3])
 
 
 def test_settings_name_what_is_missing() -> None:
