--- a/stonecove/commands/configuration.py
+++ b/stonecove/commands/configuration.py
@@ -14,8 +14,8 @@
 
 if TYPE_CHECKING:
     from stonecove.fleet.rollout_controller import Controller
-    from stonecove.rollout.messages import Report, Target
     from stonecove.protocols.zookeeper.session import Server
+    from stonecove.rollout.messages import Report, Target
 
 EVERYWHERE, HALTED, UNUSABLE, UNFINISHED = 0, 1, 2, 3
 MOST_LISTED = 20  # routers that are named
--- a/stonecove/commands/explore.py
+++ b/stonecove/commands/explore.py
@@ -94,7 +94,7 @@
     """Explore a scope whole."""
     from stonecove.explore.runner import SMALL_MACHINES, explore_all, explore_machine
     from stonecove.explore.scope import SCOPES, named
-    from stonecove.explore.search import WorkerPool, SavedError
+    from stonecove.explore.search import SavedError, WorkerPool
 
     if scope_name in SMALL_MACHINES:
         bounds = SMALL_MACHINES[scope_name]
--- a/stonecove/commands/token.py
+++ b/stonecove/commands/token.py
@@ -172,9 +172,9 @@
 def _decided(operator: Path, request: Any) -> tuple[Any, Any]:
     """The decision of a gate as this operator's file makes one, and the policy that holds."""
     from stonecove.access.gate import Gate, Limits
-    from stonecove.server.access import AccessError, policies_of, read_revoked, read_ring
     from stonecove.operator_config.grammar import OperatorError
     from stonecove.operator_config.reader import read
+    from stonecove.server.access import AccessError, policies_of, read_revoked, read_ring
 
     try:
         access = read(operator).operator.access
--- a/stonecove/commands/trial.py
+++ b/stonecove/commands/trial.py
@@ -52,9 +52,9 @@
 def run_command(name: str, seed: int, as_json: bool, logs: Path | None) -> None:
     """Play a trial file, or one of those that come along, and judge it."""
     from stonecove.operator_config.grammar import OperatorError
-    from stonecove.trial.testbed import TrialError
     from stonecove.trial.judge import play
     from stonecove.trial.schedule import read_trial
+    from stonecove.trial.testbed import TrialError
 
     try:
         found = read_trial(_file(name), seed)
--- a/stonecove/discovery/merge.py
+++ b/stonecove/discovery/merge.py
@@ -23,9 +23,9 @@
 from collections.abc import Iterable, Mapping
 from typing import NamedTuple
 
-from stonecove.routing.endpoints import NodeId, NodeState
 from stonecove.discovery import Member
 from stonecove.discovery.roster import Claim
+from stonecove.routing.endpoints import NodeId, NodeState
 
 
 class Source(NamedTuple):
--- a/stonecove/discovery/records.py
+++ b/stonecove/discovery/records.py
@@ -16,8 +16,8 @@
 
 import ujson
 
-from stonecove.routing.endpoints import Node, NodeId, NodeState
 from stonecove.discovery import Member
+from stonecove.routing.endpoints import Node, NodeId, NodeState
 
 MOST_BYTES = 4096
 MOST_ID = 0xFFFFFFFF
--- a/stonecove/discovery/roster.py
+++ b/stonecove/discovery/roster.py
@@ -22,9 +22,10 @@
 from collections.abc import Callable, Iterable
 from typing import NamedTuple
 
-from stonecove.routing.endpoints import NodeId, NodeState
 from stonecove.discovery import Member
 from stonecove.discovery.records import Names, RecordError, member_of
+from stonecove.routing.endpoints import NodeId, NodeState
+from stonecove.runtime.log_events import LogEvent
 
 Say = Callable[..., None]
 
@@ -117,7 +118,7 @@
             member: Member | None = member_of(data, self._names, self.rules.most_bytes)
         except RecordError as error:
             member = None
-            self._say("members-record-bad", node=name, why=str(error))
+            self._say(LogEvent.ENDPOINT_RECORD_INVALID, node=name, reason=str(error))
         entry = Entry(name, member, czxid, ctime, owner)
         self._kept.pop(name, None)
         self._replace(name, entry, now)
@@ -136,7 +137,7 @@
         # sessions.
         if counted and (self._kept or none_left or departed > bound):
             if not self._kept:
-                self._say("members-mass-departure", departed=departed, of=population)
+                self._say(LogEvent.MASS_DEPARTURE_SUSPECTED, departed=departed, total=population)
             for name in gone:
                 self._kept[name] = now
             self._confirm()
@@ -163,7 +164,7 @@
             return
         kept, self._kept = self._kept, {}
         left = [name for name in kept if name not in names]
-        self._say("members-departure-confirmed", left=len(left), back=len(kept) - len(left))
+        self._say(LogEvent.MASS_DEPARTURE_CONFIRMED, departed=len(left), returned=len(kept) - len(left))
         for name in left:
             self._replace(name, None, now)
 
@@ -188,9 +189,9 @@
             if quarter > self._aged and quarter <= 4:
                 self._aged = quarter
                 self._say(
-                    "members-ageing",
+                    LogEvent.ENDPOINT_SOURCE_STALE,
                     silent_s=round((now - self.down_since) / 1000.0),
-                    stands_s=round(self.rules.stale_for / 1000.0),
+                    unchanged_s=round(self.rules.stale_for / 1000.0),
                     nodes=len(self._claims),
                 )
 
@@ -260,11 +261,11 @@
             self._started[ident] = (entry.name, entry.ctime)
         away = now - past.at
         self._say(
-            "members-returned",
-            id=f"s-{ident:08x}",
-            away_ms=round(away),
+            LogEvent.ENDPOINT_RETURNED,
+            node=f"s-{ident:08x}",
+            absent_ms=round(away),
             same_process=same,
-            blink=away <= self.rules.return_within,
+            reconnected=away <= self.rules.return_within,
         )
         returns = self._returns.setdefault(ident, deque())
         returns.append(now)
@@ -274,7 +275,12 @@
         if over > 0:
             hold = min(self.rules.flap_hold * 2.0 ** (over - 1), self.rules.flap_longest)
             self._held_back[ident] = now + hold
-            self._say("members-flapping", id=f"s-{ident:08x}", returns=len(returns), held_ms=round(hold))
+            self._say(
+                LogEvent.ENDPOINT_FLAPPING,
+                node=f"s-{ident:08x}",
+                returns=len(returns),
+                suppressed_ms=round(hold),
+            )
 
     def _key(self, ident: NodeId) -> tuple[float, int, NodeId]:
         """How young the claim of an id is."""
@@ -330,16 +336,23 @@
             node=best.member.node._replace(started_ms=self._begun(ident, best), state=NodeState.READY)
         )
         if len(nodes) > 1:
-            self._alarm("members-id-twice", ident, nodes=",".join(sorted(nodes)), taken=best.name)
+            self._alarm(
+                LogEvent.ENDPOINT_ID_DUPLICATED, ident, nodes=",".join(sorted(nodes)), chosen=best.name
+            )
         else:
-            self._alarmed.discard(("members-id-twice", str(ident)))
+            self._alarmed.discard((LogEvent.ENDPOINT_ID_DUPLICATED, str(ident)))
         rivals = self._by_address.get((member.host, member.port), set()) - {ident}
         younger = [rival for rival in rivals if self._key(rival) > self._key(ident)]
         if younger:
             taken = f"s-{max(younger, key=self._key):08x}"
-            self._alarm("members-address-twice", ident, address=f"{member.host}:{member.port}", taken=taken)
+            self._alarm(
+                LogEvent.ENDPOINT_ADDRESS_DUPLICATED,
+                ident,
+                address=f"{member.host}:{member.port}",
+                chosen=taken,
+            )
             return Claim(NodeState.DRAINING, member, f"its address is that of {taken}")
-        self._alarmed.discard(("members-address-twice", str(ident)))
+        self._alarmed.discard((LogEvent.ENDPOINT_ADDRESS_DUPLICATED, str(ident)))
         if best.member.node.state is not NodeState.READY:
             return Claim(NodeState.DRAINING, member, "its record says draining")
         if ident in self._held_back:
@@ -349,7 +362,7 @@
     def _alarm(self, event: str, ident: NodeId, **fields: object) -> None:
         if (event, str(ident)) not in self._alarmed:
             self._alarmed.add((event, str(ident)))
-            self._say(event, id=f"s-{ident:08x}", **fields)
+            self._say(event, node=f"s-{ident:08x}", **fields)
 
     def _tell(self, ident: NodeId, claim: Claim) -> None:
         if claim == self._claims.get(ident):
--- a/stonecove/discovery/trace.py
+++ b/stonecove/discovery/trace.py
@@ -7,8 +7,8 @@
 from collections import deque
 from typing import Any
 
-from stonecove.routing.endpoints import NodeId, NodeState
 from stonecove.discovery.merge import Explanation
+from stonecove.routing.endpoints import NodeId, NodeState, reported_state
 
 
 class Life:
@@ -38,7 +38,7 @@
                 "what": "claim",
                 "source": source,
                 "id": f"s-{ident:08x}",
-                "state": state.name.lower(),
+                "state": reported_state(state),
                 "why": why,
             }
         )
@@ -50,7 +50,7 @@
             life.told_at = at
         life.state = state
         self.lines.append(
-            {"at": at, "what": "state", "id": f"s-{ident:08x}", "state": state.name.lower(), "why": why}
+            {"at": at, "what": "state", "id": f"s-{ident:08x}", "state": reported_state(state), "why": why}
         )
 
     def written(self, at: float, node: NodeId, source: NodeId) -> None:
@@ -70,7 +70,7 @@
             late = max(0.0, max(life.as_target, life.as_source) - life.told_at)
         return {
             "id": f"s-{ident:08x}",
-            "state": life.state.name.lower(),
+            "state": reported_state(life.state),
             "told_at": life.told_at,
             "last_as_target": life.as_target,
             "last_as_source": life.as_source,
@@ -93,7 +93,7 @@
     member = found.verdict.member
     return {
         "id": f"s-{ident:08x}",
-        "state": found.verdict.state.name.lower(),
+        "state": reported_state(found.verdict.state),
         "why": found.verdict.why,
         "since": found.since,
         "address": f"{member.host}:{member.port}" if member else "",
@@ -106,7 +106,7 @@
                 "rank": source.rank,
                 "has_say": say,
                 "number": told.number,
-                "state": told.claim.state.name.lower(),
+                "state": reported_state(told.claim.state),
                 "why": told.claim.why,
                 "since": told.at,
                 "address": f"{told.claim.member.host}:{told.claim.member.port}" if told.claim.member else "",
--- a/stonecove/errors.py
+++ b/stonecove/errors.py
@@ -4,4 +4,4 @@
 
 
 class StonecoveError(Exception):
-    """Base of all errors of this program. Each package derives its own, with fields where they carry facts."""
+    """Base of all errors of this program. Packages derive their own, with fields for the facts."""
--- a/stonecove/explore/channels.py
+++ b/stonecove/explore/channels.py
@@ -9,8 +9,8 @@
 import marshal
 
 from stonecove.explore.machine import Violation
-from stonecove.protocols.upstream_channel import Channel
 from stonecove.protocols.resp import RespError, encode
+from stonecove.protocols.upstream_channel import Channel
 
 COMMANDS = ("aaa", "bbb", "-no")  # the last one does not go
 ANSWER = encode(b"ok")
--- a/stonecove/explore/codecs.py
+++ b/stonecove/explore/codecs.py
@@ -15,10 +15,10 @@
 
 from stonecove.explore.machine import Violation
 from stonecove.explore.search import Found
-from stonecove.state.budget import Budget
-from stonecove.protocols.fastcgi import codec as fastcgi
 from stonecove.protocols import resp
 from stonecove.protocols.buffer import Buffer, BufferFullError
+from stonecove.protocols.fastcgi import codec as fastcgi
+from stonecove.state.budget import Budget
 
 EVERY = 12
 MOST_UNREAD = 1 << 20
--- a/stonecove/explore/coordination.py
+++ b/stonecove/explore/coordination.py
@@ -16,20 +16,20 @@
 
 import ujson
 
-from stonecove.explore.machine import Violation
-from stonecove.routing.endpoints import NodeId, NodeState
 from stonecove.discovery.merge import Merge, Source, Told, merged
 from stonecove.discovery.records import Names, member_of
 from stonecove.discovery.roster import Claim, Roster, Rules
-from stonecove.standins.zkdata import Leader, Replica, Wanted, ZkError, parent_of, watch_event
+from stonecove.explore.machine import Violation
+from stonecove.protocols.buffer import Buffer
 from stonecove.protocols.zookeeper import jute
 from stonecove.protocols.zookeeper import messages as zk
-from stonecove.protocols.buffer import Buffer
 from stonecove.protocols.zookeeper.jute import Reader
+from stonecove.protocols.zookeeper.messages import Acl, Err, EventType, Op
 from stonecove.protocols.zookeeper.registration import Registrar
 from stonecove.protocols.zookeeper.session import Expired, Figures, Reply, Session, SessionEvent, State, Up
 from stonecove.protocols.zookeeper.tree_watch import Tree
-from stonecove.protocols.zookeeper.messages import Acl, Err, EventType, Op
+from stonecove.routing.endpoints import NodeId, NodeState
+from stonecove.standins.zkdata import Leader, Replica, Wanted, ZkError, parent_of, watch_event
 
 CACHES, ROUTERS, ME = "/b", "/r", "me"
 NAMES = Names(("hub", "edge"), ("box", "parent", "origin"))
--- a/stonecove/explore/copying.py
+++ b/stonecove/explore/copying.py
@@ -17,8 +17,8 @@
 
 from stonecove.explore.machine import Machine
 from stonecove.explore.scope import Scope
-from stonecove.routing.settings import ClassSettings, Settings
 from stonecove.pipeline.intake import Intake
+from stonecove.routing.settings import ClassSettings, Settings
 
 _shared: list[object] = []
 _places: dict[int, int] = {}
--- a/stonecove/explore/fingerprint.py
+++ b/stonecove/explore/fingerprint.py
@@ -15,34 +15,35 @@
 
 import xxhash
 
+from stonecove.explore import peers
+from stonecove.explore.properties import PropertyMonitor
+from stonecove.explore.scope import Scope
+from stonecove.pipeline import admit, relay, route, send
+from stonecove.pipeline.book import Book
+from stonecove.protocols import upstream_channel as channel
+from stonecove.protocols.change_log import Follower
+from stonecove.protocols.fastcgi import codec as fastcgi
+from stonecove.protocols.fastcgi import session
+from stonecove.protocols.resp import Decoder
+from stonecove.routing.actions import SendAttempt
 from stonecove.routing.candidates import CandidateSelector
 from stonecove.routing.class_statistics import ClassStatistics
 from stonecove.routing.director import Director
 from stonecove.routing.dispatch import AttemptDispatcher
 from stonecove.routing.endpoint_table import EndpointTable
+from stonecove.routing.endpoints import Node, NodeState
 from stonecove.routing.hedging import RetryBudget
-from stonecove.routing.outcomes import OutcomeRecorder
-from stonecove.routing.state import RoutingState
-from stonecove.routing.stored_copies import StoredCopies
 from stonecove.routing.in_flight import Attempt, InFlightRequest
 from stonecove.routing.link_load import LinkLoad
+from stonecove.routing.outcomes import OutcomeRecorder
 from stonecove.routing.outlier_detection import OutlierDetector
 from stonecove.routing.popularity import Popularity
 from stonecove.routing.purges import PurgeHistory
 from stonecove.routing.slow_start import SlowStartBudget
-from stonecove.explore import peers
-from stonecove.explore.properties import PropertyMonitor
-from stonecove.explore.scope import Scope
+from stonecove.routing.state import RoutingState
+from stonecove.routing.stored_copies import StoredCopies
 from stonecove.runtime.timers import Timers
-from stonecove.routing.actions import SendAttempt
-from stonecove.routing.endpoints import Node, NodeState
 from stonecove.state import budget, nodes, requests
-from stonecove.pipeline import admit, relay, route, send
-from stonecove.pipeline.book import Book
-from stonecove.protocols import upstream_channel as channel
-from stonecove.protocols.fastcgi import codec as fastcgi, session
-from stonecove.protocols.change_log import Follower
-from stonecove.protocols.resp import Decoder
 
 WIRING = "points to another part that is encoded on its own, and never changes"
 FIXED = "set once from the settings"
--- a/stonecove/explore/fleet.py
+++ b/stonecove/explore/fleet.py
@@ -13,11 +13,11 @@
 
 from stonecove.explore.coordination import _canon as canon
 from stonecove.explore.machine import Violation
-from stonecove.quotas.leases import Grant, Holder, Lessor
-from stonecove.routing.leased_budget import LeasedBudget
 from stonecove.fleet.restart import Do, Instance, Phase, Policy
 from stonecove.fleet.rolling import Roll, RollState
+from stonecove.quotas.leases import Grant, Holder, Lessor
 from stonecove.routing.events import LeaseGranted
+from stonecove.routing.leased_budget import LeasedBudget
 
 NODE, WINDOW, RULE, OWN, PIECE, LIFE = 7, 4.0, 10.0, 0.3, 0.5, 0.25
 TICK, JUMP = 0.5, 1.5  # half the life of a piece, and one and a half
--- a/stonecove/explore/peers.py
+++ b/stonecove/explore/peers.py
@@ -8,13 +8,13 @@
 from typing import Protocol
 
 from stonecove.explore.properties import PropertyMonitor
-from stonecove.state.budget import Budget
-from stonecove.runtime.clock import Clock
 from stonecove.pipeline.send import Link
-from stonecove.protocols.fastcgi import codec as fastcgi
 from stonecove.protocols import resp
-from stonecove.protocols.upstream_channel import Channel
+from stonecove.protocols.fastcgi import codec as fastcgi
 from stonecove.protocols.fastcgi.session import Handler, Session
+from stonecove.protocols.upstream_channel import Channel
+from stonecove.runtime.clock import Clock
+from stonecove.state.budget import Budget
 
 _TXN = re.compile(rb"\*4\r\n\$5\r\nfetch\r\n\$16\r\n([0-9a-f]{16})\r\n\$\d+\r\n([^\r]*)\r\n")
 _ABORT = re.compile(rb"\*2\r\n\$5\r\nabort\r\n\$16\r\n([0-9a-f]{16})\r\n")
--- a/stonecove/explore/properties.py
+++ b/stonecove/explore/properties.py
@@ -10,10 +10,10 @@
 from typing import NamedTuple
 
 from stonecove.explore.machine import Violation
+from stonecove.pipeline.relay import SLACK
 from stonecove.routing.endpoints import Node, NodeState
 from stonecove.routing.events import Outcome
 from stonecove.routing.settings import ClassSettings, DeduplicationScope, Idempotency
-from stonecove.pipeline.relay import SLACK
 
 
 class Property(NamedTuple):
--- a/stonecove/explore/reach.py
+++ b/stonecove/explore/reach.py
@@ -15,7 +15,7 @@
 from stonecove.explore import runner
 from stonecove.explore.properties import PROPERTIES
 from stonecove.explore.scope import SMALL, WALK
-from stonecove.explore.search import WorkerPool, Options
+from stonecove.explore.search import Options, WorkerPool
 from stonecove.explore.trace import simulation_start
 from stonecove.explore.walk import Walks, walk
 
--- a/stonecove/explore/runner.py
+++ b/stonecove/explore/runner.py
@@ -12,7 +12,7 @@
 from stonecove.explore.channels import ChannelMachine
 from stonecove.explore.machine import Machine
 from stonecove.explore.scope import SMALL, WALK, Scope, named
-from stonecove.explore.search import WorkerPool, Found, Options, Result, Start, breadth_first
+from stonecove.explore.search import Found, Options, Result, Start, WorkerPool, breadth_first
 from stonecove.explore.trace import Trace, shrink, simulation_start
 from stonecove.explore.walk import Walks, walk
 
--- a/stonecove/explore/seeds.py
+++ b/stonecove/explore/seeds.py
@@ -12,14 +12,15 @@
 import textwrap
 from typing import Any, NamedTuple
 
+from stonecove.explore import seeds_coordination, seeds_fleet, seeds_swarm
+from stonecove.pipeline import admit, book, relay, route, send
+from stonecove.protocols import change_log, resp, upstream_channel
+from stonecove.protocols.fastcgi import codec as fastcgi
+from stonecove.protocols.fastcgi import session
 from stonecove.routing.director import Director
 from stonecove.routing.dispatch import AttemptDispatcher
 from stonecove.routing.purges import PurgeHistory
-from stonecove.explore import seeds_coordination, seeds_fleet, seeds_swarm
 from stonecove.state import nodes, requests
-from stonecove.pipeline import admit, book, relay, route, send
-from stonecove.protocols import change_log, upstream_channel, resp
-from stonecove.protocols.fastcgi import codec as fastcgi, session
 
 
 class Seed(NamedTuple):
--- a/stonecove/explore/seeds_coordination.py
+++ b/stonecove/explore/seeds_coordination.py
@@ -5,7 +5,8 @@
 from typing import Any, NamedTuple
 
 from stonecove.discovery import merge, roster
-from stonecove.protocols.zookeeper import registration, session as zksession, tree_watch
+from stonecove.protocols.zookeeper import registration, tree_watch
+from stonecove.protocols.zookeeper import session as zksession
 
 
 class Fault(NamedTuple):
--- a/stonecove/explore/simulation.py
+++ b/stonecove/explore/simulation.py
@@ -10,29 +10,30 @@
 import struct
 from typing import Any
 
-from stonecove.routing.rendezvous import RendezvousHash, chunk_key
+from stonecove.discovery import MembersUpdate, PurgeUpdate, Told
 from stonecove.explore import scope as bounds
 from stonecove.explore.fingerprint import encode_state
 from stonecove.explore.machine import Violation
 from stonecove.explore.peers import ClientSession, ClientSocket, ServerChannel, request_bytes
 from stonecove.explore.properties import PropertyMonitor
 from stonecove.explore.scope import ANSWERS, CACHE, CLASSES, ORIGIN, PARENT, Scope
-from stonecove.runtime import log as runtime_log
-from stonecove.runtime.clock import Clock, CpuCredit
-from stonecove.runtime.timers import Timers
-from stonecove.routing.actions import SendAttempt
-from stonecove.routing.endpoints import Node, NodeState
-from stonecove.routing.events import AttemptEnded, Event, RequestReceived
-from stonecove.discovery import MembersUpdate, PurgeUpdate, Told
-from stonecove.state.budget import Budget
+from stonecove.frontends.fastcgi import Front
 from stonecove.pipeline.admit import MARGIN
 from stonecove.pipeline.route import BACKSTOP, Route
 from stonecove.pipeline.send import Link, connection_limit
-from stonecove.protocols.fastcgi import codec as fastcgi
 from stonecove.protocols import resp
 from stonecove.protocols.buffer import Buffer
 from stonecove.protocols.change_log import Follower, frames
-from stonecove.frontends.fastcgi import Front
+from stonecove.protocols.fastcgi import codec as fastcgi
+from stonecove.routing.actions import SendAttempt
+from stonecove.routing.endpoints import Node, NodeState
+from stonecove.routing.events import AttemptEnded, Event, RequestReceived
+from stonecove.routing.rendezvous import RendezvousHash, chunk_key
+from stonecove.runtime import log as runtime_log
+from stonecove.runtime.clock import Clock, CpuCredit
+from stonecove.runtime.log_events import LogEvent
+from stonecove.runtime.timers import Timers
+from stonecove.state.budget import Budget
 
 START = 1_000_000.0  # the Unix second at which every run begins
 HAIR = 1e-7  # seconds past an alarm's time to which a wait goes, so that equal times are one instant
@@ -175,10 +176,10 @@
 
     def logged(self, event: str, fields: dict[str, object]) -> None:
         """Called for each line that the router logs."""
-        if event == "bug":
+        if event == LogEvent.INTERNAL_ERROR:
             self.monitor.broken("no-slip", f"{fields.get('where')}: {fields.get('error')}")
-        elif event == "backstop" and not self.expired:
-            self.monitor.broken("decided", f"request {fields.get('req')} was left to the backstop")
+        elif event == LogEvent.REQUEST_UNDECIDED and not self.expired:
+            self.monitor.broken("decided", f"request {fields.get('request')} was left to the backstop")
 
     # -- the list and its log --
 
--- a/stonecove/fleet/lender.py
+++ b/stonecove/fleet/lender.py
@@ -11,12 +11,13 @@
 
 import trio
 
-from stonecove.runtime.log import log, log_some
-from stonecove.runtime.unix import accept_all, bound
-from stonecove.server.leases import LeaseFile
 from stonecove.operator_config.records import Fleet
 from stonecove.quotas.lending import Lending, LendingError
 from stonecove.quotas.quota import Limit, Plan, PlanError
+from stonecove.runtime.log import log, log_some
+from stonecove.runtime.log_events import LogEvent
+from stonecove.runtime.unix import accept_all, bound
+from stonecove.server.leases import LeaseFile
 
 SOCKET = "leases.sock"
 MOST_LINE = 4096
@@ -106,13 +107,13 @@
                 why = str(error) or type(error).__name__
             except (ValueError, KeyError, TypeError, AttributeError) as error:
                 why = str(error) or type(error).__name__
-                log_some("lease-word-bad", name=name, why=why)
+                log_some(LogEvent.LEASE_MESSAGE_MALFORMED, name=name, reason=why)
                 with contextlib.suppress(OSError):
                     await client.send(json.dumps({"is": "wrong", "why": why}).encode() + b"\n")
             finally:
                 self.lending.gone(key)
         if name:
-            log("lease-holder-gone", name=name, why=why)
+            log(LogEvent.LEASE_HOLDER_DISCONNECTED, name=name, reason=why)
 
     @staticmethod
     async def _more(client: trio.socket.SocketType, data: bytes) -> bytes:
--- a/stonecove/fleet/rollout_controller.py
+++ b/stonecove/fleet/rollout_controller.py
@@ -16,6 +16,10 @@
 
 import trio
 
+from stonecove.protocols.zookeeper import messages as zk
+from stonecove.protocols.zookeeper.messages import Err, Stat
+from stonecove.protocols.zookeeper.session import Figures, Reply, Server, Up
+from stonecove.protocols.zookeeper.tree_watch import Tree
 from stonecove.rollout.controller import (
     Finished,
     RolloutError,
@@ -40,11 +44,7 @@
     versions_path,
 )
 from stonecove.rollout.progress import progress_of
-from stonecove.protocols.zookeeper import messages as zk
 from stonecove.transport.zookeeper import Ensemble
-from stonecove.protocols.zookeeper.session import Figures, Reply, Server, Up
-from stonecove.protocols.zookeeper.tree_watch import Tree
-from stonecove.protocols.zookeeper.messages import Err, Stat
 
 KEPT_VERSIONS = 200  # overlays that are kept, each of 64 KB at most; older ones are deleted
 GATHER = 0.02  # seconds for which reports are gathered before they are looked at together
--- a/stonecove/fleet/supervisor.py
+++ b/stonecove/fleet/supervisor.py
@@ -28,12 +28,13 @@
 from stonecove.fleet.probe import live
 from stonecove.fleet.restart import Do, Instance, Phase, Policy
 from stonecove.fleet.rolling import Roll, RollState
-from stonecove.runtime.log import log
-from stonecove.runtime.notify import notify, reloading, watchdog_every
-from stonecove.runtime.unix import accept_all, bound
 from stonecove.operator_config.grammar import OperatorError
 from stonecove.operator_config.reader import read
 from stonecove.operator_config.records import Fleet, FleetInstance
+from stonecove.runtime.log import log
+from stonecove.runtime.log_events import LogEvent
+from stonecove.runtime.notify import notify, reloading, watchdog_every
+from stonecove.runtime.unix import accept_all, bound
 
 LAUNCH = Path(__file__).with_name("launch.py")
 STARTING_EVERY = 0.05  # seconds between two health checks of an instance that is starting
@@ -130,7 +131,7 @@
         except Exception as error:
             raise FleetError(f"{self.folder / 'journal'}: {error}") from None
         if self.journal.cut:
-            log("fleet-journal-cut", bytes=self.journal.cut)
+            log(LogEvent.JOURNAL_TRUNCATED, bytes=self.journal.cut)
         self.placement = self._place(self.fleet, {})
         self.roll = Roll()
         self._roll_reload = False
@@ -186,7 +187,7 @@
                 self._nursery.start_soon(self._measure)
                 self._nursery.start_soon(self._watchdog)
                 self._nursery.start_soon(self._tell_ready)
-                log("fleet-up", folder=str(self.folder), instances=len(self.units))
+                log(LogEvent.SUPERVISOR_STARTED, folder=str(self.folder), instances=len(self.units))
                 async for number in signals:
                     if number == signal.SIGHUP:
                         self.reload()
@@ -198,7 +199,7 @@
             unit.close()
         self.writer.close()
         (self.folder / NAME).unlink(missing_ok=True)
-        log("fleet-down")
+        log(LogEvent.SUPERVISOR_STOPPED)
 
     def _recall(self) -> None:
         """What the journal and the run files say: adopts what runs, starts what should."""
@@ -218,7 +219,7 @@
                 assert run is not None
                 self._follow(unit, run)
                 unit.life.adopted(False, now)
-                log("fleet-adopted", name=name, pid=run.pid)
+                log(LogEvent.INSTANCE_ADOPTED, name=name, pid=run.pid)
                 if not wanted:
                     self._act(unit, unit.life.want(False, now, "was to be stopped"))
             else:
@@ -237,7 +238,11 @@
                 if unit.run is not None and isinstance(before, dict) and before.get(name) == unit.run.pid:
                     self._act(unit, unit.life.again(now, "rolled"))
             if self.roll.state is RollState.ROLLING:
-                log("fleet-roll-goes-on", left=len(self.roll.left), under_way=",".join(self.roll.under_way))
+                log(
+                    LogEvent.ROLLING_RESTART_RESUMED,
+                    remaining=len(self.roll.left),
+                    under_way=",".join(self.roll.under_way),
+                )
         self._end_strangers()
 
     def _end_strangers(self) -> None:
@@ -245,7 +250,7 @@
         for folder in self.folder.iterdir():
             run = runfile.read(folder) if folder.is_dir() and folder.name not in self.units else None
             if run is not None and runfile.alive(run):
-                log("fleet-stranger", name=folder.name, pid=run.pid)
+                log(LogEvent.INSTANCE_PROCESS_UNKNOWN, name=folder.name, pid=run.pid)
                 with contextlib.suppress(OSError):
                     fd = os.pidfd_open(run.pid)
                     if runfile.alive(run):
@@ -283,10 +288,10 @@
             elif step is Do.TERMINATE:
                 unit.send(signal.SIGTERM)
             elif step is Do.KILL:
-                log("fleet-killed", name=unit.name, why=unit.life.why)
+                log(LogEvent.INSTANCE_KILLED, name=unit.name, reason=unit.life.why)
                 unit.send(signal.SIGKILL)
             elif step is Do.ALARM:
-                log("fleet-held", name=unit.name, why=unit.life.why)
+                log(LogEvent.INSTANCE_SUSPENDED, name=unit.name, reason=unit.life.why)
         if not self._ending:
             self._remember(unit)
         self._roll_seen(unit)
@@ -304,7 +309,10 @@
         good = self.journal.put(key, value)
         if good == self._journal_warned:
             self._journal_warned = not good
-            log("fleet-journal-writes" if good else "fleet-journal-full", failed=self.journal.failed)
+            log(
+                LogEvent.JOURNAL_WRITE_RECOVERED if good else LogEvent.JOURNAL_WRITE_FAILED,
+                failed=self.journal.failed,
+            )
 
     def _config(self, unit: Unit) -> None:
         """Writes the configuration that the instance reads; raises OSError or ValueError."""
@@ -335,7 +343,7 @@
             fleet_size = (table.get("settings") or {}).get("fleet_size", 1)
             if fleet_size < len(self.fleet.instances):
                 log(
-                    "fleet-size-too-small",
+                    LogEvent.FLEET_SIZE_TOO_SMALL,
                     name=unit.name,
                     fleet_size=fleet_size,
                     instances=len(self.fleet.instances),
@@ -385,12 +393,18 @@
                 start_new_session=True,
             )
         except (OSError, ValueError) as error:
-            log("fleet-start-failed", name=unit.name, why=str(error))
+            log(LogEvent.INSTANCE_START_FAILED, name=unit.name, reason=str(error))
             self._act(unit, unit.life.start_failed(f"can't be started: {error}", now))
             return
         process.returncode = 0  # reaped by us, by its descriptor
         run = runfile.Run(process.pid, runfile.start_of(process.pid) or 0, runfile.boot_id())
-        log("fleet-started", name=unit.name, pid=run.pid, why=unit.life.why, restarts=unit.life.restarts)
+        log(
+            LogEvent.INSTANCE_STARTED,
+            name=unit.name,
+            pid=run.pid,
+            reason=unit.life.why,
+            restarts=unit.life.restarts,
+        )
         self._follow(unit, run)
 
     def _follow(self, unit: Unit, run: runfile.Run) -> None:
@@ -412,7 +426,7 @@
         unit.run = None
         unit.ended_at = time.monotonic()
         runfile.clear(unit.folder)
-        log("fleet-ended", name=unit.name, pid=run.pid, how=how)
+        log(LogEvent.INSTANCE_EXITED, name=unit.name, pid=run.pid, exit=how)
         self._act(unit, unit.life.exited(how, trio.current_time()))
 
     async def _check(self, unit: Unit) -> None:
@@ -427,7 +441,7 @@
                     if good:
                         unit.served.set()
                     if phase is Phase.STARTING and unit.life.phase is Phase.READY:
-                        log("fleet-ready", name=unit.name, pid=run.pid)
+                        log(LogEvent.INSTANCE_READY, name=unit.name, pid=run.pid)
                         self._next_of_roll()
             await trio.sleep(STARTING_EVERY if unit.life.phase is Phase.STARTING else every)
 
@@ -443,7 +457,7 @@
                     unit.descriptors = len(os.listdir(f"/proc/{unit.run.pid}/fd"))
                     if unit.resident > unit.spec.memory:
                         why = f"{unit.resident >> 20} MiB of memory, {unit.spec.memory >> 20} allowed"
-                        log("fleet-over-limit", name=unit.name, why=why)
+                        log(LogEvent.INSTANCE_LIMIT_EXCEEDED, name=unit.name, reason=why)
                         self._act(unit, unit.life.over_limit(why, trio.current_time()))
             await trio.sleep(MEASURE_EVERY)
 
@@ -482,7 +496,7 @@
             await trio.sleep(TICK)
         ready = sum(unit.life.phase is Phase.READY for unit in self.units.values())
         notify("READY=1", f"STATUS={ready} of {len(self.units)} instances ready")
-        log("fleet-settled", ready=ready, of=len(self.units))
+        log(LogEvent.FLEET_READY, ready=ready, total=len(self.units))
 
     # -- rolls --
 
@@ -490,7 +504,7 @@
         """Raises ValueError while another one is under way."""
         self.roll.begin(names, out)
         self._roll_reload = by_reload
-        log("fleet-roll", instances=len(names), out=out, reload=by_reload)
+        log(LogEvent.ROLLING_RESTART_STARTED, instances=len(names), max_unavailable=out, reload=by_reload)
         self._next_of_roll()
 
     def _next_of_roll(self) -> None:
@@ -514,7 +528,7 @@
         if steps or over:
             self._keep_roll()
         if over:
-            log("fleet-roll-done", instances=len(self.roll.done))
+            log(LogEvent.ROLLING_RESTART_FINISHED, instances=len(self.roll.done))
 
     def _keep_roll(self) -> None:
         pids = {name: unit.run.pid for name, unit in self.units.items() if unit.run is not None}
@@ -536,7 +550,7 @@
     def _roll_failed(self, name: str, why: str) -> None:
         self.roll.failed(name, why)
         if self.roll.state is RollState.STOPPED:
-            log("fleet-roll-stopped", why=self.roll.why, left=len(self.roll.left))
+            log(LogEvent.ROLLING_RESTART_STOPPED, reason=self.roll.why, remaining=len(self.roll.left))
             self._keep_roll()
 
     async def _reload_one(self, unit: Unit) -> None:
@@ -575,7 +589,7 @@
         except FleetError as error:
             lines = str(error).splitlines()
             for line in lines:
-                log("fleet-reload-refused", why=line)
+                log(LogEvent.FLEET_RELOAD_REJECTED, reason=line)
             notify("READY=1")
             return lines
         now = trio.current_time()
@@ -598,7 +612,7 @@
             unit.life.policy = policy_of(fleet)
             if name in fleet.instances:
                 unit.spec = fleet.instances[name]
-        log("fleet-reloaded", new=len(new), gone=len(gone), changed=len(changed))
+        log(LogEvent.FLEET_RELOADED, added=len(new), removed=len(gone), changed=len(changed))
         notify("READY=1")
         return []
 
--- a/stonecove/frontends/fastcgi.py
+++ b/stonecove/frontends/fastcgi.py
@@ -5,14 +5,15 @@
 from functools import lru_cache, partial
 from typing import TYPE_CHECKING
 
-from stonecove.routing.settings import Settings
-from stonecove.runtime.log import log_some
-from stonecove.state.requests import OpenRequest
+from stonecove.exchange import Answer, BadRequestError, ClientRequest, Verdict
 from stonecove.pipeline.intake import Intake
 from stonecove.pipeline.route import Route
-from stonecove.exchange import Answer, ClientRequest, BadRequestError, Verdict
 from stonecove.protocols.fastcgi.codec import COMPLETE
 from stonecove.protocols.fastcgi.session import Session
+from stonecove.routing.settings import Settings
+from stonecove.runtime.log import log_some
+from stonecove.runtime.log_events import LogEvent
+from stonecove.state.requests import OpenRequest
 
 if TYPE_CHECKING:
     from stonecove.frontends.token_check import TokenChecker
@@ -98,7 +99,7 @@
             if self.desk is not None and not self._let_in(connection, ident, params, asked):
                 return True
         except BadRequestError as error:
-            log_some("bad-request", status=error.status, why=str(error))
+            log_some(LogEvent.REQUEST_MALFORMED, status=error.status, reason=str(error))
             connection.answer(ident, _head(f"{error.status} {_REASONS[error.status]}", Content_Length=0), b"")
             return False
         request = self._route.asked(asked)
--- a/stonecove/frontends/http.py
+++ b/stonecove/frontends/http.py
@@ -14,16 +14,17 @@
 
 from stonecove.access.gate import Decision, cookie_path
 from stonecove.access.grants import Request as Presented
-from stonecove.exchange import Answer, ClientRequest, BadRequestError, Verdict
-from stonecove.runtime.clock import Clock
-from stonecove.runtime.log import log_some
-from stonecove.routing.settings import ClassSettings, Settings
-from stonecove.state.requests import OpenRequest
+from stonecove.exchange import Answer, BadRequestError, ClientRequest, Verdict
+from stonecove.frontends.fastcgi import READY_PATH
+from stonecove.frontends.token_check import TokenChecker
 from stonecove.pipeline.intake import Intake
 from stonecove.pipeline.route import Route
-from stonecove.frontends.token_check import TokenChecker
-from stonecove.frontends.fastcgi import READY_PATH
 from stonecove.protocols.http import HttpError, HttpRequest, byte_range
+from stonecove.routing.settings import ClassSettings, Settings
+from stonecove.runtime.clock import Clock
+from stonecove.runtime.log import log_some
+from stonecove.runtime.log_events import LogEvent
+from stonecove.state.requests import OpenRequest
 
 Fields = list[tuple[str, str]]
 Reply = Callable[[int, Fields, bytes], None]
@@ -182,5 +183,5 @@
 
 def told(error: BadRequestError) -> int:
     """Logs a request that can't be taken; its status."""
-    log_some("bad-request", status=error.status, why=str(error), front="http")
+    log_some(LogEvent.REQUEST_MALFORMED, status=error.status, reason=str(error), front="http")
     return error.status
--- a/stonecove/frontends/token_check.py
+++ b/stonecove/frontends/token_check.py
@@ -9,6 +9,7 @@
 from stonecove.access.grants import Request
 from stonecove.runtime.clock import Clock
 from stonecove.runtime.log import log_some
+from stonecove.runtime.log_events import LogEvent
 
 
 class TokenChecker:
@@ -26,13 +27,13 @@
         if not decision.good:
             self._count(f"token_{decision.reason.value}")
             log_some(
-                "token-refused",
+                LogEvent.TOKEN_REJECTED,
                 reason=decision.reason.value,
                 path=request.path[:200],
                 source=request.source,
                 subject=decision.subject[:64],
                 key=decision.key_id[:64],
-                why=decision.why,
+                detail=decision.why,
             )
         return decision
 
--- a/stonecove/gossip/gossip.py
+++ b/stonecove/gossip/gossip.py
@@ -15,6 +15,7 @@
 from stonecove.gossip.table import Member, Suspicion, Table
 from stonecove.gossip.view import Views
 from stonecove.gossip.words import MOST_INCARNATION, NOBODY, Datagram, Kind, Standing, Word, over, shown
+from stonecove.runtime.log_events import LogEvent
 
 MOST_WORDS = 10  # that a datagram holds
 FAN = 3  # who are told at once of what can't wait
@@ -156,9 +157,12 @@
             self.urgent(now)
         if stood is None or (stood.life, stood.standing) != (word.life, word.standing):
             self.note(
-                "swarm-member", member=shown(word.ident), stands=word.standing.name.lower(), life=word.life,
-                why=why,
-            )  # fmt: skip
+                LogEvent.GOSSIP_MEMBER_CHANGED,
+                member=shown(word.ident),
+                state=word.standing.name.lower(),
+                generation=word.life,
+                reason=why,
+            )
         self.rewish(now)
         return True
 
@@ -207,7 +211,7 @@
             # Whoever holds or held that may have stopped counting us, however we stand by now.
             self.born = now
             self.shares.doubted()
-            self.note("swarm-doubted", incarnation=word.incarnation)
+            self.note(LogEvent.GOSSIP_SUSPECTED, incarnation=word.incarnation)
         if word.order() <= mine.order():
             return
         if word.life > mine.life:
@@ -223,11 +227,11 @@
             mine = mine._replace(incarnation=word.incarnation)
             self.me = mine
             self.say(mine.standing, now)
-            self.note("swarm-refuted", incarnation=self.me.incarnation)
+            self.note(LogEvent.GOSSIP_REFUTED, incarnation=self.me.incarnation)
 
     def reborn(self, life: int, now: float, why: str) -> None:
         """A life after that one. Nobody counts it yet."""
-        self.note("swarm-life-raised", before=self.me.life, life=life + 1, why=why)
+        self.note(LogEvent.GOSSIP_GENERATION_RAISED, before=self.me.life, generation=life + 1, reason=why)
         self.born = now
         self.shares.reborn(now)
         self._mine(self.me._replace(life=life + 1, incarnation=0), now)
@@ -236,7 +240,12 @@
     def doubled(self, word: Word, now: float) -> None:
         """Another router bears our name and began later: the name is its, and people are told."""
         if not self.twice:
-            self.note("swarm-name-twice", ours=self.me.life, theirs=word.life, holds="theirs")
+            self.note(
+                LogEvent.GOSSIP_NAME_CONFLICT,
+                own_generation=self.me.life,
+                other_generation=word.life,
+                kept="theirs",
+            )
         self.holds_name = max(self.holds_name, word.life)
         self.table.changed()
         self.rewish(now)
--- a/stonecove/gossip/swarm.py
+++ b/stonecove/gossip/swarm.py
@@ -18,6 +18,7 @@
 from stonecove.gossip.shares import Shares, Stand
 from stonecove.gossip.table import Member
 from stonecove.gossip.words import Datagram, Kind, Standing, Word, over, shown
+from stonecove.runtime.log_events import LogEvent
 
 TICK = 0.05  # seconds between two calls of `tick` while something is under way
 MOST_REST = 0.2  # and while nothing is; with it a stop is still told from a rest (`health.GAP`)
@@ -84,7 +85,11 @@
         if gossip.views.move(now, bool(gossip.table.suspects)) is not None:
             view, came, went = gossip.views.history[-1]
             gossip.note(
-                "swarm-view", members=len(view.lives), digest=f"{view.digest:08x}", came=came, went=went
+                LogEvent.GOSSIP_VIEW_CHANGED,
+                members=len(view.lives),
+                digest=f"{view.digest:08x}",
+                joined=came,
+                left=went,
             )
 
     def rest(self, now: float) -> float:
@@ -109,7 +114,7 @@
 
     def _stopped(self, now: float, gap: float) -> None:
         """We were stopped: what we did not hear meanwhile says nothing of others."""
-        self.gossip.note("swarm-stopped", seconds=round(gap, 2))
+        self.gossip.note(LogEvent.GOSSIP_STOPPED, seconds=round(gap, 2))
         self.probe = None
         self._helps.clear()
         self._no_verdict_until = now + 2.0 * self.figures.period
@@ -284,7 +289,12 @@
             if sender.life > gossip.me.life:
                 gossip.doubled(sender, now)
             elif first:
-                gossip.note("swarm-name-twice", ours=gossip.me.life, theirs=sender.life, holds="ours")
+                gossip.note(
+                    LogEvent.GOSSIP_NAME_CONFLICT,
+                    own_generation=gossip.me.life,
+                    other_generation=sender.life,
+                    kept="ours",
+                )
             return
         gossip.believe(sender, now, "its own word")
         member = gossip.table.get(sender.ident)
--- a/stonecove/pipeline/admit.py
+++ b/stonecove/pipeline/admit.py
@@ -4,11 +4,11 @@
 
 import random
 
+from stonecove.exchange import ClientRequest
 from stonecove.routing.settings import Settings
 from stonecove.runtime.clock import CpuCredit
 from stonecove.state.budget import Budget
 from stonecove.state.requests import OpenRequest, OpenRequests
-from stonecove.exchange import ClientRequest
 
 MARGIN = 15.0  # ms before the client's own limit at which the answer is due: it has to get there
 MOST_OPEN = 4096
--- a/stonecove/pipeline/book.py
+++ b/stonecove/pipeline/book.py
@@ -5,11 +5,12 @@
 from collections import Counter
 from collections.abc import Callable
 
-from stonecove.routing.events import AttemptEnded, Event, Outcome, PROVEN_NOT_EXECUTED
+from stonecove.pipeline.admit import Admit
+from stonecove.routing.events import PROVEN_NOT_EXECUTED, AttemptEnded, Event, Outcome, reported_outcome
 from stonecove.runtime.clock import Clock
 from stonecove.runtime.log import log
+from stonecove.runtime.log_events import LogEvent
 from stonecove.state.requests import Attempt, OpenRequest
-from stonecove.pipeline.admit import Admit
 
 
 class Book:
@@ -36,7 +37,7 @@
         attempt.not_run = outcome in PROVEN_NOT_EXECUTED
         if attempt.alarm is not None:
             attempt.alarm.off()
-        self.counts[outcome.name.lower()] += 1
+        self.counts[reported_outcome(outcome)] += 1
         request, order = attempt.request, attempt.order
         took = self._clock.now() - (attempt.written_at or attempt.ordered_at)
         self._post(
@@ -63,5 +64,5 @@
 
     def line(self, **more: object) -> None:
         """Writes what was counted since the last line."""
-        log("stats", **more, **dict(sorted(self.counts.items())))
+        log(LogEvent.STATS, **more, **dict(sorted(self.counts.items())))
         self.counts.clear()
--- a/stonecove/pipeline/intake.py
+++ b/stonecove/pipeline/intake.py
@@ -5,8 +5,8 @@
 import re
 from collections.abc import Callable, Mapping
 
+from stonecove.exchange import Answer, BadRequestError, ClientRequest
 from stonecove.routing.settings import Idempotency, Settings
-from stonecove.exchange import Answer, ClientRequest, BadRequestError
 
 PATH = "/svc/"
 MOST_PART = 65_535
--- a/stonecove/pipeline/relay.py
+++ b/stonecove/pipeline/relay.py
@@ -5,12 +5,13 @@
 import re
 from typing import NamedTuple
 
+from stonecove.exchange import Answer, Verdict
+from stonecove.pipeline.book import Book
 from stonecove.routing.events import CacheStatus, Outcome
 from stonecove.routing.settings import ClassSettings, Settings
 from stonecove.runtime.log import log_some
+from stonecove.runtime.log_events import LogEvent
 from stonecove.state.requests import Attempt, OpenRequest
-from stonecove.pipeline.book import Book
-from stonecove.exchange import Answer, Verdict
 
 SLACK = 50.0  # ms by which a copy may seem older than was asked for
 
@@ -100,7 +101,7 @@
         """A cache has answered an attempt that is out."""
         outcome = OUTCOMES[reply.word]
         if outcome is Outcome.OK and (wrong := self._wrong(attempt, reply)):
-            log_some("bad-copy", node=f"s-{attempt.order.node_id:08x}", why=wrong)
+            log_some(LogEvent.COPY_REJECTED, node=f"s-{attempt.order.node_id:08x}", reason=wrong)
             outcome = Outcome.ERROR
         if outcome is Outcome.OK:
             verdict = Verdict.UNCHANGED if reply.word == "304" else Verdict.SERVED
--- a/stonecove/pipeline/route.py
+++ b/stonecove/pipeline/route.py
@@ -8,7 +8,12 @@
 from functools import partial
 from typing import Any
 
-from stonecove.routing.director import Director
+from stonecove.discovery import MembersUpdate, PurgeUpdate, Told
+from stonecove.exchange import Answer, ClientRequest, Verdict
+from stonecove.pipeline.admit import Admit
+from stonecove.pipeline.book import Book
+from stonecove.pipeline.relay import Relay
+from stonecove.pipeline.send import Connect, Send
 from stonecove.routing.actions import (
     CancelAttempt,
     FailRequest,
@@ -17,7 +22,8 @@
     StartTimer,
     WriteLog,
 )
-from stonecove.routing.endpoints import EndpointListKind
+from stonecove.routing.director import Director
+from stonecove.routing.endpoints import EndpointListKind, reported_state
 from stonecove.routing.events import (
     ClientDisconnected,
     EndpointListUpdate,
@@ -30,17 +36,12 @@
 )
 from stonecove.routing.settings import Settings
 from stonecove.runtime.clock import Clock
-from stonecove.runtime.timers import Timers, nobody
 from stonecove.runtime.log import log
-from stonecove.discovery import MembersUpdate, PurgeUpdate, Told
+from stonecove.runtime.log_events import LogEvent
+from stonecove.runtime.timers import Timers, nobody
 from stonecove.state.budget import Budget
 from stonecove.state.nodes import NodeTable
 from stonecove.state.requests import Attempt, OpenRequest, OpenRequests
-from stonecove.pipeline.admit import Admit
-from stonecove.pipeline.book import Book
-from stonecove.pipeline.relay import Relay
-from stonecove.pipeline.send import Connect, Send
-from stonecove.exchange import Answer, ClientRequest, Verdict
 
 Gate = Callable[
     [ClientRequest], str
@@ -185,13 +186,13 @@
             if node.started_ms > 0:
                 self.send.started(node.node_id, node.started_ms)
             log(
-                "node",
-                id=f"s-{node.node_id:08x}",
-                state=node.state.name.lower(),
+                LogEvent.ENDPOINT_UPDATED,
+                node=f"s-{node.node_id:08x}",
+                state=reported_state(node.state),
                 kind=node.kind,
                 zone=node.zone,
-                started=f"{node.started_ms:.0f}",
-                at=f"{member.host}:{member.port}",
+                started_ms=f"{node.started_ms:.0f}",
+                address=f"{member.host}:{member.port}",
             )
         self.send.gone()
 
@@ -215,7 +216,11 @@
                     carry(action)
         except Exception as error:
             where = traceback.extract_tb(error.__traceback__)[-1]
-            log("bug", where=f"{where.filename.rpartition('/')[2]}:{where.lineno}", error=repr(error))
+            log(
+                LogEvent.INTERNAL_ERROR,
+                where=f"{where.filename.rpartition('/')[2]}:{where.lineno}",
+                error=repr(error),
+            )
             if isinstance(event, RequestReceived) and (request := self.requests.get(event.request_id)):
                 self._fail(FailRequest(request.req))
 
@@ -257,14 +262,14 @@
         self._said = {text: at for text, at in self._said.items() if 0 <= now - at < SAID_FOR}
         if act.text not in self._said:
             self._said[act.text] = now
-            log("policy", text=act.text)
+            log(LogEvent.ROUTING_NOTICE, text=act.text)
 
     # -- ends --
 
     def _backstop(self, request: OpenRequest) -> None:
         """Guards against a request that nobody answers."""
         if not request.answered:
-            log("backstop", req=request.asked.txn)
+            log(LogEvent.REQUEST_UNDECIDED, request=request.asked.txn)
             self.relay.answer(request, Answer(Verdict.FAILED))
             self.post(ClientDisconnected(request.req))
         for attempt in request.attempts:
--- a/stonecove/pipeline/send.py
+++ b/stonecove/pipeline/send.py
@@ -6,19 +6,20 @@
 from collections.abc import Callable
 from functools import partial
 
+from stonecove.pipeline.book import Book
+from stonecove.pipeline.relay import Relay, Reply
+from stonecove.protocols import resp
+from stonecove.protocols.upstream_channel import Channel, Owner
 from stonecove.routing.actions import FetchMode, SendAttempt
 from stonecove.routing.endpoints import NodeId
 from stonecove.routing.events import Outcome
 from stonecove.routing.settings import Idempotency, Settings
 from stonecove.runtime.clock import Clock
-from stonecove.runtime.timers import Timers
 from stonecove.runtime.log import log_some
+from stonecove.runtime.log_events import LogEvent
+from stonecove.runtime.timers import Timers
 from stonecove.state.nodes import NodeTable
 from stonecove.state.requests import Attempt
-from stonecove.pipeline.book import Book
-from stonecove.pipeline.relay import Relay, Reply
-from stonecove.protocols import resp
-from stonecove.protocols.upstream_channel import Channel, Owner
 
 IDLE_PART = 0.6  # a connection idle for this part of the allowed time is closed before the cache does it
 SILENT = 3.0  # connect time-outs without a byte, though some are owed, after which a connection gets no more
@@ -210,7 +211,11 @@
             return
         link = self._link(attempt, self._clock.now())
         if link is None:  # our own lack, which says nothing of the cache
-            log_some("no-connection", node=f"s-{order.node_id:08x}", links=self.links())
+            log_some(
+                LogEvent.UPSTREAM_CONNECTION_LIMIT_REACHED,
+                node=f"s-{order.node_id:08x}",
+                connections=self.links(),
+            )
             self._book.ended(attempt, Outcome.EXPIRED_UNSENT)
             return
         self._put(attempt, link)
@@ -410,7 +415,12 @@
         if not links:
             self._links.pop(link.node, None)
         if link.open:
-            log_some("connection-lost", node=f"s-{link.node:08x}", open=len(link.open), why=why)
+            log_some(
+                LogEvent.UPSTREAM_CONNECTION_CLOSED,
+                node=f"s-{link.node:08x}",
+                open=len(link.open),
+                reason=why,
+            )
         excused = self._excused(link)
         for attempt in list(link.open.values()):
             if attempt.ended:
--- a/stonecove/protocols/change_log.py
+++ b/stonecove/protocols/change_log.py
@@ -6,11 +6,12 @@
 from collections.abc import Iterator
 from typing import Any, NamedTuple
 
+from stonecove.discovery import Member, MembershipSink, MembersUpdate, PurgeUpdate, Told
+from stonecove.protocols.buffer import Buffer
 from stonecove.routing.endpoints import Node, NodeState
 from stonecove.routing.settings import Settings
 from stonecove.runtime.log import log_some
-from stonecove.discovery import Member, MembershipSink, MembersUpdate, PurgeUpdate, Told
-from stonecove.protocols.buffer import Buffer
+from stonecove.runtime.log_events import LogEvent
 
 MOST_FRAME = 4 << 20
 
@@ -152,7 +153,7 @@
                     self.last = frame.number
                 raise
         else:  # guards against asking for ever for an event that a newer log tells and we don't know
-            log_some("changelog-unknown", number=frame.number, why=frame.wrong or "its kind")
+            log_some(LogEvent.CHANGE_LOG_EVENT_SKIPPED, number=frame.number, reason=frame.wrong or "its kind")
         self.last = frame.number
         return True
 
--- a/stonecove/protocols/fastcgi/codec.py
+++ b/stonecove/protocols/fastcgi/codec.py
@@ -8,8 +8,8 @@
 from dataclasses import dataclass, field
 from typing import NamedTuple
 
-from stonecove.state.budget import Budget
 from stonecove.protocols.buffer import Buffer
+from stonecove.state.budget import Budget
 
 BEGIN, ABORT, END, PARAMS, STDIN, STDOUT, STDERR, DATA, GET_VALUES, GET_VALUES_RESULT, UNKNOWN = range(1, 12)
 COMPLETE, CANT_MPX, OVERLOADED, UNKNOWN_ROLE = range(4)
--- a/stonecove/protocols/fastcgi/session.py
+++ b/stonecove/protocols/fastcgi/session.py
@@ -12,9 +12,7 @@
 from collections.abc import Callable
 from typing import Protocol
 
-from stonecove.state.budget import Budget
 from stonecove.protocols.buffer import Buffer
-from stonecove.protocols.upstream_channel import Socket
 from stonecove.protocols.fastcgi.codec import (
     COMPLETE,
     Aborted,
@@ -24,6 +22,8 @@
     answer_records,
     end_record,
 )
+from stonecove.protocols.upstream_channel import Socket
+from stonecove.state.budget import Budget
 
 MOST_UNREAD = 2 * (65_536 + 256 + 8)
 MOST_OWED = 1000  # protocol records that wait to be written
--- a/stonecove/protocols/zookeeper/messages.py
+++ b/stonecove/protocols/zookeeper/messages.py
@@ -13,8 +13,8 @@
 from enum import IntEnum
 from typing import NamedTuple
 
-from stonecove.protocols.zookeeper import jute
 from stonecove.protocols.buffer import Buffer
+from stonecove.protocols.zookeeper import jute
 from stonecove.protocols.zookeeper.jute import JuteError, Reader
 
 MOST_FRAME = 1 << 20  # bytes: `jute.maxbuffer` of server and client, as shipped
--- a/stonecove/protocols/zookeeper/node_watch.py
+++ b/stonecove/protocols/zookeeper/node_watch.py
@@ -9,9 +9,9 @@
 from typing import Protocol
 
 from stonecove.protocols.zookeeper import messages as zk
+from stonecove.protocols.zookeeper.messages import Err, Stat
 from stonecove.protocols.zookeeper.session import Reply, SessionEvent, Up, Watched
 from stonecove.protocols.zookeeper.tree_watch import Ask
-from stonecove.protocols.zookeeper.messages import Err, Stat
 
 
 class NodeSink(Protocol):
--- a/stonecove/protocols/zookeeper/registration.py
+++ b/stonecove/protocols/zookeeper/registration.py
@@ -6,9 +6,10 @@
 from functools import partial
 
 from stonecove.protocols.zookeeper import messages as zk
+from stonecove.protocols.zookeeper.messages import Err
 from stonecove.protocols.zookeeper.session import Down, Expired, Reply, SessionEvent, Up
 from stonecove.protocols.zookeeper.tree_watch import Ask
-from stonecove.protocols.zookeeper.messages import Err
+from stonecove.runtime.log_events import LogEvent
 
 
 class Registrar:
@@ -112,7 +113,7 @@
             self._busy = True
             self._ask(zk.GetData(self._node), self._looked)
         elif reply.error is not Err.CONNECTION_LOSS:
-            self._say("presence-refused", node=self._node, error=reply.error.name)
+            self._say(LogEvent.PRESENCE_WRITE_REJECTED, node=self._node, reason=reply.error.name)
             self.taken = True
 
     def _make_parents(self, path: str) -> None:
@@ -128,7 +129,7 @@
         if reply.error in (Err.OK, Err.NODE_EXISTS):
             self._go_on()
         elif reply.error is not Err.CONNECTION_LOSS:
-            self._say("presence-refused", node=path, error=reply.error.name)
+            self._say(LogEvent.PRESENCE_WRITE_REJECTED, node=path, reason=reply.error.name)
             self.taken = True
 
     def _looked(self, reply: Reply) -> None:
@@ -145,7 +146,7 @@
             self._busy = True
             self._ask(zk.Delete(self._node, stat.version), self._cleared)
         else:
-            self._say("presence-name-taken", node=self._node, owner=f"{stat.ephemeral_owner:#x}")
+            self._say(LogEvent.PRESENCE_NAME_CONFLICT, node=self._node, owner=f"{stat.ephemeral_owner:#x}")
             self.taken = True
 
     def _cleared(self, reply: Reply) -> None:
@@ -160,6 +161,6 @@
         elif reply.error is Err.NO_NODE:
             self._told = None
         elif reply.error is not Err.CONNECTION_LOSS:
-            self._say("presence-refused", node=self._node, error=reply.error.name)
+            self._say(LogEvent.PRESENCE_WRITE_REJECTED, node=self._node, reason=reply.error.name)
             return
         self._go_on()
--- a/stonecove/protocols/zookeeper/session.py
+++ b/stonecove/protocols/zookeeper/session.py
@@ -25,8 +25,8 @@
 from enum import Enum
 from typing import NamedTuple
 
-from stonecove.protocols.zookeeper import messages as zk
 from stonecove.protocols.buffer import Buffer
+from stonecove.protocols.zookeeper import messages as zk
 from stonecove.protocols.zookeeper.jute import Reader
 from stonecove.protocols.zookeeper.messages import Err, EventType, WatchEvent, ZooKeeperError
 
--- a/stonecove/protocols/zookeeper/tree_watch.py
+++ b/stonecove/protocols/zookeeper/tree_watch.py
@@ -13,8 +13,8 @@
 from typing import Protocol
 
 from stonecove.protocols.zookeeper import messages as zk
-from stonecove.protocols.zookeeper.session import Expired, Reply, SessionEvent, Up, Watched
 from stonecove.protocols.zookeeper.messages import Err, EventType, Stat
+from stonecove.protocols.zookeeper.session import Expired, Reply, SessionEvent, Up, Watched
 
 MOST_READS = 256  # that are out at a time: a long list must not fill the server's queue for us
 
--- a/stonecove/quotas/lending.py
+++ b/stonecove/quotas/lending.py
@@ -24,11 +24,11 @@
 from dataclasses import dataclass, field
 from typing import NamedTuple
 
-from stonecove.routing.actions import RETRY_LEASE
-from stonecove.routing.endpoints import NodeId
 from stonecove.quotas.buckets import Hierarchy
 from stonecove.quotas.leases import Grant, Lessor, own_part
 from stonecove.quotas.quota import MOST_TOKENS, Path, Plan
+from stonecove.routing.actions import RETRY_LEASE
+from stonecove.routing.endpoints import NodeId
 
 MOST_HOLDERS = 10_000
 MOST_NODES = 10_000  # nodes with an account; a cold one that is asked for anew needs no old one
--- a/stonecove/rollout/merge.py
+++ b/stonecove/rollout/merge.py
@@ -5,8 +5,8 @@
 from collections.abc import Mapping
 from typing import Any
 
-from stonecove.routing.settings import Settings
 from stonecove.rollout.messages import MessageError, Overlay
+from stonecove.routing.settings import Settings
 from stonecove.settings import settings_from
 
 MOST_DEPTH = 32
--- a/stonecove/routing/endpoints.py
+++ b/stonecove/routing/endpoints.py
@@ -16,6 +16,15 @@
     READY = 2
 
 
+# Names in reports of the control sockets, which are published.
+_REPORTED_STATES = {NodeState.DRAINING: "draining", NodeState.REMOVED: "gone", NodeState.READY: "ready"}
+
+
+def reported_state(state: NodeState) -> str:
+    """Return the name by which reports call a state."""
+    return _REPORTED_STATES[state]
+
+
 class EndpointListKind(IntEnum):
     """What an update of the endpoint list contains."""
 
--- a/stonecove/routing/events.py
+++ b/stonecove/routing/events.py
@@ -27,6 +27,15 @@
     UNKNOWN = 255
 
 
+# Names in statistics and spans, which are published, where they differ from the code's.
+_REPORTED_OUTCOMES = {Outcome.REJECTED_OVERLOADED: "full", Outcome.EXPIRED_UNSENT: "moot"}
+
+
+def reported_outcome(outcome: Outcome) -> str:
+    """Return the name by which statistics and spans call an outcome."""
+    return _REPORTED_OUTCOMES.get(outcome, outcome.name.lower())
+
+
 PROVEN_NOT_EXECUTED = frozenset(
     (Outcome.REJECTED_OVERLOADED, Outcome.CONNECT_FAILED, Outcome.EXPIRED_UNSENT, Outcome.MISS)
 )
--- a/stonecove/runtime/log.py
+++ b/stonecove/runtime/log.py
@@ -6,7 +6,6 @@
 import time
 from collections.abc import Callable
 
-
 Sink = Callable[[str, dict[str, object]], None]
 
 MOST_A_SECOND = 5  # lines of one event that peers can bring about as often as they like
--- a/stonecove/runtime/timers.py
+++ b/stonecove/runtime/timers.py
@@ -8,7 +8,7 @@
 
 from stonecove.runtime.clock import Clock
 from stonecove.runtime.log import log
-
+from stonecove.runtime.log_events import LogEvent
 
 LEAST_TIDIED = 1024  # alarms, those called off among them, up to which nothing is thrown away
 
@@ -81,4 +81,4 @@
         try:
             call()
         except Exception as error:
-            log("bug", where="timer", error=repr(error))
+            log(LogEvent.INTERNAL_ERROR, where="timer", error=repr(error))
--- a/stonecove/scale/configuration.py
+++ b/stonecove/scale/configuration.py
@@ -24,12 +24,12 @@
     ServiceError,
     service_session,
 )
+from stonecove.protocols.zookeeper.session import Figures, Server
 from stonecove.rollout.controller import RolloutError
 from stonecove.rollout.messages import DEFAULT_WAVES, Bounds, RolloutState
 from stonecove.scale.hollow_process import CONFIGURATION_PATH
 from stonecove.scale.ledger import delays_of
 from stonecove.scale.results import Delays
-from stonecove.protocols.zookeeper.session import Figures, Server
 
 SERVERS = 3
 PATIENCE = 30.0  # seconds for which the service and the routers' reports are waited for
--- a/stonecove/scale/faults.py
+++ b/stonecove/scale/faults.py
@@ -16,6 +16,8 @@
 from typing import Protocol
 
 from stonecove.discovery import Told
+from stonecove.protocols.buffer import Buffer, BufferFullError
+from stonecove.protocols.change_log import MOST_FRAME, ChangeLogError, Follower, frames
 from stonecove.scale.control_machine import FIRST_NUMBER
 from stonecove.scale.ledger import Life, Published, level_at, purge_delays
 from stonecove.scale.options import (
@@ -30,8 +32,6 @@
 from stonecove.scale.results import FaultResult
 from stonecove.scale.topology import RouterPlace, control_address, zones_of
 from stonecove.trial.relay import Address
-from stonecove.protocols.buffer import Buffer, BufferFullError
-from stonecove.protocols.change_log import MOST_FRAME, ChangeLogError, Follower, frames
 
 LASTS = 5.0  # seconds of a fault: longer than the silence after which a router gives a connection up
 RESTART_WITHIN = 2.0  # seconds in which every router is started
--- a/stonecove/scale/hollow.py
+++ b/stonecove/scale/hollow.py
@@ -18,15 +18,15 @@
 
 import trio
 
-from stonecove.server.config import Config
-from stonecove.state.budget import Budget
 from stonecove.discovery import MembershipSink, Told
-from stonecove.runtime.clock import Clock
-from stonecove.runtime.timers import Timers
-from stonecove.scale.ledger import Ledger
 from stonecove.pipeline.route import Route
 from stonecove.protocols.change_log import Follower, Frame
 from stonecove.protocols.upstream_channel import Channel, Owner
+from stonecove.runtime.clock import Clock
+from stonecove.runtime.timers import Timers
+from stonecove.scale.ledger import Ledger
+from stonecove.server.config import Config
+from stonecove.state.budget import Budget
 from stonecove.transport.change_log_follower import ChangeLog
 
 HEADER_BYTES = 52  # of a TCP segment: 20 for IP, 20 for TCP, 12 for its time stamps; also of a bare ACK
--- a/stonecove/scale/hollow_configuration.py
+++ b/stonecove/scale/hollow_configuration.py
@@ -5,16 +5,16 @@
 import time
 from collections.abc import Awaitable, Callable
 
+from stonecove.operator_config.records import ConfigurationRecord
+from stonecove.pipeline.route import Route
+from stonecove.protocols.zookeeper.session import Figures, Server, Session
 from stonecove.routing.settings import Settings
+from stonecove.runtime.clock import Clock
+from stonecove.scale.hollow import HEADER_BYTES, Traffic
 from stonecove.server.config import Config
 from stonecove.server.configuration import ConfigurationKeeper
 from stonecove.server.reconfigure import Reconfigure
-from stonecove.operator_config.records import ConfigurationRecord
-from stonecove.runtime.clock import Clock
-from stonecove.scale.hollow import HEADER_BYTES, Traffic
-from stonecove.pipeline.route import Route
 from stonecove.transport.zookeeper import Ensemble
-from stonecove.protocols.zookeeper.session import Figures, Server, Session
 
 SESSION = Figures(timeout=10.0)
 
--- a/stonecove/scale/hollow_process.py
+++ b/stonecove/scale/hollow_process.py
@@ -16,11 +16,12 @@
 
 import trio
 
-from stonecove.server.config import Config, config_from
 from stonecove.runtime.log import divert
+from stonecove.runtime.log_events import LogEvent
 from stonecove.scale import child
 from stonecove.scale.hollow import CountedDatagrams, HollowRouter, Traffic
 from stonecove.scale.ledger import Ledger
+from stonecove.server.config import Config, config_from
 
 if TYPE_CHECKING:
     from stonecove.scale.hollow_configuration import HollowConfiguration
@@ -28,7 +29,6 @@
 CONFIGURATION_PATH = "/stonecove/configuration"
 SAMPLE = 0.5  # seconds between two looks at what has passed over the connections
 MOST_BUGS = 20  # lines of the log that are kept, of those that should not be
-BUG = "bug"
 
 
 class HollowProcess:
@@ -55,7 +55,7 @@
     def log(self, event: str, fields: dict[str, object]) -> None:
         """A line of a router's log: only counted, but for bugs."""
         self.events[event] += 1
-        if event == BUG and len(self.bugs) < MOST_BUGS:
+        if event == LogEvent.INTERNAL_ERROR and len(self.bugs) < MOST_BUGS:
             self.bugs.append(str(fields))
 
     async def start(self, routers: list[int], within: float) -> None:
@@ -90,8 +90,8 @@
         config: Config = hollow.config
         if not config.peer_listen:
             return
-        from stonecove.server.swarm import SwarmKeeper, bound
         from stonecove.operator_config.reader import read_text
+        from stonecove.server.swarm import SwarmKeeper, bound
 
         record = read_text("swarm: {}", "scale").operator.swarm
         assert record is not None
--- a/stonecove/scale/ledger.py
+++ b/stonecove/scale/ledger.py
@@ -8,7 +8,6 @@
 from array import array
 from collections.abc import Iterable, Sequence
 from dataclasses import dataclass, field
-
 from typing import Any
 
 import numpy as np
--- a/stonecove/scale/real_routers.py
+++ b/stonecove/scale/real_routers.py
@@ -106,7 +106,9 @@
     def bugs(self) -> list[str]:
         """Lines of their logs that should not be there."""
         return [
-            f"{process.name}: {line}" for process in self._processes.values() for line in process.lines("bug")
+            f"{process.name}: {line}"
+            for process in self._processes.values()
+            for line in process.lines("internal_error")
         ]
 
     def close(self) -> None:
--- a/stonecove/server/access.py
+++ b/stonecove/server/access.py
@@ -15,11 +15,12 @@
 from stonecove.access.keys import Key, KeyRing, KeyRingError
 from stonecove.access.revoked import Revoked
 from stonecove.access.routes import Policy, Routes
-from stonecove.runtime.clock import Clock
-from stonecove.runtime.log import log
+from stonecove.frontends.token_check import TokenChecker
 from stonecove.operator_config.records import Access
 from stonecove.pipeline.route import Route
-from stonecove.frontends.token_check import TokenChecker
+from stonecove.runtime.clock import Clock
+from stonecove.runtime.log import log
+from stonecove.runtime.log_events import LogEvent
 
 MOST_FILE = 1 << 24
 
@@ -131,17 +132,17 @@
         try:
             ring, routes, revoked = self._read(access)
         except AccessError as error:
-            log("access-refused", why=str(error))
+            log(LogEvent.ACCESS_CONFIG_REJECTED, reason=str(error))
             return
         gate = self.desk.gate
         before = set(gate.ring.keys)
         gate.rekey(ring, routes)
         gate.revoked = revoked
         log(
-            "access-reloaded",
+            LogEvent.ACCESS_CONFIG_RELOADED,
             keys=len(ring.keys),
-            new=len(set(ring.keys) - before),
-            gone=len(before - set(ring.keys)),
+            added=len(set(ring.keys) - before),
+            removed=len(before - set(ring.keys)),
             retired=sum(key.retired for key in ring.keys.values()),
             revoked=len(revoked),
         )
--- a/stonecove/server/config.py
+++ b/stonecove/server/config.py
@@ -10,11 +10,10 @@
 
 import ujson
 
-from stonecove.routing.settings import Settings
 from stonecove.discovery import Told
-from stonecove.settings import settings_from
 from stonecove.protocols.change_log import ChangeLogError, known_events
-
+from stonecove.routing.settings import Settings
+from stonecove.settings import settings_from
 
 LEAST_SOCKETS = 16
 
--- a/stonecove/server/configuration.py
+++ b/stonecove/server/configuration.py
@@ -11,10 +11,12 @@
 
 import trio
 
-from stonecove.routing.settings import Settings
-from stonecove.server.config import Config
-from stonecove.server.reconfigure import SettingsRefused
 from stonecove.operator_config.records import ConfigurationRecord
+from stonecove.protocols.zookeeper import messages as zk
+from stonecove.protocols.zookeeper.messages import Err, Stat
+from stonecove.protocols.zookeeper.node_watch import NodeWatch
+from stonecove.protocols.zookeeper.registration import Registrar
+from stonecove.protocols.zookeeper.session import Reply, SessionEvent, Up
 from stonecove.rollout.follower import Follower
 from stonecove.rollout.health import HealthWindow, worth_reporting
 from stonecove.rollout.merge import settings_with
@@ -29,14 +31,13 @@
     target_path,
     version_path,
 )
+from stonecove.routing.settings import Settings
 from stonecove.runtime.clock import Clock
 from stonecove.runtime.log import log, log_some
-from stonecove.protocols.zookeeper import messages as zk
+from stonecove.runtime.log_events import LogEvent
+from stonecove.server.config import Config
+from stonecove.server.reconfigure import SettingsRefused
 from stonecove.transport.zookeeper import Ensemble
-from stonecove.protocols.zookeeper.node_watch import NodeWatch
-from stonecove.protocols.zookeeper.registration import Registrar
-from stonecove.protocols.zookeeper.session import Reply, SessionEvent, Up
-from stonecove.protocols.zookeeper.messages import Err, Stat
 
 HEALTH_PERIOD = 10.0  # seconds between two looks at the health while nothing is rolled out
 START_POLL = 0.005  # seconds between two looks at whether the target is in force, at the start
@@ -93,7 +94,7 @@
             while self.follower.next_version() is not None:
                 await trio.sleep(START_POLL)
         log(
-            "configuration-start",
+            LogEvent.SETTINGS_LOADED,
             in_force=self.follower.in_force,
             late=waiting.cancelled_caught,
         )
@@ -142,7 +143,12 @@
             self._take(overlay)
         elif wanted and refused is not None:
             self._router.refuse(refused.why, version)
-            log("configuration-refused", version=version, in_force=self.follower.in_force, why=refused.why)
+            log(
+                LogEvent.SETTINGS_REJECTED,
+                version=version,
+                in_force=self.follower.in_force,
+                reason=refused.why,
+            )
         self.go_on()
 
     def go_on(self) -> None:
@@ -173,11 +179,11 @@
         self._overlay = overlay
         self.follower.took(overlay.version, now)
         self._window.sample()  # what came before is of the version before
-        log("configuration-in-force", version=overlay.version, before=before)
+        log(LogEvent.SETTINGS_APPLIED, version=overlay.version, before=before)
 
     def _refuse(self, version: int, why: str) -> None:
         self.follower.refuse(version, why, self._clock.now())
-        log("configuration-refused", version=version, in_force=self.follower.in_force, why=why)
+        log(LogEvent.SETTINGS_REJECTED, version=version, in_force=self.follower.in_force, reason=why)
 
     def _sleep(self) -> float:
         due = self.follower.settle_due()
@@ -254,7 +260,7 @@
         try:
             target = Target.decode(data)
         except MessageError as error:
-            log_some("configuration-target-bad", why=str(error))
+            log_some(LogEvent.SETTINGS_TARGET_INVALID, reason=str(error))
             return
         self._keeper.target_read(target, stat.mzxid)
 
@@ -265,7 +271,7 @@
 
     def unreadable(self, error: Err) -> None:
         """The servers refuse to tell the target."""
-        log_some("configuration-target-unreadable", error=error.name)
+        log_some(LogEvent.SETTINGS_TARGET_UNREADABLE, reason=error.name)
 
     # -- within --
 
@@ -286,7 +292,7 @@
         elif reply.error is Err.NO_NODE:
             self._keeper.overlay_read(version, None)
         else:
-            log_some("configuration-overlay-unreadable", version=version, error=reply.error.name)
+            log_some(LogEvent.SETTINGS_OVERLAY_UNREADABLE, version=version, reason=reply.error.name)
 
 
 def _same_process(data: bytes, mine: Report) -> bool:
--- a/stonecove/server/coordination.py
+++ b/stonecove/server/coordination.py
@@ -8,19 +8,20 @@
 
 import trio
 
-from stonecove.runtime.clock import Clock
-from stonecove.runtime.log import log, log_some
-from stonecove.routing.endpoints import NodeId
-from stonecove.server.config import Config
 from stonecove.discovery import presence
 from stonecove.discovery.records import Names, RecordError
 from stonecove.discovery.roster import Claim, Roster, Rules
 from stonecove.operator_config.records import Presence, ZooKeeperSource
-from stonecove.transport.zookeeper import Ensemble
+from stonecove.protocols.zookeeper.messages import Stat
 from stonecove.protocols.zookeeper.registration import Registrar
 from stonecove.protocols.zookeeper.session import Down, Expired, Figures, SessionEvent
 from stonecove.protocols.zookeeper.tree_watch import Tree
-from stonecove.protocols.zookeeper.messages import Stat
+from stonecove.routing.endpoints import NodeId
+from stonecove.runtime.clock import Clock
+from stonecove.runtime.log import log, log_some
+from stonecove.runtime.log_events import LogEvent
+from stonecove.server.config import Config
+from stonecove.transport.zookeeper import Ensemble
 
 Spawn = Callable[[Callable[[], Awaitable[None]]], None]
 
@@ -104,7 +105,7 @@
 
     def absent(self, confirmed: bool) -> None:
         """There is no such path: an empty list."""
-        log_some("members-path-absent")
+        log_some(LogEvent.ENDPOINT_PATH_MISSING)
         self.whole(frozenset(), confirmed)
 
 
@@ -122,7 +123,7 @@
         try:
             self._fleet.put(name, presence.peer_of(data, self._names), self._clock.now())
         except RecordError as error:
-            log_some("presence-record-bad", node=name, why=str(error))
+            log_some(LogEvent.PRESENCE_RECORD_INVALID, node=name, reason=str(error))
             self._fleet.removed((name,), self._clock.now())
 
     def removed(self, names: Iterable[str]) -> None:
--- a/stonecove/server/http.py
+++ b/stonecove/server/http.py
@@ -12,11 +12,12 @@
 
 from stonecove.access.gate import Decision
 from stonecove.exchange import BadRequestError
-from stonecove.runtime.log import log, log_some
-from stonecove.state.requests import OpenRequest
+from stonecove.frontends.http import Fields, HttpFront, told
 from stonecove.operator_config.records import Http
 from stonecove.protocols.http import HttpError, HttpRequest, HttpSession, State
-from stonecove.frontends.http import Fields, HttpFront, told
+from stonecove.runtime.log import log, log_some
+from stonecove.runtime.log_events import LogEvent
+from stonecove.state.requests import OpenRequest
 
 GULP = 65_536
 HEAD_WITHIN = 2.0  # seconds from a request's first byte to its last
@@ -64,7 +65,7 @@
                 finally:
                     self._owner.busy -= 1
         except HttpError as error:
-            log_some("bad-request", status=error.status, why=str(error), front="http")
+            log_some(LogEvent.REQUEST_MALFORMED, status=error.status, reason=str(error), front="http")
             await self._send(session.refuse(error))
         finally:
             if self._open is not None:
@@ -210,10 +211,10 @@
         try:
             self._tls = tls_of(http)
         except OSError as error:
-            log("certificate-refused", why=error.strerror or str(error))
+            log(LogEvent.CERTIFICATE_REJECTED, reason=error.strerror or str(error))
             return
         self._http = http
-        log("http-reloaded", tls=self._tls is not None)
+        log(LogEvent.HTTP_RELOADED, tls=self._tls is not None)
 
     def drain(self) -> None:
         """Answers from now on are the last of their connections."""
@@ -250,7 +251,9 @@
                     with trio.fail_after(HANDSHAKE_WITHIN):
                         await stream.do_handshake()
                 except (trio.BrokenResourceError, trio.TooSlowError) as error:
-                    log_some("handshake-failed", source=source, why=str(error.__cause__ or error))
+                    log_some(
+                        LogEvent.TLS_HANDSHAKE_FAILED, source=source, reason=str(error.__cause__ or error)
+                    )
                     await trio.aclose_forcefully(stream)
                     return
             await HttpConnection(stream, source, self.front, self).run()
--- a/stonecove/server/leases.py
+++ b/stonecove/server/leases.py
@@ -18,14 +18,15 @@
 import trio
 
 from stonecove.exchange import ClientRequest
-from stonecove.runtime.clock import Clock
-from stonecove.runtime.log import log, log_some
+from stonecove.pipeline.route import Route
+from stonecove.quotas.leases import LIFE_PART, Grant, Holder
+from stonecove.quotas.quota import Plan, PlanError, Quota
 from stonecove.routing.actions import RequestLease, ReturnLease
 from stonecove.routing.events import LeaseGranted, LeaseTerms
 from stonecove.routing.settings import Settings
-from stonecove.quotas.leases import LIFE_PART, Grant, Holder
-from stonecove.quotas.quota import Plan, PlanError, Quota
-from stonecove.pipeline.route import Route
+from stonecove.runtime.clock import Clock
+from stonecove.runtime.log import log, log_some
+from stonecove.runtime.log_events import LogEvent
 
 BACK_OFF = 0.05, 1.0  # seconds between two attempts to reach the lessor
 FETCH_EVERY = 0.05  # seconds between two looks at which admission tokens to fetch
@@ -161,7 +162,7 @@
         try:
             self._send.send_nowait(word)
         except trio.WouldBlock:
-            log_some("lease-words-dropped")
+            log_some(LogEvent.LEASE_MESSAGES_DROPPED)
             return False
         return True
 
@@ -178,7 +179,7 @@
             {
                 "do": "ask",
                 "number": number,
-                "node": want.node_id,
+                LogEvent.ENDPOINT_UPDATED: want.node_id,
                 "work": want.work_ms,
                 "rule": want.fleet_limit_ms,
                 "rises": want.growth_ms_per_s,
@@ -229,7 +230,7 @@
                 if time.monotonic() > began + BACK_OFF[1]:
                     wait, known = BACK_OFF[0], False
             if not known:
-                log("lessor-gone", why=why)
+                log(LogEvent.LESSOR_DISCONNECTED, reason=why)
                 known = True
             await trio.sleep(wait)
             wait = min(BACK_OFF[1], wait * 2)
@@ -294,7 +295,7 @@
                     self._rest_until = max(self._rest_until, now + rest)
                     self._spawn(self._rested)
                 self._post_terms()
-                log("lessor-here", own=self._own)
+                log(LogEvent.LESSOR_CONNECTED, unleased_fraction=self._own)
             case "grant":
                 grant = Grant(int(word["number"]), int(word["node"]), float(word["work"]))
                 if self._holder.granted(grant, now):
--- a/stonecove/server/members.py
+++ b/stonecove/server/members.py
@@ -19,27 +19,28 @@
 
 import trio
 
-from stonecove.runtime.clock import Clock
-from stonecove.runtime.log import log
-from stonecove.runtime.unix import accept_all, bound
-from stonecove.routing.endpoints import NodeId, NodeState
-from stonecove.routing.events import FleetSizeChanged
-from stonecove.routing.settings import Settings
-from stonecove.server.config import Config
-from stonecove.server.coordination import Coordination, Spawn, connection_of, rules_of
 from stonecove.discovery import Member, MembersUpdate, PurgeUpdate, Told, presence
 from stonecove.discovery.merge import Merge, Source
 from stonecove.discovery.pace import Pace
 from stonecove.discovery.records import Names, RecordError, node_id
 from stonecove.discovery.roster import Claim
 from stonecove.discovery.trace import Trace, explained
-from stonecove.state.requests import Attempt
 from stonecove.operator_config.grammar import OperatorError
 from stonecove.operator_config.reader import read
 from stonecove.operator_config.records import Operator
 from stonecove.pipeline.route import Route
-from stonecove.transport.zookeeper import Ensemble
+from stonecove.routing.endpoints import NodeId, NodeState, reported_state
+from stonecove.routing.events import FleetSizeChanged
+from stonecove.routing.settings import Settings
+from stonecove.runtime.clock import Clock
+from stonecove.runtime.log import log
+from stonecove.runtime.log_events import LogEvent
+from stonecove.runtime.unix import accept_all, bound
+from stonecove.server.config import Config
+from stonecove.server.coordination import Coordination, Spawn, connection_of, rules_of
+from stonecove.state.requests import Attempt
 from stonecove.transport.change_log_follower import ChangeLog
+from stonecove.transport.zookeeper import Ensemble
 
 FIRST_LIST = 3.0  # seconds for which serving waits for the first list
 HOUSEKEEPING = 0.25  # seconds between two looks at what only time brings about
@@ -113,7 +114,7 @@
             ):
                 await trio.sleep(0.005)
         if waiting.cancelled_caught:
-            log("members-late", nodes=len(self._route.nodes))
+            log(LogEvent.ENDPOINT_LIST_DELAYED, nodes=len(self._route.nodes))
         self._tell_state("ready")
 
     def use_session(self, user: Callable[[Ensemble], None]) -> None:
@@ -129,7 +130,7 @@
         if self._coordination is not None and self._coordination.registrar is not None:
             with trio.move_on_after(LEAVE_WAIT) as waiting:
                 await heard.wait()
-            log("presence-leaving", told=not waiting.cancelled_caught)
+            log(LogEvent.PRESENCE_WITHDRAWN, acknowledged=not waiting.cancelled_caught)
 
     async def close(self) -> None:
         """Ends our sessions by word, so that our node goes at once."""
@@ -162,7 +163,7 @@
                 self._logged.add(ident)
                 continue
             self._claim(
-                self._log_source, ident, Claim(state, member, f"the change log says {state.name.lower()}")
+                self._log_source, ident, Claim(state, member, f"the change log says {reported_state(state)}")
             )
             if state is NodeState.REMOVED:
                 self._logged.discard(ident)
@@ -197,10 +198,10 @@
             coordination = self._replacement(operator)
         except OperatorError as error:
             for problem in error.problems:
-                log("operator-refused", why=str(problem))
+                log(LogEvent.OPERATOR_CONFIG_REJECTED, reason=str(problem))
             return
         except OSError as error:
-            log("operator-refused", why=f"{error.filename}: {error.strerror}")
+            log(LogEvent.OPERATOR_CONFIG_REJECTED, reason=f"{error.filename}: {error.strerror}")
             return
         before, self.operator = self.operator, operator
         self._log_source = Source("changelog", operator.changelog.rank)
@@ -226,7 +227,7 @@
         if operator.members.socket != before.members.socket:
             self._socket_scope.cancel()
             self._open_socket()
-        log("operator-reloaded", file=str(self._path), moves=coordination is not None)
+        log(LogEvent.OPERATOR_CONFIG_RELOADED, file=str(self._path), moves=coordination is not None)
         self.settle()
 
     # -- within --
@@ -299,9 +300,9 @@
             gone.ensemble.close()
         self._tell_state(self._state)
         log(
-            "coordination-moved",
+            LogEvent.COORDINATION_PATH_CHANGED,
             nodes=len(coming.roster.claims),
-            left=len(before - set(coming.roster.claims)),
+            remaining=len(before - set(coming.roster.claims)),
         )
         self.settle()
 
@@ -403,7 +404,10 @@
         size = one.fleet.tick(now)
         if size is not None:
             log(
-                "fleet-size", fleet=size.fleet, by_zone=",".join(map(str, size.by_zone)), used=one.own.derived
+                LogEvent.FLEET_SIZE_CHANGED,
+                fleet_size=size.fleet,
+                by_zone=",".join(map(str, size.by_zone)),
+                used=one.own.derived,
             )
             if one.own.derived:
                 self._peers = FleetSizeChanged(size.fleet, size.by_zone)
@@ -424,7 +428,7 @@
         if nobody != self._warned:
             self._warned = nobody
             log(
-                "members-nobody" if nobody else "members-somebody",
+                LogEvent.ENDPOINT_SOURCES_UNAVAILABLE if nobody else LogEvent.ENDPOINT_SOURCES_AVAILABLE,
                 rule="keep" if self.operator.members.keep else "refuse",
                 nodes=len(self.merge),
             )
@@ -447,7 +451,7 @@
         try:
             listener = _unix_listener(path)
         except OSError as error:
-            log("members-socket", path=path, why=error.strerror or str(error))
+            log(LogEvent.MEMBERS_SOCKET_FAILED, path=path, reason=error.strerror or str(error))
             return
         self._socket_scope = trio.CancelScope()
         self._spawn(partial(self._serve_socket, path, listener, self._socket_scope))
--- a/stonecove/server/reconfigure.py
+++ b/stonecove/server/reconfigure.py
@@ -10,10 +10,10 @@
 from dataclasses import fields, replace
 from typing import Any, Protocol
 
+from stonecove.pipeline.route import Route
 from stonecove.routing.director import Director
 from stonecove.routing.events import FleetSizeChanged
 from stonecove.routing.settings import ClassSettings, Settings
-from stonecove.pipeline.route import Route
 from stonecove.settings import reported_name
 
 # Fields that hold until the process ends, with the reason that is told.
--- a/stonecove/server/serve.py
+++ b/stonecove/server/serve.py
@@ -17,23 +17,25 @@
 
 import trio
 
+from stonecove.frontends.fastcgi import Front
+from stonecove.pipeline.route import Route
+from stonecove.pipeline.send import connection_limit
+from stonecove.protocols.change_log import Follower
+from stonecove.protocols.upstream_channel import Owner
 from stonecove.routing.events import FleetSizeChanged
 from stonecove.routing.settings import Settings
 from stonecove.runtime.clock import Clock
+from stonecove.runtime.log import divert, log, log_some
+from stonecove.runtime.log_events import LogEvent
 from stonecove.runtime.timers import Timers
 from stonecove.server.config import Config, ConfigError, read_config
-from stonecove.runtime.log import divert, log, log_some
 from stonecove.state.budget import Budget
-from stonecove.pipeline.route import Route
-from stonecove.pipeline.send import connection_limit
-from stonecove.protocols.change_log import Follower
-from stonecove.protocols.upstream_channel import Owner
+from stonecove.transport.change_log_follower import ChangeLog
 from stonecove.transport.client_connection import Connection as Client
 from stonecove.transport.upstream_connection import NO_DESCRIPTOR, Connection
-from stonecove.transport.change_log_follower import ChangeLog
-from stonecove.frontends.fastcgi import Front
 
 if TYPE_CHECKING:
+    from stonecove.operator_config.records import ConfigurationRecord, Operator
     from stonecove.server.access import AccessKeeper
     from stonecove.server.configuration import ConfigurationKeeper
     from stonecove.server.http import HttpListener
@@ -41,7 +43,6 @@
     from stonecove.server.members import Members
     from stonecove.server.reconfigure import Reconfigure
     from stonecove.server.swarm import SwarmKeeper
-    from stonecove.operator_config.records import ConfigurationRecord, Operator
 
 BACKLOG = 1024
 SIGNALS = signal.SIGTERM, signal.SIGINT, signal.SIGHUP
@@ -223,8 +224,8 @@
             if operator.access.fastcgi:
                 self._front.desk = self._access.desk
         if operator.http is not None:
-            from stonecove.server.http import HttpListener
             from stonecove.frontends.http import HttpFront
+            from stonecove.server.http import HttpListener
 
             desk = self._access.desk if self._access is not None else None
             scheme = "https" if operator.http.certificate else "http"
@@ -269,7 +270,7 @@
         try:
             await task()
         except Exception as error:
-            log("bug", where="connection", error=repr(error))
+            log(LogEvent.INTERNAL_ERROR, where="connection", error=repr(error))
 
     async def run(self, listener: socket.socket) -> None:
         """Serves until SIGTERM, and then finishes what was taken; reads its configuration anew on SIGHUP.
@@ -328,7 +329,7 @@
             self._ready()
         await self._stopping.wait()
         name, since = self._stop
-        log("stopping", signal=name, open=len(self._route.requests), within=self._last_answer)
+        log(LogEvent.ROUTER_STOPPING, signal=name, open=len(self._route.requests), within=self._last_answer)
         self._notify("STOPPING=1")
         if self._swarm is not None:
             self._swarm.leaving()
@@ -346,10 +347,10 @@
         if self._http is not None:
             self._http.front.ready = True
             self._http.start()
-            log("http-up", listen=self._http.where)
+            log(LogEvent.HTTP_LISTENING, listen=self._http.where)
         self._notify("READY=1")
         log(
-            "ready",
+            LogEvent.ROUTER_READY,
             name=self._config.name,
             listen=":".join(map(str, self._config.listen)),
             nodes=len(self._route.nodes),
@@ -374,7 +375,7 @@
         try:
             config = read_config()
         except ConfigError as error:
-            log("reload-refused", why=str(error))
+            log(LogEvent.CONFIG_RELOAD_REJECTED, reason=str(error))
             if self._reconfigure is not None:
                 self._reconfigure.refuse(str(error))
             return
@@ -387,7 +388,7 @@
             if getattr(config, name) != getattr(self._config, name)
         ]
         log(
-            "reloaded",
+            LogEvent.CONFIG_RELOADED,
             changelog=":".join(map(str, config.changelog)),
             sockets=config.sockets,
             memory_mb=config.memory_mb,
@@ -424,7 +425,7 @@
         try:
             operator = read(path).operator
         except OperatorError as error:
-            log("access-refused", why=str(error))
+            log(LogEvent.ACCESS_CONFIG_REJECTED, reason=str(error))
             return
         if self._access is not None and operator.access is not None:
             self._access.reload(operator.access)
@@ -444,7 +445,9 @@
         Guards against idle clients that hold all descriptors, so that no connection to the change log or to
         a cache comes up again.
         """
-        log_some("no-descriptors", clients=len(self._clients), links=self._route.send.links())
+        log_some(
+            LogEvent.DESCRIPTORS_EXHAUSTED, clients=len(self._clients), connections=self._route.send.links()
+        )
         if len(self._clients) <= self._most_clients:
             held = len(self._clients) + self._route.send.links()
             self._most_clients = max(LEAST_CLIENTS, min(self._most_clients, int(CLIENTS_PART * held)))
@@ -484,7 +487,7 @@
                 for client in list(self._clients):
                     client.finish()
                 await trio.sleep(0.01)
-        log("stopped", open=len(self._route.requests))
+        log(LogEvent.ROUTER_STOPPED, open=len(self._route.requests))
 
     def _take_last(self, listener: socket.socket) -> None:
         """Accepts what came since the last look: with the listener, it would be reset."""
@@ -599,7 +602,7 @@
                 sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
                 why = await client.run()
                 if why not in ("closed by the client", "closed by us"):
-                    log_some("client-lost", why=why)
+                    log_some(LogEvent.CLIENT_CONNECTION_ABORTED, reason=why)
             finally:
                 self._clients.discard(client)
 
--- a/stonecove/server/swarm.py
+++ b/stonecove/server/swarm.py
@@ -16,23 +16,24 @@
 
 import trio
 
-from stonecove.runtime.clock import Clock
-from stonecove.runtime.log import log, log_some
-from stonecove.settings import reported_name
-from stonecove.routing.events import FleetSizeChanged, LeaseTerms
-from stonecove.routing.settings import Settings
-from stonecove.server.config import Config, ConfigError, address_of
-from stonecove.server.leases import Leases
-from stonecove.state.requests import Attempt
-from stonecove.operator_config.records import SwarmRecord
-from stonecove.pipeline.route import Route
 from stonecove.gossip.figures import Figures
 from stonecove.gossip.health import GAP
 from stonecove.gossip.shares import Shares, Stand
-from stonecove.gossip.swarm import Swarm
 from stonecove.gossip.status import answer
+from stonecove.gossip.swarm import Swarm
 from stonecove.gossip.words import Standing, Word, ident_of
+from stonecove.operator_config.records import SwarmRecord
+from stonecove.pipeline.route import Route
 from stonecove.protocols.gossip import MOST_BYTES, GossipError, decode, encode, number_of
+from stonecove.routing.events import FleetSizeChanged, LeaseTerms
+from stonecove.routing.settings import Settings
+from stonecove.runtime.clock import Clock
+from stonecove.runtime.log import log, log_some
+from stonecove.runtime.log_events import LogEvent
+from stonecove.server.config import Config, ConfigError, address_of
+from stonecove.server.leases import Leases
+from stonecove.settings import reported_name
+from stonecove.state.requests import Attempt
 
 BATCH = 64  # datagrams that are read between two looks at other sockets
 MOST_FROM_ONE = 200  # datagrams a second from one address that are read; guards against a flood
@@ -213,7 +214,7 @@
                     break
                 except OSError as error:  # an error of what was sent earlier, told once more
                     if error.errno not in (errno.ECONNREFUSED, errno.EHOSTUNREACH, errno.ENETUNREACH):
-                        log_some("swarm-socket", why=error.strerror or str(error))
+                        log_some(LogEvent.GOSSIP_SOCKET_FAILED, reason=error.strerror or str(error))
                     continue
                 self._heard(data, address)
             self._after()
@@ -291,10 +292,10 @@
         else:
             self._route.post(LeaseTerms(stand.own, 1.0))
         log(
-            "swarm-share",
+            LogEvent.GOSSIP_SHARE_CHANGED,
             joined=stand.joined,
-            own=f"{stand.own:.3f}",
-            fleet=told[1].fleet_size,
+            unleased_fraction=f"{stand.own:.3f}",
+            fleet_size=told[1].fleet_size,
             by_zone=",".join(map(str, told[1].routers_by_zone)),
             view=self.swarm.gossip.views.now.number,
         )
--- a/stonecove/server/tracing.py
+++ b/stonecove/server/tracing.py
@@ -24,12 +24,12 @@
 from opentelemetry.sdk.trace.sampling import TraceIdRatioBased
 from opentelemetry.trace import Span, set_span_in_context
 
-from stonecove.routing.rendezvous import mix64
 from stonecove.exchange import Answer, ClientRequest
-from stonecove.routing.events import Outcome
+from stonecove.pipeline.route import Route
+from stonecove.routing.events import Outcome, reported_outcome
+from stonecove.routing.rendezvous import mix64
 from stonecove.server.config import Config
 from stonecove.state.requests import Attempt, OpenRequest
-from stonecove.pipeline.route import Route
 
 EXPORT_EVERY = 500  # ms
 MOST_QUEUED = 8192  # spans that wait to be written; more are dropped, and nothing waits for them
@@ -214,7 +214,7 @@
 
     def _ended(self, inner: Callable[..., None], attempt: Attempt, outcome: Outcome, *args: Any) -> None:
         if not attempt.ended and (span := self._attempts.pop(attempt, None)) is not None:
-            span.set_attribute("outcome", outcome.name.lower())
+            span.set_attribute("outcome", reported_outcome(outcome))
             span.end()
         inner(attempt, outcome, *args)
 
--- a/stonecove/standins/zookeeper.py
+++ b/stonecove/standins/zookeeper.py
@@ -28,6 +28,11 @@
 
 import trio
 
+from stonecove.protocols.buffer import Buffer
+from stonecove.protocols.zookeeper import jute
+from stonecove.protocols.zookeeper import messages as zk
+from stonecove.protocols.zookeeper.jute import JuteError, Reader
+from stonecove.protocols.zookeeper.messages import Acl, Err, EventType, Op, ZooKeeperError
 from stonecove.standins.zkdata import (
     READ,
     Identity,
@@ -39,10 +44,6 @@
     digest,
     watch_event,
 )
-from stonecove.protocols.zookeeper import jute, messages as zk
-from stonecove.protocols.buffer import Buffer
-from stonecove.protocols.zookeeper.jute import JuteError, Reader
-from stonecove.protocols.zookeeper.messages import Acl, Err, EventType, Op, ZooKeeperError
 
 LEAST_TIMEOUT, MOST_TIMEOUT = 200, 600_000  # ms that are granted to a session
 CHECK_EVERY = 0.02  # seconds between two looks for sessions whose time is over
--- a/stonecove/state/nodes.py
+++ b/stonecove/state/nodes.py
@@ -2,8 +2,8 @@
 
 from __future__ import annotations
 
-from stonecove.routing.endpoints import NodeId, NodeState
 from stonecove.discovery import Member, MembersUpdate
+from stonecove.routing.endpoints import NodeId, NodeState
 
 
 class NodeTable:
--- a/stonecove/state/requests.py
+++ b/stonecove/state/requests.py
@@ -5,10 +5,10 @@
 from collections.abc import Iterator
 from dataclasses import dataclass, field
 
+from stonecove.exchange import ClientRequest
 from stonecove.routing.actions import SendAttempt
 from stonecove.routing.settings import ClassSettings
 from stonecove.runtime.timers import Alarm
-from stonecove.exchange import ClientRequest
 
 
 @dataclass(slots=True, eq=False)
--- a/stonecove/transport/change_log_follower.py
+++ b/stonecove/transport/change_log_follower.py
@@ -9,11 +9,12 @@
 
 import trio
 
-from stonecove.runtime.log import log, log_some
-from stonecove.runtime.timers import nobody
 from stonecove.discovery import MembershipSink
 from stonecove.protocols.buffer import Buffer, BufferFullError
 from stonecove.protocols.change_log import MOST_FRAME, ChangeLogError, Follower, frames
+from stonecove.runtime.log import log, log_some
+from stonecove.runtime.log_events import LogEvent
+from stonecove.runtime.timers import nobody
 from stonecove.transport.upstream_connection import NO_DESCRIPTOR
 
 # What is in the log counts as told 7 s later at the latest: all waits in a row must fit into that. The worst
@@ -110,7 +111,11 @@
         while True:
             with trio.CancelScope() as self._scope:
                 await self._keep(sink)
-            log("changelog-moved", to=":".join(map(str, self._address)), last=self._follower.last)
+            log(
+                LogEvent.CHANGE_LOG_ADDRESS_CHANGED,
+                address=":".join(map(str, self._address)),
+                last=self._follower.last,
+            )
 
     async def _keep(self, sink: MembershipSink) -> None:
         """Connects again and again, with a short back-off."""
@@ -124,10 +129,10 @@
                 if isinstance(error, OSError) and error.errno in NO_DESCRIPTOR:
                     self.short()
             except Exception as error:  # guards against one event that can't be worked off ending the process
-                log("bug", where="change log", error=repr(error))
+                log(LogEvent.INTERNAL_ERROR, where="change log", error=repr(error))
                 why = "an event can't be worked off"
             self._whole_at, self._speaks = math.inf, self.heard != heard
-            log_some("changelog-lost", last=self._follower.last, why=why)
+            log_some(LogEvent.CHANGE_LOG_DISCONNECTED, last=self._follower.last, reason=why)
             wait = BACK_OFF[0] if self._follower.last != last else min(2 * wait, BACK_OFF[1])
             await trio.sleep(wait)
 
@@ -142,7 +147,7 @@
                     hello = hello[await sock.send(hello) :]
             if waiting.cancelled_caught:
                 return "not up in time"
-            log_some("changelog-up", last=self._follower.last)
+            log_some(LogEvent.CHANGE_LOG_CONNECTED, last=self._follower.last)
             patience = QUIET if self._mute else FIRST
             self._speaks = self._mute = True
             buffer = Buffer(MOST_FRAME + 4096)
--- a/stonecove/transport/client_connection.py
+++ b/stonecove/transport/client_connection.py
@@ -8,10 +8,10 @@
 
 import trio
 
-from stonecove.state.budget import Budget
 from stonecove.protocols.buffer import BufferFullError
 from stonecove.protocols.fastcgi.codec import FastCgiError
 from stonecove.protocols.fastcgi.session import GULP, Handler, Session
+from stonecove.state.budget import Budget
 
 LINGER = 1.0, 1 << 20  # seconds and bytes for which a client that we leave may go on sending
 LOOKS = 32  # reads at most in one look; a client that sends faster than that is none at rest
--- a/stonecove/transport/upstream_connection.py
+++ b/stonecove/transport/upstream_connection.py
@@ -8,10 +8,10 @@
 
 import trio
 
-from stonecove.runtime.timers import nobody
 from stonecove.protocols.buffer import BufferFullError
-from stonecove.protocols.upstream_channel import Channel, Owner
 from stonecove.protocols.resp import RespError
+from stonecove.protocols.upstream_channel import Channel, Owner
+from stonecove.runtime.timers import nobody
 
 NO_DESCRIPTOR = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM)  # what lacks is the system's
 ASK_AGAIN = 0.02  # seconds between two attempts to get a descriptor
--- a/stonecove/transport/zookeeper.py
+++ b/stonecove/transport/zookeeper.py
@@ -7,7 +7,6 @@
 
 import trio
 
-from stonecove.runtime.log import log
 from stonecove.protocols.zookeeper import messages as zk
 from stonecove.protocols.zookeeper.session import (
     Down,
@@ -20,6 +19,8 @@
     State,
     Up,
 )
+from stonecove.runtime.log import log
+from stonecove.runtime.log_events import LogEvent
 
 GULP = 65_536
 Feed = Callable[[SessionEvent], None]
@@ -155,19 +156,19 @@
         try:
             call(event)
         except Exception as error:
-            log("bug", where="coordination", error=repr(error))
+            log(LogEvent.INTERNAL_ERROR, where="coordination", error=repr(error))
 
     def _log(self, event: SessionEvent) -> None:
         if isinstance(event, Up):
             where = self.session.server
             log(
-                "coordination-up",
+                LogEvent.COORDINATION_CONNECTED,
                 server=":".join(map(str, where or ())),
                 session=f"{event.session:#x}",
                 resumed=event.resumed,
             )
         elif isinstance(event, Down):
             where = self.session.server
-            log("coordination-lost", server=":".join(map(str, where or ())), why=event.why)
+            log(LogEvent.COORDINATION_DISCONNECTED, server=":".join(map(str, where or ())), reason=event.why)
         elif isinstance(event, Expired):
-            log("coordination-expired", session=f"{event.session:#x}")
+            log(LogEvent.COORDINATION_SESSION_EXPIRED, session=f"{event.session:#x}")
--- a/stonecove/trial/judge.py
+++ b/stonecove/trial/judge.py
@@ -12,8 +12,8 @@
 from stonecove.standins.loaded import LoadedDepot
 from stonecove.standins.webserver import settings
 from stonecove.trial.open_loop import OpenLoopClients, meaning_of
-from stonecove.trial.testbed import WEIGHT, Testbed, TrialRecord
 from stonecove.trial.schedule import PACE, Trial
+from stonecove.trial.testbed import WEIGHT, Testbed, TrialRecord
 
 GRACE = 25.0  # seconds after a kill or a pause within which a request is lost to it: clients wait so long
 SLACK = 0.5  # seconds by which a stand-in on a busy machine may note a request late
@@ -124,7 +124,7 @@
             )
         )
     for router in played.routers:
-        if bugs := router.lines("bug"):
+        if bugs := router.lines("internal_error"):
             verdict.violations.append(
                 RuleViolation(
                     "bug",
@@ -282,14 +282,14 @@
             over = min(
                 [
                     float(line["at"])
-                    for line in router.lines("stopped")
+                    for line in router.lines("router_stopped")
                     if started <= float(line["at"]) <= (ended or played.ended)
                 ],
                 default=ended or played.ended,
             )
             told = [
-                (float(line["at"]), float(line["own"]) / max(1, int(line["fleet"])))
-                for line in router.lines("swarm-share")
+                (float(line["at"]), float(line["unleased_fraction"]) / max(1, int(line["fleet_size"])))
+                for line in router.lines("gossip_share_changed")
                 if started <= float(line["at"]) <= over
             ]
             for (at, share), (then, _) in zip(told, [*told[1:], (over, 0.0)], strict=True):
@@ -316,20 +316,20 @@
     known: dict[tuple[int, str], list[float]] = {}
     lives: dict[tuple[str, int], int] = {}
     for router in played.routers:
-        for line in router.lines("swarm-member"):
+        for line in router.lines("gossip_member_changed"):
             at, place = float(line["at"]), places.get(line["member"])
             if place is None or at > played.ended:
                 continue
-            later = int(line["life"]) > lives.get((router.name, place), 0)
-            lives[router.name, place] = max(int(line["life"]), lives.get((router.name, place), 0))
-            if line["stands"] in ("failed", "gone") or later:  # a later life tells the end of the one before
+            later = int(line["generation"]) > lives.get((router.name, place), 0)
+            lives[router.name, place] = max(int(line["generation"]), lives.get((router.name, place), 0))
+            if line["state"] in ("failed", "gone") or later:  # a later life tells the end of the one before
                 known.setdefault((place, router.name), []).append(at)
-            if line["stands"] not in ("failed", "gone"):
+            if line["state"] not in ("failed", "gone"):
                 continue
             lived = any(
                 since < at - 0.05
                 and (ended is None or at < ended)
-                and int(line["life"]) / 1000.0 - played.routers[place].shift_at(since) >= since - 0.1
+                and int(line["generation"]) / 1000.0 - played.routers[place].shift_at(since) >= since - 0.1
                 for since, ended in played.routers[place].lives
             )
             if lived:
@@ -392,7 +392,8 @@
     for router in played.routers:
         started = router.lives[-1][0] if router.lives else 0.0
         count = sum(
-            max(first, started) <= float(line["at"]) <= played.ended for line in router.lines("swarm-view")
+            max(first, started) <= float(line["at"]) <= played.ended
+            for line in router.lines("gossip_view_changed")
         )
         if count > most:
             most, whose = count, router.name
--- a/stonecove/trial/open_loop.py
+++ b/stonecove/trial/open_loop.py
@@ -19,9 +19,9 @@
 from hdrh.histogram import HdrHistogram
 
 from stonecove.overload.book import FAILED, LATE, LOST, MEANT, REFUSED, SERVED, TRY, Event
+from stonecove.protocols.fastcgi import codec as fastcgi
 from stonecove.trial.relay import Address
 from stonecove.trial.thread import TrioThread
-from stonecove.protocols.fastcgi import codec as fastcgi
 
 MOST_OPEN = 32  # requests at once on a connection
 IDLE = 4.0  # seconds after which a connection without requests is closed
--- a/stonecove/trial/testbed.py
+++ b/stonecove/trial/testbed.py
@@ -10,14 +10,14 @@
 from pathlib import Path
 from typing import Any
 
-from stonecove.standins.webserver import settings
+from stonecove.gossip.words import ident_of, shown
 from stonecove.standins.depot import HOST, Cache, Depot
 from stonecove.standins.loaded import LoadedDepot
-from stonecove.gossip.words import ident_of, shown
-from stonecove.trial.open_loop import OpenLoopClients
+from stonecove.standins.webserver import settings
 from stonecove.trial.closed_loop import ClosedLoopClients
+from stonecove.trial.open_loop import OpenLoopClients
 from stonecove.trial.processes import RouterProcess, free_address
-from stonecove.trial.relay import Faults, DatagramRelays
+from stonecove.trial.relay import DatagramRelays, Faults
 from stonecove.trial.schedule import Fault, Trial
 from stonecove.trial.streams import StreamFaults, StreamRelays, host_of
 
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -5,16 +5,15 @@
 from dataclasses import replace
 from typing import Any
 
+import known_red
 import pytest
 
-from stonecove.routing.director import Director
 from stonecove.routing.actions import Action, SendAttempt
+from stonecove.routing.director import Director
 from stonecove.routing.endpoints import EndpointListKind, Node, NodeState
 from stonecove.routing.events import AttemptEnded, EndpointListUpdate, Event, Outcome, RequestReceived
 from stonecove.routing.settings import ClassSettings, DeduplicationScope, Idempotency, Settings
 
-import known_red
-
 CACHES = (11, 12, 13, 14)
 PARENTS = (21, 22)
 ORIGIN = 31
--- a/tests/keeper.py
+++ b/tests/keeper.py
@@ -12,7 +12,6 @@
 from typing import Any
 
 from kazoo.client import KazooClient
-
 from stand import PATIENCE, Stand
 
 BOXES = "/stonecove/boxes"
--- a/tests/stand.py
+++ b/tests/stand.py
@@ -21,6 +21,8 @@
 from pathlib import Path
 from typing import Any, NamedTuple
 
+from stonecove.runtime.log_events import LogEvent
+
 PATIENCE = 30.0  # generous: nothing here measures speed
 SETTINGS: dict[str, Any] = {
     "areas": ["hub", "edge-1"],
@@ -432,7 +434,8 @@
         return None
 
     def lines(self, event: str) -> list[str]:
-        """Lines of the router's log."""
+        """Return the lines of an event in the router's log; no event of another name is ever written."""
+        assert event in set(LogEvent), event
         text = Path(self.folder.name, "log").read_text()
         return [line for line in text.splitlines() if line.split(" ")[1:2] == [event]]
 
--- a/tests/test_access.py
+++ b/tests/test_access.py
@@ -14,6 +14,7 @@
 from cryptography.hazmat.primitives.asymmetric import rsa
 from hypothesis import given, settings
 from hypothesis import strategies as st
+
 from stonecove.access import canon, formats
 from stonecove.access.gate import Decision, Gate, Limits, cookie_path
 from stonecove.access.grants import Format, Request, TokenError, networks
--- a/tests/test_attempt_crossings.py
+++ b/tests/test_attempt_crossings.py
@@ -8,15 +8,15 @@
 import pytest
 from conftest import CACHES, make_class, make_nodes, make_settings
 
-from stonecove.exchange import Answer, ClientRequest, Verdict
-from stonecove.runtime.clock import Clock
-from stonecove.runtime.timers import Timers
-from stonecove.routing.settings import ClassSettings, DeduplicationScope, Idempotency
 from stonecove.discovery import Member, MembersUpdate
-from stonecove.state.budget import Budget
+from stonecove.exchange import Answer, ClientRequest, Verdict
 from stonecove.pipeline.route import Route
 from stonecove.protocols import resp
 from stonecove.protocols.upstream_channel import Channel, Owner
+from stonecove.routing.settings import ClassSettings, DeduplicationScope, Idempotency
+from stonecove.runtime.clock import Clock
+from stonecove.runtime.timers import Timers
+from stonecove.state.budget import Budget
 
 
 class Wire(Channel):
--- a/tests/test_capacity_control.py
+++ b/tests/test_capacity_control.py
@@ -24,10 +24,10 @@
     vanish,
 )
 from stonecove.discovery import Told
-from stonecove.runtime.log import divert
 from stonecove.protocols.change_log import Follower
-from stonecove.transport.change_log_follower import ChangeLog
 from stonecove.protocols.gossip import FIXED
+from stonecove.runtime.log import divert
+from stonecove.transport.change_log_follower import ChangeLog
 
 HOST = "127.0.0.1"
 
--- a/tests/test_capacity_router.py
+++ b/tests/test_capacity_router.py
@@ -11,11 +11,11 @@
 from benchmarks.capacity_cold import Scenario
 from benchmarks.capacity_data import Load, Spent
 from benchmarks.capacity_popularity import COUNTS_HALVE, SketchPopularity
-from stonecove.routing.popularity import Popularity
-from stonecove.routing.slow_start import BUDGET_UTILIZATION, SlowStartBudget
 from stonecove.discovery import MembersUpdate, PurgeUpdate
 from stonecove.protocols.buffer import Buffer
 from stonecove.protocols.change_log import frames
+from stonecove.routing.popularity import Popularity
+from stonecove.routing.slow_start import BUDGET_UTILIZATION, SlowStartBudget
 
 NOW = 1e12
 
--- a/tests/test_choice.py
+++ b/tests/test_choice.py
@@ -12,12 +12,8 @@
 import pytest
 from conftest import CACHES, ORIGIN, PARENTS, World, gets, make_class, make_nodes, make_settings
 
-from stonecove.routing.director import Director
-from stonecove.routing.link_load import LinkLoad, LinkShare
-from stonecove.routing.popularity import MAX_TRACKED_OBJECTS, MIN_REQUESTS_FOR_RANKING, Popularity
-from stonecove.routing.rendezvous import RendezvousHash
-from stonecove.routing.state import POPULARITY_HALF_LIFE_IN_SLOW_STARTS
 from stonecove.routing.actions import FetchMode, RejectRequest, SendAttempt, StartTimer
+from stonecove.routing.director import Director
 from stonecove.routing.endpoints import EndpointListKind, Node, NodeState
 from stonecove.routing.events import (
     AttemptEnded,
@@ -27,7 +23,11 @@
     RequestReceived,
     TimerExpired,
 )
+from stonecove.routing.link_load import LinkLoad, LinkShare
+from stonecove.routing.popularity import MAX_TRACKED_OBJECTS, MIN_REQUESTS_FOR_RANKING, Popularity
+from stonecove.routing.rendezvous import RendezvousHash
 from stonecove.routing.settings import Idempotency
+from stonecove.routing.state import POPULARITY_HALF_LIFE_IN_SLOW_STARTS
 
 
 def busy_day(popularity: Popularity, requests: int = 3000, once: int = 7) -> None:
--- a/tests/test_client_crossings.py
+++ b/tests/test_client_crossings.py
@@ -17,20 +17,20 @@
 
 import pytest
 from conftest import make_class, make_nodes, make_settings
+from stand import Client, Stand, record
+
+from stonecove.discovery import Member, MembersUpdate
 from stonecove.exchange import Answer, ClientRequest
+from stonecove.frontends.fastcgi import Front
+from stonecove.pipeline.route import Route
+from stonecove.protocols.fastcgi.session import Session
+from stonecove.protocols.upstream_channel import Channel, Owner
 from stonecove.runtime.clock import Clock
 from stonecove.runtime.timers import Timers
 from stonecove.server.serve import Server
-from stonecove.discovery import Member, MembersUpdate
 from stonecove.state.budget import Budget
 from stonecove.state.requests import OpenRequest
-from stonecove.pipeline.route import Route
-from stonecove.protocols.upstream_channel import Channel, Owner
-from stonecove.frontends.fastcgi import Front
 from stonecove.transport.client_connection import Connection
-from stonecove.protocols.fastcgi.session import Session
-
-from stand import Client, Stand, record
 
 ABORT = record(2, 1)
 HEADER = struct.pack(">BBHHBB", 1, 5, 1, 65_535, 0, 0)
@@ -120,7 +120,7 @@
 def stand() -> Iterator[Stand]:
     running = Stand()
     yield running
-    assert running.process.poll() is None and not running.lines("bug")
+    assert running.process.poll() is None and not running.lines("internal_error")
     running.close()
 
 
@@ -460,7 +460,7 @@
             usual.send()
             assert usual.answer().status == 200
         assert peak(stand) < before + 24.0
-        assert not stand.lines("bug") and sum(map(len, stand.lines("bad-request"))) < 20_000
+        assert not stand.lines("internal_error") and sum(map(len, stand.lines("request_malformed"))) < 20_000
     finally:
         over.set()
         server.join()
--- a/tests/test_clients_gone.py
+++ b/tests/test_clients_gone.py
@@ -18,7 +18,6 @@
 from typing import Any, NamedTuple
 
 import pytest
-
 from stand import PATIENCE, SETTINGS, Cache, Client, Fetch, Hanging, Stand, record
 
 WAYS = ("abort", "FIN", "half-close", "reset")
@@ -57,7 +56,7 @@
     stand = Stand(limits={**SETTINGS["limits"], **(limits or {})}, classes=classes, memory_mb=memory_mb)
     try:
         yield stand
-        assert stand.process.poll() is None and not stand.lines("bug")
+        assert stand.process.poll() is None and not stand.lines("internal_error")
     finally:
         stand.close()
 
@@ -131,9 +130,9 @@
 
 def move(stand: Stand, cache: Cache, port: int) -> None:
     """The list tells that the cache is at that port now."""
-    before = len(stand.lines("node"))
+    before = len(stand.lines("endpoint_updated"))
     stand.log.tell(before - 2, 2, stand.record(cache, 0, port=port))  # the first event of the log is number 2
-    stand.wait(lambda: len(stand.lines("node")) == before + 1, "the move")
+    stand.wait(lambda: len(stand.lines("endpoint_updated")) == before + 1, "the move")
 
 
 # -- what waits --
@@ -165,7 +164,7 @@
         hanging = Hanging()
         move(stand, stand.caches[0], hanging.port)
         stand.log.tell(3, 2, stand.record(stand.caches[1], 1))  # all go to one cache
-        stand.wait(lambda: len(stand.lines("node")) == 6, "the drain")
+        stand.wait(lambda: len(stand.lines("endpoint_updated")) == 6, "the drain")
         clients = leavers(stand, items_of(5))
         for leaver in clients:
             leaver.client.send(X_ROW=leaver.item, **LONG)
@@ -321,7 +320,7 @@
         for number, one in enumerate(hanging):
             news += stand.record(SimpleNamespace(ident=0x50 + number), 0, port=one.port)  # type: ignore[arg-type]
         stand.log.tell(2, 2, news)
-        stand.wait(lambda: len(stand.lines("node")) == 4 + 2 + len(hanging), "the list")
+        stand.wait(lambda: len(stand.lines("endpoint_updated")) == 4 + 2 + len(hanging), "the list")
         clients = leavers(stand, items_of(24), WAYS)
         for leaver in clients:
             leaver.client.send(X_ROW=leaver.item, **LONG)
--- a/tests/test_cold_fleet.py
+++ b/tests/test_cold_fleet.py
@@ -12,8 +12,9 @@
 
 import pytest
 from conftest import make_settings
-from stonecove.routing.director import Director
+
 from stonecove.routing.actions import Action, SendAttempt
+from stonecove.routing.director import Director
 from stonecove.routing.endpoints import EndpointListKind, Node, NodeState
 from stonecove.routing.events import (
     AttemptEnded,
--- a/tests/test_configuration_processes.py
+++ b/tests/test_configuration_processes.py
@@ -11,21 +11,20 @@
 
 import pytest
 import trio
-
 from kazoo.client import KazooClient
-
 from keeper import Keeper
 from stand import PATIENCE, Stand
+
 from stonecove.fleet.rollout_controller import Controller, service_session
+from stonecove.operator_config.records import ConfigurationRecord
+from stonecove.protocols.zookeeper.session import Figures
+from stonecove.rollout.messages import Bounds, Report, RolloutState, Target
 from stonecove.routing.settings import Settings
+from stonecove.runtime.clock import Clock
 from stonecove.server.config import config_from
 from stonecove.server.configuration import ConfigurationKeeper
 from stonecove.server.reconfigure import SettingsRefused
-from stonecove.operator_config.records import ConfigurationRecord
-from stonecove.rollout.messages import Bounds, Report, RolloutState, Target
-from stonecove.runtime.clock import Clock
 from stonecove.transport.zookeeper import Ensemble
-from stonecove.protocols.zookeeper.session import Figures
 
 PATH = "/stonecove/configuration"
 FIGURES = Figures(timeout=1.0, connect_wait=0.5, back_off=(0.02, 0.1))
--- a/tests/test_configuration_router.py
+++ b/tests/test_configuration_router.py
@@ -13,9 +13,9 @@
 from typing import Any
 
 import pytest
-
 from keeper import Keeper, Routed, parents
 from stand import PATIENCE, Stand
+
 from stonecove.rollout.messages import Overlay, Target, target_path, version_path
 
 PATH = "/stonecove/configuration"
@@ -98,7 +98,7 @@
     told = in_force(routed)
     assert told["version"] == 1 and told["refused"] is None
     assert oldest_asked_for(routed, 2) == 12_345.0
-    assert process.poll() is None and len(routed.stand.lines("ready")) == 1
+    assert process.poll() is None and len(routed.stand.lines("router_ready")) == 1
 
 
 def test_a_change_that_a_router_refuses_halts_and_leaves_the_old_one(
@@ -110,7 +110,7 @@
     told = in_force(routed)
     assert told["version"] == 1
     assert told["refused"]["version"] == 2 and "parent_kind" in told["refused"]["why"]
-    refused = routed.stand.lines("configuration-refused")
+    refused = routed.stand.lines("settings_rejected")
     assert len(refused) == 1 and "parent_kind" in refused[0]
     status = published.command("status")[1]
     assert status["in_force"] == "1" and status["refused"] == "1"
@@ -121,7 +121,7 @@
     routed.close()
     again = Routed(published.ensemble, published.folder, RECORD)
     try:
-        again.wait_line("ready")
+        again.wait_line("router_ready")
         log = Path(again.stand.folder.name, "log").read_text()
         assert log.index(" configuration-in-force ") < log.index(" ready ")
         assert in_force(again)["version"] == 1
@@ -134,11 +134,11 @@
 ) -> None:
     assert published.publish({"domain": {"heed_within": 900.0}})[0] == 0
     reload(routed, "rules", drain_grace=444.0)
-    line = routed.wait_line("reloaded")[-1]
+    line = routed.wait_line("config_reloaded")[-1]
     assert "settings=in-force" in line and "version=1" in line
     assert "waits_for_restart=nothing" in line
     reload(routed, "", zone=0)
-    line = routed.wait_line("reloaded", 2)[-1]
+    line = routed.wait_line("config_reloaded", 2)[-1]
     assert "settings='refused: zone: 0 in place of 1" in line and "version=1" in line
     assert in_force(routed)["version"] == 1
 
@@ -162,5 +162,5 @@
         client.stop()
         client.close()
     Stand.wait(lambda: in_force(routed)["version"] == 3, "version 3 in force")
-    taken = [line for line in routed.stand.lines("configuration-in-force") if "version=2" in line]
+    taken = [line for line in routed.stand.lines("settings_applied") if "version=2" in line]
     assert taken == [], "a version that was overtaken is passed over"
--- a/tests/test_descriptors_full.py
+++ b/tests/test_descriptors_full.py
@@ -13,7 +13,6 @@
 from pathlib import Path
 
 import pytest
-
 from stand import ChangeLog, Client, Stand
 
 LIMIT = 64  # descriptors that the system gives, of which the configuration does not know
@@ -25,13 +24,13 @@
 
 def answered(stand: Stand, client: Client) -> bool:
     """Whether that client has its answer, or it was seen that there are too few descriptors."""
-    return bool(select.select([client.sock], [], [], 0)[0]) or bool(stand.lines("no-descriptors"))
+    return bool(select.select([client.sock], [], [], 0)[0]) or bool(stand.lines("descriptors_exhausted"))
 
 
 def fill(stand: Stand) -> list[Client]:
     """Clients that have asked once and stay, until no descriptor is left; nobody waits for a place."""
     held: list[Client] = []
-    while descriptors(stand) < LIMIT and not stand.lines("no-descriptors"):
+    while descriptors(stand) < LIMIT and not stand.lines("descriptors_exhausted"):
         held.append(stand.client())
         held[-1].send(path="/status/live")
         stand.wait(partial(answered, stand, held[-1]), "the answer to a client")
@@ -115,9 +114,9 @@
             down.bind(("127.0.0.1", stand.log.listener.port))
             if how == "is silent":
                 down.listen()  # connections come up, and nobody speaks
-            stand.wait(lambda: stand.lines("changelog-lost"), "the end of the log")
+            stand.wait(lambda: stand.lines("change_log_disconnected"), "the end of the log")
             yield stand, down
-        assert stand.process.poll() is None and not stand.lines("bug")
+        assert stand.process.poll() is None and not stand.lines("internal_error")
     finally:
         answers.end()
         stand.close()
@@ -174,5 +173,7 @@
     down.listen()
     back, drain = ChangeLog(down), stand.record(stand.caches[0], 1)
     back.missed = lambda: struct.pack(">IQB", 9 + len(drain), 2, 2) + drain
-    stand.wait(lambda: any("draining" in line for line in stand.lines("node")), "what the log tells")
+    stand.wait(
+        lambda: any("draining" in line for line in stand.lines("endpoint_updated")), "what the log tells"
+    )
     return back
--- a/tests/test_ephemeral.py
+++ b/tests/test_ephemeral.py
@@ -14,7 +14,6 @@
 from typing import Any
 
 import pytest
-
 from keeper import BOXES, ROUTERS, Keeper, Routed, parents, record
 from stand import PATIENCE, SETTINGS, Stand
 
@@ -139,7 +138,7 @@
         if self.traffic:
             self.traffic.stop()
         assert self.stand.process.poll() is None, "the router died"
-        assert not self.stand.lines("bug")
+        assert not self.stand.lines("internal_error")
         self.routed.close()
 
 
@@ -186,7 +185,7 @@
     scene.keeper.box(box.record, "again")
     scene.routed.wait_state(0x10, "ready")
     traffic.wait()
-    line = scene.routed.wait_line("members-returned")[0]
+    line = scene.routed.wait_line("endpoint_returned")[0]
     assert f"same_process={same}" in line
     node = scene.routed.question("explain", "s-00000010")["node"]
     assert node["started"] == started if same else node["started"] >= moment
@@ -213,7 +212,7 @@
     told = scene.routed.question("sources")["coordination"]
     scene.keeper.do(f"expire {told['session']}")
     moment = scene.boxes[0].say(state="draining")
-    scene.routed.wait_line("coordination-expired")
+    scene.routed.wait_line("coordination_session_expired")
     scene.routed.wait_state(0x10, "draining")
     assert scene.traffic is not None
     scene.traffic.wait(100)
@@ -238,7 +237,8 @@
         scene.routed.wait_state(0x10, "draining")
         scene.keeper.do(f"drop {scene.routed.question('sources')['coordination']['session']}")
         Stand.wait(
-            lambda: keeper.trace("refused-behind") or scene.stand.lines("coordination-lost"), "a break"
+            lambda: keeper.trace("refused-behind") or scene.stand.lines("coordination_disconnected"),
+            "a break",
         )
         Stand.wait(
             lambda: (
@@ -280,8 +280,8 @@
     box = keeper.box(record(0x40, scene.stand.caches[0].listener.port, address="127.0.0.1:9"), "only-here")
     scene.routed.wait_state(0x40, "ready")
     keeper.do("partition")
-    lines = scene.routed.wait_line("members-ageing", 4)
-    assert "silent_s=" in lines[0] and scene.stand.lines("coordination-lost")
+    lines = scene.routed.wait_line("endpoint_source_stale", 4)
+    assert "silent_s=" in lines[0] and scene.stand.lines("coordination_disconnected")
     scene.routed.wait_state(0x40, "draining")  # no source with a say knows it
     assert scene.routed.state(0x10) == "ready"  # the change log does
     assert scene.traffic is not None
@@ -289,7 +289,7 @@
     keeper.do("heal")
     Stand.wait(lambda: scene.routed.question("sources")["sources"][1]["has_say"], "a say again")
     keeper.do("partition")  # once more, to be healed while the list still stands
-    scene.routed.wait_line("members-ageing", 5)
+    scene.routed.wait_line("endpoint_source_stale", 5)
     keeper.do("heal")
     Stand.wait(
         lambda: scene.routed.question("sources")["coordination"]["silent_ms"] == 0.0, "connected again"
@@ -339,16 +339,16 @@
     scene.stopped(0x10, moment + 1000)
     client.stop()  # all 2,000 depart in one transaction
     client.close()
-    scene.routed.wait_line("members-departure-confirmed")
+    scene.routed.wait_line("mass_departure_confirmed")
     Stand.wait(lambda: scene.routed.state(0x1000) in ("draining", "unknown"), "all have departed")
-    lines = scene.stand.lines("members-mass-departure")
+    lines = scene.stand.lines("mass_departure_suspected")
     assert lines and "of=2004" in lines[0]
 
 
 def test_the_server_restarts_with_all_sessions_lost(scene: Scene) -> None:
     scene.keeper.do("restart")
-    scene.routed.wait_line("members-departure-confirmed")
-    assert scene.stand.lines("members-mass-departure")
+    scene.routed.wait_line("mass_departure_confirmed")
+    assert scene.stand.lines("mass_departure_suspected")
     for ident in (0x10, 0x11):
         scene.routed.wait_state(ident, "draining", "gone", "unknown")
     assert scene.traffic is not None
@@ -371,7 +371,7 @@
         text = scene.routed.operator.read_text()
         scene.routed.operator.write_text(text + "\nmembers: tracce: 5\nsources: zookeeper: linger: 3\n")
         scene.stand.reload(json.dumps(scene.stand.config))
-        refused = scene.routed.wait_line("operator-refused", 2)
+        refused = scene.routed.wait_line("operator_config_rejected", 2)
         assert "tracce" in refused[0] + refused[1] and scene.routed.state(0x10) == "ready"
         moved = text.replace(
             ", ".join(f'"{server}"' for server in scene.keeper.servers), f'"{other.servers[0]}"'
@@ -380,7 +380,7 @@
         scene.routed.operator.write_text(moved)
         moment = time.time() * 1000
         scene.stand.reload(json.dumps(scene.stand.config))
-        scene.routed.wait_line("coordination-moved")
+        scene.routed.wait_line("coordination_path_changed")
         scene.routed.wait_state(0x10, "draining")
         assert scene.traffic is not None
         scene.traffic.wait(100)
@@ -399,7 +399,7 @@
     scene.keeper.do(command.replace("SESSION", session))
     if command == "readonly on":
         scene.keeper.do(f"drop {session}")
-        scene.routed.wait_line("coordination-lost", 2)
+        scene.routed.wait_line("coordination_disconnected", 2)
     scene.keeper.do("readonly off")
     moment = scene.boxes[0].say(state="draining")
     scene.routed.wait_state(0x10, "draining")
@@ -434,7 +434,9 @@
     client = keeper.client()
     try:
         Stand.wait(lambda: one.question("fleet")["holds"] == {"fleet": 2, "by_zone": [0, 2]}, "two routers")
-        assert any("fleet=2" in line and "used=True" in line for line in one.stand.lines("fleet-size"))
+        assert any(
+            "fleet=2" in line and "used=True" in line for line in one.stand.lines("fleet_size_changed")
+        )
         states: list[str] = []
 
         def watch(data: bytes | None, stat: object) -> None:
@@ -447,7 +449,9 @@
         assert states == ["ready", "draining", "gone"]
         log = (Path(two.stand.folder.name) / "log").read_text().splitlines()
         events = [line.split(" ")[1] for line in log]
-        assert events.index("presence-leaving") < events.index("stopped") and "told=True" in "".join(log)
+        assert events.index("presence_withdrawn") < events.index("router_stopped") and "told=True" in "".join(
+            log
+        )
         Stand.wait(lambda: one.question("fleet")["holds"]["fleet"] == 1, "one router")
     finally:
         client.stop()
@@ -471,12 +475,12 @@
         folder = tmp_path / "other"
         folder.mkdir()
         other = Routed(keeper, folder, presence)
-        other.wait_line("presence-name-taken")  # another address under the same name
+        other.wait_line("presence_name_conflict")  # another address under the same name
         assert len(routed.question("fleet")["peers"]) == 1
         text = routed.operator.read_text()
         routed.operator.write_text(text.replace("session_timeout: 1min", "session_timeout: 50s"))
         routed.stand.reload(json.dumps(routed.stand.config))  # another session takes our node over
-        routed.wait_line("coordination-moved")
+        routed.wait_line("coordination_path_changed")
         Stand.wait(
             lambda: [peer["state"] for peer in routed.question("fleet")["peers"]] == ["ready"], "its node"
         )
@@ -506,7 +510,7 @@
             "'stonecove.server.members', 'stonecove.standins', 'click')))"
         )
         assert subprocess.run([sys.executable, "-c", code], check=False).returncode == 0
-        assert not stand.lines("coordination-up")
+        assert not stand.lines("coordination_connected")
     finally:
         stand.close()
 
--- a/tests/test_example.py
+++ b/tests/test_example.py
@@ -56,7 +56,9 @@
     depot = running(str(EXAMPLES / "toy_server.py"), str(config), said="toy depot is up", on="stdout")
     with (
         depot as toy,
-        running("-m", "stonecove", said="changelog-up", on="stderr", RELAY_CONFIG=str(config)) as router,
+        running(
+            "-m", "stonecove", said="change_log_connected", on="stderr", RELAY_CONFIG=str(config)
+        ) as router,
     ):
         for note in ("filled", "hit"):
             answer = ask(found[1], "item-image", "7f3a9c21e0b4d655")
@@ -67,4 +69,4 @@
         assert toy.stdin and router.stderr
         toy.stdin.write("drain s-00000011\n")
         toy.stdin.flush()
-        assert any("id=s-00000011 state=draining" in line for line in router.stderr)
+        assert any("node=s-00000011 state=draining" in line for line in router.stderr)
--- a/tests/test_explore.py
+++ b/tests/test_explore.py
@@ -13,15 +13,16 @@
 from pathlib import Path
 
 import pytest
+
 from stonecove.explore import runner, scope, search, seeds
 from stonecove.explore.copying import DeepCopy, Pickle, Replay, Way, run
 from stonecove.explore.fingerprint import all_parts, check_fields
 from stonecove.explore.properties import PROPERTIES
 from stonecove.explore.reach import HARD_CASES, HARD_STEPS
-from stonecove.explore.search import WorkerPool, Options, Result
+from stonecove.explore.search import Options, Result, WorkerPool
+from stonecove.explore.simulation import Simulation
 from stonecove.explore.trace import Trace, shrink, simulation_start
 from stonecove.explore.visited import FingerprintSet, PlainSet
-from stonecove.explore.simulation import Simulation
 
 ROOT = Path(__file__).parent.parent
 TRACES = sorted((Path(__file__).parent / "traces").glob("*.json"))
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -11,13 +11,14 @@
 from typing import Any
 
 import pytest
+
 from stonecove.fleet import logs, probe, runfile
-from stonecove.quotas.buckets import Bucket, Hierarchy
 from stonecove.fleet.journal import HEAD, MAGIC, Journal, JournalError, decode, encode
-from stonecove.quotas.leases import Grant, Holder, Lessor, own_part
 from stonecove.fleet.placement import Demand, Host, place
 from stonecove.fleet.restart import Do, Instance, Phase, Policy
 from stonecove.fleet.rolling import Roll, RollState
+from stonecove.quotas.buckets import Bucket, Hierarchy
+from stonecove.quotas.leases import Grant, Holder, Lessor, own_part
 from stonecove.runtime.notify import notify, watchdog_every
 from stonecove.runtime.pipe import Pipe, from_setting
 
--- a/tests/test_fleet_daemon.py
+++ b/tests/test_fleet_daemon.py
@@ -17,9 +17,10 @@
 from typing import Any
 
 import pytest
-
 from stand import PATIENCE, Client, Stand
 
+from stonecove.runtime.log_events import LogEvent
+
 
 class Daemon:
     """A supervisor over instances in front of the stand's caches."""
@@ -110,6 +111,7 @@
         return Client((self.host, 7100 + number))
 
     def lines(self, event: str) -> list[str]:
+        assert event in set(LogEvent), event
         text = Path(self.errors.name).read_text()
         return [line for line in text.splitlines() if line.split(" ")[1:2] == [event]]
 
@@ -181,7 +183,7 @@
     os.kill(before, signal.SIGSTOP)
     Stand.wait(lambda: daemon.status()["r-0"]["pid"] not in (None, before), "a new process")
     daemon.wait_phase("ready")
-    assert daemon.lines("fleet-killed") and "health checks" in daemon.lines("fleet-killed")[0]
+    assert daemon.lines("instance_killed") and "health checks" in daemon.lines("instance_killed")[0]
 
 
 def test_a_supervisor_that_is_killed_in_a_roll_is_followed_by_one_that_goes_on(tmp_path: Path) -> None:
@@ -199,10 +201,10 @@
         assert alive  # instances live on without it
         client = daemon.client(2)
         daemon.process = daemon.start()
-        Stand.wait(lambda: daemon.lines("fleet-roll-done"), "the rest of the roll")
+        Stand.wait(lambda: daemon.lines("rolling_restart_finished"), "the rest of the roll")
         after = {name: unit["pid"] for name, unit in daemon.status().items()}
         assert all(after[name] != before[name] for name in before)
-        assert len(daemon.lines("fleet-adopted")) >= 2 and daemon.lines("fleet-roll-goes-on")
+        assert len(daemon.lines("instance_adopted")) >= 2 and daemon.lines("rolling_restart_resumed")
         assert client.ended()
     finally:
         daemon.close()
@@ -218,7 +220,7 @@
         assert "stopped" in said and "r-0" in said and daemon.status()["r-1"]["phase"] == "ready"
         daemon.do("restart", "r-1", code=1)
         daemon.wait_phase("held")
-        assert len(daemon.lines("fleet-held")) == 2 and "2 restarts" in daemon.status()["r-0"]["why"]
+        assert len(daemon.lines("instance_suspended")) == 2 and "2 restarts" in daemon.status()["r-0"]["why"]
         daemon.do("status", code=1)
         assert "is no address" in (daemon.folder / "r-0" / "errors").read_text()
         daemon.process.kill()
@@ -243,7 +245,7 @@
     daemon.write(1, "roll_out: 0")
     assert "roll_out" in daemon.do("reload", code=2)
     daemon.process.send_signal(signal.SIGHUP)
-    Stand.wait(lambda: daemon.lines("fleet-reload-refused"), "a refusal")
+    Stand.wait(lambda: daemon.lines("fleet_reload_rejected"), "a refusal")
     assert daemon.status()["r-0"]["phase"] == "ready"
 
 
@@ -255,7 +257,7 @@
         daemon.operator.write_text(text)
         daemon.process.send_signal(signal.SIGHUP)  # a roll would race with the end of what it rolls
         daemon.wait_phase("held")
-        assert daemon.lines("fleet-over-limit")
+        assert daemon.lines("instance_limit_exceeded")
         daemon.process.terminate()
         daemon.process.wait(PATIENCE)
         path = daemon.folder / "journal"
--- a/tests/test_fleet_failures.py
+++ b/tests/test_fleet_failures.py
@@ -11,10 +11,10 @@
 from pathlib import Path
 
 import pytest
-from test_fleet_daemon import Daemon
-
 from keeper import BOXES, Keeper, record
 from stand import Fetch, Stand
+from test_fleet_daemon import Daemon
+
 from stonecove.fleet.control import ask
 
 MANY = 20
@@ -84,12 +84,12 @@
 
         assert len(all_served()) == 2
         keeper.do("partition")
-        Stand.wait(lambda: lines("coordination-lost") >= MANY, "all have lost the server")
+        Stand.wait(lambda: lines("coordination_disconnected") >= MANY, "all have lost the server")
         all_served()
         keeper.do("heal")
         Stand.wait(lambda: boxes[0].client is not None and boxes[0].client.connected, "the box is back")
         boxes[0].say(state="draining")
-        gone = f"id=s-{daemon.stand.caches[0].ident:08x} state=draining"
+        gone = f"node=s-{daemon.stand.caches[0].ident:08x} state=draining"
         Stand.wait(
             lambda: all(gone in path.read_text() for path in daemon.folder.glob("r-*/log")),
             "all have heard of the drain",
--- a/tests/test_http.py
+++ b/tests/test_http.py
@@ -20,12 +20,12 @@
 from cryptography import x509
 from cryptography.hazmat.primitives import hashes, serialization
 from cryptography.hazmat.primitives.asymmetric import ec
+from stand import PATIENCE, Stand, free_address
+
 from stonecove.access import formats
 from stonecove.access.keys import KeyRing, generate
 from stonecove.protocols.http import MOST_BODY, HttpError, HttpSession, State, byte_range
 
-from stand import PATIENCE, Stand, free_address
-
 OBJECT = "7f3a9c21e0b4d655"
 HEAD = b"GET /svc/image/7f3a9c21e0b4d655/3 HTTP/1.1\r\nHost: e\r\n"
 
@@ -219,8 +219,8 @@
     good = fronted.token(jti="one", mth=["POST"])
     forged = good[:-3] + ("AAA" if not good.endswith("AAA") else "BBB")
     status, answer, _ = fronted.ask("/svc/confirm/0000000000000001/0", forged, "POST")
-    assert status == 403 and "token-refused" in str(fronted.stand.lines("token-refused"))
-    assert not fronted.fetched and forged not in str(fronted.stand.lines("token-refused"))
+    assert status == 403 and "token_rejected" in str(fronted.stand.lines("token_rejected"))
+    assert not fronted.fetched and forged not in str(fronted.stand.lines("token_rejected"))
     assert fronted.ask("/svc/confirm/0000000000000001/0", good, "POST")[0] == 200
     assert fronted.ask("/svc/confirm/0000000000000001/0", good, "POST")[0] == 403  # a token for one request
     assert fronted.fetched["confirm"] == 1
@@ -293,15 +293,17 @@
         one.start()
     try:
         for table, key in ((both, "k2"), (ring(second, retired="k1"), "k2")):
-            count = len(fronted.stand.lines("access-reloaded")) + 1
+            count = len(fronted.stand.lines("access_config_reloaded")) + 1
             fronted.write(table)
             fronted.stand.process.send_signal(signal.SIGHUP)
-            _wait_lines(fronted, "access-reloaded", count)
+            _wait_lines(fronted, "access_config_reloaded", count)
             current["key"] = key
             time.sleep(0.3)
         fronted.ring_file.chmod(0o644)
         fronted.stand.process.send_signal(signal.SIGHUP)
-        Stand.wait(lambda: fronted.stand.lines("access-refused"), "a ring that others may read is refused")
+        Stand.wait(
+            lambda: fronted.stand.lines("access_config_rejected"), "a ring that others may read is refused"
+        )
     finally:
         over.set()
         for one in workers:
@@ -417,12 +419,12 @@
         assert fronted.ask(f"{IMAGE}/0", fronted.token(), client=old)[0] == 200
         certificate(tmp_path, "second")
         fronted.stand.process.send_signal(signal.SIGHUP)
-        Stand.wait(lambda: fronted.stand.lines("http-reloaded"), "the new certificate")
+        Stand.wait(lambda: fronted.stand.lines("http_reloaded"), "the new certificate")
         assert fronted.ask(f"{IMAGE}/1", fronted.token(), client=old)[0] == 200  # it goes on
         assert common_name(connect()) == "second"
         cert.write_text("nonsense")
         fronted.stand.process.send_signal(signal.SIGHUP)
-        Stand.wait(lambda: fronted.stand.lines("certificate-refused"), "a refusal")
+        Stand.wait(lambda: fronted.stand.lines("certificate_rejected"), "a refusal")
         assert common_name(connect()) == "second"
         with socket.create_connection(fronted.address, PATIENCE) as plain:
             plain.sendall(b"GET / HTTP/1.1\r\nHost: e\r\n\r\n")
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -7,17 +7,17 @@
 from typing import Any
 
 import pytest
-from stonecove.routing.director import Director
-from stonecove.routing.actions import SendAttempt
-from stonecove.routing.endpoints import EndpointListKind, NodeId, NodeState
-from stonecove.routing.events import EndpointListUpdate, FleetSizeChanged, RequestReceived
+from conftest import gets, make_nodes, make_settings
+
 from stonecove.discovery import Member, presence
 from stonecove.discovery.merge import Merge, Source, Told, merged
 from stonecove.discovery.pace import MOST_WAIT, Pace
 from stonecove.discovery.records import Names, RecordError, member_of, record_of
 from stonecove.discovery.roster import Claim, Roster, Rules
-
-from conftest import gets, make_nodes, make_settings
+from stonecove.routing.actions import SendAttempt
+from stonecove.routing.director import Director
+from stonecove.routing.endpoints import EndpointListKind, NodeId, NodeState
+from stonecove.routing.events import EndpointListUpdate, FleetSizeChanged, RequestReceived
 
 NAMES = Names(("hub", "edge-1"), ("box", "parent", "origin"))
 READY, DRAINING, GONE = NodeState.READY, NodeState.DRAINING, NodeState.REMOVED
@@ -178,9 +178,9 @@
     held.wait(400)
     held.put("n1", data(1, started=after), owner=owner)
     assert held.state(1) is READY and held.started(1) == expected
-    assert held.alarms("members-returned")[0]["blink"]
+    assert held.alarms("endpoint_returned")[0]["blink"]
     held.put("n1", data(1, started=after, weight=3.0), owner=owner, same=True)
-    assert held.started(1) == expected and len(held.alarms("members-returned")) == 1
+    assert held.started(1) == expected and len(held.alarms("endpoint_returned")) == 1
 
 
 def test_draining_by_data_and_back() -> None:
@@ -189,7 +189,7 @@
     held.put("n1", data(1, state="draining"), same=True)
     assert held.state(1) is DRAINING
     held.put("n1", data(1), same=True)
-    assert held.state(1) is READY and not held.alarms("members-flapping")
+    assert held.state(1) is READY and not held.alarms("endpoint_flapping")
 
 
 def test_an_id_named_twice_is_the_younger() -> None:
@@ -197,7 +197,7 @@
     held.boxes(1)
     held.put("other", data(1, address="10.0.0.9:1", started=9000))
     assert held.claims[1].member is not None and held.claims[1].member.host == "10.0.0.9"
-    assert len(held.alarms("members-id-twice")) == 1
+    assert len(held.alarms("endpoint_id_duplicated")) == 1
     held.roster.removed(["other"], held.now)
     assert held.state(1) is READY and held.claims[1].member.host == "10.0.0.1"
 
@@ -210,7 +210,7 @@
         held.put(f"n{ident}", data(ident, address="10.0.0.1:1", started=started))
     held.whole(2)
     assert (held.state(1), held.state(2)) == (DRAINING, READY)
-    assert held.alarms("members-address-twice")[0]["taken"] == "s-00000002"
+    assert held.alarms("endpoint_address_duplicated")[0]["taken"] == "s-00000002"
     held.put("n2", data(2, started=6000), same=True)
     assert (held.state(1), held.state(2)) == (READY, READY)
 
@@ -220,9 +220,9 @@
     held = Held()
     held.boxes(2)
     held.put("n1", bad, same=True)
-    assert (held.state(1), held.state(2)) == (DRAINING, READY) and held.alarms("members-record-bad")
+    assert (held.state(1), held.state(2)) == (DRAINING, READY) and held.alarms("endpoint_record_invalid")
     held.put("n1", data(1), same=True)
-    assert held.state(1) is READY and held.started(1) == 5000 and not held.alarms("members-flapping")
+    assert held.state(1) is READY and held.started(1) == 5000 and not held.alarms("endpoint_flapping")
 
 
 @pytest.mark.parametrize("at_once", [True, False])
@@ -235,7 +235,7 @@
         for ident in range(1, 11):
             held.remove(ident)
     kept = [ident for ident in range(1, 11) if held.state(ident) is READY]
-    assert len(kept) == (10 if at_once else 5) and held.confirms and held.alarms("members-mass-departure")
+    assert len(kept) == (10 if at_once else 5) and held.confirms and held.alarms("mass_departure_suspected")
     asked = held.confirms
     held.whole(0)
     assert held.confirms == asked + 1 and [held.state(ident) for ident in kept] == [READY] * len(kept)
@@ -243,7 +243,7 @@
     assert [held.state(ident) for ident in range(1, 11)] == [DRAINING] * 7 + (
         [READY] * 3 if at_once else [READY] * 3
     )
-    assert held.alarms("members-departure-confirmed")
+    assert held.alarms("mass_departure_confirmed")
 
 
 def test_an_empty_list_of_few_boxes_is_confirmed_too() -> None:
@@ -284,7 +284,7 @@
         held.wait(1000)
         assert held.roster.has_say(held.now)
     held.wait(1000)
-    assert not held.roster.has_say(held.now) and len(held.alarms("members-ageing")) == 4
+    assert not held.roster.has_say(held.now) and len(held.alarms("endpoint_source_stale")) == 4
     held.whole(2)
     assert held.roster.has_say(held.now) and held.state(1) is READY
 
--- a/tests/test_operator.py
+++ b/tests/test_operator.py
@@ -10,6 +10,7 @@
 import pytest
 from hypothesis import given, seed, settings
 from hypothesis import strategies as st
+
 from stonecove.operator_config.evaluate import Evaluator, plain
 from stonecove.operator_config.grammar import OperatorError, parse
 from stonecove.operator_config.reader import explain, read, read_text, show
--- a/tests/test_other_settings.py
+++ b/tests/test_other_settings.py
@@ -14,14 +14,13 @@
 from typing import Any
 
 import pytest
+from stand import PATIENCE, Cache, Client, Fetch, Stand
 
-from stonecove.state.budget import Budget
-from stonecove.state.requests import OpenRequests
-from stonecove.settings import settings_from
 from stonecove.pipeline.admit import Admit
 from stonecove.pipeline.intake import Intake
-
-from stand import PATIENCE, Cache, Client, Fetch, Stand
+from stonecove.settings import settings_from
+from stonecove.state.budget import Budget
+from stonecove.state.requests import OpenRequests
 
 
 def cls(name: str, effect: str, deadline: float, on_time: float, **more: Any) -> dict[str, Any]:
@@ -152,7 +151,9 @@
                 ">IIHBBBHIQ", cache.ident, 0x7F000001, cache.listener.port, 1, zone, kind, 0, 1000, 0
             ),
         )
-        self.wait(lambda: any("state=draining" in line for line in self.lines("node")), "the drain")
+        self.wait(
+            lambda: any("state=draining" in line for line in self.lines("endpoint_updated")), "the drain"
+        )
 
     def send(self, client: Client, place: int, ident: int = 1, ttl: float = 0.0) -> None:
         """A request of a class, as its clients send it."""
@@ -181,7 +182,7 @@
 def stand(request: pytest.FixtureRequest) -> Iterator[Shaped]:
     running = Shaped(SHAPES[request.param])
     yield running
-    assert running.process.poll() in (None, 0) and not running.lines("bug")
+    assert running.process.poll() in (None, 0) and not running.lines("internal_error")
     running.close()
 
 
@@ -270,7 +271,7 @@
     early, late = stand.client(), stand.client()
     held = stand.asked(early, 0)
     stand.process.send_signal(signal.SIGTERM)
-    stand.wait(lambda: stand.lines("stopping"), "the stop")
+    stand.wait(lambda: stand.lines("router_stopping"), "the stop")
     stand.asked(late, 0).reply(body=b"late")
     held.reply(body=b"early")
     assert late.answer().body == b"late" and early.answer().body == b"early"
--- a/tests/test_overload.py
+++ b/tests/test_overload.py
@@ -9,14 +9,24 @@
 from pathlib import Path
 
 import pytest
+
 from stonecove.overload.book import (
-    ATTEMPT, FAILED, MEANT, ORIGIN, REFUSED, REPEAT, SERVED, TRY, Book, Event,
+    ATTEMPT,
+    FAILED,
+    MEANT,
+    ORIGIN,
+    REFUSED,
+    REPEAT,
+    SERVED,
+    TRY,
+    Book,
+    Event,
 )  # fmt: skip
 from stonecove.standins.depot import Depot
 from stonecove.standins.loaded import Bears, Line, LoadedDepot
-from stonecove.trial.testbed import Testbed
 from stonecove.trial.judge import events_of, judge
 from stonecove.trial.schedule import trial_of
+from stonecove.trial.testbed import Testbed
 
 READ, WRITE = "item-image", "pick-confirm"
 
--- a/tests/test_ready_in_time.py
+++ b/tests/test_ready_in_time.py
@@ -14,9 +14,10 @@
 from pathlib import Path
 
 import pytest
-
 from stand import SETTINGS, Client, Listener, Stand, free_address
 
+from stonecove.runtime.log_events import LogEvent
+
 ROUTERS = 10
 NINE_IN_TEN = 9
 READY_WITHIN = 6.0  # seconds; 10 where a day lasts longer
@@ -59,7 +60,8 @@
             time.sleep(0.02)
 
     def said(self, event: str) -> bool:
-        """Whether the log of the latest life has such a line."""
+        """Return whether the log of the latest process has such a line."""
+        assert event in set(LogEvent), event
         return any(line.split(" ")[1:2] == [event] for line in self._log.read_text().splitlines())
 
     def kill(self) -> None:
@@ -76,7 +78,7 @@
     try:
         for waiting in [router.start(stand.config["changelog"]) for router in places]:
             waiting.join()
-        assert all(router.said("ready") for router in places)
+        assert all(router.said("router_ready") for router in places)
         yield stand, places
     finally:
         for router in places:
@@ -116,5 +118,7 @@
         took = sorted(router.took for router in places)
         assert took[NINE_IN_TEN - 1] <= READY_WITHIN, took
         if how != "there":
-            assert not any(router.said("bug") for router in places)
-            assert all(router.said("changelog-lost") for router in places)  # it was tried, and was down
+            assert not any(router.said("internal_error") for router in places)
+            assert all(
+                router.said("change_log_disconnected") for router in places
+            )  # it was tried, and was down
--- a/tests/test_reconfigured.py
+++ b/tests/test_reconfigured.py
@@ -9,11 +9,8 @@
 import pytest
 from conftest import CACHES, PARENTS, World, gets, make_class, make_nodes, make_settings
 
-from stonecove.routing.class_statistics import MeanWork
-from stonecove.routing.popularity import MIN_REQUESTS_FOR_RANKING, Popularity
-from stonecove.routing.purges import PURGE_RETENTION_MARGIN, PurgeHistory
-from stonecove.routing.rendezvous import RendezvousHash
 from stonecove.routing.actions import Action, FailRequest, RejectRequest, SendAttempt, StartTimer
+from stonecove.routing.class_statistics import MeanWork
 from stonecove.routing.endpoints import EndpointListKind, NodeState
 from stonecove.routing.events import (
     AttemptEnded,
@@ -27,6 +24,9 @@
     SettingsChanged,
     TimerExpired,
 )
+from stonecove.routing.popularity import MIN_REQUESTS_FOR_RANKING, Popularity
+from stonecove.routing.purges import PURGE_RETENTION_MARGIN, PurgeHistory
+from stonecove.routing.rendezvous import RendezvousHash
 from stonecove.routing.settings import Idempotency, Settings
 
 
--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -7,8 +7,8 @@
 from typing import Any
 
 import pytest
-
 from stand import SETTINGS
+
 from stonecove.rollout.controller import (
     Finished,
     RolloutError,
--- a/tests/test_router.py
+++ b/tests/test_router.py
@@ -16,11 +16,6 @@
 from typing import Any
 
 import pytest
-from stonecove.state.budget import Budget
-from stonecove.state.requests import OpenRequests
-from stonecove.settings import settings_from
-from stonecove.pipeline.admit import Admit
-
 from stand import (
     PATIENCE,
     SETTINGS,
@@ -36,6 +31,11 @@
     resp,
 )
 
+from stonecove.pipeline.admit import Admit
+from stonecove.settings import settings_from
+from stonecove.state.budget import Budget
+from stonecove.state.requests import OpenRequests
+
 WRITE: dict[str, Any] = {"path": "/svc/confirm"}
 FINAL_REFUSED, FINAL_FAILED = 503, 502
 
@@ -45,7 +45,7 @@
     running = Stand()
     yield running
     assert running.process.poll() is None, "the router died"
-    assert not running.lines("bug")
+    assert not running.lines("internal_error")
     running.close()
 
 
@@ -183,12 +183,12 @@
 def test_a_connection_that_never_comes_up_proves_that_nothing_ran(stand: Stand) -> None:
     hanging, client = Hanging(), stand.client()
     stand.log.tell(2, 2, stand.record(stand.caches[0], 0, port=hanging.port))
-    stand.wait(lambda: len(stand.lines("node")) == 5, "the change")
+    stand.wait(lambda: len(stand.lines("endpoint_updated")) == 5, "the change")
     for number in range(8):  # about half of them have their home there
         client.send(X_ROW=f"{number + 1:016x}", **WRITE)
         stand.command().reply()
         assert client.answer().status == 200
-    assert any("not up in time" in line for line in stand.lines("connection-lost"))
+    assert any("not up in time" in line for line in stand.lines("upstream_connection_closed"))
     hanging.close()
 
 
@@ -228,7 +228,7 @@
         again.reply(body=b"whole")
     answer = client.answer()
     assert answer.status == status and stand.commands.empty()
-    assert answer.body == (b"whole" if status == 200 else b"") and stand.lines("connection-lost")
+    assert answer.body == (b"whole" if status == 200 else b"") and stand.lines("upstream_connection_closed")
 
 
 def test_given_up_at_once_when_nothing_is_left_to_try(stand: Stand) -> None:
@@ -276,7 +276,7 @@
             fetch.reply(body=body)
         assert client.answer().body == b"first"
         used.add(fetch.sock)
-    assert len(used) == 1 and not stand.lines("connection-lost")
+    assert len(used) == 1 and not stand.lines("upstream_connection_closed")
 
 
 def test_requests_that_are_out_together_go_by_connections_of_their_own(stand: Stand) -> None:
@@ -338,7 +338,7 @@
     """What was not written goes by another connection: a write too, for it surely did not run."""
     client, home = stand.client(), stand.caches[0]
     stand.log.tell(2, 2, stand.record(stand.caches[1], 2))
-    stand.wait(lambda: len(stand.lines("node")) == 5, "only one cache is left")
+    stand.wait(lambda: len(stand.lines("endpoint_updated")) == 5, "only one cache is left")
     for _ in range(4):
         client.send(**WRITE)
         fetch = stand.command()
@@ -346,7 +346,7 @@
         assert client.answer().status == 200
         fetch.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
         fetch.sock.shutdown(2)
-    assert len(home.listener.accepted) == 4 and not stand.lines("policy")
+    assert len(home.listener.accepted) == 4 and not stand.lines("routing_notice")
 
 
 def test_a_connection_that_breaks_now_and_then_ejects_no_cache(stand: Stand) -> None:
@@ -360,7 +360,7 @@
         assert again.cache is home.cache
         again.reply()
         assert client.answer().status == 200
-    assert not stand.lines("policy")
+    assert not stand.lines("routing_notice")
 
 
 def test_one_broken_connection_ejects_no_cache(stand: Stand) -> None:
@@ -375,7 +375,7 @@
         again = stand.command()
         assert again.cache is fetches[0].cache
         again.reply()
-    assert {client.answer().status for _ in fetches} == {200} and not stand.lines("policy")
+    assert {client.answer().status for _ in fetches} == {200} and not stand.lines("routing_notice")
 
 
 def test_links_to_a_node_that_left_the_list_are_given_up(stand: Stand) -> None:
@@ -418,7 +418,7 @@
     client.send(**what)
     stand.command().reply(word, b"", **fields)
     stand.command().reply(body=b"good")
-    assert client.answer().body == b"good" and len(stand.lines("bad-copy")) == 1
+    assert client.answer().body == b"good" and len(stand.lines("copy_rejected")) == 1
 
 
 def test_the_clients_copy_that_holds(stand: Stand) -> None:
@@ -476,7 +476,7 @@
 def test_a_bad_request_is_told_so(stand: Stand, what: dict[str, Any], status: int) -> None:
     client = stand.client()
     assert client.ask(**what).status == status
-    assert stand.lines("bad-request")
+    assert stand.lines("request_malformed")
     client.send(2)
     stand.command().reply()
     assert client.answer().status == 200
@@ -499,7 +499,7 @@
     assert client.ended()
     fetch.reply()
     assert other.answer().status == 200
-    stand.wait(lambda: stand.lines("client-lost"), "a line of the log")
+    stand.wait(lambda: stand.lines("client_connection_aborted"), "a line of the log")
 
 
 @pytest.mark.parametrize(
@@ -566,7 +566,7 @@
     fetch = stand.command()
     for ident in range(2, 25):
         client.send(ident, path="/svc/nothing")
-    stand.wait(lambda: len(stand.lines("bad-request")) > 3, "the refusals")
+    stand.wait(lambda: len(stand.lines("request_malformed")) > 3, "the refusals")
     fetch.reply(body=b"first")
     answers = []
     with pytest.raises(EOFError):
@@ -641,7 +641,7 @@
 def test_running_out_of_descriptors_ends_nothing() -> None:
     stand = Stand(descriptors=24)
     clients = [stand.client() for _ in range(60)]
-    stand.wait(lambda: stand.lines("no-descriptors"), "a line of the log")
+    stand.wait(lambda: stand.lines("descriptors_exhausted"), "a line of the log")
     for client in clients:
         client.sock.close()
         client._stream.close()
@@ -671,7 +671,7 @@
     client, (leaving, staying) = stand.client(), stand.caches
     assert {fetch.cache for fetch in ask_many(stand, client)} == {leaving, staying}
     stand.log.tell(2, 2, stand.record(leaving, state))
-    stand.wait(lambda: len(stand.lines("node")) == 5, "the change")
+    stand.wait(lambda: len(stand.lines("endpoint_updated")) == 5, "the change")
     assert {fetch.cache for fetch in ask_many(stand, client)} == {staying}
 
 
@@ -680,7 +680,7 @@
     assert ask_many(stand, client, 1)[0].fields["from"] == "s-00000020"
     parent = struct.pack(">IIHBBBHIQ", 0x20, 0x7F000001, 1, 1, 0, 1, 0, 9_000_000, 0)
     stand.log.tell(2, 2, parent)
-    stand.wait(lambda: len(stand.lines("node")) == 5, "the change")
+    stand.wait(lambda: len(stand.lines("endpoint_updated")) == 5, "the change")
     assert ask_many(stand, client, 1)[0].fields["from"] == "s-00000030"
 
 
@@ -692,7 +692,7 @@
     new = struct.pack(">IIHBBBHIQ", 0x99, 0x7F000001, old.listener.port, 0, 1, 0, 0, 9_000_000, 0)
     before = len(old.listener.accepted)
     stand.log.tell(2, 2, stand.record(old, 2) + new)
-    stand.wait(lambda: len(stand.lines("node")) == 6, "the change")
+    stand.wait(lambda: len(stand.lines("endpoint_updated")) == 6, "the change")
     ask_many(stand, client)
     assert len(old.listener.accepted) > before
 
@@ -702,7 +702,7 @@
     assert old in {fetch.cache for fetch in ask_many(stand, client)}
     moved = Cache(old.ident, stand.commands)
     stand.log.tell(2, 2, stand.record(old, 0, port=moved.listener.port))
-    stand.wait(lambda: len(stand.lines("node")) == 5, "the change")
+    stand.wait(lambda: len(stand.lines("endpoint_updated")) == 5, "the change")
     assert {fetch.cache for fetch in ask_many(stand, client)} == {moved, stand.caches[1]}
     moved.listener.close()
 
@@ -716,12 +716,12 @@
     client.send()
     fetch = stand.command()
     stand.log.tell(2, 2, stand.record(fetch.cache, 0, int(time.time() * 1000) + since))
-    stand.wait(lambda: len(stand.lines("node")) == 5, "the news")
+    stand.wait(lambda: len(stand.lines("endpoint_updated")) == 5, "the news")
     if lost:
-        stand.wait(lambda: stand.lines("connection-lost"), "the end of the connection")
+        stand.wait(lambda: stand.lines("upstream_connection_closed"), "the end of the connection")
         fetch = stand.command()
     fetch.reply(body=b"here")
-    assert client.answer().body == b"here" and bool(stand.lines("connection-lost")) is lost
+    assert client.answer().body == b"here" and bool(stand.lines("upstream_connection_closed")) is lost
 
 
 @pytest.mark.parametrize(
@@ -751,7 +751,7 @@
     client, moment = stand.client(), int(time.time() * 1000)
     stand.log.tell(2, 4, struct.pack(">HQ", 17, moment))
     stand.log.tell(3, 2, stand.record(stand.caches[0], 0))
-    stand.wait(lambda: len(stand.lines("node")) == 5, "the change after the purge")
+    stand.wait(lambda: len(stand.lines("endpoint_updated")) == 5, "the change after the purge")
     client.send()
     stand.command().reply(body=b"old", born=moment - 5000)
     stand.command().reply(body=b"new")
@@ -775,12 +775,12 @@
 
         def given_up() -> bool:
             stand.log.trickle()
-            return bool(stand.lines("changelog-lost"))
+            return bool(stand.lines("change_log_disconnected"))
 
         stand.wait(given_up, "an end of the trickling")
     assert stand.log.since.get(timeout=PATIENCE) == 2
     stand.log.tell(3, 2, stand.record(stand.caches[0], 1))
-    stand.wait(lambda: len(stand.lines("node")) == 5, "the next event")
+    stand.wait(lambda: len(stand.lines("endpoint_updated")) == 5, "the next event")
 
 
 @pytest.mark.parametrize("news", ["drain", "source", "purge"])
@@ -790,7 +790,7 @@
     stand = Stand(limits=limits)  # time for the kernel to try again and again
     hanging, client, (slow, other) = Hanging(), stand.client(), stand.caches
     stand.log.tell(2, 2, stand.record(slow, 0, port=hanging.port) + stand.record(other, 1))
-    stand.wait(lambda: len(stand.lines("node")) == 6, "the first change")
+    stand.wait(lambda: len(stand.lines("endpoint_updated")) == 6, "the first change")
     client.send(X_TTL_MS="30000")
     client.send(2, path="/svc/nothing")
     assert client.answer().status == 404  # so the first request has been decided
@@ -806,7 +806,7 @@
         parent = struct.pack(">IIHBBBHIQ", 0x20, 0x7F000001, 1, int(news == "source"), 0, 1, 0, 9_000_000, 0)
         stand.log.tell(3, 4, struct.pack(">HQ", 17 + (news == "source"), int(time.time() * 1000)))
         stand.log.tell(4, 2, parent)
-        stand.wait(lambda: len(stand.lines("node")) == 7, "the change after the purge")
+        stand.wait(lambda: len(stand.lines("endpoint_updated")) == 7, "the change after the purge")
         fields = hanging.open().recv(1000)
         assert (b"oldest=" in fields, b"from=s-00000030" in fields) == (news == "purge", news == "source")
     hanging.close()
@@ -820,7 +820,7 @@
     stand.log.tell(9, 77, b"?")
     nodes = b"".join(stand.record(cache, 0) for cache in stand.caches)
     stand.log.tell(10, 1, nodes + struct.pack(">IIHBBBHIQ", 0x30, 0x7F000001, 1, 0, 0, 2, 0, 9_000_000, 0))
-    stand.wait(lambda: len(stand.lines("node")) == 4 + 14 + 3, "the whole list")
+    stand.wait(lambda: len(stand.lines("endpoint_updated")) == 4 + 14 + 3, "the whole list")
     assert {fetch.fields["from"] for fetch in ask_many(stand, client)} == {"s-00000030"}
 
 
@@ -838,7 +838,7 @@
     assert stand.command("abort").word == "abort"
     stand.log.tell(2, 4, struct.pack(">HQ", 17, int((time.time() - 3600) * 1000)))
     stand.log.tell(3, 2, stand.record(stand.caches[0], 0))
-    stand.wait(lambda: len(stand.lines("node")) == 5, "the change after the purge")
+    stand.wait(lambda: len(stand.lines("endpoint_updated")) == 5, "the change after the purge")
     client.send()
     assert int(stand.command().fields["oldest"]) < 1_000_000
     stand.close()
@@ -858,10 +858,10 @@
     stand.reload(json.dumps(changed))
     assert new.since.get(timeout=PATIENCE) == 2
     new.tell(3, 2, stand.record(stand.caches[0], 1))
-    stand.wait(lambda: len(stand.lines("node")) == 5, "the next event")
+    stand.wait(lambda: len(stand.lines("endpoint_updated")) == 5, "the next event")
     fetch.reply(body=b"went on")
     assert client.answer().body == b"went on"
-    assert "waits_for_restart=nothing" in stand.lines("reloaded")[0]
+    assert "waits_for_restart=nothing" in stand.lines("config_reloaded")[0]
     new.listener.close()
 
 
@@ -884,17 +884,17 @@
     assert stand.log.since.get(timeout=PATIENCE) == 1
     changes = json.loads(text) if text.startswith('{"') else None
     stand.reload(text if changes is None else json.dumps({**stand.config, **changes}))
-    stand.wait(lambda: stand.lines("reload-refused"), "a line of the log")
+    stand.wait(lambda: stand.lines("config_reload_rejected"), "a line of the log")
     stand.log.tell(2, 2, stand.record(stand.caches[0], 1))
-    stand.wait(lambda: len(stand.lines("node")) == 5, "an event by the old address")
+    stand.wait(lambda: len(stand.lines("endpoint_updated")) == 5, "an event by the old address")
     ask_many(stand, stand.client(), 2)
-    assert len(stand.lines("reload-refused")) == 1
+    assert len(stand.lines("config_reload_rejected")) == 1
 
 
 def test_a_new_limit_holds_at_once(stand: Stand) -> None:
     limits = {"limits": {**stand.config["limits"], "memory_mb": 0.001}}
     stand.reload(json.dumps({**stand.config, **limits}))
-    stand.wait(lambda: stand.lines("reloaded"), "the new configuration")
+    stand.wait(lambda: stand.lines("config_reloaded"), "the new configuration")
     assert is_refusal(stand.client().ask(X_WORKING_SET_KB="100"))
 
 
@@ -902,11 +902,11 @@
     """Guards against being stopped by the platform, so that all becomes late; a new share holds at once."""
     client, limits = stand.client(), stand.config["limits"]
     stand.reload(json.dumps({**stand.config, "limits": {**limits, "cores": 1e-6}}))
-    stand.wait(lambda: len(stand.lines("reloaded")) == 1, "the new share")
+    stand.wait(lambda: len(stand.lines("config_reloaded")) == 1, "the new share")
     stand.wait(lambda: is_refusal(client.ask(X_TTL_MS="60000")), "a refusal")
     assert is_refusal(client.ask(X_TTL_MS="60000"))
     stand.reload(json.dumps(stand.config))
-    stand.wait(lambda: len(stand.lines("reloaded")) == 2, "the old share")
+    stand.wait(lambda: len(stand.lines("config_reloaded")) == 2, "the old share")
     ask_many(stand, client, 2)
 
 
@@ -929,7 +929,7 @@
     stand.process.send_signal(signal.SIGTERM)
     assert is_refusal(client.answer())
     assert stand.process.wait(PATIENCE) == 0
-    assert stand.lines("stopping")[0].endswith(f" within={within}") and stand.lines("stopped")
+    assert stand.lines("router_stopping")[0].endswith(f" within={within}") and stand.lines("router_stopped")
     stand.close()
 
 
@@ -938,7 +938,7 @@
     early.send()
     held = stand.command()
     stand.process.send_signal(signal.SIGTERM)
-    stand.wait(lambda: stand.lines("stopping"), "the stop")
+    stand.wait(lambda: stand.lines("router_stopping"), "the stop")
     late = stand.client()
     late.send()
     stand.command().reply(body=b"late")
@@ -959,7 +959,7 @@
     late = stand.client()
     late.send(X_ROW="0123456789abcdef")
     stand.process.send_signal(signal.SIGTERM)
-    stand.wait(lambda: stand.lines("stopping"), "the stop")
+    stand.wait(lambda: stand.lines("router_stopping"), "the stop")
     for fetch in fetches:
         fetch.reply(body=b"held")
     assert {client.answer().body for client in held} == {b"held"}
@@ -1046,7 +1046,7 @@
 
     stand = Stand(missed=missed, rules={**SETTINGS["rules"], "drain_grace": 20_000.0})
     try:
-        assert told and not stand.lines("bug")
+        assert told and not stand.lines("internal_error")
         client = stand.client()
         for number in range(8):
             client.send(number + 1, X_ROW=f"{number:016x}")
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -9,10 +9,10 @@
 import pytest
 from conftest import CACHES, ORIGIN, World, gets, make_nodes, make_settings
 
+from stonecove.pipeline.send import Link
 from stonecove.routing.actions import FailRequest, RejectRequest, SendAttempt
 from stonecove.routing.endpoints import EndpointListKind, Node, NodeState
 from stonecove.routing.events import AttemptEnded, CacheStatus, EndpointListUpdate, HealthCheckEnded, Outcome
-from stonecove.pipeline.send import Link
 
 READY = NodeState.READY
 
--- a/tests/test_scale_configuration.py
+++ b/tests/test_scale_configuration.py
@@ -42,4 +42,6 @@
     measured = play(options, 8)
     assert measured.config is not None and measured.config.count > 0 and measured.config.max_ms > 0
     assert (measured.lost, measured.repeated) == (0, 0)
-    assert not [note for note in measured.notes if "not complete" in note or "bug" in note]
+    assert not [
+        note for note in measured.notes if "not complete" in note or "bug" in note or "internal_error" in note
+    ]
--- a/tests/test_scale_hollow.py
+++ b/tests/test_scale_hollow.py
@@ -6,8 +6,8 @@
 from pathlib import Path
 
 import numpy as np
-
 from stand import Stand
+
 from stonecove.scale.child import Child
 from stonecove.scale.control_machine import FIRST_NUMBER
 from stonecove.scale.control_plane import ControlPlane, MachineReport
@@ -189,7 +189,9 @@
         number = fleet.purge()
         Stand.wait(lambda: fleet.hollow.behind(number) == 1, "all others to have it")
         # The connections that it gives up meanwhile come up all at once when the cut ends.
-        Stand.wait(lambda: fleet.hollow.sample().events["changelog-lost"] >= 2, "it to give up twice")
+        Stand.wait(
+            lambda: fleet.hollow.sample().events["change_log_disconnected"] >= 2, "it to give up twice"
+        )
         fleet.control.cut([zone], False)
         fleet.settle()
         assert _lost_and_repeated(fleet) == (0, 0)
@@ -240,7 +242,9 @@
 def test_hollow_routers_may_form_a_swarm(tmp_path: Path) -> None:
     fleet = Fleet(tmp_path, swarm=True)
     try:
-        Stand.wait(lambda: fleet.hollow.sample().events["swarm-share"] >= 2 * FLEET, "all to hear of others")
+        Stand.wait(
+            lambda: fleet.hollow.sample().events["gossip_share_changed"] >= 2 * FLEET, "all to hear of others"
+        )
         sample = fleet.hollow.sample()
         assert sample.sent > FLEET * 8 + FLEET * 100  # more than what they tell control machines
         assert not sample.bugs
--- a/tests/test_scale_run.py
+++ b/tests/test_scale_run.py
@@ -10,8 +10,8 @@
 from pathlib import Path
 
 import pytest
-
 from stand import Stand
+
 from stonecove.scale import faults
 from stonecove.scale.child import ChildError
 from stonecove.scale.control_plane import ControlPlane
@@ -45,7 +45,7 @@
     assert measured.cost.memory_mb > 0
     assert [machine.connections for machine in measured.machines] == [5, 4, 4]
     assert measured.requests_answered > 0
-    assert not [note for note in measured.notes if "bug" in note]
+    assert not [note for note in measured.notes if "bug" in note or "internal_error" in note]
     assert _children(os.getpid()) <= before
 
 
--- a/tests/test_settings_change.py
+++ b/tests/test_settings_change.py
@@ -25,21 +25,21 @@
 from conftest import make_class, make_settings
 from stand import PATIENCE, SETTINGS, ChangeLog, Stand
 
+from stonecove.operator_config.reader import read_text
+from stonecove.operator_config.records import ConfigurationRecord
+from stonecove.pipeline.route import Route
+from stonecove.protocols.change_log import Follower
 from stonecove.routing.events import FleetSizeChanged
 from stonecove.routing.settings import Idempotency, Settings
+from stonecove.runtime.clock import Clock
+from stonecove.runtime.timers import Timers
+from stonecove.runtime.unix import accept_all, bound
 from stonecove.server.config import config_from
 from stonecove.server.leases import LeaseFile, Leases
 from stonecove.server.members import Members
 from stonecove.server.reconfigure import Reconfigure, SettingsRefused
 from stonecove.server.swarm import SwarmKeeper
 from stonecove.state.budget import Budget
-from stonecove.operator_config.reader import read_text
-from stonecove.operator_config.records import ConfigurationRecord
-from stonecove.runtime.clock import Clock
-from stonecove.runtime.timers import Timers
-from stonecove.runtime.unix import accept_all, bound
-from stonecove.pipeline.route import Route
-from stonecove.protocols.change_log import Follower
 from stonecove.transport.change_log_follower import ChangeLog as ChangeLogFollower
 
 FOLLOWS = "configuration: settings: true\n"
@@ -73,7 +73,7 @@
 
 
 def told(stand: Stand) -> list[str]:
-    return stand.lines("reloaded") + stand.lines("reload-refused")
+    return stand.lines("config_reloaded") + stand.lines("config_reload_rejected")
 
 
 def status(folder: Path) -> dict[str, Any]:
@@ -234,7 +234,7 @@
         client.send()
         fetch = stand.command()
         stand.process.send_signal(signal.SIGTERM)
-        stand.wait(lambda: stand.lines("stopping"), "the drain has begun")
+        stand.wait(lambda: stand.lines("router_stopping"), "the drain has begun")
         config = copy.deepcopy(stand.config)
         config["settings"]["limits"]["most_tries"] = 1
         stand.reload(json.dumps(config))
@@ -284,8 +284,8 @@
         client.send()
         stand.command()
         stand.process.send_signal(signal.SIGTERM)
-        stand.wait(lambda: stand.lines("stopping"), "the drain has begun")
-        assert "within=1.2" in stand.lines("stopping")[0]  # 1 s, 0.7 s until SIGKILL, 0.5 s before it
+        stand.wait(lambda: stand.lines("router_stopping"), "the drain has begun")
+        assert "within=1.2" in stand.lines("router_stopping")[0]  # 1 s, 0.7 s until SIGKILL, 0.5 s before it
         assert client.answer().status in (502, 503)
         assert stand.process.wait(10) == 0
 
@@ -329,7 +329,7 @@
             all_over.set()
             server.join()
         assert set(answers) == {200}
-        assert not stand.lines("bug") and not stand.lines("backstop")
+        assert not stand.lines("internal_error") and not stand.lines("request_undecided")
         assert status(tmp_path)["configuration"]["version"] == 50
 
 
--- a/tests/test_sharing.py
+++ b/tests/test_sharing.py
@@ -14,16 +14,16 @@
 
 import pytest
 from conftest import World, gets, make_nodes, make_settings
+from stand import Stand
 from test_fleet_daemon import Daemon
 
-from stand import Stand
+from stonecove.quotas.lending import Lending, LendingError
+from stonecove.quotas.quota import Limit, Plan, PlanError, Quota
 from stonecove.routing.actions import RETRY_LEASE, RequestLease, ReturnLease
 from stonecove.routing.endpoints import EndpointListKind
 from stonecove.routing.events import EndpointListUpdate, LeaseGranted, LeaseTerms
-from stonecove.server.leases import LeaseFile, LeaseFileError
-from stonecove.quotas.lending import Lending, LendingError
 from stonecove.routing.leased_budget import LeasedBudget
-from stonecove.quotas.quota import Limit, Plan, PlanError, Quota
+from stonecove.server.leases import LeaseFile, LeaseFileError
 
 WINDOW = 3.0
 
--- a/tests/test_simulator_adapter.py
+++ b/tests/test_simulator_adapter.py
@@ -20,8 +20,8 @@
     WatchEndpointList,
     WriteLog,
 )
-from stonecove.simulator_adapter import SimulatorAdapter, WireError, serve
 from stonecove.settings import read_settings
+from stonecove.simulator_adapter import SimulatorAdapter, WireError, serve
 
 SETTINGS = {
     "zone": 0,
--- a/tests/test_stop_crossings.py
+++ b/tests/test_stop_crossings.py
@@ -18,11 +18,11 @@
 import pytest
 import trio
 import trio.testing
+from stand import PATIENCE, SETTINGS, ChangeLog, Client, Hanging, Stand, resp
+
+from stonecove.protocols.fastcgi.session import TAKE_IN, Session
 from stonecove.state.budget import Budget
 from stonecove.transport.client_connection import Connection
-from stonecove.protocols.fastcgi.session import TAKE_IN, Session
-
-from stand import PATIENCE, SETTINGS, ChangeLog, Client, Hanging, Stand, resp
 
 TERM, HUP = signal.SIGTERM, signal.SIGHUP
 ROOM = Budget()
@@ -35,13 +35,13 @@
     running = Stand()
     yield running
     assert running.process.wait(PATIENCE) == 0
-    assert running.lines("stopped")[0].endswith(" open=0") and not running.lines("bug")
+    assert running.lines("router_stopped")[0].endswith(" open=0") and not running.lines("internal_error")
     running.close()
 
 
 def stop(stand: Stand) -> None:
     stand.process.send_signal(TERM)
-    stand.wait(lambda: stand.lines("stopping"), "the stop")
+    stand.wait(lambda: stand.lines("router_stopping"), "the stop")
 
 
 def refused(stand: Stand) -> bool:
@@ -119,7 +119,7 @@
         return stand.process.poll() is not None
 
     stand.wait(ended, "the end")
-    assert not stand.lines("reloaded")
+    assert not stand.lines("config_reloaded")
 
 
 # -- the drain --
@@ -129,7 +129,7 @@
     client = stand.client()
     whole = client.request()
     stand.process.send_signal(TERM)
-    stand.wait(lambda: stand.lines("stopping"), "the stop")
+    stand.wait(lambda: stand.lines("router_stopping"), "the stop")
     client.sock.sendall(whole[:-20])
     stand.wait(lambda: refused(stand), "the end of the grace")
     client.sock.sendall(whole[-20:])
@@ -155,7 +155,7 @@
     try:
         for number, cache in enumerate(stand.caches, 2):
             stand.log.tell(number, 2, stand.record(cache, 0, port=hanging.port))
-        stand.wait(lambda: len(stand.lines("node")) == 6, "the change")
+        stand.wait(lambda: len(stand.lines("endpoint_updated")) == 6, "the change")
         client = stand.client()
         client.send()
         assert client.ask(ident=2, path="/svc/nothing").status == 404  # so the first one has been decided
@@ -190,7 +190,7 @@
     stand.wait(ended, "the end")
     assert hung.answer().status == 503
     assert resting.ended() and mute.ended()
-    first, last = (float(stand.lines(event)[0].split()[0]) for event in ("stopping", "stopped"))
+    first, last = (float(stand.lines(event)[0].split()[0]) for event in ("router_stopping", "router_stopped"))
     assert last - first < 3.7
 
 
--- a/tests/test_swarm.py
+++ b/tests/test_swarm.py
@@ -8,14 +8,15 @@
 import pytest
 from hypothesis import given, seed, settings
 from hypothesis import strategies as st
+
 from stonecove.gossip.figures import Figures
 from stonecove.gossip.rumours import Rumours
 from stonecove.gossip.shares import Shares
 from stonecove.gossip.table import Table
 from stonecove.gossip.view import Views
 from stonecove.gossip.words import Datagram, Kind, Standing, Word, ident_of, over
-from stonecove.trial.model import SwarmModel, NetworkConditions
 from stonecove.protocols.gossip import MOST_BYTES, GossipError, decode, encode, number_of
+from stonecove.trial.model import NetworkConditions, SwarmModel
 
 WORD = Word(7, 1_700_000_000_000, 3, Standing.SUSPECT, 2)
 WHOLE = Datagram(Kind.ASK, 9, WORD, 4, 1 << 63, 1 << 47, 12, 5, 6, 1.5, True, (WORD,) * 6, tuple(range(16)))
@@ -231,7 +232,7 @@
     return [
         fields
         for _, _, event, fields in model.notes
-        if event == "swarm-member" and fields["stands"] in ("failed", "gone")
+        if event == "gossip_member_changed" and fields["state"] in ("failed", "gone")
     ]
 
 
@@ -254,7 +255,7 @@
     model.stop(4, 5.0)
     model.run(30.0)
     assert verdicts(model) == []
-    assert any(event == "swarm-stopped" for _, place, event, _ in model.notes if place == 4)
+    assert any(event == "gossip_stopped" for _, place, event, _ in model.notes if place == 4)
     assert model.shares() == pytest.approx(1.0)
 
 
@@ -305,7 +306,7 @@
     assert 0.8 <= model.shares() <= 1.0 + 1e-9
     model.cuts.clear()
     assert model.until(lambda: model.joined() and model.shares() > 0.999, 60.0) < 60.0
-    assert any(event == "swarm-doubted" for _, place, event, _ in model.notes if place == 2)
+    assert any(event == "gossip_suspected" for _, place, event, _ in model.notes if place == 2)
     assert model.worst <= 1.0 + 1e-9
 
 
@@ -327,7 +328,7 @@
     model.run(1.0)
     model.start(1, skew=-3600.0)
     assert model.until(lambda: model.joined() and model.stands(1, by=0) == "alive", 30.0) < 30.0
-    assert any(event == "swarm-life-raised" for _, place, event, _ in model.notes if place == 1)
+    assert any(event == "gossip_generation_raised" for _, place, event, _ in model.notes if place == 1)
     assert model.worst <= 1.0 + 1e-9
 
 
@@ -347,7 +348,7 @@
     model.start(1, name="router-2")
     model.run(10.0)
     alarms = {
-        place: fields["holds"] for _, place, event, fields in model.notes if event == "swarm-name-twice"
+        place: fields["kept"] for _, place, event, fields in model.notes if event == "gossip_name_conflict"
     }
     assert alarms == {1: "ours", 2: "theirs"}
     assert model.joined() and model.worst <= 1.0 + 1e-9
@@ -359,7 +360,7 @@
         model.start(place, name="router-2" if place in (1, 2) else "")
     assert model.until(model.joined, 10.0) < 10.0
     assert model.shares() == pytest.approx(1.0)
-    assert {place for _, place, event, _ in model.notes if event == "swarm-name-twice"} == {1, 2}
+    assert {place for _, place, event, _ in model.notes if event == "gossip_name_conflict"} == {1, 2}
 
 
 def test_a_refusal_of_what_was_sent_before_the_last_word_proves_nothing() -> None:
--- a/tests/test_swarm_beside.py
+++ b/tests/test_swarm_beside.py
@@ -13,15 +13,15 @@
 
 import pytest
 from keeper import ROUTERS, Keeper, operator_text
+from stand import Stand
+from test_fleet_daemon import Daemon
+
 from stonecove.standins.depot import Depot
 from stonecove.standins.webserver import settings
-from stonecove.trial.testbed import WEIGHT, Testbed
-from stonecove.trial.judge import cold_part
 from stonecove.trial.closed_loop import ClosedLoopClients
+from stonecove.trial.judge import cold_part
 from stonecove.trial.schedule import trial_of
-from test_fleet_daemon import Daemon
-
-from stand import Stand
+from stonecove.trial.testbed import WEIGHT, Testbed
 
 KB, WINDOW = 200, 1.0
 SWARM = 'swarm: {}\nmembers: socket: "%s/{name}.sock"\n'
@@ -42,7 +42,7 @@
     client = keeper.client()
 
     def told(place: int) -> int:
-        return int(testbed.routers[place].lines("swarm-share")[-1]["fleet"])
+        return int(testbed.routers[place].lines("gossip_share_changed")[-1]["fleet_size"])
 
     def counted(place: int) -> int:
         status = (testbed.routers[place].ask("swarm status") or {"status": {"fleet": 0}})["status"]
@@ -67,7 +67,7 @@
         known = time.time()
         assert told(0) == 3
         assert testbed.until(lambda: told(0) == 2, 20.0)
-        line = testbed.routers[0].lines("swarm-share")[-1]
+        line = testbed.routers[0].lines("gossip_share_changed")[-1]
         assert float(line["at"]) > known > killed
         # Stopped: the service loses its session, the swarm goes on to count it, and that holds.
         testbed.routers[1].pause()
--- a/tests/test_token_commands.py
+++ b/tests/test_token_commands.py
@@ -7,6 +7,7 @@
 
 import pytest
 from click.testing import CliRunner
+
 from stonecove.commands.main import cli
 
 URL = "http://edge.example/svc/image/7f3a9c21e0b4d655/0"
--- a/tests/test_trial.py
+++ b/tests/test_trial.py
@@ -13,15 +13,16 @@
 
 import pytest
 from stand import Stand, free_address
+
 from stonecove.explore import scope
 from stonecove.explore.copying import run
-from stonecove.explore.trace import simulation_start
 from stonecove.explore.simulation import Simulation
+from stonecove.explore.trace import simulation_start
 from stonecove.operator_config.grammar import OperatorError
 from stonecove.standins.depot import Fetched
-from stonecove.trial.testbed import Testbed, TrialRecord
 from stonecove.trial.judge import judge
 from stonecove.trial.schedule import Trial, read_trial, trial_of
+from stonecove.trial.testbed import Testbed, TrialRecord
 
 TRIALS = Path(__file__).parent.parent / "stonecove" / "trial" / "trials"
 SMALL = 'title: "t", lasts: 4s, window: 300ms, rate: 30\n'
@@ -52,7 +53,7 @@
     assert [one.summary() for one in verdict.violations] == []
     assert verdict.figures["answers"] > 0
     if path.stem == "twins":
-        assert all(router.lines("swarm-name-twice") for router in played.routers[1:3])
+        assert all(router.lines("gossip_name_conflict") for router in played.routers[1:3])
 
 
 @pytest.mark.parametrize(
@@ -100,9 +101,9 @@
     assert judge(played).violations == []
     now = played.began + 1.0
     with played.routers[0].log.open("a") as log:
-        log.write(f"{now:.3f} swarm-share joined=True own=1.000 fleet=1 by_zone=0,1 view=1\n")
-        log.write(f"{now:.3f} swarm-member member={played.ids[1]} stands=failed life=9999999999999\n")
-        log.write(f"{now:.3f} bug where=x\n")
+        log.write(f"{now:.3f} gossip_share_changed joined=True unleased_fraction=1.000 fleet_size=1 by_zone=0,1 view=1\n")
+        log.write(f"{now:.3f} gossip_member_changed member={played.ids[1]} state=failed generation=9999999999999\n")
+        log.write(f"{now:.3f} internal_error where=x\n")
     played.clients.lost.append((now, 1))
     played.repeated = 1
     played.codes.append((0, -6))
@@ -206,11 +207,13 @@
         testbed.routers[0].pause()
         time.sleep(1.2)
         testbed.routers[0].resume()
-        assert testbed.until(lambda: testbed.routers[0].lines("swarm-stopped"), 30.0)
+        assert testbed.until(lambda: testbed.routers[0].lines("gossip_stopped"), 30.0)
         testbed.routers[0].signal(signal.SIGTERM)
         assert testbed.routers[0].wait() == 0
-        stands = [line["stands"] for line in testbed.routers[1].lines("swarm-member")]
-        assert testbed.until(lambda: testbed.routers[1].lines("swarm-member")[-1]["stands"] == "left", 30.0)
+        stands = [line["state"] for line in testbed.routers[1].lines("gossip_member_changed")]
+        assert testbed.until(
+            lambda: testbed.routers[1].lines("gossip_member_changed")[-1]["state"] == "left", 30.0
+        )
         assert "leaving" in stands and "failed" not in stands
     finally:
         testbed.close()
--- a/tests/test_watch_crossings.py
+++ b/tests/test_watch_crossings.py
@@ -13,12 +13,12 @@
 from pathlib import Path
 
 import pytest
-
 from stand import PATIENCE, SETTINGS, ChangeLog, Hanging, Listener, Stand
+
 from stonecove.discovery import PurgeUpdate, Told
 from stonecove.protocols import change_log
-from stonecove.transport import change_log_follower
 from stonecove.protocols.buffer import Buffer
+from stonecove.transport import change_log_follower
 
 PURGE = struct.pack(">HQ", 40, 1)
 UNREADABLE = b"12345"  # as a list: no whole number of records
@@ -49,18 +49,18 @@
 
 def move(stand: Stand, port: int) -> None:
     """SIGHUP with the change log at that port; waits until the router goes there."""
-    before = len(stand.lines("changelog-moved"))
+    before = len(stand.lines("change_log_address_changed"))
     stand.reload(json.dumps({**stand.config, "changelog": f"127.0.0.1:{port}"}))
-    stand.wait(lambda: len(stand.lines("changelog-moved")) > before, "the move")
+    stand.wait(lambda: len(stand.lines("change_log_address_changed")) > before, "the move")
 
 
 def drained(stand: Stand) -> bool:
-    return any("state=draining" in line for line in stand.lines("node"))
+    return any("state=draining" in line for line in stand.lines("endpoint_updated"))
 
 
 def wait_changes(stand: Stand, count: int) -> None:
     """Waits until so many records came after those of the start."""
-    stand.wait(lambda: len(stand.lines("node")) == 4 + count, f"{count} changes")
+    stand.wait(lambda: len(stand.lines("endpoint_updated")) == 4 + count, f"{count} changes")
 
 
 def stop(stand: Stand) -> None:
@@ -103,7 +103,7 @@
 
     with running(missed, 250.0 if first == "late" else 5_000.0) as stand:
         assert drained_before_ready(stand)
-        assert not stand.lines("bug")
+        assert not stand.lines("internal_error")
 
 
 def test_a_long_grace_keeps_no_router_from_its_start() -> None:
@@ -112,7 +112,7 @@
         closed.bind(("127.0.0.1", 0))  # bound and not listening: refused
         stand.config["settings"]["rules"] = {**SETTINGS["rules"], "drain_grace": 600_000.0}
         restart(stand, closed.getsockname()[1])
-        assert stand.lines("ready") and not stand.lines("changelog-up")
+        assert stand.lines("router_ready") and not stand.lines("change_log_connected")
 
 
 @pytest.mark.parametrize("down", ["refused", "mute", "hanging"])
@@ -123,8 +123,8 @@
         if down == "mute":  # the backlog takes connections, and nobody speaks
             sock.listen()
         restart(stand, hanging.port if hanging else sock.getsockname()[1])
-        stand.wait(lambda: stand.lines("changelog-lost"), "a first try")
-        assert stand.lines("ready") and not drained(stand)
+        stand.wait(lambda: stand.lines("change_log_disconnected"), "a first try")
+        assert stand.lines("router_ready") and not drained(stand)
         if hanging:
             hanging.open().close()
             sock = hanging.sock
@@ -197,12 +197,12 @@
                 or (mute if at == "mute" else closed).getsockname()[1],
             )
         if at == "backing off":
-            stand.wait(lambda: len(stand.lines("changelog-lost")) > 3, "refusals")
+            stand.wait(lambda: len(stand.lines("change_log_disconnected")) > 3, "refusals")
         move(stand, new.listener.port)
         assert new.since.get(timeout=PATIENCE) == 2
         new.listener.accepted[-1].sendall(frame(2, 2, stand.record(stand.caches[1], 1)) + drain)
         stand.wait(lambda: drained(stand), "the drain")
-        assert len(stand.lines("node")) == 6
+        assert len(stand.lines("endpoint_updated")) == 6
         new.listener.close()
     hanging.close()
 
@@ -228,7 +228,7 @@
 
     with running(missed) as stand:
         stand.wait(lambda: drained(stand), "the drain after the unreadable event")
-        assert len(stand.lines("changelog-unknown")) == 1
+        assert len(stand.lines("change_log_event_skipped")) == 1
 
 
 def test_a_log_that_keeps_closing_fills_no_log_of_ours() -> None:
@@ -236,7 +236,7 @@
         closing = Listener(socket.socket.close)
         move(stand, closing.port)
         stand.wait(lambda: len(closing.accepted) > 20, "many tries")
-        seconds = [line.split(".")[0] for line in stand.lines("changelog-lost")]
+        seconds = [line.split(".")[0] for line in stand.lines("change_log_disconnected")]
         assert max(map(seconds.count, seconds)) <= 5
         closing.close()
 
@@ -283,7 +283,7 @@
         stand.log.listener.accepted[-1].sendall(frame(3, 4, PURGE) + frame(4, 4, PURGE))
         stand.process.send_signal(signal.SIGCONT)
         assert stand.log.since.get(timeout=PATIENCE) == 1
-        assert "why='a gap before 3'" in stand.lines("changelog-lost")[0]
+        assert "reason='a gap before 3'" in stand.lines("change_log_disconnected")[0]
 
 
 # -- the count of events, without I/O --
--- a/tests/test_zookeeper.py
+++ b/tests/test_zookeeper.py
@@ -11,10 +11,13 @@
 from hypothesis import strategies as st
 from kazoo.client import KazooClient
 from kazoo.exceptions import BadVersionError, NodeExistsError, NoNodeError, NotEmptyError, RolledBackError
-from stonecove.standins.zkdata import Leader, Wanted, ZkError
+from keeper import Keeper
+from stand import PATIENCE, Stand
+
+from stonecove.protocols.buffer import Buffer
 from stonecove.protocols.zookeeper import jute
 from stonecove.protocols.zookeeper import messages as zk
-from stonecove.protocols.buffer import Buffer
+from stonecove.protocols.zookeeper.messages import Err, EventType, Op, ZooKeeperError
 from stonecove.protocols.zookeeper.session import (
     Down,
     Expired,
@@ -26,10 +29,7 @@
     Up,
     Watched,
 )
-from stonecove.protocols.zookeeper.messages import Err, EventType, Op, ZooKeeperError
-
-from keeper import Keeper
-from stand import PATIENCE, Stand
+from stonecove.standins.zkdata import Leader, Wanted, ZkError
 
 # -- bytes, written out by hand from zookeeper.jute --
 
