--- a/stonecove/membership/roster.py
+++ b/stonecove/discovery/roster.py
@@ -22,9 +22,10 @@
 from collections.abc import Callable, Iterable
 from typing import NamedTuple
 
-from stonecove.interface import NodeId, NodeState
-from stonecove.membership import Member
-from stonecove.membership.records import Names, RecordError, member_of
+from stonecove.discovery import Member
+from stonecove.discovery.records import Names, RecordError, member_of
+from stonecove.routing.endpoints import NodeId, NodeState
+from stonecove.runtime.log_events import LogEvent
 
 Say = Callable[..., None]
 
@@ -117,7 +118,7 @@
             member: Member | None = member_of(data, self._names, self.rules.most_bytes)
         except RecordError as error:
             member = None
-            self._say("members-record-bad", node=name, why=str(error))
+            self._say(LogEvent.ENDPOINT_RECORD_INVALID, node=name, reason=str(error))
         entry = Entry(name, member, czxid, ctime, owner)
         self._kept.pop(name, None)
         self._replace(name, entry, now)
@@ -136,7 +137,7 @@
         # sessions.
         if counted and (self._kept or none_left or departed > bound):
             if not self._kept:
-                self._say("members-mass-departure", departed=departed, of=population)
+                self._say(LogEvent.MASS_DEPARTURE_SUSPECTED, departed=departed, total=population)
             for name in gone:
                 self._kept[name] = now
             self._confirm()
@@ -148,7 +149,7 @@
 
     def _ident(self, name: str) -> NodeId:
         member = self._entries[name].member
-        return 0 if member is None else member.node.node
+        return 0 if member is None else member.node.node_id
 
     def whole(self, names: frozenset[str], confirmed: bool, now: float) -> None:
         """The list was read with all its data."""
@@ -163,7 +164,7 @@
             return
         kept, self._kept = self._kept, {}
         left = [name for name in kept if name not in names]
-        self._say("members-departure-confirmed", left=len(left), back=len(kept) - len(left))
+        self._say(LogEvent.MASS_DEPARTURE_CONFIRMED, departed=len(left), returned=len(kept) - len(left))
         for name in left:
             self._replace(name, None, now)
 
@@ -188,9 +189,9 @@
             if quarter > self._aged and quarter <= 4:
                 self._aged = quarter
                 self._say(
-                    "members-ageing",
+                    LogEvent.ENDPOINT_SOURCE_STALE,
                     silent_s=round((now - self.down_since) / 1000.0),
-                    stands_s=round(self.rules.stale_for / 1000.0),
+                    unchanged_s=round(self.rules.stale_for / 1000.0),
                     nodes=len(self._claims),
                 )
 
@@ -200,7 +201,7 @@
             past.at + self.rules.linger
             for ident, past in self._past.items()
             if ident in self._claims
-            and self._claims[ident].state is not NodeState.GONE
+            and self._claims[ident].state is not NodeState.REMOVED
             and ident not in self._by_id
         ]
         dues += self._held_back.values()
@@ -229,7 +230,7 @@
         before = self._entries.pop(name, None)
         touched: set[NodeId] = set()
         if before is not None and before.member is not None:
-            ident = before.member.node.node
+            ident = before.member.node.node_id
             nodes = self._by_id[ident]
             del nodes[name]
             touched.add(ident)
@@ -239,7 +240,7 @@
         if entry is not None:
             self._entries[name] = entry
             if entry.member is not None:
-                ident = entry.member.node.node
+                ident = entry.member.node.node_id
                 self._by_id.setdefault(ident, {})[name] = entry
                 touched.add(ident)
                 self._came_back(ident, entry, now)
@@ -254,17 +255,17 @@
         del self._past[ident]
         if entry.owner == past.owner and entry.czxid == past.czxid:
             return  # it was there all the time: only its record has changed
-        told = entry.member.node.started
-        same = told == past.member.node.started if told > 0 else entry.owner == past.owner
+        told = entry.member.node.started_ms
+        same = told == past.member.node.started_ms if told > 0 else entry.owner == past.owner
         if not same and told <= 0:
             self._started[ident] = (entry.name, entry.ctime)
         away = now - past.at
         self._say(
-            "members-returned",
-            id=f"s-{ident:08x}",
-            away_ms=round(away),
+            LogEvent.ENDPOINT_RETURNED,
+            node=f"s-{ident:08x}",
+            absent_ms=round(away),
             same_process=same,
-            blink=away <= self.rules.return_within,
+            reconnected=away <= self.rules.return_within,
         )
         returns = self._returns.setdefault(ident, deque())
         returns.append(now)
@@ -274,7 +275,12 @@
         if over > 0:
             hold = min(self.rules.flap_hold * 2.0 ** (over - 1), self.rules.flap_longest)
             self._held_back[ident] = now + hold
-            self._say("members-flapping", id=f"s-{ident:08x}", returns=len(returns), held_ms=round(hold))
+            self._say(
+                LogEvent.ENDPOINT_FLAPPING,
+                node=f"s-{ident:08x}",
+                returns=len(returns),
+                suppressed_ms=round(hold),
+            )
 
     def _key(self, ident: NodeId) -> tuple[float, int, NodeId]:
         """How young the claim of an id is."""
@@ -287,9 +293,9 @@
     def _begun(self, ident: NodeId, entry: Entry) -> float:
         assert entry.member is not None
         concluded = self._started.get(ident)
-        if entry.member.node.started <= 0 and concluded is not None and concluded[0] == entry.name:
+        if entry.member.node.started_ms <= 0 and concluded is not None and concluded[0] == entry.name:
             return concluded[1]
-        return entry.member.node.started
+        return entry.member.node.started_ms
 
     def _judge(self, ident: NodeId, now: float) -> None:
         """Tells the claim of an id if it is another one now, and judges those that shared its address."""
@@ -322,24 +328,31 @@
         if not nodes:
             past = self._past[ident]
             if now >= past.at + self.rules.linger:
-                return Claim(NodeState.GONE, past.member, "departed")
+                return Claim(NodeState.REMOVED, past.member, "departed")
             return Claim(NodeState.DRAINING, past.member, "departed, what is out may end")
         best = self._best(ident)
         assert best.member is not None
         member = best.member._replace(
-            node=best.member.node._replace(started=self._begun(ident, best), state=NodeState.READY)
+            node=best.member.node._replace(started_ms=self._begun(ident, best), state=NodeState.READY)
         )
         if len(nodes) > 1:
-            self._alarm("members-id-twice", ident, nodes=",".join(sorted(nodes)), taken=best.name)
+            self._alarm(
+                LogEvent.ENDPOINT_ID_DUPLICATED, ident, nodes=",".join(sorted(nodes)), chosen=best.name
+            )
         else:
-            self._alarmed.discard(("members-id-twice", str(ident)))
+            self._alarmed.discard((LogEvent.ENDPOINT_ID_DUPLICATED, str(ident)))
         rivals = self._by_address.get((member.host, member.port), set()) - {ident}
         younger = [rival for rival in rivals if self._key(rival) > self._key(ident)]
         if younger:
             taken = f"s-{max(younger, key=self._key):08x}"
-            self._alarm("members-address-twice", ident, address=f"{member.host}:{member.port}", taken=taken)
+            self._alarm(
+                LogEvent.ENDPOINT_ADDRESS_DUPLICATED,
+                ident,
+                address=f"{member.host}:{member.port}",
+                chosen=taken,
+            )
             return Claim(NodeState.DRAINING, member, f"its address is that of {taken}")
-        self._alarmed.discard(("members-address-twice", str(ident)))
+        self._alarmed.discard((LogEvent.ENDPOINT_ADDRESS_DUPLICATED, str(ident)))
         if best.member.node.state is not NodeState.READY:
             return Claim(NodeState.DRAINING, member, "its record says draining")
         if ident in self._held_back:
@@ -349,14 +362,14 @@
     def _alarm(self, event: str, ident: NodeId, **fields: object) -> None:
         if (event, str(ident)) not in self._alarmed:
             self._alarmed.add((event, str(ident)))
-            self._say(event, id=f"s-{ident:08x}", **fields)
+            self._say(event, node=f"s-{ident:08x}", **fields)
 
     def _tell(self, ident: NodeId, claim: Claim) -> None:
         if claim == self._claims.get(ident):
             return
-        if claim.state is NodeState.GONE and ident not in self._claims:
+        if claim.state is NodeState.REMOVED and ident not in self._claims:
             return
-        if claim.state is NodeState.GONE:
+        if claim.state is NodeState.REMOVED:
             del self._claims[ident]
         else:
             self._claims[ident] = claim
--- a/stonecove/explore/coordination.py
+++ b/stonecove/explore/coordination.py
@@ -16,20 +16,20 @@
 
 import ujson
 
+from stonecove.discovery.merge import Merge, Source, Told, merged
+from stonecove.discovery.records import Names, member_of
+from stonecove.discovery.roster import Claim, Roster, Rules
 from stonecove.explore.machine import Violation
-from stonecove.interface import NodeId, NodeState
-from stonecove.membership.merge import Merge, Source, Told, merged
-from stonecove.membership.records import Names, member_of
-from stonecove.membership.roster import Claim, Roster, Rules
+from stonecove.protocols.buffer import Buffer
+from stonecove.protocols.zookeeper import jute
+from stonecove.protocols.zookeeper import messages as zk
+from stonecove.protocols.zookeeper.jute import Reader
+from stonecove.protocols.zookeeper.messages import Acl, Err, EventType, Op
+from stonecove.protocols.zookeeper.registration import Registrar
+from stonecove.protocols.zookeeper.session import Expired, Figures, Reply, Session, SessionEvent, State, Up
+from stonecove.protocols.zookeeper.tree_watch import Tree
+from stonecove.routing.endpoints import NodeId, NodeState
 from stonecove.standins.zkdata import Leader, Replica, Wanted, ZkError, parent_of, watch_event
-from stonecove.wire import jute
-from stonecove.wire import zookeeper as zk
-from stonecove.wire.buffer import Buffer
-from stonecove.wire.jute import Reader
-from stonecove.wire.zkpresence import Registrar
-from stonecove.wire.zksession import Expired, Figures, Reply, Session, SessionEvent, State, Up
-from stonecove.wire.zktree import Tree
-from stonecove.wire.zookeeper import Acl, Err, EventType, Op
 
 CACHES, ROUTERS, ME = "/b", "/r", "me"
 NAMES = Names(("hub", "edge"), ("box", "parent", "origin"))
@@ -560,7 +560,7 @@
         self._log(NodeState.READY)
 
     def _on_log_gone(self) -> None:
-        self._log(NodeState.GONE)
+        self._log(NodeState.REMOVED)
 
     def _on_log_silent(self) -> None:
         self.log_says = False
@@ -701,7 +701,7 @@
                     "coming-back", f"{ident} is back, and the most trusted source has not said so since"
                 )
             name = next(name for name, number in IDS.items() if number == ident)
-            started = mine.member.node.started if mine.member else 0.0
+            started = mine.member.node.started_ms if mine.member else 0.0
             if (
                 name in self.told
                 and self.told[name][0] == "up"
--- a/stonecove/explore/properties.py
+++ b/stonecove/explore/properties.py
@@ -10,8 +10,10 @@
 from typing import NamedTuple
 
 from stonecove.explore.machine import Violation
-from stonecove.interface import ClassSettings, Effect, KeyGroup, Node, NodeState, Outcome
-from stonecove.stages.relay import SLACK
+from stonecove.pipeline.relay import SLACK
+from stonecove.routing.endpoints import Node, NodeState
+from stonecove.routing.events import Outcome, reported_outcome
+from stonecove.routing.settings import ClassSettings, DeduplicationScope, Idempotency
 
 
 class Property(NamedTuple):
@@ -95,51 +97,63 @@
         Property(
             "told-once",
             "a connection tells its owner of its end once, and nothing after it",
-            "wire/channel",
+            "protocols/upstream_channel",
         ),
-        Property("order-kept", "commands go out whole and in their order", "wire/channel"),
+        Property("order-kept", "commands go out whole and in their order", "protocols/upstream_channel"),
         Property(
             "told-strict",
             "what a source tells as drained, gone or unreadable gets no fresh work",
-            "membership/roster rules 1, 2, 6",
+            "discovery/roster rules 1, 2, 6",
         ),
-        Property("one-address", "of two ids at one address one is ready", "membership/roster rule 5"),
+        Property("one-address", "of two ids at one address one is ready", "discovery/roster rule 5"),
         Property(
-            "damped", "a node that came back too often waits before it is ready", "membership/roster rule 8"
+            "damped", "a node that came back too often waits before it is ready", "discovery/roster rule 8"
         ),
         Property(
             "cold-told",
             "a process that was started anew is not taken for a warm one",
-            "membership/roster rule 3; WIRE 2 rule 4",
+            "discovery/roster rule 3; WIRE 2 rule 4",
         ),
         Property(
             "mass-confirmed",
             "all do not depart at once without a read after a sync",
-            "membership/roster rule 7",
+            "discovery/roster rule 7",
         ),
         Property(
             "coming-back",
             "a strict claim is over only by the word of who made it, or of the most trusted",
-            "membership/merge rules 1 and 2",
+            "discovery/merge rules 1 and 2",
         ),
-        Property("say-lost", "what no source with a say knows gets no fresh work", "membership/merge rule 4"),
-        Property("merge-same", "the index gives what the rule gives over all claims", "membership/merge"),
-        Property("converges", "once all is quiet, the list is that of the servers", "wire/zktree"),
-        Property("watch-kept", "once all is quiet, every watch is set at the server", "wire/zktree"),
-        Property("not-back", "no older news is taken after newer", "wire/zksession"),
+        Property("say-lost", "what no source with a say knows gets no fresh work", "discovery/merge rule 4"),
+        Property("merge-same", "the index gives what the rule gives over all claims", "discovery/merge"),
+        Property(
+            "converges",
+            "once all is quiet, the list is that of the servers",
+            "protocols/zookeeper/tree_watch",
+        ),
+        Property(
+            "watch-kept",
+            "once all is quiet, every watch is set at the server",
+            "protocols/zookeeper/tree_watch",
+        ),
+        Property("not-back", "no older news is taken after newer", "protocols/zookeeper/session"),
         Property(
             "expired-by-word",
             "a session is over only by the servers' word",
             "ZooKeeper programmer's guide, sessions",
         ),
-        Property("reply-once", "each request has one reply, if only that it was lost", "wire/zksession"),
+        Property(
+            "reply-once",
+            "each request has one reply, if only that it was lost",
+            "protocols/zookeeper/session",
+        ),
         Property(
             "lease-sum",
             "what is spent of shared pieces within any window keeps to what is to be shared",
-            "sharing/leases; WIRE 2 rule 4",
+            "quotas/leases; WIRE 2 rule 4",
         ),
-        Property("lease-once", "what is left of a piece is given back once", "sharing/credit"),
-        Property("lease-back", "what was handed out long ago may be handed out again", "sharing/leases"),
+        Property("lease-once", "what is left of a piece is given back once", "routing/leased_budget"),
+        Property("lease-back", "what was handed out long ago may be handed out again", "quotas/leases"),
         Property("one-process", "an instance has one process at most", "fleet/restart"),
         Property("restarts-bounded", "a crash loop is held, also over supervisors", "fleet/restart"),
         Property("held-is-held", "what is held stays so until an operator releases it", "fleet/restart"),
@@ -150,13 +164,17 @@
         Property(
             "share-sum",
             "shares that routers act upon add up to 1 at the most within any window",
-            "swarm/shares",
+            "gossip/shares",
+        ),
+        Property("share-back", "once nothing is wrong, all of what is to be shared is used", "gossip/shares"),
+        Property("swarm-known", "a router that has ended is known to be gone", "gossip/swarm"),
+        Property("swarm-denied", "who is there is alive to all, once nothing is wrong", "gossip/swarm"),
+        Property("swarm-agree", "once nothing changes, all have one view", "gossip/view"),
+        Property(
+            "own-node",
+            "our node is there, in our session, with our newest record",
+            "protocols/zookeeper/registration",
         ),
-        Property("share-back", "once nothing is wrong, all of what is to be shared is used", "swarm/shares"),
-        Property("swarm-known", "a router that has ended is known to be gone", "swarm/swarm"),
-        Property("swarm-denied", "who is there is alive to all, once nothing is wrong", "swarm/swarm"),
-        Property("swarm-agree", "once nothing changes, all have one view", "swarm/view"),
-        Property("own-node", "our node is there, in our session, with our newest record", "wire/zkpresence"),
     )
 }
 
@@ -212,7 +230,7 @@
         if whole:
             self.nodes = {}
         for node in nodes:
-            self.nodes[node.node] = node
+            self.nodes[node.node_id] = node
 
     def _ready(self, node: int) -> bool:
         return node in self.nodes and self.nodes[node].state is NodeState.READY
@@ -230,24 +248,24 @@
             self.broken("no-repeat", f"attempt {number} of {seen.cls} is written twice")
         cls = self._classes[seen.cls]
         for sent in seen.sent:
-            if sent.not_run or cls.effect is Effect.SAFE:
+            if sent.not_run or cls.idempotency is Idempotency.IDEMPOTENT:
                 continue
-            if cls.effect is Effect.UNSAFE:
+            if cls.idempotency is Idempotency.NON_IDEMPOTENT:
                 self.broken(
                     "no-repeat", f"attempt {number} of {seen.cls} goes out; {sent.number} may have run"
                 )
             elif not self._same_group(cls, sent.node, node):
                 self.broken("no-repeat", f"attempt {number} of {seen.cls} leaves the group of {sent.number}")
-            elif now - sent.at > cls.window + 1.0:
+            elif now - sent.at > cls.deduplication_window_ms + 1.0:
                 self.broken("no-repeat", f"attempt {number} of {seen.cls} goes out after its window")
         seen.sent.append(Sent(number, node, now, len(self.purges)))
         if len(seen.sent) > self._most:
             self.broken("allowed-attempts", f"{len(seen.sent)} attempts of {seen.cls} on sockets")
 
     def _same_group(self, cls: ClassSettings, one: int, other: int) -> bool:
-        if cls.group is KeyGroup.ALL or one == other:
+        if cls.deduplication_scope is DeduplicationScope.ALL or one == other:
             return True
-        if cls.group is KeyGroup.ZONE:
+        if cls.deduplication_scope is DeduplicationScope.ZONE:
             return self.nodes[one].zone == self.nodes[other].zone
         return self.nodes[one].cell == self.nodes[other].cell
 
@@ -278,24 +296,32 @@
         """The module is told of the end of an attempt."""
         seen = self.seen[txn]
         if number in seen.ended:
-            self.broken("ends-once", f"attempt {number} of {seen.cls} ends again as {outcome.name}")
+            self.broken(
+                "ends-once",
+                f"attempt {number} of {seen.cls} ends again as {reported_outcome(outcome).upper()}",
+            )
         seen.ended.append(number)
         sent = next((sent for sent in seen.sent if sent.number == number), None)
         if sent is None:
-            if outcome not in (Outcome.CONNECT_FAILED, Outcome.MOOT, Outcome.CANCELLED):
+            if outcome not in (Outcome.CONNECT_FAILED, Outcome.EXPIRED_UNSENT, Outcome.CANCELLED):
                 self.broken(
                     "unrun-is-unrun",
-                    f"attempt {number} of {seen.cls} ends as {outcome.name}, and was never written",
+                    f"attempt {number} of {seen.cls} ends as {reported_outcome(outcome).upper()}, "
+                    "and was never written",
                 )
             return
         word = seen.words.get(number, "")
-        proof = {"404": Outcome.MISS, "503": Outcome.FULL, "504": Outcome.MOOT}.get(word)
+        proof = {"404": Outcome.MISS, "503": Outcome.REJECTED_OVERLOADED, "504": Outcome.EXPIRED_UNSENT}.get(
+            word
+        )
         if (
-            outcome in (Outcome.MISS, Outcome.FULL, Outcome.MOOT, Outcome.CONNECT_FAILED)
+            outcome
+            in (Outcome.MISS, Outcome.REJECTED_OVERLOADED, Outcome.EXPIRED_UNSENT, Outcome.CONNECT_FAILED)
             and outcome is not proof
         ):
             self.broken(
-                "run-is-run", f"attempt {number} of {seen.cls} was written and ends as {outcome.name}"
+                "run-is-run",
+                f"attempt {number} of {seen.cls} was written and ends as {reported_outcome(outcome).upper()}",
             )
         if outcome is not proof:
             sent.not_run = False
@@ -324,7 +350,11 @@
         if verdict == "refused":
             unsure = [sent for sent in seen.sent if not sent.not_run]
             if unsure and (
-                cls.effect is Effect.UNSAFE or (cls.effect is Effect.KEYED and cls.group is not KeyGroup.ALL)
+                cls.idempotency is Idempotency.NON_IDEMPOTENT
+                or (
+                    cls.idempotency is Idempotency.IDEMPOTENCY_KEY
+                    and cls.deduplication_scope is not DeduplicationScope.ALL
+                )
             ):
                 self.broken(
                     "harmless-refusal", f"{seen.cls} is refused; attempt {unsure[0].number} may have run"
@@ -335,7 +365,7 @@
             self.broken("as-made", f"{seen.cls} is served {body[:24]!r}, which no cache made for it")
             return
         born, out, known = seen.births[body]
-        if cls.never_kept:
+        if cls.never_cached:
             return
         for told, purged, group, key in self.purges[:known]:
             if born < purged - SLACK - 1.0:
@@ -345,7 +375,7 @@
                     f"a copy born {purged - born:.0f} ms before the purge of {name}, told "
                     f"{out - told:.0f} ms before its first byte",
                 )
-        if cls.fresh and born < out - cls.fresh - cls.stale - SLACK - 1.0:
+        if cls.fresh_ms and born < out - cls.fresh_ms - cls.stale_ms - SLACK - 1.0:
             self.broken("not-too-old", f"a copy {out - born:.0f} ms old")
 
     def overdue(self, now: float) -> None:
--- a/stonecove/explore/seeds.py
+++ b/stonecove/explore/seeds.py
@@ -12,11 +12,15 @@
 import textwrap
 from typing import Any, NamedTuple
 
-from stonecove import choice
 from stonecove.explore import seeds_coordination, seeds_fleet, seeds_swarm
-from stonecove.memory import nodes, requests
-from stonecove.stages import admit, book, relay, route, send
-from stonecove.wire import changelog, channel, fastcgi, resp, session
+from stonecove.pipeline import admit, book, relay, route, send
+from stonecove.protocols import change_log, resp, upstream_channel
+from stonecove.protocols.fastcgi import codec as fastcgi
+from stonecove.protocols.fastcgi import session
+from stonecove.routing.director import Director
+from stonecove.routing.dispatch import AttemptDispatcher
+from stonecove.routing.purges import PurgeHistory
+from stonecove.state import nodes, requests
 
 
 class Seed(NamedTuple):
@@ -66,7 +70,7 @@
         "age-of-class-forgotten",
         relay.Relay,
         "_oldest",
-        "attempt.order.age or cls.fresh",
+        "attempt.order.max_age_ms or cls.fresh_ms",
         "0.0",
         ("page",),
         "not-too-old",
@@ -93,8 +97,8 @@
         "target-not-looked-at",
         send.Send,
         "may_go",
-        "or not self._nodes.ready(order.node)\n",
-        "or not self._nodes.lists(order.node)\n",
+        "or not self._nodes.ready(order.node_id)\n",
+        "or not self._nodes.lists(order.node_id)\n",
         ("drain",),
         "no-drained",
     ),
@@ -102,7 +106,7 @@
         "source-not-looked-at",
         send.Send,
         "may_go",
-        "order.source != order.node and not self._nodes.ready(order.source)",
+        "order.source_id != order.node_id and not self._nodes.ready(order.source_id)",
         "False",
         ("drain",),
         "no-drained-source",
@@ -197,7 +201,7 @@
         "left-not-posted",
         route.Route,
         "left",
-        "self.post(Left(request.req))",
+        "self.post(ClientDisconnected(request.req))",
         "pass",
         ("clients",),
         "cancelled",
@@ -207,8 +211,8 @@
         book.Book,
         "ended",
         "self.close_if_over(request)",
-        "self.close_if_over(request); self._post(Ended(request.req, attempt.number, order.node, outcome, "
-        "took, request.answered, note, waited, load))",
+        "self.close_if_over(request); self._post(AttemptEnded(request.req, attempt.number, order.node_id, "
+        "outcome, took, request.answered, note, waited, load))",
         ("answers",),
         "ends-once",
     ),
@@ -296,7 +300,7 @@
     ),
     Seed(
         "change-taken-for-the-whole",
-        changelog.Follower,
+        change_log.Follower,
         "take",
         "if frame.number <= self.last:",
         "if False:",
@@ -305,7 +309,7 @@
     ),
     Seed(
         "gap-not-noticed",
-        changelog.Follower,
+        change_log.Follower,
         "take",
         "(frame.number > self.last + 1 or frame.wrong) and",
         "False and",
@@ -314,7 +318,7 @@
     ),
     Seed(
         "unwritten-not-told",
-        channel.Channel,
+        upstream_channel.Channel,
         "_pump_one",
         "command.unwritten()",
         "pass",
@@ -323,7 +327,7 @@
     ),
     Seed(
         "rest-forgotten",
-        channel.Channel,
+        upstream_channel.Channel,
         "_pump_one",
         "self._rest = self._rest[sent:]",
         "self._rest = b''",
@@ -332,7 +336,7 @@
     ),
     Seed(
         "end-not-looked-for",
-        channel.Channel,
+        upstream_channel.Channel,
         "_ended",
         "self.close()",
         "return False",
@@ -350,18 +354,18 @@
     ),
     Seed(
         "repeat-whatever-class",
-        choice.Director,
+        AttemptDispatcher,
         "_may_repeat",
-        "if held.cls.effect is Effect.SAFE or first is None:",
+        "if settings.idempotency is Idempotency.IDEMPOTENT or first is None:",
         "if True:",
         ("confirm", "keyed"),
         "no-repeat",
     ),
     Seed(
         "window-forgotten",
-        choice.Director,
+        AttemptDispatcher,
         "_may_repeat",
-        "now - first.sent >= held.cls.window",
+        "now_ms - first.sent_ms >= settings.deduplication_window_ms",
         "False",
         ("keyed",),
         "no-repeat",
@@ -371,14 +375,14 @@
         "window-passes-while-it-waits",
         send.Send,
         "_window_over",
-        "cls.effect is Effect.KEYED and",
+        "cls.idempotency is Idempotency.IDEMPOTENCY_KEY and",
         "False and",
         ("keyed",),
         "no-repeat",
     ),
     Seed(
         "group-forgotten",
-        choice.Director,
+        AttemptDispatcher,
         "_may_repeat",
         "cache.cell == other.cell",
         "True",
@@ -387,63 +391,63 @@
     ),
     Seed(
         "error-proves-nothing-ran",
-        choice.Director,
-        "_on_end",
-        "attempt.may_have_run = event.outcome not in NOT_RUN",
+        Director,
+        "_on_attempt_ended",
+        "attempt.may_have_run = event.outcome not in PROVEN_NOT_EXECUTED",
         "attempt.may_have_run = event.outcome is Outcome.TIMEOUT",
         ("confirm", "keyed"),
         "no-repeat",
     ),
     Seed(
         "refused-though-it-may-have-run",
-        choice.Director,
-        "_give_up",
-        "harmless = held.cls.effect is Effect.SAFE or",
-        "harmless = True or",
+        Director,
+        "_is_retry_harmless",
+        "if settings.idempotency is Idempotency.IDEMPOTENT:",
+        "if True:",
         ("confirm",),
         "harmless-refusal",
     ),
     Seed(
         "more-attempts-than-allowed",
-        choice.Director,
-        "_leave",
-        "len(held.attempts) >= settings.most_attempts or",
-        "",
+        AttemptDispatcher,
+        "_is_allowed",
+        "if len(in_flight.attempts) >= state.settings.max_attempts:",
+        "if False:",
         ("answers", "links"),
         "allowed-attempts",
     ),
     Seed(
         "nothing-called-off",
-        choice.Director,
+        Director,
         "_close",
-        "if self._set.may_cancel:",
+        "if self.state.settings.cancellation_allowed:",
         "if False:",
         ("hedge",),
         "cancelled",
     ),
     Seed(
         "given-up-unanswered",
-        choice.Director,
-        "_on_end",
-        "self._give_up(held)",
+        Director,
+        "_on_attempt_ended",
+        "self._give_up(in_flight)",
         "pass",
         ("confirm", "answers"),
         "decided",
     ),
     Seed(
         "load-not-taken-off",
-        choice.Director,
-        "_ended",
-        "attempt.load.out -= 1",
+        AttemptDispatcher,
+        "release",
+        "attempt.cache_load.in_flight -= 1",
         "pass",
         ("hedge",),
         "no-leak",
     ),
     Seed(
         "purges-forgotten",
-        choice.Purges,
-        "limit",
-        "now - moment >= self._lasts",
+        PurgeHistory,
+        "max_age_ms",
+        "now_ms - purged_ms >= self._retention_ms",
         "True",
         ("purge",),
         "no-purged",
@@ -507,7 +511,7 @@
     ),
     Seed(
         "told-twice",
-        channel.Channel,
+        upstream_channel.Channel,
         "close",
         "self._stop()",
         "self._stop(); self._owner.closed(self, '')",
@@ -516,7 +520,7 @@
     ),
     Seed(
         "queue-turned-round",
-        channel.Channel,
+        upstream_channel.Channel,
         "_pump_one",
         "self._queue.appendleft(command)",
         "self._queue.append(command)",
--- a/stonecove/explore/seeds_coordination.py
+++ b/stonecove/explore/seeds_coordination.py
@@ -4,8 +4,9 @@
 
 from typing import Any, NamedTuple
 
-from stonecove.membership import merge, roster
-from stonecove.wire import zkpresence, zksession, zktree
+from stonecove.discovery import merge, roster
+from stonecove.protocols.zookeeper import registration, tree_watch
+from stonecove.protocols.zookeeper import session as zksession
 
 
 class Fault(NamedTuple):
@@ -24,7 +25,7 @@
 FAULTS: tuple[Fault, ...] = (
     Fault(
         "zk-data-watch-not-left",
-        zktree.Tree,
+        tree_watch.Tree,
         "_read_some",
         "watch=not self._recursive",
         "watch=False",
@@ -33,7 +34,7 @@
     ),
     Fault(
         "zk-list-watch-not-left",
-        zktree.Tree,
+        tree_watch.Tree,
         "_list",
         "watch=not self._recursive",
         "watch=False",
@@ -42,7 +43,7 @@
     ),
     Fault(
         "zk-lost-reads-forgotten",
-        zktree.Tree,
+        tree_watch.Tree,
         "_came",
         "self._want(name)\n        return",
         "return",
@@ -51,7 +52,7 @@
     ),
     Fault(
         "zk-recursive-not-read-again",
-        zktree.Tree,
+        tree_watch.Tree,
         "_go_on",
         "if self._recursive:",
         "if False:",
@@ -60,7 +61,7 @@
     ),
     Fault(
         "zk-deleted-event-ignored",
-        zktree.Tree,
+        tree_watch.Tree,
         "_watched",
         "self._forget((name,))",
         "pass",
@@ -69,7 +70,7 @@
     ),
     Fault(
         "zk-confirmed-though-asked-before",
-        zktree.Tree,
+        tree_watch.Tree,
         "_list",
         "self._confirmed, False",
         "True, False",
@@ -277,7 +278,7 @@
     ),
     Fault(
         "own-node-of-last-session",
-        zkpresence.Registrar,
+        registration.Registrar,
         "feed",
         "self._told, self._busy = None, False",
         "pass",
@@ -286,7 +287,7 @@
     ),
     Fault(
         "own-node-lost-with-its-reply",
-        zkpresence.Registrar,
+        registration.Registrar,
         "_created",
         "if reply.error is Err.OK:",
         "if reply.error in (Err.OK, Err.CONNECTION_LOSS):",
@@ -295,7 +296,7 @@
     ),
     Fault(
         "own-node-state-not-told",
-        zkpresence.Registrar,
+        registration.Registrar,
         "_looked",
         "self._told = data  # our own create, whose reply was lost",
         "self._told = self._record",
--- a/stonecove/explore/seeds_fleet.py
+++ b/stonecove/explore/seeds_fleet.py
@@ -4,7 +4,8 @@
 
 from stonecove.explore.seeds_coordination import Fault
 from stonecove.fleet import restart, rolling
-from stonecove.sharing import leases, credit
+from stonecove.quotas import leases
+from stonecove.routing import leased_budget
 
 FAULTS: tuple[Fault, ...] = (
     Fault(
@@ -63,28 +64,28 @@
     ),
     Fault(
         "credit-spends-twice",
-        credit.LeasedCredit,
+        leased_budget.LeasedBudget,
         "spend",
-        "piece[1] -= part",
+        "lease.remaining_ms -= spent_ms",
         "pass",
         ("lease-credit",),
         "lease-sum",
     ),
     Fault(
         "credit-passes-over-the-end",
-        credit.LeasedCredit,
-        "add",
-        "if piece.work <= 0:",
+        leased_budget.LeasedBudget,
+        "grant",
+        "if granted.work_ms <= 0:",
         "if False:",
         ("lease-credit",),
         "lease-sum",
     ),
     Fault(
         "credit-keeps-what-is-over",
-        credit.LeasedCredit,
-        "left",
-        "held.pop(number)[1]",
-        "held[number][1]",
+        leased_budget.LeasedBudget,
+        "remaining",
+        "held.pop(lease_id).remaining_ms",
+        "held[lease_id].remaining_ms",
         ("lease-credit",),
         "lease-once",
     ),
--- a/stonecove/wire/httpfront.py
+++ b/stonecove/frontends/http.py
@@ -14,16 +14,17 @@
 
 from stonecove.access.gate import Decision, cookie_path
 from stonecove.access.grants import Request as Presented
-from stonecove.exchange import Answer, ClientRequest, BadRequestError, Verdict
+from stonecove.exchange import Answer, BadRequestError, ClientRequest, Verdict
+from stonecove.frontends.fastcgi import READY_PATH
+from stonecove.frontends.token_check import TokenChecker
+from stonecove.pipeline.intake import Intake
+from stonecove.pipeline.route import Route
+from stonecove.protocols.http import HttpError, HttpRequest, byte_range
+from stonecove.routing.settings import ClassSettings, Settings
 from stonecove.runtime.clock import Clock
 from stonecove.runtime.log import log_some
-from stonecove.interface import ClassSettings, Settings
-from stonecove.memory.requests import OpenRequest
-from stonecove.stages.intake import Intake
-from stonecove.stages.route import Route
-from stonecove.wire.token_check import TokenChecker
-from stonecove.wire.front import READY_PATH
-from stonecove.wire.http import HttpError, HttpRequest, byte_range
+from stonecove.runtime.log_events import LogEvent
+from stonecove.state.requests import OpenRequest
 
 Fields = list[tuple[str, str]]
 Reply = Callable[[int, Fields, bytes], None]
@@ -91,7 +92,7 @@
         known = self._kinds.get(cls)
         if known is None:
             raise BadRequestError(404, "no such class")
-        if (request.method == "POST") is not known.never_kept:
+        if (request.method == "POST") is not known.never_cached:
             raise BadRequestError(405, f"{request.method} is not for {cls}")
         seen = request.fields.get("if-none-match", "")
         fields = {
@@ -99,7 +100,7 @@
             "X-Row": item,
             "X-Seg": part,
             "X-Bucket": request.fields.get("x-bucket", "0"),
-            "X-Ttl-Ms": request.fields.get("x-ttl-ms") or f"{known.deadline:.0f}",
+            "X-Ttl-Ms": request.fields.get("x-ttl-ms") or f"{known.deadline_ms:.0f}",
             "X-Working-Set-Kb": request.fields.get("x-working-set-kb", "0"),
             "X-Etag": "" if "," in seen or seen == "*" else seen,
         }
@@ -138,12 +139,12 @@
         if answer.verdict is Verdict.FAILED:
             return 502, [("Cache-Control", "no-store")], b""
         fields: Fields = []
-        if cls.never_kept:
+        if cls.never_cached:
             fields.append(("Cache-Control", "no-store"))
         else:
             kind = "private" if decision is not None and decision.subject else "public"
             age = max(0.0, self._clock.now() - answer.born) / 1000.0 if answer.born else 0.0
-            fresh = f"max-age={cls.fresh / 1000.0:.0f}" if cls.fresh else "no-cache"
+            fresh = f"max-age={cls.fresh_ms / 1000.0:.0f}" if cls.fresh_ms else "no-cache"
             fields += [("Cache-Control", f"{kind}, {fresh}"), ("Age", f"{age:.0f}")]
         if answer.tag:
             fields.append(("ETag", f'"{answer.tag}"'))
@@ -182,5 +183,5 @@
 
 def told(error: BadRequestError) -> int:
     """Logs a request that can't be taken; its status."""
-    log_some("bad-request", status=error.status, why=str(error), front="http")
+    log_some(LogEvent.REQUEST_MALFORMED, status=error.status, reason=str(error), front="http")
     return error.status
--- a/stonecove/stages/book.py
+++ b/stonecove/pipeline/book.py
@@ -5,11 +5,12 @@
 from collections import Counter
 from collections.abc import Callable
 
-from stonecove.interface import NOT_RUN, Ended, Event, Outcome
+from stonecove.pipeline.admit import Admit
+from stonecove.routing.events import PROVEN_NOT_EXECUTED, AttemptEnded, Event, Outcome, reported_outcome
 from stonecove.runtime.clock import Clock
 from stonecove.runtime.log import log
-from stonecove.memory.requests import Attempt, OpenRequest
-from stonecove.stages.admit import Admit
+from stonecove.runtime.log_events import LogEvent
+from stonecove.state.requests import Attempt, OpenRequest
 
 
 class Book:
@@ -33,15 +34,23 @@
         if attempt.ended:
             return
         attempt.ended = True
-        attempt.not_run = outcome in NOT_RUN
+        attempt.not_run = outcome in PROVEN_NOT_EXECUTED
         if attempt.alarm is not None:
             attempt.alarm.off()
-        self.counts[outcome.name.lower()] += 1
+        self.counts[reported_outcome(outcome)] += 1
         request, order = attempt.request, attempt.order
         took = self._clock.now() - (attempt.written_at or attempt.ordered_at)
         self._post(
-            Ended(
-                request.req, attempt.number, order.node, outcome, took, request.answered, note, waited, load
+            AttemptEnded(
+                request.req,
+                attempt.number,
+                order.node_id,
+                outcome,
+                took,
+                request.answered,
+                note,
+                waited,
+                load,
             )
         )
         self.close_if_over(request)
@@ -55,5 +64,5 @@
 
     def line(self, **more: object) -> None:
         """Writes what was counted since the last line."""
-        log("stats", **more, **dict(sorted(self.counts.items())))
+        log(LogEvent.STATS, **more, **dict(sorted(self.counts.items())))
         self.counts.clear()
--- a/stonecove/sharing/lending.py
+++ b/stonecove/quotas/lending.py
@@ -24,10 +24,11 @@
 from dataclasses import dataclass, field
 from typing import NamedTuple
 
-from stonecove.interface import RETRIES, NodeId
-from stonecove.sharing.buckets import Hierarchy
-from stonecove.sharing.leases import Grant, Lessor, own_part
-from stonecove.sharing.quota import MOST_TOKENS, Path, Plan
+from stonecove.quotas.buckets import Hierarchy
+from stonecove.quotas.leases import Grant, Lessor, own_part
+from stonecove.quotas.quota import MOST_TOKENS, Path, Plan
+from stonecove.routing.actions import RETRY_LEASE
+from stonecove.routing.endpoints import NodeId
 
 MOST_HOLDERS = 10_000
 MOST_NODES = 10_000  # nodes with an account; a cold one that is asked for anew needs no old one
@@ -191,7 +192,7 @@
             "granted": self._lessor.granted,
             "refused": self._lessor.refused,
             "nodes": {
-                "retries" if node == RETRIES else f"s-{node:08x}": {
+                "retries" if node == RETRY_LEASE else f"s-{node:08x}": {
                     "pool": told.pool,
                     "rule": round(told.rule(now), 1),
                     "lent": round(self._lessor.booked(node, now), 1),
--- a/stonecove/lifecycle/members.py
+++ b/stonecove/server/members.py
@@ -1,7 +1,7 @@
 """Membership from several sources: joins sessions, rosters and the merge to the router. Off on the platform.
 
-Decisions are in `stonecove.membership` (roster, merge, presence, pace) and `stonecove.wire.zksession`; here
-they are given clocks, sockets and each other.
+Decisions are in `stonecove.discovery` (roster, merge, presence, pace) and
+`stonecove.protocols.zookeeper.session`; here they are given clocks, sockets and each other.
 """
 
 from __future__ import annotations
@@ -19,25 +19,28 @@
 
 import trio
 
+from stonecove.discovery import Member, MembersUpdate, PurgeUpdate, Told, presence
+from stonecove.discovery.merge import Merge, Source
+from stonecove.discovery.pace import Pace
+from stonecove.discovery.records import Names, RecordError, node_id
+from stonecove.discovery.roster import Claim
+from stonecove.discovery.trace import Trace, explained
+from stonecove.operator_config.grammar import OperatorError
+from stonecove.operator_config.reader import read
+from stonecove.operator_config.records import Operator
+from stonecove.pipeline.route import Route
+from stonecove.routing.endpoints import NodeId, NodeState, reported_state
+from stonecove.routing.events import FleetSizeChanged
+from stonecove.routing.settings import Settings
 from stonecove.runtime.clock import Clock
 from stonecove.runtime.log import log
+from stonecove.runtime.log_events import LogEvent
 from stonecove.runtime.unix import accept_all, bound
-from stonecove.interface import NodeId, NodeState, Peers, Settings
-from stonecove.lifecycle.config import Config
-from stonecove.lifecycle.coordination import Coordination, Spawn, connection_of, rules_of
-from stonecove.membership import Member, MembersUpdate, PurgeUpdate, Told, presence
-from stonecove.membership.merge import Merge, Source
-from stonecove.membership.pace import Pace
-from stonecove.membership.records import Names, RecordError, node_id
-from stonecove.membership.roster import Claim
-from stonecove.membership.trace import Trace, explained
-from stonecove.memory.requests import Attempt
-from stonecove.operator.grammar import OperatorError
-from stonecove.operator.reader import read
-from stonecove.operator.records import Operator
-from stonecove.stages.route import Route
-from stonecove.wire.ensemble import Ensemble
-from stonecove.wire.follow import ChangeLog
+from stonecove.server.config import Config
+from stonecove.server.coordination import Coordination, Spawn, connection_of, rules_of
+from stonecove.state.requests import Attempt
+from stonecove.transport.change_log_follower import ChangeLog
+from stonecove.transport.zookeeper import Ensemble
 
 FIRST_LIST = 3.0  # seconds for which serving waits for the first list
 HOUSEKEEPING = 0.25  # seconds between two looks at what only time brings about
@@ -82,9 +85,11 @@
         self._socket_scope = trio.CancelScope()
         self._coordination: Coordination | None = None
         self._next: Coordination | None = None  # takes over once it has read its list
-        self.sized: Callable[[Peers], None] = route.post  # told of the fleet's size, where it is derived
+        self.sized: Callable[[FleetSizeChanged], None] = (
+            route.post
+        )  # told of the fleet's size, where it is derived
         self.also: dict[str, Callable[[list[str]], dict[str, Any]]] = {}  # others who answer on the socket
-        self._peers: Peers | None = None  # the fleet's size that was derived last
+        self._peers: FleetSizeChanged | None = None  # the fleet's size that was derived last
         self._taken_at = 0.0  # when our name was found to be taken, in trio's seconds
         self._session_users: list[Callable[[Ensemble], None]] = []
         if self.operator.zookeeper is not None:
@@ -109,7 +114,7 @@
             ):
                 await trio.sleep(0.005)
         if waiting.cancelled_caught:
-            log("members-late", nodes=len(self._route.nodes))
+            log(LogEvent.ENDPOINT_LIST_DELAYED, nodes=len(self._route.nodes))
         self._tell_state("ready")
 
     def use_session(self, user: Callable[[Ensemble], None]) -> None:
@@ -125,7 +130,7 @@
         if self._coordination is not None and self._coordination.registrar is not None:
             with trio.move_on_after(LEAVE_WAIT) as waiting:
                 await heard.wait()
-            log("presence-leaving", told=not waiting.cancelled_caught)
+            log(LogEvent.PRESENCE_WITHDRAWN, acknowledged=not waiting.cancelled_caught)
 
     async def close(self) -> None:
         """Ends our sessions by word, so that our node goes at once."""
@@ -145,22 +150,22 @@
             self._route.told(event)
             return
         now = self.clock.now()
-        listed = {member.node.node for member in event.members}
+        listed = {member.node.node_id for member in event.members}
         if event.whole:
             for ident in self._logged - listed:
                 self._claim(
-                    self._log_source, ident, Claim(NodeState.GONE, None, "no longer in the whole list")
+                    self._log_source, ident, Claim(NodeState.REMOVED, None, "no longer in the whole list")
                 )
             self._logged.clear()
         for member in event.members:
-            ident, state = member.node.node, member.node.state
+            ident, state = member.node.node_id, member.node.state
             if event.whole and self._no_news(self._log_source, ident, state, member):
                 self._logged.add(ident)
                 continue
             self._claim(
-                self._log_source, ident, Claim(state, member, f"the change log says {state.name.lower()}")
+                self._log_source, ident, Claim(state, member, f"the change log says {reported_state(state)}")
             )
-            if state is NodeState.GONE:
+            if state is NodeState.REMOVED:
                 self._logged.discard(ident)
             else:
                 self._logged.add(ident)
@@ -180,7 +185,7 @@
         self.names = Names(settings.zones, settings.kinds)
         self.config = replace(self.config, settings=settings)
 
-    def counted(self) -> Peers | None:
+    def counted(self) -> FleetSizeChanged | None:
         """The routers that the coordination service lists; None where the settings say how many."""
         presence_record = self.operator.presence
         return self._peers if presence_record is not None and presence_record.derived else None
@@ -193,10 +198,10 @@
             coordination = self._replacement(operator)
         except OperatorError as error:
             for problem in error.problems:
-                log("operator-refused", why=str(problem))
+                log(LogEvent.OPERATOR_CONFIG_REJECTED, reason=str(problem))
             return
         except OSError as error:
-            log("operator-refused", why=f"{error.filename}: {error.strerror}")
+            log(LogEvent.OPERATOR_CONFIG_REJECTED, reason=f"{error.filename}: {error.strerror}")
             return
         before, self.operator = self.operator, operator
         self._log_source = Source("changelog", operator.changelog.rank)
@@ -222,7 +227,7 @@
         if operator.members.socket != before.members.socket:
             self._socket_scope.cancel()
             self._open_socket()
-        log("operator-reloaded", file=str(self._path), moves=coordination is not None)
+        log(LogEvent.OPERATOR_CONFIG_RELOADED, file=str(self._path), moves=coordination is not None)
         self.settle()
 
     # -- within --
@@ -295,9 +300,9 @@
             gone.ensemble.close()
         self._tell_state(self._state)
         log(
-            "coordination-moved",
+            LogEvent.COORDINATION_PATH_CHANGED,
             nodes=len(coming.roster.claims),
-            left=len(before - set(coming.roster.claims)),
+            remaining=len(before - set(coming.roster.claims)),
         )
         self.settle()
 
@@ -308,7 +313,9 @@
             if not self._no_news(self._zk_source, ident, claim.state, claim.member):
                 self._claim(self._zk_source, ident, claim)
         for ident in before - set(one.roster.claims):
-            self._claim(self._zk_source, ident, Claim(NodeState.GONE, None, "not listed by the new ensemble"))
+            self._claim(
+                self._zk_source, ident, Claim(NodeState.REMOVED, None, "not listed by the new ensemble")
+            )
 
     def _drop_coordination(self, now: float) -> None:
         """The file names no ensemble any more: its claims lose their say, and what it alone knew drains."""
@@ -318,7 +325,7 @@
         if self._coordination is not None:
             for ident in list(self._coordination.roster.claims):
                 self._claim(
-                    self._zk_source, ident, Claim(NodeState.GONE, None, "its source is configured no more")
+                    self._zk_source, ident, Claim(NodeState.REMOVED, None, "its source is configured no more")
                 )
         self._coordination = self._next = None
         self.merge.say(self._zk_source, False, now)
@@ -336,7 +343,7 @@
         urgent = self.merge.urgent
         strict = []
         for member in self.merge.take():
-            ident = member.node.node
+            ident = member.node.node_id
             self._pending[ident] = member
             verdict = self.merge.verdict(ident)
             self.trace.decided(now, ident, member.node.state, verdict.why)
@@ -397,10 +404,13 @@
         size = one.fleet.tick(now)
         if size is not None:
             log(
-                "fleet-size", fleet=size.fleet, by_zone=",".join(map(str, size.by_zone)), used=one.own.derived
+                LogEvent.FLEET_SIZE_CHANGED,
+                fleet_size=size.fleet,
+                by_zone=",".join(map(str, size.by_zone)),
+                used=one.own.derived,
             )
             if one.own.derived:
-                self._peers = Peers(size.fleet, size.by_zone)
+                self._peers = FleetSizeChanged(size.fleet, size.by_zone)
                 self.sized(self._peers)
 
     def _retry_name(self, one: Coordination) -> None:
@@ -418,7 +428,7 @@
         if nobody != self._warned:
             self._warned = nobody
             log(
-                "members-nobody" if nobody else "members-somebody",
+                LogEvent.ENDPOINT_SOURCES_UNAVAILABLE if nobody else LogEvent.ENDPOINT_SOURCES_AVAILABLE,
                 rule="keep" if self.operator.members.keep else "refuse",
                 nodes=len(self.merge),
             )
@@ -430,7 +440,7 @@
                 one.registrar.tell(presence.record_of(self._peer(self.operator), self.names), heard)
 
     def _written(self, attempt: Attempt) -> None:
-        self.trace.written(attempt.written_at, attempt.order.node, attempt.order.source)
+        self.trace.written(attempt.written_at, attempt.order.node_id, attempt.order.source_id)
 
     # -- the socket for `stonecove members` --
 
@@ -441,7 +451,7 @@
         try:
             listener = _unix_listener(path)
         except OSError as error:
-            log("members-socket", path=path, why=error.strerror or str(error))
+            log(LogEvent.MEMBERS_SOCKET_FAILED, path=path, reason=error.strerror or str(error))
             return
         self._socket_scope = trio.CancelScope()
         self._spawn(partial(self._serve_socket, path, listener, self._socket_scope))
--- a/stonecove/lifecycle/serve.py
+++ b/stonecove/server/serve.py
@@ -17,30 +17,32 @@
 
 import trio
 
-from stonecove.interface import Peers, Settings
+from stonecove.frontends.fastcgi import Front
+from stonecove.pipeline.route import Route
+from stonecove.pipeline.send import connection_limit
+from stonecove.protocols.change_log import Follower
+from stonecove.protocols.upstream_channel import Owner
+from stonecove.routing.events import FleetSizeChanged
+from stonecove.routing.settings import Settings
 from stonecove.runtime.clock import Clock
-from stonecove.runtime.timers import Timers
-from stonecove.lifecycle.config import Config, ConfigError, read_config
 from stonecove.runtime.log import divert, log, log_some
-from stonecove.memory.budget import Budget
-from stonecove.stages.route import Route
-from stonecove.stages.send import connection_limit
-from stonecove.wire.changelog import Follower
-from stonecove.wire.channel import Owner
-from stonecove.wire.client import Connection as Client
-from stonecove.wire.connection import NO_DESCRIPTOR, Connection
-from stonecove.wire.follow import ChangeLog
-from stonecove.wire.front import Front
+from stonecove.runtime.log_events import LogEvent
+from stonecove.runtime.timers import Timers
+from stonecove.server.config import Config, ConfigError, read_config
+from stonecove.state.budget import Budget
+from stonecove.transport.change_log_follower import ChangeLog
+from stonecove.transport.client_connection import Connection as Client
+from stonecove.transport.upstream_connection import NO_DESCRIPTOR, Connection
 
 if TYPE_CHECKING:
-    from stonecove.lifecycle.access import AccessKeeper
-    from stonecove.lifecycle.configuration import ConfigurationKeeper
-    from stonecove.lifecycle.http import HttpListener
-    from stonecove.lifecycle.leases import Leases
-    from stonecove.lifecycle.members import Members
-    from stonecove.lifecycle.reconfigure import Reconfigure
-    from stonecove.lifecycle.swarm import SwarmKeeper
-    from stonecove.operator.records import ConfigurationRecord, Operator
+    from stonecove.operator_config.records import ConfigurationRecord, Operator
+    from stonecove.server.access import AccessKeeper
+    from stonecove.server.configuration import ConfigurationKeeper
+    from stonecove.server.http import HttpListener
+    from stonecove.server.leases import Leases
+    from stonecove.server.members import Members
+    from stonecove.server.reconfigure import Reconfigure
+    from stonecove.server.swarm import SwarmKeeper
 
 BACKLOG = 1024
 SIGNALS = signal.SIGTERM, signal.SIGINT, signal.SIGHUP
@@ -112,7 +114,7 @@
         self._members: Members | None = None
         self._leases: Leases | None = None
         if leases := os.environ.get("STONECOVE_LEASES"):
-            from stonecove.lifecycle.leases import leases_from
+            from stonecove.server.leases import leases_from
 
             self._leases = leases_from(
                 Path(leases), config.name, config.settings, self._route, self._clock, self._spawn
@@ -120,21 +122,21 @@
         self._http: HttpListener | None = None
         self._access: AccessKeeper | None = None
         if operator is not None:
-            from stonecove.operator.reader import read
+            from stonecove.operator_config.reader import read
 
             self._more_fronts(read(operator).operator)
         if tracing := os.environ.get("STONECOVE_TRACE"):
-            from stonecove.lifecycle.tracing import trace_from
+            from stonecove.server.tracing import trace_from
 
             trace_from(tracing, config, self._route)
         if operator is not None:
-            from stonecove.lifecycle.members import Members
+            from stonecove.server.members import Members
 
             self._members = Members(operator, config, self._route, self._clock, self._changelog, self._spawn)
         self._swarm: SwarmKeeper | None = None
         record = self._members.operator.swarm if self._members is not None else None
         if self._members is not None and record is not None and datagrams is not None:
-            from stonecove.lifecycle.swarm import SwarmKeeper
+            from stonecove.server.swarm import SwarmKeeper
 
             self._swarm = SwarmKeeper(record, config, datagrams, self._route, self._clock, self._leases)
             self._members.sized = self._swarm.present
@@ -146,7 +148,7 @@
 
     def _time_drain(self, settings: Settings) -> None:
         """How long a drain may take: SIGKILL comes by the longest deadline."""
-        longest = max(cls.deadline for cls in settings.classes) / 1000.0
+        longest = max(cls.deadline_ms for cls in settings.classes) / 1000.0
         kill = min(longest, LONGEST_COUNTED) + KILL_AFTER  # seconds after SIGTERM, as is:
         self._last_answer = max(kill - KILL_MARGIN, min(GRACE, kill - LEAST_MARGIN))
         self._last_write = min(LAST_WRITE, kill - LEAST_MARGIN / 2 - self._last_answer)
@@ -165,7 +167,7 @@
             if members is not None:
                 members.also.pop("configuration", None)
         elif self._reconfigure is None:
-            from stonecove.lifecycle.reconfigure import Reconfigure
+            from stonecove.server.reconfigure import Reconfigure
 
             others = [one for one in (self._leases, self._swarm) if one is not None]
             self._reconfigure = Reconfigure(
@@ -184,7 +186,7 @@
         self, members: Members, record: ConfigurationRecord, reconfigure: Reconfigure
     ) -> None:
         """Changes of the settings come by the session with the coordination service."""
-        from stonecove.lifecycle.configuration import ConfigurationKeeper
+        from stonecove.server.configuration import ConfigurationKeeper
 
         keeper = ConfigurationKeeper(
             record, self._config, self._config.table, reconfigure, self._route.book.counts, self._clock
@@ -193,7 +195,7 @@
         self._spawn(keeper.run)
         self._configuration = keeper
 
-    def _counted(self) -> Peers | None:
+    def _counted(self) -> FleetSizeChanged | None:
         """How many routers there are, where that is counted."""
         if self._swarm is not None:
             return self._swarm.counted()
@@ -216,14 +218,14 @@
         settings = self._config.settings
         depot = settings.zones[settings.zone] if settings.zone < len(settings.zones) else ""
         if operator.access is not None:
-            from stonecove.lifecycle.access import AccessKeeper
+            from stonecove.server.access import AccessKeeper
 
             self._access = AccessKeeper(operator.access, depot, self._clock, self._route)
             if operator.access.fastcgi:
                 self._front.desk = self._access.desk
         if operator.http is not None:
-            from stonecove.lifecycle.http import HttpListener
-            from stonecove.wire.httpfront import HttpFront
+            from stonecove.frontends.http import HttpFront
+            from stonecove.server.http import HttpListener
 
             desk = self._access.desk if self._access is not None else None
             scheme = "https" if operator.http.certificate else "http"
@@ -268,7 +270,7 @@
         try:
             await task()
         except Exception as error:
-            log("bug", where="connection", error=repr(error))
+            log(LogEvent.INTERNAL_ERROR, where="connection", error=repr(error))
 
     async def run(self, listener: socket.socket) -> None:
         """Serves until SIGTERM, and then finishes what was taken; reads its configuration anew on SIGHUP.
@@ -310,7 +312,7 @@
             self._nursery.start_soon(task)
         self._nursery.start_soon(self._changelog.run, told)
         with trio.CancelScope() as self._starting:
-            await self._changelog.caught_up(self._config.settings.drain_grace / 1000.0)
+            await self._changelog.caught_up(self._config.settings.drain_grace_ms / 1000.0)
         self._nursery.start_soon(self._accept, listener)
         if self._leases is not None:
             self._leases.start()
@@ -327,7 +329,7 @@
             self._ready()
         await self._stopping.wait()
         name, since = self._stop
-        log("stopping", signal=name, open=len(self._route.requests), within=self._last_answer)
+        log(LogEvent.ROUTER_STOPPING, signal=name, open=len(self._route.requests), within=self._last_answer)
         self._notify("STOPPING=1")
         if self._swarm is not None:
             self._swarm.leaving()
@@ -345,10 +347,10 @@
         if self._http is not None:
             self._http.front.ready = True
             self._http.start()
-            log("http-up", listen=self._http.where)
+            log(LogEvent.HTTP_LISTENING, listen=self._http.where)
         self._notify("READY=1")
         log(
-            "ready",
+            LogEvent.ROUTER_READY,
             name=self._config.name,
             listen=":".join(map(str, self._config.listen)),
             nodes=len(self._route.nodes),
@@ -373,7 +375,7 @@
         try:
             config = read_config()
         except ConfigError as error:
-            log("reload-refused", why=str(error))
+            log(LogEvent.CONFIG_RELOAD_REJECTED, reason=str(error))
             if self._reconfigure is not None:
                 self._reconfigure.refuse(str(error))
             return
@@ -386,7 +388,7 @@
             if getattr(config, name) != getattr(self._config, name)
         ]
         log(
-            "reloaded",
+            LogEvent.CONFIG_RELOADED,
             changelog=":".join(map(str, config.changelog)),
             sockets=config.sockets,
             memory_mb=config.memory_mb,
@@ -404,7 +406,7 @@
 
     def _take_settings(self, config: Config, reconfigure: Reconfigure) -> dict[str, object]:
         """Puts the settings of a file in force, or tells why not; what the log line says of it."""
-        from stonecove.lifecycle.reconfigure import SettingsRefused
+        from stonecove.server.reconfigure import SettingsRefused
 
         try:
             if self._configuration is not None:
@@ -417,13 +419,13 @@
 
     def _reload_fronts(self, path: Path) -> None:
         """Keys, policies, revocations and certificates, each whole or not at all."""
-        from stonecove.operator.grammar import OperatorError
-        from stonecove.operator.reader import read
+        from stonecove.operator_config.grammar import OperatorError
+        from stonecove.operator_config.reader import read
 
         try:
             operator = read(path).operator
         except OperatorError as error:
-            log("access-refused", why=str(error))
+            log(LogEvent.ACCESS_CONFIG_REJECTED, reason=str(error))
             return
         if self._access is not None and operator.access is not None:
             self._access.reload(operator.access)
@@ -443,7 +445,9 @@
         Guards against idle clients that hold all descriptors, so that no connection to the change log or to
         a cache comes up again.
         """
-        log_some("no-descriptors", clients=len(self._clients), links=self._route.send.links())
+        log_some(
+            LogEvent.DESCRIPTORS_EXHAUSTED, clients=len(self._clients), connections=self._route.send.links()
+        )
         if len(self._clients) <= self._most_clients:
             held = len(self._clients) + self._route.send.links()
             self._most_clients = max(LEAST_CLIENTS, min(self._most_clients, int(CLIENTS_PART * held)))
@@ -483,7 +487,7 @@
                 for client in list(self._clients):
                     client.finish()
                 await trio.sleep(0.01)
-        log("stopped", open=len(self._route.requests))
+        log(LogEvent.ROUTER_STOPPED, open=len(self._route.requests))
 
     def _take_last(self, listener: socket.socket) -> None:
         """Accepts what came since the last look: with the listener, it would be reset."""
@@ -598,7 +602,7 @@
                 sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
                 why = await client.run()
                 if why not in ("closed by the client", "closed by us"):
-                    log_some("client-lost", why=why)
+                    log_some(LogEvent.CLIENT_CONNECTION_ABORTED, reason=why)
             finally:
                 self._clients.discard(client)
 
@@ -650,11 +654,11 @@
 
 def _datagrams(config: Config, operator: Path) -> socket.socket | None:
     """Where other routers speak to us, if they are to; raises OSError."""
-    from stonecove.operator.reader import read
+    from stonecove.operator_config.reader import read
 
     if read(operator).operator.swarm is None:
         return None
-    from stonecove.lifecycle.swarm import bound
+    from stonecove.server.swarm import bound
 
     return bound(config)
 
@@ -662,7 +666,7 @@
 def _check_shared() -> str:
     """What is wrong with the supervisor's own words; empty if nothing is."""
     if leases := os.environ.get("STONECOVE_LEASES"):
-        from stonecove.lifecycle.leases import LeaseFile, LeaseFileError
+        from stonecove.server.leases import LeaseFile, LeaseFileError
 
         try:
             LeaseFile.read(Path(leases))
@@ -675,15 +679,15 @@
     """What is wrong with an operator's file; empty if it can be used. Guards against finding out half
     started.
     """
-    from stonecove.operator.grammar import OperatorError
-    from stonecove.operator.reader import read
+    from stonecove.operator_config.grammar import OperatorError
+    from stonecove.operator_config.reader import read
 
     try:
         found = read(operator).operator
     except OperatorError as error:
         return str(error)
     if found.access is not None:
-        from stonecove.lifecycle.access import AccessError, policies_of, read_ring
+        from stonecove.server.access import AccessError, policies_of, read_ring
 
         try:
             read_ring(Path(found.access.ring))
@@ -691,7 +695,7 @@
         except AccessError as error:
             return f"stonecove: {error}"
     if found.swarm is not None:
-        from stonecove.lifecycle.swarm import usable
+        from stonecove.server.swarm import usable
 
         if wrong := usable(config):
             return f"stonecove: {operator}: {wrong}"
--- a/stonecove/lifecycle/tracing.py
+++ b/stonecove/server/tracing.py
@@ -24,12 +24,12 @@
 from opentelemetry.sdk.trace.sampling import TraceIdRatioBased
 from opentelemetry.trace import Span, set_span_in_context
 
-from stonecove.choice import mix
 from stonecove.exchange import Answer, ClientRequest
-from stonecove.interface import Outcome
-from stonecove.lifecycle.config import Config
-from stonecove.memory.requests import Attempt, OpenRequest
-from stonecove.stages.route import Route
+from stonecove.pipeline.route import Route
+from stonecove.routing.events import Outcome, reported_outcome
+from stonecove.routing.rendezvous import mix64
+from stonecove.server.config import Config
+from stonecove.state.requests import Attempt, OpenRequest
 
 EXPORT_EVERY = 500  # ms
 MOST_QUEUED = 8192  # spans that wait to be written; more are dropped, and nothing waits for them
@@ -37,7 +37,7 @@
 
 def trace_id_of(txn: str) -> int:
     """128 bits that belong to an id of 16 hex digits; mixed, as the ratio is taken from the low half."""
-    return int(txn, 16) << 64 | mix(int(txn, 16))
+    return int(txn, 16) << 64 | mix64(int(txn, 16))
 
 
 class ByRequest(IdGenerator):
@@ -170,10 +170,10 @@
                 context=set_span_in_context(parent),
                 attributes={
                     "number": attempt.number,
-                    "node": f"s-{order.node:08x}",
-                    "source": f"s-{order.source:08x}",
-                    "keep": order.keep,
-                    "how": int(order.how),
+                    "node": f"s-{order.node_id:08x}",
+                    "source": f"s-{order.source_id:08x}",
+                    "keep": order.cache_rank,
+                    "how": int(order.fetch_mode),
                 },
             )
         inner(attempt)
@@ -214,7 +214,7 @@
 
     def _ended(self, inner: Callable[..., None], attempt: Attempt, outcome: Outcome, *args: Any) -> None:
         if not attempt.ended and (span := self._attempts.pop(attempt, None)) is not None:
-            span.set_attribute("outcome", outcome.name.lower())
+            span.set_attribute("outcome", reported_outcome(outcome))
             span.end()
         inner(attempt, outcome, *args)
 
--- a/tests/golden_access_cases.py
+++ b/tests/golden_access_cases.py
@@ -22,8 +22,8 @@
 from stonecove.access.reasons import status_of
 from stonecove.access.revoked import Revoked
 from stonecove.access.routes import Policy
-from stonecove.lifecycle.access import policies_of
-from stonecove.operator.reader import read_text
+from stonecove.operator_config.reader import read_text
+from stonecove.server.access import policies_of
 
 FOLDER = Path(__file__).parent / "golden" / "access"
 NOW = 1_800_000_000
--- a/tests/golden_coordination_frames.py
+++ b/tests/golden_coordination_frames.py
@@ -7,8 +7,8 @@
 
 from golden_folder import Format, Meaning, Named, Replay, packed, unpacked
 
-from stonecove.wire import zookeeper as zk
-from stonecove.wire.buffer import Buffer
+from stonecove.protocols.buffer import Buffer
+from stonecove.protocols.zookeeper import messages as zk
 
 # -- requests --
 
--- a/tests/golden_coordination_gossip.py
+++ b/tests/golden_coordination_gossip.py
@@ -8,8 +8,8 @@
 
 from golden_folder import Format, Meaning, Named, key_of
 
-from stonecove.swarm.words import Datagram, Kind, Standing, Word
-from stonecove.wire.gossip import GossipError, decode, encode
+from stonecove.gossip.words import Datagram, Kind, Standing, Word
+from stonecove.protocols.gossip import GossipError, decode, encode
 
 KINDS = {
     "ping": Kind.PING,
--- a/tests/golden_coordination_records.py
+++ b/tests/golden_coordination_records.py
@@ -6,9 +6,9 @@
 
 from golden_folder import NO_TABLES, Format, Meaning, json_with, key_of, reason_of
 
-from stonecove.interface import Node, NodeState
-from stonecove.membership import Member, presence
-from stonecove.membership.records import Names, RecordError, member_of, record_of
+from stonecove.discovery import Member, presence
+from stonecove.discovery.records import Names, RecordError, member_of, record_of
+from stonecove.routing.endpoints import Node, NodeState
 
 NAMES = Names(("hub", "edge-1"), ("box", "parent", "origin"))
 NODE_STATES = {"ready": NodeState.READY, "draining": NodeState.DRAINING}
@@ -18,14 +18,14 @@
     """Return the meaning of an upstream node's record."""
     node = member.node
     return {
-        "node": node.node,
+        "node": node.node_id,
         "host": member.host,
         "port": member.port,
         "zone_index": node.zone,
         "kind_index": node.kind,
         "cell": node.cell,
         "weight": node.weight,
-        "started_ms": node.started,
+        "started_ms": node.started_ms,
         "state": key_of(NODE_STATES, node.state),
     }
 
@@ -33,9 +33,9 @@
 def build_member(meaning: Meaning) -> Member:
     """Return the program's value for an upstream node."""
     node = Node(
-        node=meaning["node"],
+        node_id=meaning["node"],
         kind=meaning["kind_index"],
-        started=meaning["started_ms"],
+        started_ms=meaning["started_ms"],
         state=NODE_STATES[meaning["state"]],
         cell=meaning["cell"],
         zone=meaning["zone_index"],
--- a/tests/golden_coordination_sessions.py
+++ b/tests/golden_coordination_sessions.py
@@ -9,12 +9,12 @@
 
 from golden_coordination_frames import (
     build_operation,
-    describe_event,
-    describe_result,
     children_field,
     connected_frame,
     create_request,
     data_field,
+    describe_event,
+    describe_result,
     event_frame,
     int_field,
     operation_request,
@@ -24,10 +24,10 @@
 )
 from golden_folder import Meaning, Replay, packed, unpacked
 
-from stonecove.wire import zookeeper as zk
-from stonecove.wire.zknode import NodeWatch
-from stonecove.wire.zkpresence import Registrar
-from stonecove.wire.zksession import (
+from stonecove.protocols.zookeeper import messages as zk
+from stonecove.protocols.zookeeper.node_watch import NodeWatch
+from stonecove.protocols.zookeeper.registration import Registrar
+from stonecove.protocols.zookeeper.session import (
     Down,
     Expired,
     Figures,
@@ -38,7 +38,7 @@
     Up,
     Watched,
 )
-from stonecove.wire.zktree import Tree
+from stonecove.protocols.zookeeper.tree_watch import Tree
 
 SESSION_STATES = {
     "waiting": State.WAITING,
--- a/tests/golden_decisions_cases.py
+++ b/tests/golden_decisions_cases.py
@@ -33,8 +33,8 @@
     GONE,
     HIT,
     MISS,
-    NOTES,
     NO_NOTE,
+    NOTES,
     OK,
     ORIGIN_FAILED,
     OUTCOMES,
@@ -50,7 +50,8 @@
     Step,
     describe_action,
 )
-from stonecove.choice import Director
+
+from stonecove.routing.director import Director
 from stonecove.settings import read_settings
 
 # -- settings, as the published JSON --
--- a/tests/golden_decisions_types.py
+++ b/tests/golden_decisions_types.py
@@ -10,7 +10,36 @@
 from collections.abc import Callable, Iterable
 from typing import Any, NamedTuple
 
-from stonecove import interface
+from stonecove.routing.actions import (
+    Action,
+    CancelAttempt,
+    FailRequest,
+    RejectRequest,
+    RequestLease,
+    ReturnLease,
+    SendAttempt,
+    StartTimer,
+    WatchEndpointList,
+    WriteLog,
+)
+from stonecove.routing.endpoints import EndpointListKind, Node, NodeState
+from stonecove.routing.events import (
+    AttemptEnded,
+    CacheStatus,
+    ClientDisconnected,
+    EndpointListUpdate,
+    Event,
+    FleetSizeChanged,
+    HealthCheckEnded,
+    LeaseGranted,
+    LeaseTerms,
+    Outcome,
+    PurgeReceived,
+    RequestReceived,
+    ResponseStarted,
+    SettingsChanged,
+    TimerExpired,
+)
 from stonecove.settings import read_settings
 
 DRAINING, GONE, READY = 0, 1, 2
@@ -41,23 +70,21 @@
 # -- the program's types: events in, actions out --
 
 
-def make_node(
-    node: int, kind: int, started: float, state: int, cell: int, zone: int, weight: float
-) -> interface.Node:
+def make_node(node: int, kind: int, started: float, state: int, cell: int, zone: int, weight: float) -> Node:
     """Return one entry of an endpoint list."""
-    return interface.Node(node, kind, started, interface.NodeState(state), cell, zone, weight)
+    return Node(node, kind, started, NodeState(state), cell, zone, weight)
 
 
-def make_list(form: int, endpoints: Iterable[Endpoint]) -> interface.Event:
+def make_list(form: int, endpoints: Iterable[Endpoint]) -> Event:
     """Return an update of the endpoint list."""
-    return interface.Listed(interface.ListKind(form), tuple(make_node(*one) for one in endpoints))
+    return EndpointListUpdate(EndpointListKind(form), tuple(make_node(*one) for one in endpoints))
 
 
 def make_request(
     request: int, kind: int, key: int, time_left: float, size: float, group: int, part: int
-) -> interface.Event:
+) -> Event:
     """Return a client's request."""
-    return interface.Request(request, kind, key, time_left, size, group, part)
+    return RequestReceived(request, kind, key, time_left, size, group, part)
 
 
 def make_attempt_end(
@@ -70,59 +97,59 @@
     note: int,
     waited: float,
     load: tuple[float, ...],
-) -> interface.Event:
+) -> Event:
     """Return the end of an attempt."""
-    return interface.Ended(
-        request, attempt, node, interface.Outcome(outcome), took, final, interface.Note(note), waited, load
+    return AttemptEnded(
+        request, attempt, node, Outcome(outcome), took, final, CacheStatus(note), waited, load
     )
 
 
-def make_response_start(request: int, attempt: int, node: int) -> interface.Event:
+def make_response_start(request: int, attempt: int, node: int) -> Event:
     """Return the beginning of a streamed response."""
-    return interface.Started(request, attempt, node)
+    return ResponseStarted(request, attempt, node)
 
 
-def make_disconnect(request: int) -> interface.Event:
+def make_disconnect(request: int) -> Event:
     """Return the disconnection of a client."""
-    return interface.Left(request)
+    return ClientDisconnected(request)
 
 
-def make_timer_end(token: int) -> interface.Event:
+def make_timer_end(token: int) -> Event:
     """Return the end of a timer that was asked for."""
-    return interface.Due(token)
+    return TimerExpired(token)
 
 
-def make_purge(age: float, group: int, key: int) -> interface.Event:
+def make_purge(age: float, group: int, key: int) -> Event:
     """Return a purge of an object, or of a group where the key is 0."""
-    return interface.Purged(age, group, key)
+    return PurgeReceived(age, group, key)
 
 
-def make_probe_end(node: int, succeeded: bool, took: float, load: tuple[float, ...]) -> interface.Event:
+def make_probe_end(node: int, succeeded: bool, took: float, load: tuple[float, ...]) -> Event:
     """Return the result of a health check."""
-    return interface.Probed(node, succeeded, took, load)
+    return HealthCheckEnded(node, succeeded, took, load)
 
 
-def make_fleet_size(fleet: int, by_zone: tuple[int, ...]) -> interface.Event:
+def make_fleet_size(fleet: int, by_zone: tuple[int, ...]) -> Event:
     """Return the present numbers of routers."""
-    return interface.Peers(fleet, by_zone)
+    return FleetSizeChanged(fleet, by_zone)
 
 
-def make_settings_change(settings: dict[str, Any]) -> interface.Event:
+def make_settings_change(settings: dict[str, Any]) -> Event:
     """Return a change of the settings, given as published JSON."""
-    return interface.Reconfigured(read_settings(json.dumps(settings)))
+    return SettingsChanged(read_settings(json.dumps(settings)))
 
 
-def make_lease_terms(own: float, retries: float) -> interface.Event:
+def make_lease_terms(own: float, retries: float) -> Event:
     """Return the parts of its shares that a router spends without a lease."""
-    return interface.Terms(own, retries)
+    return LeaseTerms(own, retries)
 
 
-def make_lease(number: int, node: int, work: float, until: float) -> interface.Event:
+def make_lease(number: int, node: int, work: float, until: float) -> Event:
     """Return a granted lease, or the end of one where no work is left."""
-    return interface.Piece(number, node, work, until)
+    return LeaseGranted(number, node, work, until)
 
 
-EVENT_FACTORIES: dict[str, Callable[..., interface.Event]] = {
+EVENT_FACTORIES: dict[str, Callable[..., Event]] = {
     "list": make_list,
     "request": make_request,
     "attempt-end": make_attempt_end,
@@ -138,22 +165,29 @@
 }
 
 DESCRIBERS: dict[type, Callable[[Any], list[Any]]] = {
-    interface.Get: lambda act: [
-        "send", act.req, act.node, act.cut_at, act.source, act.keep, act.age, int(act.how)
+    SendAttempt: lambda act: [
+        "send", act.request_id,
+        act.node_id,
+        act.deadline_ms,
+        act.source_id,
+        act.cache_rank,
+        act.max_age_ms,
+        int(act.fetch_mode),
     ],
-    interface.Cancel: lambda act: ["cancel", act.req, act.attempt],
-    interface.Refuse: lambda act: ["reject", act.req, act.pause],
-    interface.Fail: lambda act: ["fail", act.req],
-    interface.Timer: lambda act: ["timer", act.token, act.at],
-    interface.Watch: lambda act: ["watch"],
-    interface.Log: lambda act: ["log", act.text],
-    interface.Want: lambda act: [
-        "request-lease", act.node, act.work, act.rule, act.rises, act.share, act.zonal
+    CancelAttempt: lambda act: ["cancel", act.request_id, act.attempt_index],
+    RejectRequest: lambda act: ["reject", act.request_id, act.retry_after_ms],
+    FailRequest: lambda act: ["fail", act.request_id],
+    StartTimer: lambda act: ["timer", act.token, act.expires_at_ms],
+    WatchEndpointList: lambda act: ["watch"],
+    WriteLog: lambda act: ["log", act.text],
+    RequestLease: lambda act: [
+        "request-lease", act.node_id, act.work_ms, act.fleet_limit_ms, act.growth_ms_per_s,
+        act.share, act.zonal
     ],
-    interface.Unspent: lambda act: ["return-lease", act.number, act.work],
+    ReturnLease: lambda act: ["return-lease", act.lease_id, act.work_ms],
 }  # fmt: skip
 
 
-def describe_action(action: interface.Action) -> list[Any]:
+def describe_action(action: Action) -> list[Any]:
     """Return an action as a list that names no class: its kind, then its values in a fixed order."""
     return DESCRIBERS[type(action)](action)
--- a/tests/golden_fleet_control.py
+++ b/tests/golden_fleet_control.py
@@ -10,36 +10,36 @@
 
 import trio
 import trio.testing
-
 from golden_coordination_gossip import build_datagram
 from golden_coordination_records import NAMES, build_member
 from golden_coordination_rollouts import build_target
 from golden_fleet_files import FOLDER, UNIX, temporary_folder
 from golden_folder import Meaning, Replay, Snapshot
 
-from stonecove.interface import NodeState, Peers
-from stonecove.lifecycle.config import Config, config_from
-from stonecove.lifecycle.configuration import ConfigurationKeeper
-from stonecove.lifecycle.members import Members
-from stonecove.lifecycle.reconfigure import Reconfigure, SettingsRefused
-from stonecove.lifecycle.swarm import SwarmKeeper, bound
-from stonecove.membership import MembersUpdate
-from stonecove.membership.records import record_of
-from stonecove.memory.budget import Budget
-from stonecove.operator.reader import read_text
-from stonecove.operator.records import ConfigurationRecord
+from stonecove.discovery import MembersUpdate
+from stonecove.discovery.records import record_of
+from stonecove.operator_config.reader import read_text
+from stonecove.operator_config.records import ConfigurationRecord
+from stonecove.pipeline.route import Route
+from stonecove.protocols.change_log import Follower
+from stonecove.protocols.gossip import encode
+from stonecove.protocols.zookeeper import messages as zk
+from stonecove.protocols.zookeeper.session import Figures, Reply
 from stonecove.rollout.messages import Overlay
+from stonecove.routing.endpoints import NodeState
+from stonecove.routing.events import FleetSizeChanged
 from stonecove.runtime.clock import Clock
 from stonecove.runtime.timers import Timers
+from stonecove.server.config import Config, config_from
+from stonecove.server.configuration import ConfigurationKeeper
+from stonecove.server.members import Members
+from stonecove.server.reconfigure import Reconfigure, SettingsRefused
+from stonecove.server.swarm import SwarmKeeper, bound
 from stonecove.settings import settings_from
-from stonecove.stages.route import Route
 from stonecove.standins import zookeeper as standin
-from stonecove.wire import zookeeper as zk
-from stonecove.wire.changelog import Follower
-from stonecove.wire.ensemble import Ensemble
-from stonecove.wire.follow import ChangeLog
-from stonecove.wire.gossip import encode
-from stonecove.wire.zksession import Figures, Reply
+from stonecove.state.budget import Budget
+from stonecove.transport.change_log_follower import ChangeLog
+from stonecove.transport.zookeeper import Ensemble
 
 SETTINGS: dict[str, Any] = {
     "areas": ["hub", "edge-1"],
@@ -214,7 +214,7 @@
             told = build_member(_node(0xA1, 6661, state="draining"))
             other = build_member(_node(0xA3, 6663, kind_index=1, started_ms=0.0))
             members.told(MembersUpdate(True, (told, other)))
-            gone = other._replace(node=other.node._replace(state=NodeState.GONE))
+            gone = other._replace(node=other.node._replace(state=NodeState.REMOVED))
             members.told(MembersUpdate(False, (gone,)))
             await trio.testing.wait_all_tasks_blocked(0.01)
             found["answers"] = {
@@ -371,15 +371,15 @@
                     datagram = build_datagram(step["datagram"])
                     keeper.swarm.heard(step["from"], datagram, now, clock.now())
                 case "counted by others":
-                    keeper.present(Peers(step["fleet"], tuple(step["by_zone"])))
+                    keeper.present(FleetSizeChanged(step["fleet"], tuple(step["by_zone"])))
                 case "time passes":
                     keeper.swarm.tick(now, clock.now())
             counted = keeper.counted()
             assert counted is not None
             out, keeper.swarm.gossip.out = keeper.swarm.gossip.out, []
             sent = [{"to": peer, "bytes": encode(datagram).hex()} for peer, datagram in out]
-            by_zone = list(counted.by_zone)
-            outputs.append({"routers": counted.fleet, "routers_by_zone": by_zone, "sent": sent})
+            by_zone = list(counted.routers_by_zone)
+            outputs.append({"routers": counted.fleet_size, "routers_by_zone": by_zone, "sent": sent})
         datagrams.close()
         return outputs
 
--- a/tests/golden_fleet_lease_file.py
+++ b/tests/golden_fleet_lease_file.py
@@ -5,12 +5,11 @@
 import json
 from typing import Any
 
-
 from golden_fleet_files import as_json, temporary_folder
 from golden_folder import Format, Meaning
 
-from stonecove.lifecycle.leases import LeaseFile, LeaseFileError
-from stonecove.sharing.quota import Limit, Plan
+from stonecove.quotas.quota import Limit, Plan
+from stonecove.server.leases import LeaseFile, LeaseFileError
 
 PLAN = Plan(
     Limit(100.0, 10.0, 100.0),
--- a/tests/golden_fleet_leases.py
+++ b/tests/golden_fleet_leases.py
@@ -14,19 +14,19 @@
 
 import trio
 import trio.testing
-
-from golden_fleet_lease_file import PLAN
+from conftest import make_settings
 from golden_fleet_files import UNIX, temporary_folder
+from golden_fleet_lease_file import PLAN
 from golden_folder import Meaning, Replay, packed, unpacked
 
-from conftest import make_settings
 from stonecove.exchange import ClientRequest
 from stonecove.fleet.lender import SOCKET, Lender
-from stonecove.interface import Piece, Terms, Unspent, Want
-from stonecove.lifecycle.leases import LeaseFile, Leases
-from stonecove.operator.reader import read_text
+from stonecove.operator_config.reader import read_text
+from stonecove.routing.actions import RequestLease, ReturnLease
+from stonecove.routing.events import LeaseGranted, LeaseTerms
 from stonecove.runtime.clock import Clock
 from stonecove.runtime.unix import accept_all, bound
+from stonecove.server.leases import LeaseFile, Leases
 
 QUIET = 0.01  # seconds without anything to do, after which all that a step leads to has happened
 FLEET = """
@@ -226,21 +226,27 @@
 
 def describe_told(event: object) -> Meaning:
     """Return the meaning of what the router's decisions are told."""
-    if isinstance(event, Terms):
-        return {"event": "lease_terms", "own_quota": event.own, "retry_quota": event.retries}
-    assert isinstance(event, Piece)
+    if isinstance(event, LeaseTerms):
+        return {
+            "event": "lease_terms",
+            "own_quota": event.unleased_fraction,
+            "retry_quota": event.retry_fraction,
+        }
+    assert isinstance(event, LeaseGranted)
     return {
         "event": "lease",
-        "number": event.number,
-        "node": event.node,
-        "work": event.work,
-        "expires_ms": event.until,
+        "number": event.lease_id,
+        "node": event.node_id,
+        "work": event.work_ms,
+        "expires_ms": event.expires_at_ms,
     }
 
 
-def _want(step: Meaning) -> Want:
+def _want(step: Meaning) -> RequestLease:
     growth = float(step["limit_growth"])  # "inf" is no number in JSON
-    return Want(step["node"], step["work"], step["fleet_limit"], growth, step["share"], step["of_zone"])
+    return RequestLease(
+        step["node"], step["work"], step["fleet_limit"], growth, step["share"], step["of_zone"]
+    )
 
 
 class _Router:
@@ -290,9 +296,9 @@
                         assert connections[-1].socket.fileno() >= 0, f"no connection at {step}"
                         await connections[-1].send_all(unpacked(step["bytes"]))
                     case "want lease":
-                        router.actions[Want](_want(step))
+                        router.actions[RequestLease](_want(step))
                     case "lease expired":
-                        router.actions[Unspent](Unspent(step["number"], step["unspent"]))
+                        router.actions[ReturnLease](ReturnLease(step["number"], step["unspent"]))
                     case "requests":
                         assert router.gate is not None
                         asked = cast(Any, SimpleNamespace(cls=step["of"], client=step["client"]))
@@ -300,7 +306,9 @@
                     case "own quota":
                         leases.scale(step["scale"])
                     case "reconfigure":
-                        leases.reconfigure(make_settings(fleet=step["routers"], zone_directors=(0, 4, 4)))
+                        leases.reconfigure(
+                            make_settings(fleet_size=step["routers"], routers_by_zone=(0, 4, 4))
+                        )
                     case "close":
                         connections[-1].socket.shutdown(trio.socket.SHUT_RDWR)
                 await trio.testing.wait_all_tasks_blocked(QUIET)
--- a/tests/golden_fleet_spans.py
+++ b/tests/golden_fleet_spans.py
@@ -6,16 +6,17 @@
 from types import SimpleNamespace
 from typing import Any, cast
 
+from conftest import make_class
 from golden_fleet_files import files_in, temporary_folder
 from golden_folder import Meaning, Snapshot
 
-from conftest import make_class
 from stonecove.exchange import Answer, ClientRequest, Verdict
 from stonecove.fleet import traces
-from stonecove.interface import Get, Outcome
-from stonecove.lifecycle.tracing import ByRequest, SpanFile, trace_from
-from stonecove.memory.requests import Attempt, OpenRequest
-from stonecove.stages.relay import Reply
+from stonecove.pipeline.relay import Reply
+from stonecove.routing.actions import SendAttempt
+from stonecove.routing.events import Outcome
+from stonecove.server.tracing import ByRequest, SpanFile, trace_from
+from stonecove.state.requests import Attempt, OpenRequest
 
 
 class _Stages:
@@ -50,7 +51,7 @@
 
 
 def _attempt(stages: _Stages, request: OpenRequest, number: int, node: int, source: int) -> Attempt:
-    attempt = Attempt(request, number, Get(request.req, node, 4000.0, source, 2, 0.0, 5), 1000.0)
+    attempt = Attempt(request, number, SendAttempt(request.req, node, 4000.0, source, 2, 0.0, 5), 1000.0)
     request.attempts.append(attempt)
     stages.send.order(attempt)
     return attempt
@@ -76,7 +77,7 @@
         provider = trace_from(f"1:100000:2:{folder / 'trace'}", cast(Any, config), cast(Any, stages))
         served = _traced(stages, 1, "00000000000000aa")
         full = _attempt(stages, served, 0, 0xA1, 0xA1)
-        stages.book.ended(full, Outcome.FULL)
+        stages.book.ended(full, Outcome.REJECTED_OVERLOADED)
         good = _attempt(stages, served, 1, 0xA2, 0xB1)
         good.written_at = 1001.0
         stages.send.begin(good)
--- a/tests/golden_fleet_supervisor.py
+++ b/tests/golden_fleet_supervisor.py
@@ -13,7 +13,6 @@
 
 import trio
 import trio.testing
-
 from golden_fleet_files import notified, temporary_folder
 from golden_folder import Meaning, Snapshot
 
--- a/tests/golden_formats_cases.py
+++ b/tests/golden_formats_cases.py
@@ -8,12 +8,12 @@
 from pathlib import Path
 from typing import Any
 
-from stonecove.interface import Node, NodeState
-from stonecove.membership import Member, PurgeUpdate, Told
+from stonecove.discovery import Member, PurgeUpdate, Told
+from stonecove.routing.endpoints import Node, NodeState
 
 ROOT = Path(__file__).parent.parent
 FOLDER = ROOT / "tests" / "golden" / "formats"
-NODE_STATES = {NodeState.READY: "ready", NodeState.DRAINING: "draining", NodeState.GONE: "removed"}
+NODE_STATES = {NodeState.READY: "ready", NodeState.DRAINING: "draining", NodeState.REMOVED: "removed"}
 
 Cases = Mapping[str, Callable[[], bytes]]
 
@@ -105,9 +105,9 @@
 def describe_node(one: Node) -> dict[str, object]:
     """Return a node of the endpoint list under neutral keys."""
     return {
-        "id": one.node,
+        "id": one.node_id,
         "kind": one.kind,
-        "started_unix_ms": one.started,
+        "started_unix_ms": one.started_ms,
         "state": NODE_STATES[one.state],
         "cell": one.cell,
         "zone": one.zone,
--- a/tests/golden_formats_depot.py
+++ b/tests/golden_formats_depot.py
@@ -7,19 +7,19 @@
 from contextlib import contextmanager
 from typing import Any
 
+from golden_formats_cases import input_bytes, shown
+
 from stonecove.exchange import ClientRequest
-from stonecove.interface import Settings
-from stonecove.memory.budget import Budget
+from stonecove.pipeline.route import Route
+from stonecove.protocols.change_log import known_events
+from stonecove.protocols.resp import RespError
+from stonecove.protocols.upstream_channel import Channel, Owner
+from stonecove.routing.settings import Settings
 from stonecove.runtime.clock import Clock
 from stonecove.runtime.log import divert
 from stonecove.runtime.timers import Timers
 from stonecove.settings import read_settings
-from stonecove.stages.route import Route
-from stonecove.wire.changelog import known_events
-from stonecove.wire.channel import Channel, Owner
-from stonecove.wire.resp import RespError
-
-from golden_formats_cases import input_bytes, shown
+from stonecove.state.budget import Budget
 
 NOW_MS = 1764576000000.0
 SEED = 7
@@ -55,7 +55,7 @@
 def quiet_log() -> Iterator[None]:
     """Keep the log off standard error, and fail if it tells of a bug."""
     bugs: list[Mapping[str, object]] = []
-    divert(lambda event, fields: bugs.append(fields) if event == "bug" else None)
+    divert(lambda event, fields: bugs.append(fields) if event == "internal_error" else None)
     try:
         yield
     finally:
--- a/tests/golden_gossip_cases.py
+++ b/tests/golden_gossip_cases.py
@@ -15,12 +15,12 @@
 from dataclasses import dataclass
 from typing import Any
 
-from stonecove.swarm.figures import Figures
-from stonecove.swarm.shares import Shares, Stand
-from stonecove.swarm.status import answer
-from stonecove.swarm.swarm import Swarm
-from stonecove.swarm.words import Standing, Word, ident_of
-from stonecove.wire.gossip import decode, encode, number_of
+from stonecove.gossip.figures import Figures
+from stonecove.gossip.shares import Shares, Stand
+from stonecove.gossip.status import answer
+from stonecove.gossip.swarm import Swarm
+from stonecove.gossip.words import Standing, Word, ident_of
+from stonecove.protocols.gossip import decode, encode, number_of
 
 EPOCH_MS = 1_700_000_000_000.0
 FIGURES = Figures(
@@ -37,13 +37,13 @@
 )
 WINDOW_S = 1.0
 NOTES = {  # by the program's name of a log event: its neutral name
-    "swarm-view": "view-changed",
-    "swarm-member": "member-changed",
-    "swarm-stopped": "was-stopped",
-    "swarm-doubted": "was-held-for-failed",
-    "swarm-refuted": "suspicion-refuted",
-    "swarm-life-raised": "generation-raised",
-    "swarm-name-twice": "duplicate-name",
+    "gossip_view_changed": "view-changed",
+    "gossip_member_changed": "member-changed",
+    "gossip_stopped": "was-stopped",
+    "gossip_suspected": "was-held-for-failed",
+    "gossip_refuted": "suspicion-refuted",
+    "gossip_generation_raised": "generation-raised",
+    "gossip_name_conflict": "duplicate-name",
 }
 
 
--- a/tests/golden_merge_cases.py
+++ b/tests/golden_merge_cases.py
@@ -12,14 +12,14 @@
 from collections import Counter
 from typing import Any
 
-from stonecove.interface import NodeState
-from stonecove.membership import Member
-from stonecove.membership.merge import Explanation, Merge, Source
-from stonecove.membership.records import Names, member_of
-from stonecove.membership.roster import Claim, Roster, Rules
+from stonecove.discovery import Member
+from stonecove.discovery.merge import Explanation, Merge, Source
+from stonecove.discovery.records import Names, member_of
+from stonecove.discovery.roster import Claim, Roster, Rules
+from stonecove.routing.endpoints import NodeState
 
 EPOCH_MS = 1_700_000_000_000.0
-GONE, DRAINING, READY = NodeState.GONE, NodeState.DRAINING, NodeState.READY
+GONE, DRAINING, READY = NodeState.REMOVED, NodeState.DRAINING, NodeState.READY
 NAMES = Names(("hub", "edge-1", "edge-2"), ("small", "large", "parent", "origin"))
 RULES = Rules(
     stale_for=6000.0,
@@ -35,14 +35,14 @@
     most_bytes=400,
 )
 ALARMS = {  # by the program's name of a log event: its neutral name, and its fields in order
-    "members-record-bad": ("unreadable-record", ("node", "why")),
-    "members-mass-departure": ("mass-departure", ("departed", "of")),
-    "members-departure-confirmed": ("departure-confirmed", ("left", "back")),
-    "members-ageing": ("silent-source", ("silent_s", "stands_s", "nodes")),
-    "members-returned": ("returned", ("id", "away_ms", "same_process", "blink")),
-    "members-flapping": ("flapping", ("id", "returns", "held_ms")),
-    "members-id-twice": ("duplicate-id", ("id", "nodes", "taken")),
-    "members-address-twice": ("duplicate-address", ("id", "address", "taken")),
+    "endpoint_record_invalid": ("unreadable-record", ("node", "reason")),
+    "mass_departure_suspected": ("mass-departure", ("departed", "total")),
+    "mass_departure_confirmed": ("departure-confirmed", ("departed", "returned")),
+    "endpoint_source_stale": ("silent-source", ("silent_s", "unchanged_s", "nodes")),
+    "endpoint_returned": ("returned", ("node", "absent_ms", "same_process", "reconnected")),
+    "endpoint_flapping": ("flapping", ("node", "returns", "suppressed_ms")),
+    "endpoint_id_duplicated": ("duplicate-id", ("node", "nodes", "chosen")),
+    "endpoint_address_duplicated": ("duplicate-address", ("node", "address", "chosen")),
 }
 
 
@@ -52,7 +52,8 @@
         return None
     node = member.node
     return [
-        node.node, node.kind, node.started, int(node.state), node.cell, node.zone, node.weight, member.host,
+        node.node_id, node.kind, node.started_ms, int(node.state), node.cell, node.zone, node.weight,
+        member.host,
         member.port,
     ]  # fmt: skip
 
--- a/tests/test_client_crossings.py
+++ b/tests/test_client_crossings.py
@@ -17,20 +17,20 @@
 
 import pytest
 from conftest import make_class, make_nodes, make_settings
+from stand import Client, Stand, record
+
+from stonecove.discovery import Member, MembersUpdate
 from stonecove.exchange import Answer, ClientRequest
+from stonecove.frontends.fastcgi import Front
+from stonecove.pipeline.route import Route
+from stonecove.protocols.fastcgi.session import Session
+from stonecove.protocols.upstream_channel import Channel, Owner
 from stonecove.runtime.clock import Clock
 from stonecove.runtime.timers import Timers
-from stonecove.lifecycle.serve import Server
-from stonecove.membership import Member, MembersUpdate
-from stonecove.memory.budget import Budget
-from stonecove.memory.requests import OpenRequest
-from stonecove.stages.route import Route
-from stonecove.wire.channel import Channel, Owner
-from stonecove.wire.front import Front
-from stonecove.wire.client import Connection
-from stonecove.wire.session import Session
-
-from stand import Client, Stand, record
+from stonecove.server.serve import Server
+from stonecove.state.budget import Budget
+from stonecove.state.requests import OpenRequest
+from stonecove.transport.client_connection import Connection
 
 ABORT = record(2, 1)
 HEADER = struct.pack(">BBHHBB", 1, 5, 1, 65_535, 0, 0)
@@ -88,7 +88,9 @@
         self.budget.most = memory
         self.channels: list[Channel] = []
         self.answers: list[Answer] = []
-        settings = make_settings(make_class(deadline=60_000.0, aim=30_000.0), may_cancel=may_cancel)
+        settings = make_settings(
+            make_class(deadline_ms=60_000.0, latency_objective_ms=30_000.0), cancellation_allowed=may_cancel
+        )
         self.route = Route(settings, 7, self.clock, self.timers, self.budget, 0.0, self._connect)
         self.route.send.most_links = 100
         self.route.told(MembersUpdate(True, tuple(Member(node, "127.0.0.1", 1) for node in make_nodes())))
@@ -118,7 +120,7 @@
 def stand() -> Iterator[Stand]:
     running = Stand()
     yield running
-    assert running.process.poll() is None and not running.lines("bug")
+    assert running.process.poll() is None and not running.lines("internal_error")
     running.close()
 
 
@@ -458,7 +460,7 @@
             usual.send()
             assert usual.answer().status == 200
         assert peak(stand) < before + 24.0
-        assert not stand.lines("bug") and sum(map(len, stand.lines("bad-request"))) < 20_000
+        assert not stand.lines("internal_error") and sum(map(len, stand.lines("request_malformed"))) < 20_000
     finally:
         over.set()
         server.join()
--- a/tests/test_configuration_processes.py
+++ b/tests/test_configuration_processes.py
@@ -11,21 +11,20 @@
 
 import pytest
 import trio
-
 from kazoo.client import KazooClient
-
 from keeper import Keeper
 from stand import PATIENCE, Stand
+
 from stonecove.fleet.rollout_controller import Controller, service_session
-from stonecove.interface import Settings
-from stonecove.lifecycle.config import config_from
-from stonecove.lifecycle.configuration import ConfigurationKeeper
-from stonecove.lifecycle.reconfigure import SettingsRefused
-from stonecove.operator.records import ConfigurationRecord
+from stonecove.operator_config.records import ConfigurationRecord
+from stonecove.protocols.zookeeper.session import Figures
 from stonecove.rollout.messages import Bounds, Report, RolloutState, Target
+from stonecove.routing.settings import Settings
 from stonecove.runtime.clock import Clock
-from stonecove.wire.ensemble import Ensemble
-from stonecove.wire.zksession import Figures
+from stonecove.server.config import config_from
+from stonecove.server.configuration import ConfigurationKeeper
+from stonecove.server.reconfigure import SettingsRefused
+from stonecove.transport.zookeeper import Ensemble
 
 PATH = "/stonecove/configuration"
 FIGURES = Figures(timeout=1.0, connect_wait=0.5, back_off=(0.02, 0.1))
@@ -40,8 +39,8 @@
         self.unreadable: list[tuple[int, str]] = []
 
     def apply(self, settings: Settings, version: int) -> None:
-        if settings.warm_up in self.refuses:
-            raise SettingsRefused(f"rules.warm_up: {settings.warm_up:g} can't be taken over")
+        if settings.slow_start_ms in self.refuses:
+            raise SettingsRefused(f"rules.warm_up: {settings.slow_start_ms:g} can't be taken over")
         self.settings = settings
 
     def refuse(self, why: str, version: int) -> None:
@@ -74,7 +73,7 @@
 
     @property
     def warm_up(self) -> float:
-        return self.router.settings.warm_up if self.router.settings is not None else -1.0
+        return self.router.settings.slow_start_ms if self.router.settings is not None else -1.0
 
 
 def addresses_of(servers: list[str]) -> tuple[tuple[str, int], ...]:
--- a/tests/test_golden_access.py
+++ b/tests/test_golden_access.py
@@ -38,12 +38,13 @@
     ring,
     routes_of,
 )
+
 from stonecove.access import formats
 from stonecove.access.grants import TokenError
 from stonecove.access.keys import KeyRing, KeyRingError, generate
 from stonecove.access.reasons import Reason, status_of
 from stonecove.commands.main import cli
-from stonecove.lifecycle.access import AccessError, read_revoked, read_ring
+from stonecove.server.access import AccessError, read_revoked, read_ring
 
 POLICY_PATHS = ("/svc/x", "/svc/open/x", "/svc/once", "/svc/grace/a/b", "/svc/rate/x", "/svc/open-requests/x",
                 "/svc/depot/x", "/svc/issued/x", "/svc/cloudfront/x", "/svc/edge/x", "/svc/valued/x", "/svcx",
--- a/tests/test_golden_coordination.py
+++ b/tests/test_golden_coordination.py
@@ -10,11 +10,11 @@
 from typing import Any
 
 import pytest
-
 from golden_decisions_storage import FOLDER, difference_from, read_json, stored_lines, write_json
 from golden_gossip_cases import NOTES, GossipFleet
 from golden_merge_cases import ALARMS, EndpointSources
 from golden_rollout_cases import RolloutFleet
+
 from stonecove.rollout.health import HealthWindow, worth_reporting
 from stonecove.rollout.messages import Health
 
--- a/tests/test_golden_coordination_formats.py
+++ b/tests/test_golden_coordination_formats.py
@@ -2,13 +2,12 @@
 
 from __future__ import annotations
 
-import pytest
-
 import golden_coordination_frames as frames
 import golden_coordination_gossip as gossip
 import golden_coordination_records as records
 import golden_coordination_rollouts as rollouts
 import golden_coordination_sessions as sessions
+import pytest
 from golden_folder import Case, Folder, main
 
 FOLDER = Folder("coordination")
--- a/tests/test_golden_decisions.py
+++ b/tests/test_golden_decisions.py
@@ -14,11 +14,11 @@
 from unittest import mock
 
 import pytest
-
 from golden_decisions_cases import SCENARIOS, Conversation, Recording, router_settings, summary_of
 from golden_decisions_storage import FOLDER, difference_from, read_json, write_json
 from golden_decisions_types import CACHED, DESCRIBERS, EVENT_FACTORIES, NOTES, OUTCOMES, Step
-from stonecove import benchlink
+
+from stonecove import simulator_adapter
 
 BY_NAME = {scenario.name: scenario for scenario in SCENARIOS}
 
@@ -175,7 +175,7 @@
 def converse(data: bytes) -> bytes:
     """Return what the adapter answers to a stream."""
     sink = io.BytesIO()
-    benchlink.serve(io.BytesIO(data), sink)
+    simulator_adapter.serve(io.BytesIO(data), sink)
     return sink.getvalue()
 
 
@@ -281,7 +281,7 @@
         mock.patch.object(sys, "stdout", SimpleNamespace(buffer=output)),
         contextlib.redirect_stderr(errors),
     ):
-        code = benchlink.main()
+        code = simulator_adapter.main()
     return {"exit": code, "output": output.getvalue().hex(), "errors": errors.getvalue()}
 
 
--- a/tests/test_golden_exchanges.py
+++ b/tests/test_golden_exchanges.py
@@ -11,24 +11,26 @@
 import pytest
 import trio
 import trio.testing
-from stonecove.exchange import Answer, ClientRequest, Verdict
-from stonecove.interface import Ended, Event, Get, How, Note, Outcome, Settings
-from stonecove.lifecycle.http import HttpConnection
-from stonecove.memory.budget import Budget
-from stonecove.memory.requests import Attempt, OpenRequest, OpenRequests
-from stonecove.runtime.clock import Clock
-from stonecove.stages.admit import Admit
-from stonecove.stages.book import Book
-from stonecove.stages.relay import Relay, Reply
-from stonecove.stages.send import Abort, command
-from stonecove.wire import resp
-from stonecove.wire.front import Front, head_of
-from stonecove.wire.httpfront import HttpFront
-from stonecove.wire.session import Session
-
 from golden_formats_cases import as_json, check, input_hex, input_json, record, shown
 from golden_formats_depot import NOW_MS, SEED, Depot, PlainSocket, exchange_settings, quiet_log
 
+from stonecove.exchange import Answer, ClientRequest, Verdict
+from stonecove.frontends.fastcgi import Front, head_of
+from stonecove.frontends.http import HttpFront
+from stonecove.pipeline.admit import Admit
+from stonecove.pipeline.book import Book
+from stonecove.pipeline.relay import Relay, Reply
+from stonecove.pipeline.send import Abort, command
+from stonecove.protocols import resp
+from stonecove.protocols.fastcgi.session import Session
+from stonecove.routing.actions import FetchMode, SendAttempt
+from stonecove.routing.events import AttemptEnded, CacheStatus, Event, Outcome
+from stonecove.routing.settings import Settings
+from stonecove.runtime.clock import Clock
+from stonecove.server.http import HttpConnection
+from stonecove.state.budget import Budget
+from stonecove.state.requests import Attempt, OpenRequest, OpenRequests
+
 TXN = "0123456789abcdef"
 MADE_TXN = "fedcba9876543210"  # of a request that names none
 LONG = 1000  # bytes of an answer from which on its checksum stands for it
@@ -37,25 +39,25 @@
     Outcome.CANCELLED: "cancelled",
     Outcome.TIMEOUT: "timed-out",
     Outcome.MISS: "miss",
-    Outcome.FULL: "rejected-overloaded",
-    Outcome.MOOT: "expired-unsent",
+    Outcome.REJECTED_OVERLOADED: "rejected-overloaded",
+    Outcome.EXPIRED_UNSENT: "expired-unsent",
     Outcome.RESET: "reset",
     Outcome.ERROR: "error",
     Outcome.CONNECT_FAILED: "connect-failed",
     Outcome.UNKNOWN: "unknown",
 }
 NOTES = {
-    Note.NONE: "none",
-    Note.HIT: "hit",
-    Note.FILLED: "filled",
-    Note.FILLED_BY_ORIGIN: "filled-by-origin",
-    Note.JOINED: "joined-a-fill",
-    Note.OLD_COPY: "stale-copy",
-    Note.SOURCE_REFUSED: "source-refused",
-    Note.SOURCE_BROKE: "source-broke",
-    Note.SOURCE_LACKS: "source-lacks-it",
-    Note.NO_FILL_PLACE: "no-fill-slot",
-    Note.ORIGIN_FAILED: "origin-failed",
+    CacheStatus.NONE: "none",
+    CacheStatus.HIT: "hit",
+    CacheStatus.FILLED: "filled",
+    CacheStatus.FILLED_BY_ORIGIN: "filled-by-origin",
+    CacheStatus.JOINED: "joined-a-fill",
+    CacheStatus.STALE: "stale-copy",
+    CacheStatus.SOURCE_REJECTED: "source-refused",
+    CacheStatus.SOURCE_DISCONNECTED: "source-broke",
+    CacheStatus.SOURCE_MISSING_OBJECT: "source-lacks-it",
+    CacheStatus.NO_FILL_SLOT: "no-fill-slot",
+    CacheStatus.ORIGIN_FAILED: "origin-failed",
 }
 VERDICTS = {
     Verdict.SERVED: "served",
@@ -105,7 +107,15 @@
 
 def make_attempt(asked: ClientRequest, settings: Settings, **order: Any) -> Attempt:
     """Return an attempt at node 17 that has 900 ms left, with these fields of its order."""
-    usual = Get(req=1, node=17, cut_at=NOW_MS + 900.0, source=17, keep=0, age=0.0, how=0)
+    usual = SendAttempt(
+        request_id=1,
+        node_id=17,
+        deadline_ms=NOW_MS + 900.0,
+        source_id=17,
+        cache_rank=0,
+        max_age_ms=0.0,
+        fetch_mode=0,
+    )
     request = OpenRequest(1, asked, settings.classes[asked.kind], NOW_MS + 985.0)
     return Attempt(request, 0, usual._replace(**order), NOW_MS)
 
@@ -115,19 +125,19 @@
     settings = exchange_settings()
     orders: dict[str, dict[str, Any]] = {
         "plain": {},
-        "other-source": {"source": 0xA1},
-        "large-source": {"source": 0xFFFFFFFE},
-        "rank": {"keep": 3},
-        "oldest": {"age": 1500.9},
-        "oldest-below-1-ms": {"age": 0.25},
-        "limit-of-a-fraction": {"cut_at": NOW_MS + 12.9},
-        "limit-passed": {"cut_at": NOW_MS - 5.0},
-        "mode-join": {"how": int(How.JOIN)},
-        "mode-held-only": {"how": int(How.HELD_ONLY)},
-        "mode-no-parent-copy": {"how": int(How.NO_PARENT_COPY)},
-        "mode-renew": {"how": int(How.RENEW)},
-        "mode-all": {"how": 15},
-        "every-option": {"source": 0x21, "keep": 2, "age": 20000.0, "how": 15},
+        "other-source": {"source_id": 0xA1},
+        "large-source": {"source_id": 0xFFFFFFFE},
+        "rank": {"cache_rank": 3},
+        "oldest": {"max_age_ms": 1500.9},
+        "oldest-below-1-ms": {"max_age_ms": 0.25},
+        "limit-of-a-fraction": {"deadline_ms": NOW_MS + 12.9},
+        "limit-passed": {"deadline_ms": NOW_MS - 5.0},
+        "mode-join": {"fetch_mode": int(FetchMode.JOIN_FILL)},
+        "mode-held-only": {"fetch_mode": int(FetchMode.CACHED_ONLY)},
+        "mode-no-parent-copy": {"fetch_mode": int(FetchMode.NO_PARENT_COPY)},
+        "mode-renew": {"fetch_mode": int(FetchMode.REVALIDATE)},
+        "mode-all": {"fetch_mode": 15},
+        "every-option": {"source_id": 0x21, "cache_rank": 2, "max_age_ms": 20000.0, "fetch_mode": 15},
     }
     asked: dict[str, dict[str, Any]] = {
         "segment": {"chunk": "65535"},
@@ -163,15 +173,15 @@
 
 def describe_end(one: Event) -> Meaning:
     """Return the end of an attempt under neutral keys."""
-    assert isinstance(one, Ended)
+    assert isinstance(one, AttemptEnded)
     return {
         "outcome": OUTCOMES[one.outcome],
-        "node": one.node,
-        "took_ms": one.took,
-        "request_answered": one.closed,
-        "note": NOTES[Note(one.note)],
-        "queued_ms": one.waited,
-        "load_report": list(one.load),
+        "node": one.node_id,
+        "took_ms": one.duration_ms,
+        "request_answered": one.answered,
+        "note": NOTES[CacheStatus(one.cache_status)],
+        "queued_ms": one.fill_wait_ms,
+        "load_report": list(one.load_report),
     }
 
 
@@ -184,7 +194,7 @@
     asked = client_request(settings, case["class"], seen=case["client_tag"])
     asked.reply = lambda answer: answers.append(describe_answer(answer))
     request = requests.add(asked, settings.classes[asked.kind], NOW_MS + 985.0, 0)
-    order = Get(request.req, 17, NOW_MS + 900.0, 17, 0, case["max_age_ms"], 0)
+    order = SendAttempt(request.req, 17, NOW_MS + 900.0, 17, 0, case["max_age_ms"], 0)
     attempt = Attempt(request, 0, order, NOW_MS - 30.0, written_at=NOW_MS - 20.0)
     request.attempts.append(attempt)
     word, fields, body = case["answer"]
--- a/tests/test_golden_fleet_formats.py
+++ b/tests/test_golden_fleet_formats.py
@@ -2,8 +2,6 @@
 
 from __future__ import annotations
 
-import pytest
-
 import golden_fleet_control as control
 import golden_fleet_journal as journal
 import golden_fleet_lease_file as lease_file
@@ -11,6 +9,7 @@
 import golden_fleet_logs as logs
 import golden_fleet_spans as spans
 import golden_fleet_supervisor as supervisor
+import pytest
 from golden_fleet_files import FOLDER
 from golden_folder import Case, main
 
--- a/tests/test_golden_operator.py
+++ b/tests/test_golden_operator.py
@@ -10,10 +10,6 @@
 from typing import Any
 
 import pytest
-from stonecove.operator import records
-from stonecove.operator.grammar import OperatorError
-from stonecove.operator.reader import MOST_BYTES, explain, read, read_text, show
-
 from golden_formats_cases import (
     ROOT,
     as_json,
@@ -25,6 +21,10 @@
     record,
 )
 
+from stonecove.operator_config import records
+from stonecove.operator_config.grammar import OperatorError
+from stonecove.operator_config.reader import MOST_BYTES, explain, read, read_text, show
+
 
 def describe_zookeeper(one: records.ZooKeeperSource) -> dict[str, object]:
     """Return the ZooKeeper source of the operator's file under neutral keys."""
@@ -229,7 +229,7 @@
 
     The place that an error names is part of the check; how many lines of comment stand before it is not.
     """
-    schema = (ROOT / "stonecove" / "operator" / "schema.cue").read_text().splitlines()
+    schema = (ROOT / "stonecove" / "operator_config" / "schema.cue").read_text().splitlines()
 
     def line_of(found: re.Match[str]) -> str:
         return "schema.cue:{" + " ".join(schema[int(found[1]) - 1].split()) + "}"
--- a/tests/test_golden_settings.py
+++ b/tests/test_golden_settings.py
@@ -18,11 +18,6 @@
 
 import pytest
 import ujson
-from stonecove.interface import ClassSettings, Effect, KeyGroup, Settings
-from stonecove.lifecycle.config import Config, ConfigError, config_from, read_config, read_table
-from stonecove.runtime.log import line, log, log_some
-from stonecove.settings import read_settings, settings_from
-
 from golden_formats_cases import (
     ROOT,
     as_json,
@@ -34,12 +29,17 @@
     record,
 )
 
+from stonecove.routing.settings import ClassSettings, DeduplicationScope, Idempotency, Settings
+from stonecove.runtime.log import line, log, log_some
+from stonecove.server.config import Config, ConfigError, config_from, read_config, read_table
+from stonecove.settings import read_settings, settings_from
+
 EFFECTS = {
-    Effect.SAFE: "idempotent",
-    Effect.KEYED: "idempotency-key",
-    Effect.UNSAFE: "non-idempotent",
+    Idempotency.IDEMPOTENT: "idempotent",
+    Idempotency.IDEMPOTENCY_KEY: "idempotency-key",
+    Idempotency.NON_IDEMPOTENT: "non-idempotent",
 }
-KEY_GROUPS = {KeyGroup.ALL: "all", KeyGroup.ZONE: "zone", KeyGroup.CELL: "cell"}
+KEY_GROUPS = {DeduplicationScope.ALL: "all", DeduplicationScope.ZONE: "zone", DeduplicationScope.CELL: "cell"}
 
 
 # -- meanings --
@@ -49,18 +49,18 @@
     """Return a request class's settings under neutral keys."""
     return {
         "name": one.name,
-        "priority_weight": one.worth,
-        "late_priority_weight": one.late_worth,
-        "latency_objective_ms": one.aim,
-        "latency_objective_stretch": one.aim_stretch,
-        "deadline_ms": one.deadline,
-        "idempotency": EFFECTS[one.effect],
-        "idempotency_key_scope": KEY_GROUPS[one.group],
-        "deduplication_window_ms": one.window,
-        "fresh_ms": one.fresh,
-        "stale_ms": one.stale,
-        "stale_value": one.stale_worth,
-        "never_cached": one.never_kept,
+        "priority_weight": one.priority_weight,
+        "late_priority_weight": one.late_priority_weight,
+        "latency_objective_ms": one.latency_objective_ms,
+        "latency_objective_stretch": one.objective_stretch,
+        "deadline_ms": one.deadline_ms,
+        "idempotency": EFFECTS[one.idempotency],
+        "idempotency_key_scope": KEY_GROUPS[one.deduplication_scope],
+        "deduplication_window_ms": one.deduplication_window_ms,
+        "fresh_ms": one.fresh_ms,
+        "stale_ms": one.stale_ms,
+        "stale_value": one.stale_priority_weight,
+        "never_cached": one.never_cached,
     }
 
 
@@ -69,42 +69,42 @@
     return {
         "classes": [describe_class(each) for each in one.classes],
         "zone": one.zone,
-        "routers": one.fleet,
-        "routers_by_zone": list(one.zone_directors),
-        "zone_link_kb_per_s": list(one.zone_link),
-        "client_kb_per_s": one.client_pace,
+        "routers": one.fleet_size,
+        "routers_by_zone": list(one.routers_by_zone),
+        "zone_link_kb_per_s": list(one.zone_link_kb_per_s),
+        "client_kb_per_s": one.client_kb_per_s,
         "parent_kind": one.parent_kind,
         "origin_kind": one.origin_kind,
-        "caches_join_fills": one.joins,
-        "nodes_have_weights": one.weighted,
-        "bypass_allowed": one.may_bypass,
+        "caches_join_fills": one.fill_joining_allowed,
+        "nodes_have_weights": one.weights_known,
+        "bypass_allowed": one.parent_bypass_allowed,
         "sibling_fills": one.siblings,
-        "slow_start_initial_fraction": one.cold_from,
-        "slow_start_ms": one.warm_up,
-        "overload_multiple": one.fall_multiple,
-        "overload_window_ms": one.fall_window,
-        "parent_slow_start_initial_fraction": one.parent_cold_from,
-        "parent_slow_start_ms": one.parent_warm_up,
-        "parent_overload_multiple": one.parent_fall_multiple,
-        "purge_grace_ms": one.purge_grace,
-        "purge_settled_ms": one.purge_done,
-        "drain_grace_ms": one.drain_grace,
-        "max_attempts": one.most_attempts,
-        "hedging_allowed": one.second_copies,
-        "cancellation_allowed": one.may_cancel,
-        "health_checks_allowed": one.may_probe,
-        "retry_after_allowed": one.may_pause,
-        "max_retry_after_ms": one.longest_pause,
-        "connect_timeout_ms": one.connect_timeout,
-        "load_report_fields": list(one.report_fields),
-        "endpoint_list_is_polled": one.list_by_asking,
+        "slow_start_initial_fraction": one.slow_start_initial_fraction,
+        "slow_start_ms": one.slow_start_ms,
+        "overload_multiple": one.overload_multiple,
+        "overload_window_ms": one.overload_window_ms,
+        "parent_slow_start_initial_fraction": one.parent_slow_start_initial_fraction,
+        "parent_slow_start_ms": one.parent_slow_start_ms,
+        "parent_overload_multiple": one.parent_overload_multiple,
+        "purge_grace_ms": one.purge_grace_ms,
+        "purge_settled_ms": one.purge_settled_ms,
+        "drain_grace_ms": one.drain_grace_ms,
+        "max_attempts": one.max_attempts,
+        "hedging_allowed": one.hedging_allowed,
+        "cancellation_allowed": one.cancellation_allowed,
+        "health_checks_allowed": one.health_checks_allowed,
+        "retry_after_allowed": one.retry_after_allowed,
+        "max_retry_after_ms": one.max_retry_after_ms,
+        "connect_timeout_ms": one.connect_timeout_ms,
+        "load_report_fields": list(one.load_report_fields),
+        "endpoint_list_is_polled": one.endpoint_list_polled,
         "zone_names": list(one.zones),
         "node_kind_names": list(one.kinds),
-        "max_in_flight_requests": one.most_held,
-        "max_streams_per_connection": one.streams,
-        "connection_idle_ms": one.conn_idle,
+        "max_in_flight_requests": one.max_open_requests,
+        "max_streams_per_connection": one.streams_per_connection,
+        "connection_idle_ms": one.connection_idle_ms,
         "connections_cost_the_fleet": one.handshakes_priced,
-        "messages_between_routers_allowed": one.may_message,
+        "messages_between_routers_allowed": one.router_messages_allowed,
     }
 
 
--- a/tests/test_golden_tools.py
+++ b/tests/test_golden_tools.py
@@ -26,6 +26,7 @@
 import trio
 from click.testing import CliRunner
 from golden_tools_cases import ROOT, as_json, load, recorded, write
+
 from stonecove.commands.main import cli
 from stonecove.rollout.messages import Report, Target
 
--- a/tests/test_golden_tools_explore.py
+++ b/tests/test_golden_tools_explore.py
@@ -31,6 +31,7 @@
     recorded,
     write,
 )
+
 from stonecove.commands.main import cli
 from stonecove.explore import runner, scope, seeds
 from stonecove.explore.properties import PROPERTIES
@@ -119,7 +120,7 @@
         "walk": {**describe_scope(scope.WALK), "request_classes": len(scope.WALK.requests)},
         "answers": {word: {"status": code, "note": note} for word, (code, note) in scope.ANSWERS.items()},
         "small_machines": {name: bounds.depth for name, bounds in runner.SMALL_MACHINES.items()},
-        "properties": {name: {"text": one.text, "source": one.source} for name, one in PROPERTIES.items()},
+        "properties": {name: {"text": one.text} for name, one in PROPERTIES.items()},
         "seeded_faults": [
             {"name": one.name, "breaks": one.breaks, "scopes": list(one.scopes)} for one in seeds.SEEDS
         ],
@@ -311,6 +312,14 @@
     assert as_json(OUTPUTS[name]()) == recorded(name)
 
 
+def test_properties_name_modules_that_exist() -> None:
+    named = [
+        module for one in PROPERTIES.values() for module in re.findall(r"[a-z_]+(?:/[a-z_]+)+", one.source)
+    ]
+    assert len(named) >= 20
+    assert [module for module in named if not (ROOT / "stonecove" / f"{module}.py").is_file()] == []
+
+
 @pytest.mark.parametrize("path", TRACES, ids=lambda path: path.stem)
 def test_trace_is_written_as_it_was_read(path: Path) -> None:
     assert Trace.read(path).to_json().encode() == path.read_bytes()
--- a/tests/test_golden_tools_runs.py
+++ b/tests/test_golden_tools_runs.py
@@ -30,8 +30,9 @@
     write,
 )
 from hdrh.histogram import HdrHistogram
+
 from stonecove.commands.main import cli
-from stonecove.operator.grammar import OperatorError
+from stonecove.operator_config.grammar import OperatorError
 from stonecove.overload.book import Book, Event
 from stonecove.scale import ledger, options, report
 from stonecove.scale.results import ControlCost, Delays, FaultResult, MachineCost, Measurement
@@ -315,10 +316,13 @@
     return clients
 
 
-SHARE = "{at:.3f} swarm-share joined=True own=1.000 fleet={fleet} by_zone=0,1 view=1\n"
-VIEW = "{at:.3f} swarm-view view=2 members=2\n"
-MEMBER = "{at:.3f} swarm-member member={member} stands=failed life={life}\n"
-BUG = "{at:.3f} bug where=x\n"
+SHARE = (
+    "{at:.3f} gossip_share_changed joined=True unleased_fraction=1.000 fleet_size={fleet} "
+    "by_zone=0,1 view=1\n"
+)
+VIEW = "{at:.3f} gossip_view_changed view=2 members=2\n"
+MEMBER = "{at:.3f} gossip_member_changed member={member} state=failed generation={life}\n"
+BUG = "{at:.3f} internal_error where=x\n"
 
 
 def _log(place: int, other: str, bad: bool) -> str:
--- a/tests/test_golden_wire.py
+++ b/tests/test_golden_wire.py
@@ -10,15 +10,6 @@
 from typing import NamedTuple
 
 import pytest
-from stonecove.membership import Told
-from stonecove.memory.budget import Budget
-from stonecove.runtime.log import divert
-from stonecove.wire import fastcgi, resp
-from stonecove.wire.buffer import Buffer
-from stonecove.wire.changelog import ChangeLogError, Follower, Frame, frames
-from stonecove.wire.fastcgi import FastCgiError
-from stonecove.wire.http import HttpError, HttpRequest, HttpSession, State, byte_range
-
 from golden_formats_cases import (
     as_json,
     check,
@@ -29,6 +20,16 @@
     shown,
 )
 
+from stonecove.discovery import Told
+from stonecove.protocols import resp
+from stonecove.protocols.buffer import Buffer
+from stonecove.protocols.change_log import ChangeLogError, Follower, Frame, frames
+from stonecove.protocols.fastcgi import codec as fastcgi
+from stonecove.protocols.fastcgi.codec import FastCgiError
+from stonecove.protocols.http import HttpError, HttpRequest, HttpSession, State, byte_range
+from stonecove.runtime.log import divert
+from stonecove.state.budget import Budget
+
 NOW_MS = 1764576000000.0
 MAX_UNREAD = 1 << 23
 PIECES = (1 << 30, 1000, 7, 1)  # bytes at once in which the same input is given
