--- a/benchmarks/capacity_cold.py
+++ b/benchmarks/capacity_cold.py
@@ -27,9 +27,8 @@
     parent_carries,
     sizes_kb,
 )
-from stonecove.routing.director import Director
-from stonecove.routing.slow_start import BUDGET_UTILIZATION, SlowStartBudget
 from stonecove.routing.actions import SendAttempt
+from stonecove.routing.director import Director
 from stonecove.routing.endpoints import EndpointListKind, Node
 from stonecove.routing.events import (
     AttemptEnded,
@@ -40,6 +39,7 @@
     RequestReceived,
 )
 from stonecove.routing.settings import Settings
+from stonecove.routing.slow_start import BUDGET_UTILIZATION, SlowStartBudget
 
 START = 1e12  # ms
 COLD = 4242
--- a/benchmarks/capacity_coordination.py
+++ b/benchmarks/capacity_coordination.py
@@ -14,12 +14,12 @@
 
 from benchmarks.capacity_fits import ROUTERS, Figures, line_fit
 from benchmarks.capacity_log import Segments
-from stonecove.runtime.log import divert
-from stonecove.transport.zookeeper import Ensemble
+from stonecove.protocols.zookeeper.messages import Stat
 from stonecove.protocols.zookeeper.registration import Registrar
 from stonecove.protocols.zookeeper.session import Figures as SessionFigures
 from stonecove.protocols.zookeeper.tree_watch import Tree
-from stonecove.protocols.zookeeper.messages import Stat
+from stonecove.runtime.log import divert
+from stonecove.transport.zookeeper import Ensemble
 
 
 class CountingSink:
--- a/benchmarks/capacity_data.py
+++ b/benchmarks/capacity_data.py
@@ -24,9 +24,9 @@
 import numpy
 
 from stonecove.commands.demo import free_port, wait_ready
+from stonecove.protocols import resp
 from stonecove.standins.depot import Cache, Depot
 from stonecove.standins.webserver import Asker, settings
-from stonecove.protocols import resp
 
 HERE = Path(__file__).parent.parent
 TICKS = os.sysconf("SC_CLK_TCK")
--- a/benchmarks/capacity_fits.py
+++ b/benchmarks/capacity_fits.py
@@ -13,7 +13,6 @@
 
 import numpy
 
-
 ROUTERS, CACHES, ZONES, REGIONS = 730, 290, 19, 7
 PURGE_RATE = 22.0  # purges a second
 CHANGES_A_DAY = 1600  # of the configuration
--- a/benchmarks/capacity_log.py
+++ b/benchmarks/capacity_log.py
@@ -18,12 +18,11 @@
 
 from benchmarks.capacity_fits import BOUND_BYTES, PURGE_RATE, ROUTERS, Figures, line_fit
 from stonecove.discovery import PurgeUpdate, Told
+from stonecove.protocols.change_log import Follower
 from stonecove.runtime.log import divert
 from stonecove.standins.depot import HOST
-from stonecove.protocols.change_log import Follower
 from stonecove.transport.change_log_follower import ChangeLog
 
-
 TCP_HEADERS, TCP_TIMESTAMPS = 40, 12
 WINDOWS = (0.0, 0.05, 0.1, 0.2, 0.5)  # seconds for which a change log's server gathers
 NOTHING_NEW, OBJECT_PURGE = 0, 3  # kinds of frames
--- a/benchmarks/capacity_popularity.py
+++ b/benchmarks/capacity_popularity.py
@@ -15,8 +15,7 @@
 import numpy
 
 from benchmarks.capacity_sizes import ROUTER_REQUESTS, zipf_keys, zipf_ranks
-from stonecove.routing.popularity import MAX_TRACKED_OBJECTS
-from stonecove.routing.popularity import ADMITTED_REQUEST_SHARE, Popularity
+from stonecove.routing.popularity import ADMITTED_REQUEST_SHARE, MAX_TRACKED_OBJECTS, Popularity
 from stonecove.routing.rendezvous import mix64
 from stonecove.routing.state import POPULARITY_HALF_LIFE_IN_SLOW_STARTS
 
--- a/benchmarks/capacity_router.py
+++ b/benchmarks/capacity_router.py
@@ -13,10 +13,9 @@
 import sys
 import time
 import tracemalloc
-from collections.abc import Callable
+from collections.abc import Callable, Iterator
 from contextlib import contextmanager
 from functools import lru_cache
-from collections.abc import Iterator
 
 from benchmarks import capacity_cold, capacity_data, capacity_popularity
 from benchmarks.capacity_cold import SCENARIOS, Scenario
@@ -33,20 +32,20 @@
     node,
     zipf_keys,
 )
+from stonecove.discovery import Member, MembersUpdate, PurgeUpdate
+from stonecove.pipeline.route import Route
+from stonecove.protocols.buffer import Buffer
+from stonecove.protocols.change_log import _HEAD, _OBJECT, _RECORD, frames
+from stonecove.protocols.upstream_channel import Channel, Owner
+from stonecove.routing.endpoints import NodeState
+from stonecove.routing.events import PurgeReceived
 from stonecove.routing.popularity import MAX_TRACKED_OBJECTS
 from stonecove.routing.purges import PURGE_RETENTION_MARGIN, PurgeHistory
 from stonecove.routing.rendezvous import RendezvousHash
-from stonecove.routing.endpoints import NodeState
-from stonecove.routing.events import PurgeReceived
-from stonecove.discovery import Member, MembersUpdate, PurgeUpdate
-from stonecove.state.budget import Budget
 from stonecove.runtime.clock import Clock
 from stonecove.runtime.log import divert
 from stonecove.runtime.timers import Timers
-from stonecove.pipeline.route import Route
-from stonecove.protocols.buffer import Buffer
-from stonecove.protocols.change_log import _HEAD, _OBJECT, _RECORD, frames
-from stonecove.protocols.upstream_channel import Channel, Owner
+from stonecove.state.budget import Budget
 
 CALM_CHANGES = 318  # a day: 6 caches fail and 100 are restarted, each told of as draining, gone and ready
 RELEASE_CHANGES = 870  # each of 290 caches, the same three
--- a/benchmarks/capacity_swarm.py
+++ b/benchmarks/capacity_swarm.py
@@ -16,7 +16,6 @@
 from stonecove.gossip.swarm import Swarm
 from stonecove.trial.model import SimulatedRouter, SwarmModel
 
-
 REFUSAL_HEADERS = 56  # IP and ICMP, and the headers of what was refused, which come back with it
 
 
--- a/benchmarks/explore.py
+++ b/benchmarks/explore.py
@@ -15,7 +15,7 @@
 from stonecove.explore import runner, search, seeds
 from stonecove.explore.copying import DeepCopy, Pickle, Replay, Way, run
 from stonecove.explore.scope import SMALL, named
-from stonecove.explore.search import WorkerPool, Options, Result
+from stonecove.explore.search import Options, Result, WorkerPool
 from stonecove.explore.trace import simulation_start
 from stonecove.explore.visited import FingerprintSet, PlainSet, Visited
 
--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -22,10 +22,10 @@
 from pathlib import Path
 from typing import Any
 
-from stonecove.standins.webserver import settings
 from stonecove.fleet.control import ControlError, ask
 from stonecove.quotas.leases import Holder, Lessor, own_part
 from stonecove.standins.depot import Depot
+from stonecove.standins.webserver import settings
 from stonecove.trial.closed_loop import ClosedLoopClients
 
 HOST = "127.77.7.7"
--- a/benchmarks/membership.py
+++ b/benchmarks/membership.py
@@ -26,16 +26,16 @@
 from hdrh.histogram import HdrHistogram
 
 from stonecove.commands.demo import free_port, wait_ready
-from stonecove.runtime.log import divert
-from stonecove.routing.endpoints import NodeState
 from stonecove.discovery import Member
 from stonecove.discovery.merge import Merge, Source, Told, merged
 from stonecove.discovery.records import Names, member_of
 from stonecove.discovery.roster import Claim
+from stonecove.protocols.zookeeper.session import Figures
+from stonecove.routing.endpoints import NodeState
+from stonecove.runtime.log import divert
 from stonecove.standins.depot import Depot
 from stonecove.standins.webserver import Asker, settings
 from stonecove.transport.zookeeper import Ensemble
-from stonecove.protocols.zookeeper.session import Figures
 
 BOXES, ROUTERS = "/stonecove/boxes", "/stonecove/routers"
 PACE = 400.0  # requests a second
--- a/benchmarks/rollout.py
+++ b/benchmarks/rollout.py
@@ -18,16 +18,16 @@
 import trio
 
 from stonecove.fleet.rollout_controller import Controller, service_session
-from stonecove.routing.settings import Settings
-from stonecove.server.config import config_from
-from stonecove.server.configuration import ConfigurationKeeper
 from stonecove.operator_config.records import ConfigurationRecord
+from stonecove.protocols.zookeeper.session import Figures, Server, Session
 from stonecove.rollout.messages import DEFAULT_WAVES, Bounds, RolloutState
+from stonecove.routing.settings import Settings
 from stonecove.runtime.clock import Clock
 from stonecove.runtime.log import divert
+from stonecove.server.config import config_from
+from stonecove.server.configuration import ConfigurationKeeper
 from stonecove.standins.webserver import settings
 from stonecove.transport.zookeeper import Ensemble
-from stonecove.protocols.zookeeper.session import Figures, Server, Session
 
 PATH = "/stonecove/configuration"
 SESSION = Figures(timeout=10.0)
--- a/benchmarks/run_cost.py
+++ b/benchmarks/run_cost.py
@@ -15,8 +15,8 @@
 from statistics import median
 
 from stonecove.commands.demo import free_port, router_config, wait_ready
-from stonecove.standins.webserver import Asker
 from stonecove.standins.depot import Depot
+from stonecove.standins.webserver import Asker
 
 HERE = Path(__file__).parent.parent
 TICKS = os.sysconf("SC_CLK_TCK")
--- a/benchmarks/swarm.py
+++ b/benchmarks/swarm.py
@@ -20,9 +20,9 @@
 from pathlib import Path
 
 from stonecove.trial import judge
-from stonecove.trial.testbed import Testbed
-from stonecove.trial.model import SwarmModel, NetworkConditions
+from stonecove.trial.model import NetworkConditions, SwarmModel
 from stonecove.trial.schedule import Trial, read_trial, trial_of
+from stonecove.trial.testbed import Testbed
 
 TRIALS = Path(__file__).parent.parent / "stonecove" / "trial" / "trials"
 TICKS = os.sysconf("SC_CLK_TCK")
--- a/stonecove/routing/director.py
+++ b/stonecove/routing/director.py
@@ -105,7 +105,7 @@
         )
         self.state.reconfigure(now_ms, settings)
 
-    def _on_lease_terms(self, now_ms: float, event: LeaseTerms) -> None:
+    def _on_lease_terms(self, _now_ms: float, event: LeaseTerms) -> None:
         self.state.enable_leases(event.unleased_fraction, event.retry_fraction)
 
     def _on_lease_granted(self, now_ms: float, event: LeaseGranted) -> None:
@@ -256,7 +256,7 @@
 
     # -- final answers --
 
-    def _on_disconnect(self, now_ms: float, event: ClientDisconnected) -> None:
+    def _on_disconnect(self, _now_ms: float, event: ClientDisconnected) -> None:
         if in_flight := self.state.in_flight.get(event.request_id):
             self._close(in_flight)
 
--- a/stonecove/simulator_adapter.py
+++ b/stonecove/simulator_adapter.py
@@ -256,7 +256,7 @@
     return _HEALTH_CHECK.pack(ActionCode.HEALTH_CHECK, instance, address, port)
 
 
-def _write_watch(instance: int, action: WatchEndpointList) -> bytes:
+def _write_watch(instance: int, _action: WatchEndpointList) -> bytes:
     return _WATCH.pack(ActionCode.WATCH, instance, 1)
 
 
