--- a/stonecove/routing/leased_budget.py
+++ b/stonecove/routing/leased_budget.py
@@ -11,7 +11,7 @@
 
 
 @dataclass(slots=True)
-class HeldLease:
+class ActiveLease:
     """A lease that has not expired as far as is known."""
 
     expires_at_ms: float
@@ -22,32 +22,32 @@
     """Hold leases by node. Each is spent once, and not after it has expired."""
 
     def __init__(self) -> None:
-        self.leases: dict[NodeId, dict[int, HeldLease]] = {}
+        self.leases: dict[NodeId, dict[int, ActiveLease]] = {}
         self.returned: list[ReturnLease] = []  # to be sent back by the caller
 
     def grant(self, now_ms: float, granted: LeaseGranted) -> None:
         """Add a lease, or end the one of that id if no work is granted."""
-        held = self.leases.setdefault(granted.node_id, {})
-        lease = held.setdefault(granted.lease_id, HeldLease(granted.expires_at_ms, granted.work_ms))
+        active = self.leases.setdefault(granted.node_id, {})
+        lease = active.setdefault(granted.lease_id, ActiveLease(granted.expires_at_ms, granted.work_ms))
         if granted.work_ms <= 0:
             lease.expires_at_ms = -math.inf
         self.remaining(now_ms, granted.node_id)
 
     def remaining(self, now_ms: float, node_id: NodeId) -> float:
         """Return the work that may still be spent on a node; expired leases are returned."""
-        held = self.leases.get(node_id)
-        if not held:
+        active = self.leases.get(node_id)
+        if not active:
             return 0.0
         over = [
             lease_id
-            for lease_id, lease in held.items()
+            for lease_id, lease in active.items()
             if lease.expires_at_ms <= now_ms or lease.remaining_ms <= 0
         ]
         for lease_id in over:
-            unspent_ms = held.pop(lease_id).remaining_ms
+            unspent_ms = active.pop(lease_id).remaining_ms
             if unspent_ms > 0:
                 self.returned.append(ReturnLease(lease_id, unspent_ms))
-        return sum(lease.remaining_ms for lease in held.values())
+        return sum(lease.remaining_ms for lease in active.values())
 
     def spend(self, now_ms: float, node_id: NodeId, work_ms: float) -> bool:
         """Spend the work if the leases of the node cover all of it; return whether they did."""
--- a/stonecove/routing/link_load.py
+++ b/stonecove/routing/link_load.py
@@ -42,9 +42,9 @@
     @classmethod
     def for_share(cls, link: LinkShare, objective_ms: float) -> LinkLoad:
         """Return the load of an unused link of which this router has a share."""
-        own = link.capacity * link.share
-        headroom = BURST_DEVIATIONS * math.sqrt(own * (1 - link.share))
-        return cls(max(1.0, own), headroom, objective_ms)
+        router_capacity = link.capacity * link.share
+        headroom = BURST_DEVIATIONS * math.sqrt(router_capacity * (1 - link.share))
+        return cls(max(1.0, router_capacity), headroom, objective_ms)
 
     def _decay(self, now_ms: float) -> float:
         halvings = (now_ms - self.observed_at_ms) / (PACE_HALF_LIFE_IN_OBJECTIVES * self.objective_ms)
--- a/stonecove/routing/slow_start.py
+++ b/stonecove/routing/slow_start.py
@@ -103,5 +103,5 @@
             if node_id in listed or (charges and charges[-1].sent_ms > since_ms)
         }
         self.remaining_ms = {
-            node_id: left for node_id, left in self.remaining_ms.items() if node_id in listed
+            node_id: remaining for node_id, remaining in self.remaining_ms.items() if node_id in listed
         }
--- a/stonecove/routing/state.py
+++ b/stonecove/routing/state.py
@@ -25,7 +25,7 @@
 
 POPULARITY_HALF_LIFE_IN_SLOW_STARTS = 4.0
 COPY_LIFETIME_IN_SLOW_STARTS = 1.0  # a copy that was stored is assumed to be there for this long
-_WHOLE_LINK = LinkShare(1.0, 1.0)
+_FULL_LINK = LinkShare(1.0, 1.0)
 
 
 class RoutingState:
@@ -50,7 +50,7 @@
         self.fill_wait_ms = 0.0  # moving average of the wait for a fill's first byte
         self._apply(0.0, settings)
         objective_ms = self.share.shortest_objective_ms
-        self.origin_load = LinkLoad.for_share(_WHOLE_LINK, objective_ms)  # fetches requested and answered
+        self.origin_load = LinkLoad.for_share(_FULL_LINK, objective_ms)  # fetches requested and answered
         self.zone_link = LinkLoad.for_share(self._zone_link_share(), objective_ms)
 
     def _apply(self, now_ms: float, settings: Settings) -> None:
@@ -140,7 +140,7 @@
         load = self.link_loads.get(node_id)
         if load is None:
             node = self.endpoints.listed.get(node_id)
-            link = self.link_share(node) if node is not None else _WHOLE_LINK
+            link = self.link_share(node) if node is not None else _FULL_LINK
             load = self.link_loads[node_id] = LinkLoad.for_share(link, self.share.shortest_objective_ms)
         return load
 
