--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -1,4 +1,4 @@
-"""KNOWN-RED.txt, by runs of pytest in a folder of their own."""
+"""Check how KNOWN-RED.txt is read and enforced, by runs of pytest in a directory of their own."""
 
 from __future__ import annotations
 
@@ -55,15 +55,16 @@
     assert False
 """
 FILE = "tests/test_some.py"
-RED = f"{FILE}::test_red | one is not two | issue 7"
-MANY = f"{FILE}::test_many[a | b] | the first is another | issue 12"
-OWN = f"{FILE}::test_own | expected anyway | issue 13"
-TWO = ("-p", "xdist", "-n", "2")
+DETAILS = "pytest --seed 4 | a fault | issue 3"
+RED = f"{FILE}::test_red | pytest -k red, seed 1 | one is not two | issue 7"
+MANY = f"{FILE}::test_many[a | b] | pytest -k many, seed 2 | the first is another | issue 12"
+OWN = f"{FILE}::test_own | pytest -k own, seed 3 | expected anyway | issue 13"
+TWO_WORKERS = ("-p", "xdist", "-n", "2")
 
 
 @pytest.fixture
-def folder(tmp_path: Path) -> Path:
-    """A repository with a folder of tests."""
+def repository(tmp_path: Path) -> Path:
+    """Create a repository with a directory of tests."""
     (tmp_path / "pytest.ini").write_text("[pytest]\ntestpaths = tests\naddopts = -q\n")
     (tmp_path / "tests").mkdir()
     for name in ("conftest.py", "known_red.py"):
@@ -73,15 +74,15 @@
     return tmp_path
 
 
-def run(folder: Path, *args: str, lines: list[str] | None = None) -> tuple[int, str]:
-    """Exit code and output of a run with these lines in the file; None: without a file."""
+def run(repository: Path, *args: str, lines: list[str] | None = None) -> tuple[int, str]:
+    """Return exit code and output of a run with these lines in the file, or without a file."""
     if lines is not None:
-        (folder / "KNOWN-RED.txt").write_text("\n".join(lines) + "\n")
+        (repository / "KNOWN-RED.txt").write_text("\n".join(lines) + "\n")
     env = {name: value for name, value in os.environ.items() if not name.startswith("PYTEST")}
     env |= {"PYTHONPATH": str(HERE.parent), "PYTEST_DISABLE_PLUGIN_AUTOLOAD": "1"}
     done = subprocess.run(
         [sys.executable, "-m", "pytest", *args],
-        cwd=folder,
+        cwd=repository,
         env=env,
         capture_output=True,
         text=True,
@@ -90,29 +91,29 @@
     return done.returncode, done.stdout + done.stderr
 
 
-CHOSEN = ("-k", "test_good or test_red or test_many or test_own")
+SELECTED = ("-k", "test_good or test_red or test_many or test_own")
 
 
-@pytest.mark.parametrize("how", [(), TWO])
-def test_listed_tests_are_expected_to_fail_and_are_told(folder: Path, how: tuple[str, ...]) -> None:
-    code, text = run(folder, *how, *CHOSEN, lines=["# why", "", RED, MANY, OWN])
+@pytest.mark.parametrize("options", [(), TWO_WORKERS])
+def test_expects_listed_tests_to_fail_and_prints_them(repository: Path, options: tuple[str, ...]) -> None:
+    code, text = run(repository, *options, *SELECTED, lines=["# why", "", RED, MANY, OWN])
     assert code == 0 and "3 xfailed" in text and "2 passed" in text
     for line in (RED, MANY, OWN):
-        test, cause, issue = line.rsplit(" | ", 2)
-        assert f"{test}: failed as expected | {cause} | {issue}" in text
+        test, command, observation, issue = line.rsplit(" | ", 3)
+        assert f"{test}: failed as expected | {command} | {observation} | {issue}" in text
 
 
-def test_without_the_file_all_is_as_before(folder: Path) -> None:
-    code, text = run(folder, *CHOSEN)
+def test_changes_nothing_without_the_file(repository: Path) -> None:
+    code, text = run(repository, *SELECTED)
     assert code == 1 and "2 failed, 2 passed" in text and "known failing" not in text
 
 
-@pytest.mark.parametrize("how", [(), TWO])
+@pytest.mark.parametrize("options", [(), TWO_WORKERS])
 @pytest.mark.parametrize(
-    "whys",
+    "reasons",
     [
         {
-            "test_good": "passes: take its line out",
+            "test_good": "passes: remove its entry",
             "test_marked": "but skipped: not here",
             "test_skips": "but skipped: not now",
         },
@@ -123,66 +124,69 @@
         },
     ],
 )
-def test_what_does_not_fail_by_itself_fails_the_run(
-    folder: Path, how: tuple[str, ...], whys: dict[str, str]
+def test_fails_the_run_if_a_listed_test_passes_skips_or_errors(
+    repository: Path, options: tuple[str, ...], reasons: dict[str, str]
 ) -> None:
     code, text = run(
-        folder,
-        *how,
-        *(f"{FILE}::{test}" for test in whys),
-        lines=[f"{FILE}::{test} | a cause | issue 3" for test in whys],
+        repository,
+        *options,
+        *(f"{FILE}::{test}" for test in reasons),
+        lines=[f"{FILE}::{test} | {DETAILS}" for test in reasons],
     )
     assert code == 1
-    for test, why in whys.items():
-        assert why in text and f"{test}: NOT as expected | a cause | issue 3" in text
+    for test, reason in reasons.items():
+        assert reason in text and f"{test}: NOT as expected | {DETAILS}" in text
 
 
 @pytest.mark.parametrize(
-    ("line", "why"),
+    ("line", "reason"),
     [
-        (f"{FILE}::test_red", "line 2"),
-        (f"{FILE}::test_red | a cause", "line 2"),
-        (f"{FILE}::test_red |  | issue 3", "line 2"),
-        (f"{FILE}::test_red | a cause | 3", "line 2"),
-        ("test_some.py::test_red | a cause | issue 3", "line 2"),
-        (f"{FILE} | a cause | issue 3", "line 2"),
-        (f"{FILE}::test_red | another cause | issue 3", "again"),
-        (f"{MANY}\n{OWN}\n{FILE}::test_good | a cause | issue 3", "4 tests"),
+        (f"{FILE}::test_red", "line 2 is not"),
+        (f"{FILE}::test_red | a fault", "line 2 is not"),
+        (f"{FILE}::test_red | a fault | issue 3", "line 2 is not"),
+        (f"{FILE}::test_many[a | b] | a fault | issue 3", "line 2 is not"),
+        (f"{FILE}::test_red |  | a fault | issue 3", "line 2 is not"),
+        (f"{FILE}::test_red | pytest --seed 4 |  | issue 3", "line 2 is not"),
+        (f"{FILE}::test_red | pytest --seed 4 | a fault | 3", "line 2 is not"),
+        (f"test_some.py::test_red | {DETAILS}", "line 2 is not"),
+        (f"{FILE} | {DETAILS}", "line 2 is not"),
+        (f"{FILE}::test_red | pytest --seed 5 | another fault | issue 3", "again"),
+        (f"{MANY}\n{OWN}\n{FILE}::test_good | {DETAILS}", "4 tests"),
     ],
 )
-def test_a_file_that_cannot_be_used_fails_the_run(folder: Path, line: str, why: str) -> None:
-    code, text = run(folder, FILE, lines=[RED, line])
-    assert code == pytest.ExitCode.USAGE_ERROR and "KNOWN-RED.txt: " in text and why in text
+def test_rejects_a_malformed_file(repository: Path, line: str, reason: str) -> None:
+    code, text = run(repository, FILE, lines=[RED, line])
+    assert code == pytest.ExitCode.USAGE_ERROR and "KNOWN-RED.txt: " in text and reason in text
 
 
-GONE, OTHER = f"{FILE}::test_gone", "tests/test_other.py"
+MISSING, OTHER = f"{FILE}::test_gone", "tests/test_other.py"
 
 
 @pytest.mark.parametrize(
-    ("test", "args", "there"),
+    ("test", "args", "accepted"),
     [
-        # in a whole run, each must be found: by its file, its name, its parameter
-        (GONE, (), False),
-        (GONE, TWO, False),
+        # in a complete run, each must be found: by its file, its name, its parameter
+        (MISSING, (), False),
+        (MISSING, TWO_WORKERS, False),
         ("tests/test_gone.py::test_red", (), False),
         ("tests/known_red.py::test_red", (), False),
         (f"{FILE}::test_many", (), False),
-        # in part of one, if the whole file is looked at, whatever is run of it
-        (GONE, (FILE, "-k", "test_good"), False),
-        (GONE, ("tests", "-k", "test_other"), False),
+        # in a partial run, if the complete file is collected, whatever is selected of it
+        (MISSING, (FILE, "-k", "test_good"), False),
+        (MISSING, ("tests", "-k", "test_other"), False),
         (f"{FILE}::test_red", (FILE, "-k", "test_good"), True),
-        (f"{FILE}::test_red", (FILE, "-k", "test_good", *TWO), True),
-        # if it is not, nothing can be said, unless there is no such file
-        (GONE, (OTHER,), True),
-        (GONE, (f"{FILE}::test_good",), True),
-        (GONE, ("--ignore", FILE), True),
+        (f"{FILE}::test_red", (FILE, "-k", "test_good", *TWO_WORKERS), True),
+        # if it is not collected, the test may exist, unless the file does not
+        (MISSING, (OTHER,), True),
+        (MISSING, (f"{FILE}::test_good",), True),
+        (MISSING, ("--ignore", FILE), True),
         ("tests/test_gone.py::test_red", (OTHER,), False),
     ],
 )
-def test_a_test_that_is_not_there_fails_the_run(
-    folder: Path, test: str, args: tuple[str, ...], there: bool
+def test_fails_the_run_if_a_listed_test_is_missing(
+    repository: Path, test: str, args: tuple[str, ...], accepted: bool
 ) -> None:
-    (folder / FILE).write_text(TESTS.split("@pytest.mark.skip")[0].replace("assert ", "assert True or "))
-    code, text = run(folder, *args, lines=[f"{test} | a cause | issue 3"])
-    assert code == (0 if there else 1)
-    assert f"{test}: {'not run' if there else 'NOT FOUND'} | a cause | issue 3" in text
+    (repository / FILE).write_text(TESTS.split("@pytest.mark.skip")[0].replace("assert ", "assert True or "))
+    code, text = run(repository, *args, lines=[f"{test} | {DETAILS}"])
+    assert code == (0 if accepted else 1)
+    assert f"{test}: {'not run' if accepted else 'NOT FOUND'} | {DETAILS}" in text
