--- a/tests/test_swarm.py
+++ b/tests/test_swarm.py
@@ -14,7 +14,7 @@
 from stonecove.gossip.shares import Shares
 from stonecove.gossip.table import Table
 from stonecove.gossip.view import Views
-from stonecove.gossip.words import Datagram, Kind, Standing, Word, ident_of, over
+from stonecove.gossip.words import Datagram, Kind, Standing, Word, ident_of, over, shown
 from stonecove.protocols.gossip import MOST_BYTES, GossipError, decode, encode, number_of
 from stonecove.trial.model import NetworkConditions, SwarmModel
 
@@ -278,6 +278,29 @@
     assert model.until(lambda: all(model.stands(0, by=p) == "alive" for p in range(1, 5)), 30.0) < 30.0
 
 
+def test_verdicts_of_a_cut_are_not_believed_by_those_who_hear_the_router() -> None:
+    """Check that a verdict from across a cut isn't believed by routers that hear its subject.
+
+    As the cut ends, each side's verdicts reach the other before the refutations do.
+    """
+    model = fleet(9, seed=36, zones=3)
+    model.run(0.36)
+    zone = (0, 3, 6)
+    model.cut(zone, (1, 2, 4, 5, 7, 8))
+    model.run(9.0)
+    model.cuts.clear()
+    model.run(5.0)
+    places = {shown(ident_of(f"router-{place}")): place for place in range(9)}
+    within_reach = [
+        (by, places[str(fields["member"])])
+        for _, by, event, fields in model.notes
+        if event == "gossip_member_changed" and fields["state"] == "failed"
+        if (by in zone) == (places[str(fields["member"])] in zone)
+    ]
+    assert within_reach == []
+    assert len(verdicts(model)) <= 36  # each of three and each of six held the other side for failed, once
+
+
 def test_a_vanished_machine_is_failed_after_its_suspicion_and_freed_after_its_lease() -> None:
     model = fleet(5)
     model.cut([2], range(5))
