--- a/tests/test_ephemeral.py
+++ b/tests/test_ephemeral.py
@@ -342,7 +342,7 @@
     scene.routed.wait_line("mass_departure_confirmed")
     Stand.wait(lambda: scene.routed.state(0x1000) in ("draining", "unknown"), "all have departed")
     lines = scene.stand.lines("mass_departure_suspected")
-    assert lines and "of=2004" in lines[0]
+    assert lines and "total=2004" in lines[0]
 
 
 def test_the_server_restarts_with_all_sessions_lost(scene: Scene) -> None:
@@ -435,7 +435,7 @@
     try:
         Stand.wait(lambda: one.question("fleet")["holds"] == {"fleet": 2, "by_zone": [0, 2]}, "two routers")
         assert any(
-            "fleet=2" in line and "used=True" in line for line in one.stand.lines("fleet_size_changed")
+            "fleet_size=2" in line and "used=True" in line for line in one.stand.lines("fleet_size_changed")
         )
         states: list[str] = []
 
@@ -449,9 +449,9 @@
         assert states == ["ready", "draining", "gone"]
         log = (Path(two.stand.folder.name) / "log").read_text().splitlines()
         events = [line.split(" ")[1] for line in log]
-        assert events.index("presence_withdrawn") < events.index("router_stopped") and "told=True" in "".join(
-            log
-        )
+        assert events.index("presence_withdrawn") < events.index(
+            "router_stopped"
+        ) and "acknowledged=True" in "".join(log)
         Stand.wait(lambda: one.question("fleet")["holds"]["fleet"] == 1, "one router")
     finally:
         client.stop()
--- a/tests/test_fleet_daemon.py
+++ b/tests/test_fleet_daemon.py
@@ -149,7 +149,7 @@
     assert daemon.status()["r-0"]["phase"] == "ready"
     daemon.do("stop", "none", code=1)
     assert '"name": "r-0"' in daemon.do("--json", "logs", "r-0", "--lines", "5")
-    assert daemon.do("logs", "--grep", " ready ").count(" ready ") >= 2
+    assert daemon.do("logs", "--grep", " router_ready ").count(" router_ready ") >= 2
     began = time.monotonic()
     daemon.process.terminate()
     assert daemon.process.wait(PATIENCE) == 0 and time.monotonic() - began < 10
--- a/tests/test_scale_run.py
+++ b/tests/test_scale_run.py
@@ -90,7 +90,7 @@
     )
     process = subprocess.Popen([sys.executable, "-c", program, str(tmp_path)])
     log = tmp_path / "edge-0" / "log"
-    Stand.wait(lambda: log.exists() and " ready " in log.read_text(), "the real router to be ready")
+    Stand.wait(lambda: log.exists() and " router_ready " in log.read_text(), "the real router to be ready")
     children = _children(process.pid)
     assert len(children) >= 5
     process.send_signal(signal.SIGTERM)
--- a/tests/test_settings_change.py
+++ b/tests/test_settings_change.py
@@ -262,8 +262,8 @@
             process.send_signal(signal.SIGHUP)
             released.set()
             assert process.stderr is not None
-            lines = list(itertools.takewhile(lambda line: b" reloaded " not in line, process.stderr))
-            assert any(b" ready " in line for line in lines)
+            lines = list(itertools.takewhile(lambda line: b" config_reloaded " not in line, process.stderr))
+            assert any(b" router_ready " in line for line in lines)
             process.send_signal(signal.SIGTERM)
             assert process.wait(PATIENCE) == 0
         finally:
--- a/tests/test_stop_crossings.py
+++ b/tests/test_stop_crossings.py
@@ -94,7 +94,7 @@
             if number == HUP:
                 released.set()
                 lines = iter(process.stderr.readline, b"")
-                assert any(b" reloaded " in line for line in lines)
+                assert any(b" config_reloaded " in line for line in lines)
                 process.send_signal(TERM)
             assert process.wait(PATIENCE) == 0
         finally:
@@ -214,7 +214,7 @@
         log = serve.log
         def logged(event, **fields):
             log(event, **fields)
-            if event == "ready":
+            if event == "router_ready":
                 os.kill(os.getpid(), signal.SIGTERM)
         serve.log = logged
         code = serve.main()
--- a/tests/test_watch_crossings.py
+++ b/tests/test_watch_crossings.py
@@ -73,7 +73,7 @@
 
 def drained_before_ready(stand: Stand) -> bool:
     text = Path(stand.folder.name, "log").read_text()
-    return "state=draining" in text.partition(" ready ")[0]
+    return "state=draining" in text.partition(" router_ready ")[0]
 
 
 # -- start --
