--- a/stonecove/discovery/roster.py
+++ b/stonecove/discovery/roster.py
@@ -340,7 +340,7 @@
                 LogEvent.ENDPOINT_ID_DUPLICATED, ident, nodes=",".join(sorted(nodes)), chosen=best.name
             )
         else:
-            self._alarmed.discard((LogEvent.ENDPOINT_ID_DUPLICATED, str(ident)))
+            self._alarmed.discard((LogEvent.ENDPOINT_ID_DUPLICATED.value, str(ident)))
         rivals = self._by_address.get((member.host, member.port), set()) - {ident}
         younger = [rival for rival in rivals if self._key(rival) > self._key(ident)]
         if younger:
@@ -352,7 +352,7 @@
                 chosen=taken,
             )
             return Claim(NodeState.DRAINING, member, f"its address is that of {taken}")
-        self._alarmed.discard((LogEvent.ENDPOINT_ADDRESS_DUPLICATED, str(ident)))
+        self._alarmed.discard((LogEvent.ENDPOINT_ADDRESS_DUPLICATED.value, str(ident)))
         if best.member.node.state is not NodeState.READY:
             return Claim(NodeState.DRAINING, member, "its record says draining")
         if ident in self._held_back:
@@ -360,8 +360,8 @@
         return Claim(NodeState.READY, member, "its record says up")
 
     def _alarm(self, event: str, ident: NodeId, **fields: object) -> None:
-        if (event, str(ident)) not in self._alarmed:
-            self._alarmed.add((event, str(ident)))
+        if (str(event), str(ident)) not in self._alarmed:
+            self._alarmed.add((str(event), str(ident)))
             self._say(event, node=f"s-{ident:08x}", **fields)
 
     def _tell(self, ident: NodeId, claim: Claim) -> None:
