--- a/stonecove/routing/state.py
+++ b/stonecove/routing/state.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 import random
-from typing import TYPE_CHECKING
+from typing import TYPE_CHECKING, Any
 
 from stonecove.routing.actions import RETRY_LEASE, Action
 from stonecove.routing.class_statistics import ClassStatistics
@@ -105,11 +105,10 @@
         since_ms = now_ms - self.settings.overload_window_ms
         for budget in (self.cache_budget, self.parent_budget):
             budget.forget_removed(since_ms, listed)
-        for detectors in (self.cache_detectors, self.source_detectors):
-            for node_id in [node_id for node_id in detectors if node_id not in listed]:
-                del detectors[node_id]
-        for node_id in [node_id for node_id in self.link_loads if node_id not in listed]:
-            del self.link_loads[node_id]
+        tables: tuple[dict[NodeId, Any], ...] = (self.cache_detectors, self.source_detectors, self.link_loads)
+        for table in tables:
+            for node_id in [node_id for node_id in table if node_id not in listed]:
+                del table[node_id]
         if self.leased is not None:
             leases = self.leased.leases
             for node_id in [each for each in leases if each not in listed and each != RETRY_LEASE]:
--- a/stonecove/simulator_adapter.py
+++ b/stonecove/simulator_adapter.py
@@ -13,6 +13,7 @@
 from enum import IntEnum
 from typing import Any, BinaryIO, NamedTuple
 
+from stonecove.errors import StonecoveError
 from stonecove.routing.actions import (
     Action,
     CancelAttempt,
@@ -103,7 +104,7 @@
 _LIST_KINDS = {int(kind): kind for kind in EndpointListKind}
 
 
-class WireError(Exception):
+class WireError(StonecoveError):
     """A batch cannot be read."""
 
 
