--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -23,7 +23,7 @@
 from typing import Any
 
 from stonecove.fleet.control import ControlError, ask
-from stonecove.quotas.leases import Holder, Lessor, own_part
+from stonecove.quotas.leases import LeaseHolder, Lessor, unleased_fraction_for
 from stonecove.standins.depot import Depot
 from stonecove.standins.webserver import settings
 from stonecove.trial.closed_loop import ClosedLoopClients
@@ -254,9 +254,9 @@
     window, rule = 4.0, 200.0
     chooser = random.Random(3)
     weights = [1.0 / (rank + 1) for rank in range(instances)]
-    own = own_part(instances)
+    own = unleased_fraction_for(instances)
     lessor = Lessor(window, -2 * window, own)
-    holders = [Holder(lessor.life) for _ in range(instances)]
+    holders = [LeaseHolder(lessor.lifetime_s) for _ in range(instances)]
     sent: dict[str, list[deque[float]]] = {
         way: [deque() for _ in range(instances)] for way in ("share", "own")
     }
@@ -267,7 +267,7 @@
     places = chooser.choices(range(instances), weights, k=events)
     for number, at in enumerate(places):
         now = number * window / (1.5 * rule)
-        lessor.rule(7, rule, now)
+        lessor.set_limit(7, rule, now)
         for way, part in (("share", 1.0), ("own", own)):
             mine = sent[way][at]
             while mine and mine[0] <= now - window:
@@ -279,17 +279,20 @@
                     leased.append(now)
                 continue
             if way == "own":
-                if holders[at].left(7, now) < 1.0 and (asked := holders[at].wants(7, now)) is not None:
-                    grant = lessor.ask(str(at), asked, 7, now, 1.0)
+                if (
+                    holders[at].unspent_work(7, now) < 1.0
+                    and (asked := holders[at].begin_request(7, now)) is not None
+                ):
+                    grant = lessor.request_lease(str(at), asked, 7, now, 1.0)
                     if grant is None:
-                        holders[at].refused(asked)
+                        holders[at].end_request(asked)
                     else:
-                        holders[at].granted(grant, now)
+                        holders[at].accept_grant(grant, now)
                 if holders[at].spend(7, 1.0, now):
                     count["leased"] += 1
                     leased.append(now)
-        for back, unspent in holders[at].idle(now):
-            lessor.give_back(str(at), back, unspent, now)
+        for back, unspent in holders[at].pop_expired(now):
+            lessor.return_lease(str(at), back, unspent, now)
         while leased and leased[0] <= now - window:
             leased.popleft()
         worst = max(worst, len(leased))
--- a/stonecove/errors.py
+++ b/stonecove/errors.py
@@ -1,7 +1,7 @@
-"""The common base of the errors that this program raises."""
+"""The common base class of the program's errors."""
 
 from __future__ import annotations
 
 
 class StonecoveError(Exception):
-    """Base of all errors of this program. Packages derive their own, with fields for the facts."""
+    """Base class of the program's errors. Packages derive their own, with attributes for details."""
--- a/stonecove/exchange.py
+++ b/stonecove/exchange.py
@@ -1,4 +1,4 @@
-"""What passes between the stages, whatever front a request came by."""
+"""Requests and answers as the pipeline stages exchange them, independent of the client protocol."""
 
 from __future__ import annotations
 
@@ -8,11 +8,11 @@
 
 
 class Verdict(Enum):
-    """What an answer says."""
+    """Kind of a final answer."""
 
     SERVED = "served"
-    UNCHANGED = "unchanged"  # the copy that the client holds is the one
-    REFUSED = "refused"  # trying again is harmless
+    UNCHANGED = "unchanged"  # the client's own copy is current
+    REFUSED = "refused"  # a retry is harmless
     FAILED = "failed"
 
 
@@ -23,36 +23,36 @@
     verdict: Verdict
     body: bytes = b""
     tag: str = ""
-    pause: float = 0.0  # on a refusal, for how long the client should stay away
-    born: float = 0.0  # Unix ms at which the copy was given out; 0: not told
+    retry_after_ms: float = 0.0  # for refused requests
+    copy_made_at_ms: float = 0.0  # Unix time at which the copy was made; 0 if unknown
 
 
 @dataclass(slots=True, eq=False)
 class ClientRequest:
-    """A request, checked; the texts pass on to caches unchanged."""
+    """A validated request. Its texts are sent to caches unchanged."""
 
     txn: str
     cls: str
     item: str
     chunk: str
-    kind: int
-    key: int
-    part: int
+    class_index: int
+    object_key: int
+    chunk_index: int
     group: int
-    size: float
-    ttl: float
-    seen: str  # tag of the copy that the client holds; empty if none
+    size_kb: float
+    timeout_ms: float
+    client_tag: str  # tag of the client's own copy; empty if it has none
     body: bytes
     reply: Callable[[Answer], None]
-    nonce: str = ""  # the client's idempotency key; empty where the class has none
-    client: str = ""  # who asks, as the web server tells it; empty if it does not
-    gone: Callable[[], None] | None = None  # told when its client leaves before the answer
-    look: Callable[[], None] | None = None  # has its front look, now, whether its client is still there
+    idempotency_key: str = ""  # empty where the class has none
+    client: str = ""  # the client's identity as the web server reports it; empty if it does not
+    on_disconnect: Callable[[], None] | None = None  # called if the client leaves before the answer
+    check_connection: Callable[[], None] | None = None  # makes the frontend check that the client is there
 
 
 class BadRequestError(Exception):
-    """A request that can't be taken; `status` is the nearest of HTTP's."""
+    """A request that cannot be accepted; `status` is the closest HTTP status."""
 
-    def __init__(self, status: int, why: str) -> None:
-        super().__init__(why)
+    def __init__(self, status: int, reason: str) -> None:
+        super().__init__(reason)
         self.status = status
--- a/stonecove/explore/fleet.py
+++ b/stonecove/explore/fleet.py
@@ -1,6 +1,6 @@
 """The machines of the fleet's decisions: shared budgets, and the lives of supervised instances.
 
-Real `Lessor`, `Holder`, `Instance` and `Roll`; made up are the wire between them, the processes and the
+Real `Lessor`, `LeaseHolder`, `Instance` and `Roll`; made up are the wire between them, the processes and the
 clock.
 """
 
@@ -15,7 +15,7 @@
 from stonecove.explore.machine import Violation
 from stonecove.fleet.restart import Do, Instance, Phase, Policy
 from stonecove.fleet.rolling import Roll, RollState
-from stonecove.quotas.leases import Grant, Holder, Lessor
+from stonecove.quotas.leases import Grant, LeaseHolder, Lessor
 from stonecove.routing.events import LeaseGranted
 from stonecove.routing.leased_budget import LeasedBudget
 
@@ -98,7 +98,7 @@
         self.true = 100.0  # the time that really passes
         self.offset = 0.0  # of the clock that everybody reads
         self.lessor = Lessor(WINDOW, self.true - 2 * WINDOW, OWN, PIECE, LIFE)
-        self.holders = [Holder(self.lessor.life) for _ in range(bounds.holders)]
+        self.holders = [LeaseHolder(self.lessor.lifetime_s) for _ in range(bounds.holders)]
         self.names = [f"h{place}" for place in range(bounds.holders)]
         self.flying: list[tuple[int, int, Grant]] = []  # to which holder, since when it is that one, what
         self.lives = [0] * bounds.holders
@@ -107,7 +107,7 @@
         self.credits = [LeasedBudget() for _ in range(bounds.holders)]
         self.ends: list[tuple[float, int, int]] = []  # true moments at which the module is told of an end
         self.back: set[tuple[int, int]] = set()  # pieces given back
-        self.lessor.rule(NODE, RULE, self.now)
+        self.lessor.set_limit(NODE, RULE, self.now)
 
     @property
     def now(self) -> float:
@@ -121,7 +121,11 @@
             steps.append(f"take {place}")
             if len(self.flying) < self.bounds.flying:
                 steps.append(f"ask {place}")
-            if holder.left(NODE, self.now) > 0 or holder._pieces or self.credits[place].leases.get(NODE):
+            if (
+                holder.unspent_work(NODE, self.now) > 0
+                or holder._leases
+                or self.credits[place].leases.get(NODE)
+            ):
                 steps.append(f"spend {place}")
         steps += [f"answer {number}" for number in range(len(self.flying))]
         if self.faults:
@@ -142,17 +146,17 @@
             self.faults -= 1
         if word in ("tick", "jump"):
             self.true += TICK if word == "tick" else JUMP
-            self.lessor.rule(NODE, RULE, self.now)
+            self.lessor.set_limit(NODE, RULE, self.now)
             self._tell_ends()
             for number, holder in enumerate(self.holders):
-                for returned, unspent in holder.idle(self.now):
-                    self.lessor.give_back(self.names[number], returned, unspent, self.now)
+                for returned, unspent in holder.pop_expired(self.now):
+                    self.lessor.return_lease(self.names[number], returned, unspent, self.now)
         elif word in ("ask", "take"):
-            asked = self.holders[place].wants(NODE, self.now)
+            asked = self.holders[place].begin_request(NODE, self.now)
             if asked is not None:
-                grant = self.lessor.ask(self.names[place], asked, NODE, self.now)
+                grant = self.lessor.request_lease(self.names[place], asked, NODE, self.now)
                 if grant is None:
-                    self.holders[place].refused(asked)
+                    self.holders[place].end_request(asked)
                 elif word == "take":
                     self._granted(place, grant)
                 else:
@@ -170,18 +174,18 @@
                 self.spent.append((self.true, work))
             self._give_back(place)
         elif word == "spend":
-            left = self.holders[place].left(NODE, self.now)
+            left = self.holders[place].unspent_work(NODE, self.now)
             work = left if left > 0 else (1.0 - OWN) * RULE * PIECE
             if self.holders[place].spend(NODE, work, self.now):
                 self.spent.append((self.true, work))
         elif word == "kill":
-            self.lessor.gone(self.names[place])
+            self.lessor.remove_holder(self.names[place])
             self.lives[place] += 1
-            self.holders[place] = Holder(self.lessor.life)
+            self.holders[place] = LeaseHolder(self.lessor.lifetime_s)
             self.names[place] = f"h{place}-{self.lives[place]}"
         elif word == "lessor-dies":
             self.lessor = Lessor(WINDOW, self.now, OWN, PIECE, LIFE)
-            self.lessor.rule(NODE, RULE, self.now)
+            self.lessor.set_limit(NODE, RULE, self.now)
         elif word == "clock-back":
             self.offset -= 3.0
         elif word == "unix-back":
@@ -190,8 +194,8 @@
 
     def _granted(self, place: int, grant: Grant) -> None:
         """As `lifecycle.leases` does: what is granted goes to the module at once, and its end in time."""
-        if self.holders[place].granted(grant, self.now) and self.bounds.credit:
-            for number, left, until in self.holders[place].hand_over(NODE):
+        if self.holders[place].accept_grant(grant, self.now) and self.bounds.credit:
+            for number, left, until in self.holders[place].pop_leases(NODE):
                 self.credits[place].grant(
                     self.now + self.unix, LeaseGranted(number, NODE, left, until + self.unix)
                 )
@@ -211,7 +215,7 @@
             if (place, unspent.lease_id) in self.back:
                 self.broken("lease-once", f"piece {unspent.lease_id} was given back twice")
             self.back.add((place, unspent.lease_id))
-            self.lessor.give_back(self.names[place], unspent.lease_id, unspent.work_ms, self.now)
+            self.lessor.return_lease(self.names[place], unspent.lease_id, unspent.work_ms, self.now)
         credit.returned.clear()
 
     def _look(self) -> None:
@@ -225,15 +229,15 @@
     def settle(self) -> None:
         """After a window in which nobody asks, the whole budget is there again."""
         for holder in self.holders:
-            holder.idle(self.now + 100)
+            holder.pop_expired(self.now + 100)
         self.ends.clear()
         self.true += 3 * WINDOW
-        self.lessor.rule(NODE, RULE, self.now)
-        self.true += WINDOW + 2 * self.lessor.life
-        self.lessor.rule(NODE, RULE, self.now)
-        if self.lessor.booked(NODE, self.now) > 1e-9:
+        self.lessor.set_limit(NODE, RULE, self.now)
+        self.true += WINDOW + 2 * self.lessor.lifetime_s
+        self.lessor.set_limit(NODE, RULE, self.now)
+        if self.lessor.booked_work(NODE, self.now) > 1e-9:
             self.broken("lease-back", "what was granted long ago is still booked")
-        elif self.lessor.ask("new", 1, NODE, self.now) is None:
+        elif self.lessor.request_lease("new", 1, NODE, self.now) is None:
             self.broken("lease-back", "nothing is granted though nothing is out")
 
     def encode(self) -> bytes:
@@ -246,45 +250,45 @@
             """Questions are told by how long ago they were asked; those of the dead are all alike."""
             if holder in self.names:
                 place = self.names.index(holder)
-                return f"h{place}", self.holders[place]._number - asked
+                return f"h{place}", self.holders[place]._last_number - asked
             return "dead", 0
 
         accounts = [
             (
-                one.rule,
-                round(one.total, 6),
-                [(rel(b.at), number(b.holder, b.number), round(b.work, 6)) for b in one.booked],
+                one.limit,
+                round(one.booked_work, 6),
+                [(rel(b.booked_at_s), number(b.holder, b.number), round(b.work, 6)) for b in one.grants],
             )
             for one in self.lessor._accounts.values()
         ]
         holders = [
             (
-                [(h._number - n, rel(at)) for n, (_, at) in sorted(h._asked.items())],
-                sorted(h._number - n for n in h._asking.values()),
-                [(round(p.left, 6), rel(p.until)) for pieces in h._pieces.values() for p in pieces],
-                len(h._over),
+                [(h._last_number - n, rel(at)) for n, (_, at) in sorted(h._requests.items())],
+                sorted(h._last_number - n for n in h._pending_numbers.values()),
+                [(round(p.unspent, 6), rel(p.expires_at_s)) for pieces in h._leases.values() for p in pieces],
+                len(h._expired),
             )
             for h in self.holders
         ]
         answers = sorted(
-            number(holder, asked) for holder, given in self.lessor._answers.items() for asked in given
+            number(holder, asked) for holder, given in self.lessor._grants.items() for asked in given
         )
         return marshal.dumps(
             (
                 self.faults,
                 accounts,
-                rel(max(self.lessor._silent_until, self.now)),
+                rel(max(self.lessor._no_grants_until_s, self.now)),
                 answers,
                 holders,
                 [
-                    (to, life == self.lives[to], self.holders[to]._number - grant.number)
+                    (to, life == self.lives[to], self.holders[to]._last_number - grant.number)
                     for to, life, grant in self.flying
                 ],
                 sorted((round(at - self.true, 6), round(work, 6)) for at, work in self.spent),
                 [
                     [
                         (
-                            self.holders[place]._number - key,
+                            self.holders[place]._last_number - key,
                             rel(lease.expires_at_ms - self.unix),
                             round(lease.remaining_ms, 6),
                         )
@@ -293,10 +297,10 @@
                     for place, credit in enumerate(self.credits)
                 ],
                 sorted(
-                    (round(at - self.true, 6), place, self.holders[place]._number - key)
+                    (round(at - self.true, 6), place, self.holders[place]._last_number - key)
                     for at, place, key in self.ends
                 ),
-                sorted((place, self.holders[place]._number - key) for place, key in self.back),
+                sorted((place, self.holders[place]._last_number - key) for place, key in self.back),
             ),
             2,
         )
--- a/stonecove/explore/reach.py
+++ b/stonecove/explore/reach.py
@@ -66,7 +66,7 @@
         "popularity of thousands of requests; a scope has two, a walk hundreds",
     ),
     ("routing/candidates.py", "caches|_replicas", "popularity of thousands of requests"),
-    ("routing/candidates.py", "has_copy|_is_crowded|is_zone_link_crowded", "load of a crowded link"),
+    ("routing/candidates.py", "has_copy|_is_congested|is_zone_link_congested", "load of a crowded link"),
     ("routing/stored_copies.py", "record", "load of a crowded link; the bench's days play it"),
     ("routing/link_load.py", "estimate_capacity|expected_slowdown", "load of a crowded link"),
     ("routing/link_load.py", "resize", "settings that change: tests/test_reconfigured.py"),
--- a/stonecove/fleet/lender.py
+++ b/stonecove/fleet/lender.py
@@ -65,14 +65,16 @@
         window = fleet.leases.window / 1000.0
         self.lending = Lending(time.monotonic(), window, self._count, fleet.leases.own, plan_of(fleet))
         if self.lending.plan is not None:
-            self.lending.plan.hierarchy(self.lending.own / self._count)
+            self.lending.plan.hierarchy(self.lending.unleased_fraction / self._count)
         self._keys = itertools.count(1)
 
     def file(self, rest: float) -> LeaseFile:
         """What an instance is told at its start; `rest`: seconds without a part of its own."""
         lending = self.lending
-        part = lending.own / self._count
-        return LeaseFile(str(self._path), lending.window, lending.own, part, rest, lending.plan, part)
+        part = lending.unleased_fraction / self._count
+        return LeaseFile(
+            str(self._path), lending.window_s, lending.unleased_fraction, part, rest, lending.plan, part
+        )
 
     async def run(self, task_status: trio.TaskStatus[None] = trio.TASK_STATUS_IGNORED) -> None:
         """Serves until it is cancelled."""
@@ -111,7 +113,7 @@
                 with contextlib.suppress(OSError):
                     await client.send(json.dumps({"is": "wrong", "why": why}).encode() + b"\n")
             finally:
-                self.lending.gone(key)
+                self.lending.remove_holder(key)
         if name:
             log(LogEvent.LEASE_HOLDER_DISCONNECTED, name=name, reason=why)
 
@@ -143,13 +145,13 @@
         match word["do"]:
             case "hello":
                 parts = {str(pool): float(part) for pool, part in word["parts"].items()}
-                terms = lending.hello(
+                terms = lending.add_holder(
                     key, str(word["name"]), float(word["window"]), parts, float(word["born"]), now
                 )
                 return {"is": "terms", **terms._asdict()}
             case "ask":
                 number = int(word["number"])
-                grant = lending.ask(
+                grant = lending.request_lease(
                     key,
                     number,
                     int(word["node"]),
@@ -163,11 +165,11 @@
                     {"is": "none", "number": number} if grant is None else {"is": "grant", **grant._asdict()}
                 )
             case "back":
-                lending.back(key, int(word["number"]), float(word["left"]), now)
+                lending.return_lease(key, int(word["number"]), float(word["left"]), now)
                 return None
             case "take":
                 zone, cls, client = map(str, word["path"])
-                count, limit = lending.take(key, (zone, cls, client), int(word["count"]), now)
+                count, limit = lending.take_tokens(key, (zone, cls, client), int(word["count"]), now)
                 return {"is": "tokens", "path": [zone, cls, client], "count": count, "limit": limit}
             case other:
                 raise LendingError(f"no word {other!r}")
--- a/stonecove/fleet/supervisor.py
+++ b/stonecove/fleet/supervisor.py
@@ -338,7 +338,7 @@
             table |= {"peer_listen": table["listen"], "peers": [*others, *table.get("peers", ())]}
         _replace(unit.folder / "config.json", json.dumps(table))
         if self.lender is not None:
-            rest = unit.ended_at + self.lender.lending.window - time.monotonic()
+            rest = unit.ended_at + self.lender.lending.window_s - time.monotonic()
             _replace(unit.folder / "leases.json", self.lender.file(max(0.0, rest)).dumps())
             fleet_size = (table.get("settings") or {}).get("fleet_size", 1)
             if fleet_size < len(self.fleet.instances):
--- a/stonecove/frontends/fastcgi.py
+++ b/stonecove/frontends/fastcgi.py
@@ -49,7 +49,7 @@
     if answer.verdict is Verdict.UNCHANGED:
         fields["X_Notmod"] = 1
     if answer.verdict is Verdict.REFUSED:
-        fields["X_Throttle_Ms"] = max(0, round(answer.pause))
+        fields["X_Throttle_Ms"] = max(0, round(answer.retry_after_ms))
     if answer.tag:
         fields["X_Etag"] = answer.tag
     return _head(_LINES[answer.verdict], **fields)
@@ -93,7 +93,7 @@
                 raise BadRequestError(400, "CONTENT_LENGTH is not that of the body")
             asked = self._intake.take(path, fields_of(params), body, partial(self._reply, connection, ident))
             asked.client = params.get("REMOTE_ADDR", "")[:64]
-            asked.look = connection.look_for_end
+            asked.check_connection = connection.look_for_end
             if self._route.requests.waits(asked.txn):
                 raise BadRequestError(400, "X-Txn is that of an open request")
             if self.desk is not None and not self._let_in(connection, ident, params, asked):
@@ -124,7 +124,7 @@
             reply(answer)
 
         asked.reply = over
-        asked.gone = partial(desk.over, decision, ran=True)
+        asked.on_disconnect = partial(desk.over, decision, ran=True)
         return True
 
     def _reply(self, connection: Session, ident: int, answer: Answer) -> None:
--- a/stonecove/frontends/http.py
+++ b/stonecove/frontends/http.py
@@ -108,7 +108,7 @@
             fields["X-Txn-Key"] = key
         answer = partial(self._answer, request, known, decision, reply)
         asked: ClientRequest = self._intake.take(f"/svc/{cls}", fields, request.body, answer)
-        asked.gone = partial(self.over, decision, ran=True)
+        asked.on_disconnect = partial(self.over, decision, ran=True)
         asked.client = decision.subject if decision is not None and decision.subject else source
         if self._route.requests.waits(asked.txn):
             raise BadRequestError(400, "X-Txn is that of an open request")
@@ -135,7 +135,7 @@
     ) -> tuple[int, Fields, bytes]:
         """Status, fields and body of an answer."""
         if answer.verdict is Verdict.REFUSED:
-            return 503, [("Cache-Control", "no-store"), *self._pause(answer.pause)], b""
+            return 503, [("Cache-Control", "no-store"), *self._pause(answer.retry_after_ms)], b""
         if answer.verdict is Verdict.FAILED:
             return 502, [("Cache-Control", "no-store")], b""
         fields: Fields = []
@@ -143,7 +143,11 @@
             fields.append(("Cache-Control", "no-store"))
         else:
             kind = "private" if decision is not None and decision.subject else "public"
-            age = max(0.0, self._clock.now() - answer.born) / 1000.0 if answer.born else 0.0
+            age = (
+                max(0.0, self._clock.now() - answer.copy_made_at_ms) / 1000.0
+                if answer.copy_made_at_ms
+                else 0.0
+            )
             fresh = f"max-age={cls.fresh_ms / 1000.0:.0f}" if cls.fresh_ms else "no-cache"
             fields += [("Cache-Control", f"{kind}, {fresh}"), ("Age", f"{age:.0f}")]
         if answer.tag:
--- a/stonecove/pipeline/admit.py
+++ b/stonecove/pipeline/admit.py
@@ -55,12 +55,12 @@
         """The request, now open; None if there is no room for it and its answer, or the drain is over."""
         if now >= self.latest:
             return None
-        holds = len(asked.body) + min(MOST_ANSWER, round(asked.size * self._bytes_per_kb))
+        holds = len(asked.body) + min(MOST_ANSWER, round(asked.size_kb * self._bytes_per_kb))
         if len(self._requests) >= self._most or not self._budget.admits(holds):
             return None
         self._budget.take(holds)
-        deadline = min(now + max(1.0, min(asked.ttl, self._longest) - MARGIN), self.latest)
-        return self._requests.add(asked, self._classes[asked.kind], deadline, holds)
+        deadline = min(now + max(1.0, min(asked.timeout_ms, self._longest) - MARGIN), self.latest)
+        return self._requests.add(asked, self._classes[asked.class_index], deadline, holds)
 
     def too_much(self, now: float, since: float, kind: int) -> bool:
         """Whether a request that came then is to be refused, as there is more to do than we can.
--- a/stonecove/pipeline/relay.py
+++ b/stonecove/pipeline/relay.py
@@ -111,7 +111,7 @@
                     verdict,
                     reply.body,
                     reply.fields.get("ver", ""),
-                    born=_number(reply.fields.get("born", "")) or 0.0,
+                    copy_made_at_ms=_number(reply.fields.get("born", "")) or 0.0,
                 ),
             )
         note = _NOTES.get(reply.fields.get("tell", ""), CacheStatus.NONE)
@@ -126,7 +126,7 @@
     def _wrong(self, attempt: Attempt, reply: Reply) -> str:
         """What is wrong with an answer that says ok. Guards against passing on a copy that won't do."""
         asked, cls = attempt.request.asked, attempt.request.cls
-        if reply.word == "304" and (not asked.seen or reply.fields.get("ver") != asked.seen):
+        if reply.word == "304" and (not asked.client_tag or reply.fields.get("ver") != asked.client_tag):
             return "unchanged, but not the client's copy"
         if reply.word == "304" and reply.body:
             return "unchanged, but with bytes"
--- a/stonecove/pipeline/route.py
+++ b/stonecove/pipeline/route.py
@@ -114,12 +114,12 @@
         now = self._clock.now()
         if self.gate is not None and (limit := self.gate(asked)):
             self.book.counts[f"limit:{limit}"] += 1
-            asked.reply(Answer(Verdict.REFUSED, pause=self.admit.pause()))
+            asked.reply(Answer(Verdict.REFUSED, retry_after_ms=self.admit.pause()))
             return None
         request = self.admit.enter(now, asked)
         if request is None:
             self.book.counts["no_room"] += 1
-            asked.reply(Answer(Verdict.REFUSED, pause=self.admit.pause()))
+            asked.reply(Answer(Verdict.REFUSED, retry_after_ms=self.admit.pause()))
             return None
         request.backstop = self._timers.at(request.deadline + BACKSTOP, partial(self._backstop, request))
         self._undecided.append((now, request))
@@ -140,27 +140,27 @@
 
     def _decide(self, came: float, request: OpenRequest) -> None:
         now, asked = self._clock.now(), request.asked
-        if self.admit.too_much(now, came, asked.kind):
+        if self.admit.too_much(now, came, asked.class_index):
             self.book.counts["shed"] += 1
-            self.relay.answer(request, Answer(Verdict.REFUSED, pause=self.admit.pause()))
+            self.relay.answer(request, Answer(Verdict.REFUSED, retry_after_ms=self.admit.pause()))
         else:
             self.post(
                 RequestReceived(
                     request.req,
-                    asked.kind,
-                    asked.key,
+                    asked.class_index,
+                    asked.object_key,
                     request.deadline - now,
-                    asked.size,
+                    asked.size_kb,
                     asked.group,
-                    asked.part,
+                    asked.chunk_index,
                 )
             )
 
     def left(self, request: OpenRequest) -> None:
         """The client of an open request has gone."""
         if not request.answered:
-            if request.asked.gone is not None:
-                request.asked.gone()
+            if request.asked.on_disconnect is not None:
+                request.asked.on_disconnect()
             self.relay.left(request)
             self.post(ClientDisconnected(request.req))
 
@@ -171,7 +171,7 @@
             self.post(PurgeReceived(max(0.0, self._clock.now() - event.time), event.group, event.key))
             for attempt in waiting:
                 asked = attempt.request.asked
-                attempt.outdated |= asked.key == event.key if event.key else asked.group == event.group
+                attempt.outdated |= asked.object_key == event.key if event.key else asked.group == event.group
         else:
             self._listed(event)
         for attempt in waiting:
@@ -247,7 +247,7 @@
 
     def _refuse(self, act: RejectRequest) -> None:
         if request := self.requests.get(act.request_id):
-            self.relay.answer(request, Answer(Verdict.REFUSED, pause=act.retry_after_ms))
+            self.relay.answer(request, Answer(Verdict.REFUSED, retry_after_ms=act.retry_after_ms))
 
     def _fail(self, act: FailRequest) -> None:
         if request := self.requests.get(act.request_id):
@@ -285,6 +285,6 @@
                     self.send.late(attempt)
             if not request.answered and not request.attempts:
                 # It came so late that it has not been decided: nothing ran, so the client may ask elsewhere.
-                self.relay.answer(request, Answer(Verdict.REFUSED, pause=self.admit.pause()))
+                self.relay.answer(request, Answer(Verdict.REFUSED, retry_after_ms=self.admit.pause()))
             elif not request.answered:
                 self._backstop(request)
--- a/stonecove/pipeline/send.py
+++ b/stonecove/pipeline/send.py
@@ -58,10 +58,10 @@
         fields.append(("oldest", str(max(1, int(order.max_age_ms)))))
     if mode := "+".join(word for bit, word in MODES if order.fetch_mode & bit):
         fields.append(("mode", mode))
-    if asked.seen:
-        fields.append(("seen", asked.seen))
-    if asked.nonce:
-        fields.append(("nonce", asked.nonce))
+    if asked.client_tag:
+        fields.append(("seen", asked.client_tag))
+    if asked.idempotency_key:
+        fields.append(("nonce", asked.idempotency_key))
     return resp.encode(b"fetch", asked.txn.encode(), resp.words(fields), asked.body)
 
 
@@ -346,8 +346,8 @@
 
     def begin(self, attempt: Attempt) -> bytes | None:
         """The bytes of an attempt whose first byte is about to be written; None if it can't go."""
-        if attempt.request.asked.look is not None:
-            attempt.request.asked.look()
+        if attempt.request.asked.check_connection is not None:
+            attempt.request.asked.check_connection()
         if not self.may_go(attempt):
             return None
         if self.outlived is not None and self.outlived(attempt):
--- a/stonecove/quotas/__init__.py
+++ b/stonecove/quotas/__init__.py
@@ -1,5 +1,5 @@
-"""What many routers share of one budget: leases, token buckets, quotas. Decisions only; no I/O here.
+"""Budgets that many routers share: leases, token buckets and quotas, without I/O.
 
-`lending` is the lessor's whole side and `quota` a router's side of admission; `leases` and `buckets` are the
-parts that they are made of. The sockets are in `fleet/lender.py` and `server/leases.py`.
+`lending` holds all of the lessor's state and `quota` a router's side of admission; both are built on `leases`
+and `buckets`. The sockets are in `fleet/lender.py` and `server/leases.py`.
 """
--- a/stonecove/quotas/buckets.py
+++ b/stonecove/quotas/buckets.py
@@ -1,9 +1,8 @@
-"""A hierarchy of token buckets: fleet, zone, class, client. Knows no I/O; times are seconds of a steady
-clock.
+"""A hierarchy of token buckets: fleet, zone, class, client. No I/O; times are seconds of a steady clock.
 
-A request takes one token from its leaf and from each bucket above it, all or none. A bucket that is empty
-may borrow from its parent what its siblings leave unused, up to `borrow` times its own rate; the floor of
-the most valued class is set aside at every level and can't be borrowed by others.
+A request takes one token from its leaf and from each bucket above it, all or none. A bucket that is empty may
+borrow from its parent what its siblings leave unused, up to `ceil` tokens a second; the floor of the class
+with the highest priority is reserved at every level and cannot be borrowed by others.
 
 Source: hierarchical token buckets as in the Linux `tc-htb` description (rate, ceil, borrowing from the
 parent).
@@ -14,12 +13,12 @@
 from collections import OrderedDict
 from dataclasses import dataclass
 
-MOST_CLIENTS = 10_000  # with a bucket of their own; the one unused for longest begins anew
+MAX_CLIENT_BUCKETS = 10_000  # beyond this the least recently used client starts over
 
 
 @dataclass(slots=True)
 class Bucket:
-    """One bucket: `rate` tokens a second, `burst` at most; `ceil` tokens a second with what it borrows."""
+    """A bucket: `rate` tokens a second, at most `burst`; `ceil` tokens a second including borrowed ones."""
 
     rate: float
     burst: float
@@ -27,122 +26,134 @@
     parent: Bucket | None = None
     tokens: float = 0.0
     ceil_tokens: float = 0.0
-    at: float = -1.0
+    refilled_at_s: float = -1.0
 
     def __post_init__(self) -> None:
         if not 0 <= self.rate <= self.ceil or self.burst <= 0:
-            raise ValueError("a bucket needs 0 <= rate <= ceil, and a burst")
+            raise ValueError("a bucket needs 0 <= rate <= ceil and a positive burst")
         self.tokens, self.ceil_tokens = self.burst, self.burst
 
-    def fill(self, now: float) -> None:
-        """Adds what has come since; a clock that was set back adds nothing."""
-        if self.at >= 0:
-            passed = max(0.0, now - self.at)
-            self.tokens = min(self.burst, self.tokens + passed * self.rate)
-            self.ceil_tokens = min(self.burst, self.ceil_tokens + passed * self.ceil)
-        self.at = now
+    def refill(self, now_s: float) -> None:
+        """Add the tokens earned since the last refill; a clock that was set back adds none."""
+        if self.refilled_at_s >= 0:
+            elapsed_s = max(0.0, now_s - self.refilled_at_s)
+            self.tokens = min(self.burst, self.tokens + elapsed_s * self.rate)
+            self.ceil_tokens = min(self.burst, self.ceil_tokens + elapsed_s * self.ceil)
+        self.refilled_at_s = now_s
 
 
-class Hierarchy:
-    """Fleet, zones, classes and clients, with a floor for the most valued class."""
+class BucketHierarchy:
+    """Buckets of the fleet, its zones, classes and clients, with a floor for one class."""
 
-    def __init__(self, rate: float, burst: float, floor: float = 0.0, floor_class: str = "") -> None:
-        """`rate` requests a second in all; `floor`: part of it that only `floor_class` may use."""
-        if not 0.0 <= floor < 1.0:
-            raise ValueError("the floor is a part below 1")
+    def __init__(self, rate: float, burst: float, floor_fraction: float = 0.0, floor_class: str = "") -> None:
+        """Allow `rate` requests a second in total, `floor_fraction` of them to `floor_class` alone.
+
+        Raise ValueError for a floor that leaves nothing to the other classes.
+        """
+        if not 0.0 <= floor_fraction < 1.0:
+            raise ValueError("the floor must be a fraction below 1")
         self._floor_class = floor_class
-        self.common = Bucket(rate * (1.0 - floor), max(1.0, burst * (1.0 - floor)), rate * (1.0 - floor))
-        self.floor = Bucket(rate * floor, max(1.0, burst * floor), rate * floor) if floor else None
-        self._nodes: dict[tuple[str, ...], Bucket] = {}
-        self._clients: OrderedDict[tuple[str, ...], Bucket] = OrderedDict()
-        self._each: tuple[float, float] | None = None
-
-    def set(self, path: tuple[str, ...], rate: float, burst: float, ceil: float) -> None:
-        """A bucket at (zone), (zone, class) or (zone, class, client); its parent must be there, or is the
-        fleet.
+        self.fleet_bucket = Bucket(
+            rate * (1.0 - floor_fraction),
+            max(1.0, burst * (1.0 - floor_fraction)),
+            rate * (1.0 - floor_fraction),
+        )
+        self.floor_bucket = (
+            Bucket(rate * floor_fraction, max(1.0, burst * floor_fraction), rate * floor_fraction)
+            if floor_fraction
+            else None
+        )
+        self._buckets: dict[tuple[str, ...], Bucket] = {}
+        self._client_buckets: OrderedDict[tuple[str, ...], Bucket] = OrderedDict()
+        self._client_limit: tuple[float, float] | None = None
+
+    def add_bucket(self, path: tuple[str, ...], rate: float, burst: float, ceil: float) -> None:
+        """Set the bucket at (zone), (zone, class) or (zone, class, client).
+
+        Its parent must exist, unless that is the fleet's; raise ValueError otherwise.
         """
         if not 1 <= len(path) <= 3:
             raise ValueError("a path is zone, class and client")
-        parent = self.common if len(path) == 1 else self._nodes.get(path[:-1])
+        parent = self.fleet_bucket if len(path) == 1 else self._buckets.get(path[:-1])
         if parent is None:
             raise ValueError(f"no bucket at {'/'.join(path[:-1])}")
-        self._nodes[path] = Bucket(rate, burst, ceil, parent)
+        self._buckets[path] = Bucket(rate, burst, ceil, parent)
+
+    def limit_each_client(self, burst: float, ceil: float) -> None:
+        """Limit each client that has no bucket. Nothing is reserved for it, all its tokens are borrowed.
 
-    def each_client(self, burst: float, ceil: float) -> None:
-        """A bound for each client of a class that has no bucket: nothing is set aside for it, all is
-        borrowed.
+        Raise ValueError for limits that no bucket can have.
         """
         Bucket(0.0, burst, ceil)
-        self._each = burst, ceil
+        self._client_limit = burst, ceil
 
-    def _client(self, path: tuple[str, ...]) -> Bucket | None:
-        """The client's bucket, made when it is first seen."""
-        if self._each is None or not path[-1] or path in self._nodes:
+    def _client_bucket(self, path: tuple[str, ...]) -> Bucket | None:
+        """Return the client's bucket, which is created on its first request."""
+        if self._client_limit is None or not path[-1] or path in self._buckets:
             return None
-        bucket = self._clients.get(path)
+        bucket = self._client_buckets.get(path)
         if bucket is None:
-            if len(self._clients) >= MOST_CLIENTS:
-                self._clients.popitem(last=False)
-            parent = self._nodes.get(path[:2]) or self._nodes.get(path[:1]) or self.common
-            burst, ceil = self._each
-            bucket = self._clients[path] = Bucket(0.0, burst, ceil, parent)
+            if len(self._client_buckets) >= MAX_CLIENT_BUCKETS:
+                self._client_buckets.popitem(last=False)
+            parent = self._buckets.get(path[:2]) or self._buckets.get(path[:1]) or self.fleet_bucket
+            burst, ceil = self._client_limit
+            bucket = self._client_buckets[path] = Bucket(0.0, burst, ceil, parent)
             bucket.tokens = 0.0
         else:
-            self._clients.move_to_end(path)
+            self._client_buckets.move_to_end(path)
         return bucket
 
-    def _chain(self, path: tuple[str, ...]) -> list[Bucket]:
-        """The buckets from the deepest that there is up to the fleet's."""
-        client = self._client(path)
+    def _bucket_chain(self, path: tuple[str, ...]) -> list[Bucket]:
+        """Return the buckets from the deepest existing one up to the fleet's."""
+        client = self._client_bucket(path)
         for length in range(len(path), 0, -1):
-            if client is not None or path[:length] in self._nodes:
-                found, bucket = [], client if client is not None else self._nodes[path[:length]]
+            if client is not None or path[:length] in self._buckets:
+                found, bucket = [], client if client is not None else self._buckets[path[:length]]
                 while bucket is not None:
                     found.append(bucket)
                     bucket = bucket.parent  # type: ignore[assignment]
                 return found
-        return [self.common]
+        return [self.fleet_bucket]
 
-    def take(self, zone: str, cls: str, client: str, now: float) -> str:
-        """Takes one token; empty if it may go, else the name of the limit that refuses."""
+    def take(self, zone: str, cls: str, client: str, now_s: float) -> str:
+        """Take one token; return "" if the request is admitted, else the name of the exhausted limit."""
         path = (zone, cls, client)
-        chain = self._chain(path)
+        chain = self._bucket_chain(path)
         for bucket in chain:
-            bucket.fill(now)
-        if cls == self._floor_class and self.floor is not None:
-            self.floor.fill(now)
-            if self.floor.tokens >= 1.0:
-                self.floor.tokens -= 1.0
+            bucket.refill(now_s)
+        if cls == self._floor_class and self.floor_bucket is not None:
+            self.floor_bucket.refill(now_s)
+            if self.floor_bucket.tokens >= 1.0:
+                self.floor_bucket.tokens -= 1.0
                 return ""
-        # The nearest bucket with tokens pays: one's own rate needs nobody's leave. More is borrowed from
-        # above, up to the ceiling of each bucket on the way there.
-        for place, bucket in enumerate(chain):
+        # The nearest bucket with tokens pays: a bucket's own rate needs no permission from above. More is
+        # borrowed from the buckets above, up to the ceiling of each bucket on the way there.
+        for depth, bucket in enumerate(chain):
             if bucket.tokens >= 1.0:
                 break
             if bucket.ceil_tokens < 1.0:
-                return self._name(path, chain, place)
+                return self._limit_name(path, chain, depth)
         else:
             return "fleet"
         for bucket in chain:
-            # What others are owed by their own rate may take a parent below zero: then nobody borrows from
-            # it.
+            # Children that use their own rate may take a parent below zero; nothing is borrowed from it then.
             bucket.tokens = max(-bucket.burst, bucket.tokens - 1.0)
             bucket.ceil_tokens = max(-bucket.burst, bucket.ceil_tokens - 1.0)
         return ""
 
-    def take_many(self, path: tuple[str, str, str], wanted: int, now: float) -> tuple[int, str]:
-        """Takes up to so many tokens: how many there were, and the limit that held back the rest."""
-        for count in range(wanted):
-            if limit := self.take(*path, now):
-                return count, limit
-        return wanted, ""
-
-    def _name(self, path: tuple[str, ...], chain: list[Bucket], place: int) -> str:
-        """The bucket's own path; a client's is told without who it is."""
-        bucket = chain[place]
-        if bucket is self.common:
+    def take_many(self, path: tuple[str, str, str], max_count: int, now_s: float) -> tuple[int, str]:
+        """Take up to `max_count` tokens; return their number and the limit that withheld the others."""
+        for count in range(max_count):
+            if limit_name := self.take(*path, now_s):
+                return count, limit_name
+        return max_count, ""
+
+    def _limit_name(self, path: tuple[str, ...], chain: list[Bucket], depth: int) -> str:
+        """Return the path of a bucket in the chain; a client created on demand is not identified."""
+        bucket = chain[depth]
+        if bucket is self.fleet_bucket:
             return "fleet"
-        for name, one in self._nodes.items():
-            if one is bucket:
+        for name, each in self._buckets.items():
+            if each is bucket:
                 return "/".join(name)
         return "/".join((*path[:2], "client"))
--- a/stonecove/quotas/leases.py
+++ b/stonecove/quotas/leases.py
@@ -1,26 +1,27 @@
-"""Shared budgets without I/O: one lessor hands out pieces, holders spend them, the sum keeps to the rule.
-
-The rule (WIRE 2, rule 4): within any window of length W, a cold node is sent no more work than M x P x W x C
-(fall multiple, present capacity as a part, window, capacity). Routers that know nothing of each other share
-this by their number: each keeps to 1/N of it, and what one does not use is lost. With leases, a part `own`
-of the rule stays with the N guards (the fallback, without a word from anybody), the rest is handed out in
-pieces to whoever has use for it.
-
-Invariant, for every window of length W: own x rule (the guards together) + what was spent of pieces <= rule.
-
-- A piece is good for `life` from the moment the holder *asked*, by the holder's own steady clock. The lessor
-  books it at the moment it grants, which is later; so a piece can't be spent later than `life` after it was
-  booked.
-- The lessor grants no more than (1 - own) x rule within any W + life. What is spent within W was granted
-  within W + life before the window's end: the invariant. The rule is
-  the one told last: it rises as a node warms up, and is told by the least capacity that the node can have.
-- A piece that is given back unspent is booked as not granted; one whose holder died ages out like any other.
-- An answer that comes twice, or to a question that was given up, is passed over by its number. A question
-  that is asked again under its number gets the same piece, once.
-- A lessor that knows nothing of the past grants nothing for W + life: no journal is needed for the
-  invariant. A steady clock that jumps back (another boot) counts as knowing nothing.
-
-Times are seconds of a steady clock that all processes of a host share; work is in the unit of the rule.
+"""Leases of a shared budget, without I/O: one lessor grants them, holders spend them within the common limit.
+
+The limit (WIRE 2, rule 4): within any window of length W, a node in slow start is sent no more work than
+M x P x W x C (overload multiple, present fraction of its capacity, window, capacity). Routers that know
+nothing of each other divide this by their number: each keeps to 1/N of it, and what one does not use is lost.
+With leases, a fraction of the limit stays with the local budgets of the N routers, which need no lessor; the
+remainder is granted as leases to the routers that have use for it.
+
+Invariant, for every window of length W: unleased fraction x limit (all local budgets together) + the work
+spent from leases <= limit.
+
+- A lease is valid for its lifetime from the moment the holder *requested* it, by the holder's own steady
+  clock. The lessor books it at the moment it grants, which is later; so a lease cannot be spent later than
+  one lifetime after it was booked.
+- The lessor grants no more than (1 - unleased fraction) x limit within any W + lifetime. What is spent within
+  W was granted within W + lifetime before the end of the window, which gives the invariant. The limit is the
+  one reported last: it rises as a node warms up, and is computed for the lowest capacity the node can have.
+- Work that is returned unspent counts as not granted; the leases of a dead holder expire like any other.
+- A grant that arrives twice, or answers an abandoned request, is ignored by its number. A request that is
+  repeated under its number gets the same lease, once.
+- A lessor without knowledge of the past grants nothing for W + lifetime: no journal is needed for the
+  invariant. A steady clock that jumps back (another boot) counts as having no knowledge.
+
+Times are seconds of a steady clock that all processes of a host share; work is in the unit of the limit.
 """
 
 from __future__ import annotations
@@ -29,22 +30,22 @@
 from dataclasses import dataclass, field
 from typing import NamedTuple
 
-OWN = 0.3  # part of the rule that stays with the guards of their own
-MANY = 5  # holders from which on that part shrinks
-LIFE_PART = 0.125  # of the window, for which a piece is good: what is lent stays booked for so much longer
-PIECE_PART = 0.02  # of what is to be handed out within a window, as one piece
+UNLEASED_FRACTION = 0.3  # fraction of the limit that stays with the local budgets
+FULL_FRACTION_HOLDERS = 5  # with more holders that fraction shrinks
+LIFETIME_IN_WINDOWS = 0.125  # granted work stays booked for a lease's lifetime beyond the window
+LEASE_SIZE_FRACTION = 0.02  # size of one lease as a fraction of what is granted within a window
 
 
-def own_part(holders: int) -> float:
-    """The part of the rule that stays with the guards of so many holders.
+def unleased_fraction_for(holder_count: int) -> float:
+    """Return the fraction of the limit that stays with the local budgets of so many holders.
 
-    Among many, a guard's part does not carry one piece of work, and all of theirs together lies idle.
+    With many holders a local budget is too small for one unit of work, and all of them together lie idle.
     """
-    return OWN * min(1.0, MANY / max(1, holders))
+    return UNLEASED_FRACTION * min(1.0, FULL_FRACTION_HOLDERS / max(1, holder_count))
 
 
 class Grant(NamedTuple):
-    """A piece: so much work for that node, under the number of its question."""
+    """A lease of this much work on a node, under the number of its request."""
 
     number: int
     node: int
@@ -52,8 +53,8 @@
 
 
 @dataclass(slots=True)
-class _Booked:
-    at: float
+class _BookedGrant:
+    booked_at_s: float
     holder: str
     number: int
     work: float
@@ -61,223 +62,233 @@
 
 @dataclass(slots=True)
 class _Account:
-    """What was granted for one node, newest last, and the rule that holds."""
+    """The grants for one node, newest last, and the limit in force."""
 
-    rule: float
-    booked: deque[_Booked] = field(default_factory=deque)
-    total: float = 0.0
+    limit: float
+    grants: deque[_BookedGrant] = field(default_factory=deque)
+    booked_work: float = 0.0
 
 
 class Lessor:
-    """Hands out pieces of the rule."""
+    """Grant leases within the limit of each node."""
 
     def __init__(
-        self, window: float, now: float, own: float = OWN, piece: float = PIECE_PART, life: float = LIFE_PART
+        self,
+        window_s: float,
+        now_s: float,
+        unleased_fraction: float = UNLEASED_FRACTION,
+        lease_size_fraction: float = LEASE_SIZE_FRACTION,
+        lifetime_in_windows: float = LIFETIME_IN_WINDOWS,
     ) -> None:
-        """`window` in seconds; knows nothing of what was granted before, so nothing is granted for a
-        while.
-        """
-        self.window = window
-        self.life = window * life
-        self._own = own
-        self._piece = piece
-        self._silent_until = now + window + self.life
+        """Grant nothing at first, for one window and lifetime: earlier grants are not known."""
+        self.window_s = window_s
+        self.lifetime_s = window_s * lifetime_in_windows
+        self._unleased_fraction = unleased_fraction
+        self._lease_size_fraction = lease_size_fraction
+        self._no_grants_until_s = now_s + window_s + self.lifetime_s
         self._accounts: dict[int, _Account] = {}
-        self._answers: dict[str, dict[int, Grant]] = {}
-        self._last = now
-        self.granted = 0
-        self.refused = 0
-
-    def rule(self, node: int, allowed: float, now: float) -> None:
-        """What the rule allows a cold node within one window, from now on; it is told again as it rises."""
-        self._time(now)
+        self._grants: dict[str, dict[int, Grant]] = {}  # by holder and number
+        self._last_now_s = now_s
+        self.granted_count = 0
+        self.refused_count = 0
+
+    def set_limit(self, node: int, limit: float, now_s: float) -> None:
+        """Set the work that a node in slow start may get within one window from now on.
+
+        The limit is reported again as it rises.
+        """
+        self._check_clock(now_s)
         account = self._accounts.get(node)
         if account is None:
-            self._accounts[node] = _Account(allowed)
+            self._accounts[node] = _Account(limit)
         else:
-            account.rule = allowed
+            account.limit = limit
 
-    def forget(self, node: int) -> None:
-        """The node is warm or gone."""
+    def forget_node(self, node: int) -> None:
+        """Drop the account of a node that has warmed up or was removed."""
         self._accounts.pop(node, None)
 
-    def ask(self, holder: str, number: int, node: int, now: float, wanted: float = 0.0) -> Grant | None:
-        """A holder asks for a piece under a number of its own; None if there is nothing left now.
+    def request_lease(
+        self, holder: str, number: int, node: int, now_s: float, needed_work: float = 0.0
+    ) -> Grant | None:
+        """Return the lease for a holder's request with this number; None if nothing is available now.
 
-        `wanted`: work that it has at hand; less is of no use to it. The more holders there are, the nearer to
-        it is the piece: what one of many does not spend in time is lost to all.
+        `needed_work` is the work that the holder has pending; a smaller lease is of no use to it. The more
+        holders there are, the closer the size of a lease is to it: work that one of many does not spend in
+        time is lost to all.
         """
-        self._time(now)
-        if (known := self._answers.get(holder, {}).get(number)) is not None:
+        self._check_clock(now_s)
+        if (known := self._grants.get(holder, {}).get(number)) is not None:
             return known
         account = self._accounts.get(node)
-        if account is None or now < self._silent_until:
-            self.refused += 1
+        if account is None or now_s < self._no_grants_until_s:
+            self.refused_count += 1
             return None
-        self._age(account, now)
-        most = (1.0 - self._own) * account.rule
-        size = most * self._piece
-        if wanted > 0:
-            size = max(wanted, size / max(1, len(self._answers)))
-        work = min(size, most - account.total)
-        if work < max(min(wanted, size), size * 0.5):
-            self.refused += 1
+        self._expire_grants(account, now_s)
+        leasable = (1.0 - self._unleased_fraction) * account.limit
+        size = leasable * self._lease_size_fraction
+        if needed_work > 0:
+            size = max(needed_work, size / max(1, len(self._grants)))
+        work = min(size, leasable - account.booked_work)
+        if work < max(min(needed_work, size), size * 0.5):
+            self.refused_count += 1
             return None
-        account.booked.append(_Booked(now, holder, number, work))
-        account.total += work
+        account.grants.append(_BookedGrant(now_s, holder, number, work))
+        account.booked_work += work
         grant = Grant(number, node, work)
-        self._answers.setdefault(holder, {})[number] = grant
-        self.granted += 1
+        self._grants.setdefault(holder, {})[number] = grant
+        self.granted_count += 1
         return grant
 
-    def give_back(self, holder: str, number: int, unspent: float, now: float) -> None:
-        """A holder has no use for the rest of a piece. Told twice, or for more than was granted, it
-        changes nothing.
+    def return_lease(self, holder: str, number: int, unspent: float, now_s: float) -> None:
+        """Take back the unspent work of a lease.
+
+        A lease that was returned before changes nothing, and no more than was granted is taken back.
         """
-        self._time(now)
-        grant = self._answers.get(holder, {}).pop(number, None)
+        self._check_clock(now_s)
+        grant = self._grants.get(holder, {}).pop(number, None)
         if grant is None:
             return
         account = self._accounts.get(grant.node)
-        for booked in account.booked if account else ():
+        for booked in account.grants if account else ():
             if booked.holder == holder and booked.number == number and account is not None:
-                back = min(max(0.0, unspent), booked.work)
-                booked.work -= back
-                account.total -= back
+                returned = min(max(0.0, unspent), booked.work)
+                booked.work -= returned
+                account.booked_work -= returned
                 return
 
-    def gone(self, holder: str) -> None:
-        """A holder is no more. What it held may be spent: it ages out, and its numbers are forgotten."""
-        self._answers.pop(holder, None)
+    def remove_holder(self, holder: str) -> None:
+        """Forget a departed holder's requests. Its leases may still be spent, so they only expire."""
+        self._grants.pop(holder, None)
 
-    def booked(self, node: int, now: float) -> float:
-        """Work that is granted and not aged out."""
+    def booked_work(self, node: int, now_s: float) -> float:
+        """Return the work that was granted and has not expired."""
         account = self._accounts.get(node)
         if account is None:
             return 0.0
-        self._age(account, now)
-        return account.total
+        self._expire_grants(account, now_s)
+        return account.booked_work
 
-    def _time(self, now: float) -> None:
+    def _check_clock(self, now_s: float) -> None:
         if (
-            now < self._last
-        ):  # guards against a clock that was set back: what was booked can't be dated any more
+            now_s < self._last_now_s
+        ):  # the clock was set back: the age of earlier grants is not known any more
             self._accounts.clear()
-            self._answers.clear()
-            self._silent_until = now + self.window + self.life
-        self._last = now
-
-    def _age(self, account: _Account, now: float) -> None:
-        until = now - self.window - self.life
-        while account.booked and account.booked[0].at <= until:
-            old = account.booked.popleft()
-            account.total -= old.work
-            answers = self._answers.get(old.holder)
-            if answers is not None:
-                answers.pop(old.number, None)
-        if not account.booked:
-            account.total = 0.0  # no sum of rounding is carried on
+            self._grants.clear()
+            self._no_grants_until_s = now_s + self.window_s + self.lifetime_s
+        self._last_now_s = now_s
+
+    def _expire_grants(self, account: _Account, now_s: float) -> None:
+        expired_until_s = now_s - self.window_s - self.lifetime_s
+        while account.grants and account.grants[0].booked_at_s <= expired_until_s:
+            expired = account.grants.popleft()
+            account.booked_work -= expired.work
+            holder_grants = self._grants.get(expired.holder)
+            if holder_grants is not None:
+                holder_grants.pop(expired.number, None)
+        if not account.grants:
+            account.booked_work = 0.0  # rounding errors do not accumulate
 
 
 @dataclass(slots=True)
-class _Piece:
-    left: float
-    until: float
+class _Lease:
+    unspent: float
+    expires_at_s: float
     number: int
 
 
-class Holder:
-    """Pieces that one router holds. It never waits: without a piece, the guard of its own decides."""
-
-    def __init__(self, life: float) -> None:
-        """`life`: seconds for which a piece is good, from when it was asked for."""
-        self._life = life
-        self._number = 0
-        self._asked: dict[int, tuple[int, float]] = {}  # by number: node, and when
-        self._asking: dict[int, int] = {}  # by node: the number that is out
-        self._pieces: dict[int, deque[_Piece]] = {}
-        self._last = 0.0
-        self._over: list[tuple[int, float]] = []  # pieces whose time is over, to be given back
-        self.late = 0  # answers that came when the piece was over, or nobody waited
-
-    def wants(self, node: int, now: float) -> int | None:
-        """Asks for a piece; its number, or None while one is out for this node."""
-        self._time(now)
-        number = self._asking.get(node)
-        if number is not None and now < self._asked[number][1] + self._life:
+class LeaseHolder:
+    """Hold the leases of one router. It never waits: without a lease, the local budget decides."""
+
+    def __init__(self, lifetime_s: float) -> None:
+        """`lifetime_s` is how long a lease is valid after it was requested."""
+        self._lifetime_s = lifetime_s
+        self._last_number = 0
+        self._requests: dict[int, tuple[int, float]] = {}  # by number: the node, and when it was requested
+        self._pending_numbers: dict[int, int] = {}  # by node: the number of the request under way
+        self._leases: dict[int, deque[_Lease]] = {}
+        self._last_now_s = 0.0
+        self._expired: list[tuple[int, float]] = []  # leases to be returned: number, unspent work
+        self.ignored_grants = 0  # received after their lease expired, or without a pending request
+
+    def begin_request(self, node: int, now_s: float) -> int | None:
+        """Return the number of a new request for a lease; None while one is under way for this node."""
+        self._check_clock(now_s)
+        number = self._pending_numbers.get(node)
+        if number is not None and now_s < self._requests[number][1] + self._lifetime_s:
             return None
         if number is not None:
-            del self._asked[number]  # given up: its answer would be late
-        self._number += 1
-        self._asked[self._number] = node, now
-        self._asking[node] = self._number
-        return self._number
-
-    def granted(self, grant: Grant, now: float) -> bool:
-        """An answer; False if it is late, comes twice, or was never asked for."""
-        self._time(now)
-        asked = self._asked.get(grant.number)
-        if asked is None or asked[0] != grant.node:
-            self.late += 1
+            del self._requests[number]  # abandoned: its grant would have expired
+        self._last_number += 1
+        self._requests[self._last_number] = node, now_s
+        self._pending_numbers[node] = self._last_number
+        return self._last_number
+
+    def accept_grant(self, grant: Grant, now_s: float) -> bool:
+        """Add a lease; return False for a grant that is late, arrives twice or was never requested."""
+        self._check_clock(now_s)
+        request = self._requests.get(grant.number)
+        if request is None or request[0] != grant.node:
+            self.ignored_grants += 1
             return False
-        self.refused(grant.number)  # the question is over, in any case
-        if not asked[1] <= now < asked[1] + self._life:
-            self.late += 1
+        self.end_request(grant.number)  # whether or not the grant is in time
+        if not request[1] <= now_s < request[1] + self._lifetime_s:
+            self.ignored_grants += 1
             return False
-        piece = _Piece(grant.work, asked[1] + self._life, grant.number)
-        self._pieces.setdefault(grant.node, deque()).append(piece)
+        lease = _Lease(grant.work, request[1] + self._lifetime_s, grant.number)
+        self._leases.setdefault(grant.node, deque()).append(lease)
         return True
 
-    def hand_over(self, node: int) -> list[tuple[int, float, float]]:
-        """Pieces that somebody else spends from now on: (number, work, until when)."""
-        return [(piece.number, piece.left, piece.until) for piece in self._pieces.pop(node, ())]
-
-    def refused(self, number: int) -> None:
-        """There is nothing now; the node may be asked for again when its question has aged."""
-        asked = self._asked.pop(number, None)
-        if asked is not None and self._asking.get(asked[0]) == number:
-            del self._asking[asked[0]]
-
-    def spend(self, node: int, work: float, now: float) -> bool:
-        """Takes work from the pieces, all of it or nothing."""
-        self._time(now)
-        pieces = self._pieces.get(node)
-        if not pieces:
+    def pop_leases(self, node: int) -> list[tuple[int, float, float]]:
+        """Hand a node's leases over to the caller, to be spent there: number, work, expiry in seconds."""
+        return [(lease.number, lease.unspent, lease.expires_at_s) for lease in self._leases.pop(node, ())]
+
+    def end_request(self, number: int) -> None:
+        """End a request, so that another lease for its node can be requested."""
+        request = self._requests.pop(number, None)
+        if request is not None and self._pending_numbers.get(request[0]) == number:
+            del self._pending_numbers[request[0]]
+
+    def spend(self, node: int, work: float, now_s: float) -> bool:
+        """Spend the work if the node's leases cover all of it; return whether they did."""
+        self._check_clock(now_s)
+        leases = self._leases.get(node)
+        if not leases:
             return False
-        while pieces and not now < pieces[0].until:
-            over = pieces.popleft()
-            self._over.append((over.number, over.left))
-        if sum(piece.left for piece in pieces) < work:
+        while leases and not now_s < leases[0].expires_at_s:
+            expired = leases.popleft()
+            self._expired.append((expired.number, expired.unspent))
+        if sum(lease.unspent for lease in leases) < work:
             return False
-        while work > 0.0 and pieces:
-            part = min(work, pieces[0].left)
-            pieces[0].left -= part
-            work -= part
-            if pieces[0].left <= 0.0:
-                pieces.popleft()
+        while work > 0.0 and leases:
+            spent = min(work, leases[0].unspent)
+            leases[0].unspent -= spent
+            work -= spent
+            if leases[0].unspent <= 0.0:
+                leases.popleft()
         return True
 
-    def left(self, node: int, now: float) -> float:
-        """Work that may still be taken."""
-        return sum(piece.left for piece in self._pieces.get(node, ()) if now < piece.until)
-
-    def idle(self, now: float) -> list[tuple[int, float]]:
-        """Pieces whose time is over, to be given back, each once: (number, unspent work)."""
-        self._time(now)
-        for node, pieces in list(self._pieces.items()):
-            while pieces and not now < pieces[0].until:
-                over = pieces.popleft()
-                self._over.append((over.number, over.left))
-            if not pieces:
-                del self._pieces[node]
-        found, self._over = [one for one in self._over if one[1] > 0], []
+    def unspent_work(self, node: int, now_s: float) -> float:
+        """Return the work that may still be spent on a node."""
+        return sum(lease.unspent for lease in self._leases.get(node, ()) if now_s < lease.expires_at_s)
+
+    def pop_expired(self, now_s: float) -> list[tuple[int, float]]:
+        """Return the expired leases with unspent work, each once, to be returned: number, unspent work."""
+        self._check_clock(now_s)
+        for node, leases in list(self._leases.items()):
+            while leases and not now_s < leases[0].expires_at_s:
+                expired = leases.popleft()
+                self._expired.append((expired.number, expired.unspent))
+            if not leases:
+                del self._leases[node]
+        found, self._expired = [each for each in self._expired if each[1] > 0], []
         return found
 
-    def _time(self, now: float) -> None:
-        """Guards against a clock that was set back: by it, pieces would be good for longer than they are."""
-        if now < self._last:
-            self._pieces.clear()
-            self._asked.clear()
-            self._asking.clear()
-            self._over.clear()
-        self._last = now
+    def _check_clock(self, now_s: float) -> None:
+        """Drop everything after the clock was set back, or leases would be valid beyond their lifetime."""
+        if now_s < self._last_now_s:
+            self._leases.clear()
+            self._requests.clear()
+            self._pending_numbers.clear()
+            self._expired.clear()
+        self._last_now_s = now_s
--- a/stonecove/routing/__init__.py
+++ b/stonecove/routing/__init__.py
@@ -1,7 +1,7 @@
 """Routing decisions without I/O.
 
-Which cache gets a request, where a miss is filled, and what is retried or rejected.
+They select the cache for a request and the source that fills a miss, and decide what is retried or rejected.
 
-`director.Director` takes the events of `events` and returns the actions of `actions`. The other modules hold
-one part of the decision each.
+`director.Director` takes the events of `events` and returns the actions of `actions`. Each other module holds
+one aspect of the decision.
 """
--- a/stonecove/routing/actions.py
+++ b/stonecove/routing/actions.py
@@ -1,4 +1,4 @@
-"""Actions that the routing decisions return, to be carried out in order by the caller."""
+"""Actions that the routing decisions return. The caller carries them out in order."""
 
 from __future__ import annotations
 
@@ -7,11 +7,11 @@
 
 from stonecove.routing.endpoints import NodeId
 
-RETRY_LEASE: NodeId = -1  # stands for a node where a lease is of retries, one unit of work each
+RETRY_LEASE: NodeId = -1  # in place of a node: the lease is of retries, one unit of work each
 
 
 class FetchMode(IntEnum):
-    """Bits that tell a cache how to handle a miss."""
+    """Bit flags by which a cache handles a miss."""
 
     JOIN_FILL = 1
     CACHED_ONLY = 2
@@ -20,9 +20,10 @@
 
 
 class SendAttempt(NamedTuple):
-    """Send a request to a cache, and tell it where to fill a miss from and how to store the copy.
+    """Send a request to a cache, with the source that fills a miss and the rank at which to store the copy.
 
-    `cache_rank` 0 means that the copy is not stored, `max_age_ms` 0 that the class's own limit holds.
+    A `cache_rank` of 0 means that the copy is not stored, a `max_age_ms` of 0 that the limit of the class
+    applies.
     """
 
     request_id: int
@@ -42,14 +43,14 @@
 
 
 class RejectRequest(NamedTuple):
-    """Final answer: rejected; a retry is harmless."""
+    """Give the final answer "rejected"; a retry by the client is harmless."""
 
     request_id: int
     retry_after_ms: float
 
 
 class FailRequest(NamedTuple):
-    """Final answer: failed; the request may have been executed."""
+    """Give the final answer "failed"; the request may have been executed."""
 
     request_id: int
 
@@ -81,8 +82,8 @@
     """Request a lease of the slow-start budget that routers share.
 
     `fleet_limit_ms` is the work that all routers of the pool may send to the node within a window now. It
-    grows by `growth_ms_per_s` until the node is warm. The pool is the routers of this zone if `zonal`, else
-    all of them; `share` is this router's part of the limit.
+    grows by `growth_ms_per_s` until the node's slow start ends. The pool is the routers of this zone if
+    `zonal`, else all of them; `share` is this router's share of the limit.
     """
 
     node_id: NodeId
@@ -94,7 +95,7 @@
 
 
 class ReturnLease(NamedTuple):
-    """Return what is left of a lease that is over."""
+    """Return the unspent work of an ended lease."""
 
     lease_id: int
     work_ms: float
--- a/stonecove/routing/class_statistics.py
+++ b/stonecove/routing/class_statistics.py
@@ -1,4 +1,4 @@
-"""What was learned of each class of requests: their mean work, and the share that is answered."""
+"""Statistics of each class of requests: the mean work, and the share that is answered."""
 
 from __future__ import annotations
 
@@ -8,13 +8,13 @@
 from stonecove.routing.link_load import OBSERVATION_WEIGHT
 from stonecove.routing.settings import ClassSettings
 
-MIN_TIER_ANSWER_RATIO = 0.75  # each size tier is to get this part of its class's answered share
+MIN_TIER_ANSWER_RATIO = 0.75  # each size tier is to reach this fraction of its class's answered share
 MAX_MEAN_SAMPLES = 1000.0
 
 
 @dataclass(slots=True)
 class MeanWork:
-    """The mean transfer time of a class; its latency objective until a request has told more."""
+    """The mean transfer time of a class; its latency objective until a request was observed."""
 
     samples: float
     mean_ms: float
@@ -27,7 +27,7 @@
 
 @dataclass(slots=True)
 class AnsweredShares:
-    """Shares of a class's requests that were answered lately, in all and by size tier."""
+    """Shares of a class's requests that were answered recently, in total and by size tier."""
 
     overall: float = 1.0
     by_tier: list[float] = field(default_factory=lambda: [1.0] * (LARGEST_SIZE_TIER + 1))
@@ -50,10 +50,11 @@
         self.answered: list[AnsweredShares] = []
 
     def configure(self, classes: tuple[ClassSettings, ...]) -> None:
-        """Adapt to other settings; what was learned is kept."""
-        learned = {index: mean for index, mean in enumerate(self.mean_work) if mean.samples}
+        """Adapt to other settings; earlier observations are kept."""
+        observed = {index: mean for index, mean in enumerate(self.mean_work) if mean.samples}
         self.mean_work = [
-            learned.get(index, MeanWork(0.0, each.latency_objective_ms)) for index, each in enumerate(classes)
+            observed.get(index, MeanWork(0.0, each.latency_objective_ms))
+            for index, each in enumerate(classes)
         ]
         self.answered += [AnsweredShares() for _ in classes[len(self.answered) :]]
 
--- a/stonecove/routing/director.py
+++ b/stonecove/routing/director.py
@@ -1,8 +1,9 @@
-"""The dispatcher of the routing decisions: one event in, the actions that it leads to out.
+"""The entry point of the routing decisions: it takes an event and returns the resulting actions.
 
-A router sees only its own traffic. On the ordinary path, counts that age with time decide which objects are
-cached (`popularity`), a rendezvous hash shared by all routers names the home cache and the parent that fills
-it (`rendezvous`), and the request is sent there (`dispatch`). Everything else handles what breaks that path.
+A router sees only its own traffic. On the normal path, request counts that decay with time decide which
+objects are cached (`popularity`), a rendezvous hash shared by all routers selects the home cache and the
+parent that fills it (`rendezvous`), and the request is sent there (`dispatch`). Everything else handles
+failures and overload on that path.
 """
 
 from __future__ import annotations
@@ -44,8 +45,8 @@
 from stonecove.routing.state import RoutingState
 
 SILENCE_IN_CONNECT_TIMEOUTS = 3.0  # a cache counts as silent once nothing was received for this long
-ORIGIN_OVERLOAD_RATIO = 1.25  # fetches that the origin is sent for each that it answers; the rest bypass it
-MIN_RETRY_AFTER_FRACTION = 0.5  # rejected clients are spread over time, or they would all come back together
+ORIGIN_OVERLOAD_RATIO = 1.25  # fetches sent to the origin for each that it answers; others bypass it
+MIN_RETRY_AFTER_FRACTION = 0.5  # spreads the retries of rejected clients, or all would return at once
 TIMER_TOLERANCE_MS = 0.001
 MS_PER_S = 1000.0
 
@@ -76,7 +77,7 @@
         }
 
     def handle(self, now_ms: float, event: Event) -> list[Action]:
-        """Take one event; return the actions to be carried out, in order."""
+        """Handle one event; return the actions to be carried out, in order."""
         self.state.actions = []
         if handler := self._handlers.get(type(event)):
             handler(now_ms, event)
@@ -131,26 +132,26 @@
             self._give_up(in_flight)
 
     def _admit(self, now_ms: float, event: RequestReceived) -> InFlightRequest:
-        """Return the state of a new request, which earns a part of a retry."""
+        """Return the state of a new request, which earns a fraction of a retry."""
         state = self.state
         mean_work = state.statistics.mean_work[event.class_index]
         sized_work_ms = event.size_kb / state.share.client_kb_per_s * MS_PER_S
         if sized_work_ms:
             mean_work.observe(sized_work_ms)
-        learned_work_ms = mean_work.mean_ms * (mean_work.samples > 0)
+        observed_work_ms = mean_work.mean_ms * (mean_work.samples > 0)
         state.retries.earn()
         return InFlightRequest(
             now_ms,
             event,
             state.settings.classes[event.class_index],
-            work_ms=sized_work_ms or learned_work_ms,
+            work_ms=sized_work_ms or observed_work_ms,
             mean_work_ms=mean_work.mean_ms * (sized_work_ms > 0),
         )
 
     def _should_bypass_origin(self, now_ms: float, in_flight: InFlightRequest) -> bool:
-        """Return whether the origin is to be spared this request, once for all of its attempts.
+        """Return whether no attempt of this request may be filled by the origin.
 
-        An origin that is asked for more than it can do would stop answering at all.
+        An origin that gets more fetches than it can serve would stop answering altogether.
         """
         if in_flight.class_settings.never_cached:
             return False
@@ -177,17 +178,17 @@
         self._give_up(in_flight)
 
     def _finish(self, in_flight: InFlightRequest, event: AttemptEnded) -> None:
-        """Close an answered request. A hedged request that overtook an earlier attempt was needed."""
+        """Close an answered request; refund a hedged request that overtook an earlier attempt."""
         if any(earlier.pending for earlier in in_flight.attempts[: event.attempt_index]):
             self.state.retries.refund()
         self.state.statistics.record_end(in_flight, event.outcome is Outcome.OK)
         self._close(in_flight)
 
     def _may_retry(self, now_ms: float, in_flight: InFlightRequest, outcome: Outcome) -> bool:
-        """Return whether a failed request may be sent again, and spend a retry if it takes one.
+        """Return whether a failed request may be sent again, and spend a retry if one is needed.
 
-        What no cache has seen adds no work when it is repeated, and one reset a request is free. What the
-        origin rejected is not repeated at once, or all routers would ask it again together.
+        A request that no cache has seen adds no work when it is repeated, and one reset per request is free.
+        A request that the origin rejected is not repeated at once, or all routers would retry together.
         """
         if in_flight.rejected_by_origin or now_ms >= in_flight.deadline_ms:
             return False
@@ -210,13 +211,13 @@
             and now_ms + TIMER_TOLERANCE_MS >= attempt.overdue_at_ms
         ]
         for attempt in overdue:
-            self._blame_overdue(now_ms, in_flight, attempt)
+            self._attribute_overdue(now_ms, in_flight, attempt)
             self._hedge(now_ms, in_flight, attempt)
 
-    def _blame_overdue(self, now_ms: float, in_flight: InFlightRequest, attempt: Attempt) -> None:
-        """Blame the cache if nothing was received from it since, else the source of a fill.
+    def _attribute_overdue(self, now_ms: float, in_flight: InFlightRequest, attempt: Attempt) -> None:
+        """Count a failure of the cache if nothing was received from it since, else of the fill's source.
 
-        A cache is blamed only after a longer silence, at which the timer expires again.
+        A failure of the cache is counted only after a longer silence, at which the timer expires again.
         """
         state = self.state
         cache_answers = state.cache_detectors[attempt.node_id].last_success_ms >= attempt.sent_ms
@@ -234,9 +235,9 @@
             in_flight.failed_sources.add(attempt.source_id)
 
     def _hedge(self, now_ms: float, in_flight: InFlightRequest, attempt: Attempt) -> None:
-        """Send a hedged request beside an overdue attempt.
+        """Send a hedged request in addition to an overdue attempt.
 
-        Answers are lost also while their cache lives, where no ejection would help.
+        Answers can be lost while their cache is up, where no ejection would help.
         """
         state = self.state
         is_ejected = not (
@@ -244,7 +245,7 @@
             and state.source_detectors[attempt.source_id].is_available(now_ms)
         )
         if not is_ejected:
-            # If only its answer was lost, it has the object by now.
+            # If only its answer was lost, the cache has the object by now.
             in_flight.attempted_nodes.discard(attempt.node_id)
         slowdown = max(state.link_load(attempt.node_id).slowdown(now_ms), state.zone_link.slowdown(now_ms))
         if in_flight.pending_attempts() > 1 + is_ejected:
@@ -261,7 +262,7 @@
             self._close(in_flight)
 
     def _close(self, in_flight: InFlightRequest) -> None:
-        """Forget a request that has its final answer, and cancel what is still pending."""
+        """Forget a request that has its final answer, and cancel its pending attempts."""
         request_id = in_flight.request.request_id
         del self.state.in_flight[request_id]
         for index, attempt in enumerate(in_flight.attempts):
@@ -271,7 +272,7 @@
                     self.state.actions.append(CancelAttempt(request_id, index))
 
     def _give_up(self, in_flight: InFlightRequest) -> None:
-        """Answer finally: rejected where a retry by the client is surely harmless, else failed."""
+        """Give the final answer: rejected if a retry by the client is known to be harmless, else failed."""
         state, request_id = self.state, in_flight.request.request_id
         state.statistics.record_end(in_flight, False)
         if self._is_retry_harmless(in_flight):
@@ -282,7 +283,7 @@
 
     @staticmethod
     def _is_retry_harmless(in_flight: InFlightRequest) -> bool:
-        """Return whether the client may repeat the request without an effect that happens twice."""
+        """Return whether the client may repeat the request without a duplicate effect."""
         settings = in_flight.class_settings
         if settings.idempotency is Idempotency.IDEMPOTENT:
             return True
@@ -292,7 +293,7 @@
         return settings.idempotency is Idempotency.IDEMPOTENCY_KEY and is_deduplicated
 
     def _retry_after_ms(self) -> float:
-        """Return how long a rejected client is asked to wait."""
+        """Return the Retry-After of a rejected client, at random below the maximum; 0 if none is allowed."""
         if not self.state.settings.retry_after_allowed:
             return 0.0
         fraction = self.state.random.uniform(MIN_RETRY_AFTER_FRACTION, 1.0)
--- a/stonecove/routing/dispatch.py
+++ b/stonecove/routing/dispatch.py
@@ -1,4 +1,4 @@
-"""Sending attempts of a request, within the rules on where and how often it may run."""
+"""Sending of attempts, within the rules on where and how often a request may be executed."""
 
 from __future__ import annotations
 
@@ -27,12 +27,12 @@
     def try_send(self, now_ms: float, in_flight: InFlightRequest, cached_only: bool = False) -> bool:
         """Send the request to the first suitable cache and source; return whether there was one.
 
-        Where the zone's link is crowded, caches are only asked for what they hold, and only once.
+        While the zone's link is congested, only stored copies are requested, and only once.
         """
         if in_flight.class_settings.never_cached:
             cached_only = False
         else:
-            cached_only = cached_only or self._candidates.is_zone_link_crowded(now_ms, in_flight)
+            cached_only = cached_only or self._candidates.is_zone_link_congested(now_ms, in_flight)
         if in_flight.missed and (cached_only or in_flight.bypasses_origin):
             return False
         for cache in self._candidates.caches(now_ms, in_flight):
@@ -44,7 +44,7 @@
     def _send(self, now_ms: float, in_flight: InFlightRequest, node_id: NodeId, source_id: NodeId) -> bool:
         """Send an attempt if every rule allows it; return whether it was sent.
 
-        No attempt leaves another way.
+        All attempts pass through here.
         """
         state = self._state
         cache = state.endpoints.caches.nodes.get(node_id)
@@ -81,7 +81,7 @@
         """Return whether the request may go to this ready cache, to be filled from this source."""
         state = self._state
         if in_flight.request.request_id not in state.in_flight or now_ms >= in_flight.deadline_ms:
-            return False  # it has its final answer, or its time is up
+            return False  # it has its final answer, or its deadline has passed
         if len(in_flight.attempts) >= state.settings.max_attempts:
             return False
         if not self._may_repeat(now_ms, in_flight, cache):
@@ -91,7 +91,7 @@
         return is_ready_source or source_id == cache.node_id
 
     def _may_repeat(self, now_ms: float, in_flight: InFlightRequest, cache: Node) -> bool:
-        """Return whether another attempt cannot make an effect happen twice."""
+        """Return whether another attempt cannot duplicate an effect."""
         if in_flight.pending_attempts() and not self._state.settings.hedging_allowed:
             return False
         settings = in_flight.class_settings
@@ -110,7 +110,7 @@
         return cache.zone == other.zone if scope is DeduplicationScope.ZONE else cache.cell == other.cell
 
     def _fits_budget(self, now_ms: float, budget: SlowStartBudget, node: Node, work_ms: float) -> bool:
-        """Return whether the node may get the work now; a lease is requested in time in either case."""
+        """Return whether the node may get the work now; request a lease if the budget is about to run out."""
         link = self._state.link_share(node)
         fits = budget.admits(now_ms, node, work_ms, link)
         if self._state.leased is not None and budget.should_request_lease(now_ms, node, work_ms, link):
@@ -133,7 +133,7 @@
         return now_ms + max(OVERDUE_FRACTION * in_flight.objective_ms, tolerance * expected_ms)
 
     def _begin(self, in_flight: InFlightRequest, attempt: Attempt) -> None:
-        """Add an attempt to the loads of its cache and, if a miss is likely, of its source and the zone."""
+        """Add an attempt to the load of its cache and, if a miss is likely, of its source and zone link."""
         attempt.cache_load.in_flight += 1
         attempt.cache_load.in_flight_work_ms += in_flight.work_ms
         if attempt.expects_fill:
@@ -144,7 +144,7 @@
         in_flight.attempted_nodes.add(attempt.node_id)
 
     def release(self, in_flight: InFlightRequest, attempt: Attempt) -> None:
-        """Mark an attempt as ended and take it off the loads."""
+        """Mark an attempt as ended and subtract it from the loads."""
         attempt.pending = False
         if attempt.expects_fill:
             self._state.zone_link.in_flight -= 1
@@ -153,7 +153,7 @@
         attempt.cache_load.in_flight_work_ms -= in_flight.work_ms
 
     def _emit(self, now_ms: float, in_flight: InFlightRequest, attempt: Attempt) -> None:
-        """Emit the actions that send an attempt and watch over it."""
+        """Emit the actions that send an attempt and start its timer."""
         state, request = self._state, in_flight.request
         never_cached = in_flight.class_settings.never_cached
         rank = 0 if never_cached else state.popularity.cache_rank(request.object_key)
@@ -174,9 +174,9 @@
 
     @staticmethod
     def _max_age_ms(in_flight: InFlightRequest, purge_limit_ms: float) -> float:
-        """Return the age of the oldest copy that will do; 0 for any.
+        """Return the largest acceptable age of a copy; 0 for any.
 
-        A repeat, or a request that bypasses the origin, takes stale copies.
+        A retry, or a request that bypasses the origin, accepts stale copies.
         """
         settings = in_flight.class_settings
         takes_stale = settings.fresh_ms > 0 and (in_flight.bypasses_origin or len(in_flight.attempts) > 1)
@@ -188,7 +188,7 @@
     def _fetch_mode(self, in_flight: InFlightRequest, purge_limit_ms: float) -> int:
         """Return how the cache is to handle a miss.
 
-        A fill that is under way may have begun before a purge, so it is joined only where there was none.
+        A fill in progress may have started before a purge, so it is joined only where there was none.
         """
         mode = 0
         if in_flight.bypasses_origin:
--- a/stonecove/routing/endpoint_table.py
+++ b/stonecove/routing/endpoint_table.py
@@ -9,7 +9,7 @@
 
 
 class EndpointTable:
-    """Hold the endpoint list. Nodes that are not ready get no new work, so no role names them."""
+    """Hold the endpoint list. Nodes that are not ready have no role, so they get no new work."""
 
     def __init__(self) -> None:
         self.listed: dict[NodeId, Node] = {}
@@ -18,9 +18,9 @@
         self.caches = RendezvousHash((), False)
 
     def apply(self, update: EndpointListUpdate) -> list[NodeId]:
-        """Apply a list or its changes; return the nodes that are known to have restarted.
+        """Apply a list or changes to it; return the nodes that are known to have restarted.
 
-        `assign_roles` has to be called afterwards.
+        The caller must call `assign_roles` afterwards.
         """
         if update.kind is not EndpointListKind.DELTA:
             self.listed = {}
--- a/stonecove/routing/endpoints.py
+++ b/stonecove/routing/endpoints.py
@@ -1,4 +1,4 @@
-"""The nodes that requests can be routed to, as the endpoint list names them."""
+"""The nodes of the endpoint list, to which requests can be routed."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
     READY = 2
 
 
-# Names in reports of the control sockets, which are published.
+# Published names, in reports of the control sockets.
 _REPORTED_STATES = {NodeState.DRAINING: "draining", NodeState.REMOVED: "gone", NodeState.READY: "ready"}
 
 
@@ -30,7 +30,7 @@
 
     DELTA = 0
     SNAPSHOT = 1
-    CACHED_SNAPSHOT = 2  # the list that was known at the start, which may be out of date
+    CACHED_SNAPSHOT = 2  # the list known at the start, which may be out of date
     FAILED = 3
 
 
--- a/stonecove/routing/events.py
+++ b/stonecove/routing/events.py
@@ -27,7 +27,7 @@
     UNKNOWN = 255
 
 
-# Names in statistics and spans, which are published, where they differ from the code's.
+# Published names, in statistics and spans, where they differ from the code's.
 _REPORTED_OUTCOMES = {Outcome.REJECTED_OVERLOADED: "full", Outcome.EXPIRED_UNSENT: "moot"}
 
 
@@ -42,7 +42,7 @@
 
 
 class CacheStatus(IntEnum):
-    """What an answer reports of the cached copy, or of the fill behind it."""
+    """State of the cached copy, or of the fill behind it, as an answer reports it."""
 
     NONE = 0
     HIT = 1
@@ -65,7 +65,7 @@
 
 
 class RequestReceived(NamedTuple):
-    """A client's request has arrived. One final answer is owed from now on."""
+    """A client's request has arrived; exactly one final answer must follow."""
 
     request_id: int
     class_index: int
@@ -91,7 +91,7 @@
 
 
 class ResponseStarted(NamedTuple):
-    """The response of a streamed request has begun."""
+    """The response of a streamed request has started."""
 
     request_id: int
     attempt_index: int
@@ -99,13 +99,13 @@
 
 
 class ClientDisconnected(NamedTuple):
-    """The client of a request has gone; no answer is owed any more."""
+    """The client of a request has disconnected; no answer is needed any more."""
 
     request_id: int
 
 
 class TimerExpired(NamedTuple):
-    """A timer that was asked for has expired."""
+    """A timer started by a `StartTimer` action has expired."""
 
     token: int
 
@@ -119,7 +119,7 @@
 
 
 class FleetSizeChanged(NamedTuple):
-    """The number of routers has changed, in all and by zone."""
+    """The number of routers has changed, in total and by zone."""
 
     fleet_size: int
     routers_by_zone: tuple[int, ...]
@@ -147,7 +147,7 @@
 class LeaseTerms(NamedTuple):
     """The routers of a host share slow-start budgets and retries by leases from now on.
 
-    The two fractions of its share may be spent by a router without a lease.
+    The fractions are those of its shares that a router may spend without a lease.
     """
 
     unleased_fraction: float
@@ -155,7 +155,7 @@
 
 
 class LeaseGranted(NamedTuple):
-    """This much work may be spent on a node, once, until the lease expires. No work: the lease is over."""
+    """This much work may be spent on a node, once, until the lease expires. A work of 0 ends the lease."""
 
     lease_id: int
     node_id: NodeId
--- a/stonecove/routing/hedging.py
+++ b/stonecove/routing/hedging.py
@@ -14,27 +14,27 @@
 
 
 class RetryBudget:
-    """Earn a fraction of a retry with each request, so that retries cannot multiply an overload."""
+    """Limit retries to a fraction of the requests, so that they cannot amplify an overload."""
 
     def __init__(self) -> None:
         self.tokens = self.max_tokens = MAX_RETRY_TOKENS
         self.leased: LeasedBudget | None = None
 
     def limit(self, fraction: float) -> None:
-        """Save up no more than this fraction of the usual maximum; the rest comes by leases."""
+        """Limit the saved tokens to this fraction of the usual maximum; the others come from leases."""
         self.max_tokens = max(1.0, MAX_RETRY_TOKENS * fraction)
         self.tokens = min(self.tokens, self.max_tokens)
 
     def earn(self) -> None:
-        """Add what one request earns."""
+        """Add the fraction of a token that one request earns."""
         self.tokens = min(self.max_tokens, self.tokens + RETRY_TOKENS_PER_REQUEST)
 
     def refund(self) -> None:
-        """Give back the token of a hedged request that turned out to be needed."""
+        """Return the token of a hedged request that turned out to be needed."""
         self.tokens = min(self.max_tokens, self.tokens + 1.0)
 
     def try_spend(self, now_ms: float, actions: list[Action]) -> bool:
-        """Spend a token, or request a lease and spend of a held one; return whether there was one."""
+        """Spend a token, or request a lease and spend from an active one; return whether there was one."""
         if self.tokens >= 1.0:
             self.tokens -= 1.0
             return True
--- a/stonecove/routing/in_flight.py
+++ b/stonecove/routing/in_flight.py
@@ -23,7 +23,7 @@
     overdue_at_ms: float
     expects_fill: bool  # a miss is likely
     source_charge: SlowStartCharge
-    cache_load: LinkLoad  # kept here, as its node may have left the list when the attempt ends
+    cache_load: LinkLoad  # stored here, as its node may have left the list when the attempt ends
     source_load: LinkLoad
     concurrent: int = 0  # this router's attempts at the cache when it was sent
     pending: bool = True
@@ -42,7 +42,10 @@
         work_ms: float,
         mean_work_ms: float,
     ) -> None:
-        """`work_ms` is its transfer time at full pace, `mean_work_ms` that of its class, 0 without a size."""
+        """Set `work_ms` to the transfer time at full pace, `mean_work_ms` to the mean of the class.
+
+        `mean_work_ms` is 0 if the size of the request is unknown.
+        """
         self.request, self.class_settings = request, class_settings
         self.size_known = mean_work_ms > 0
         self.size_tier = min(LARGEST_SIZE_TIER, int(work_ms / mean_work_ms)) if self.size_known else 0
@@ -57,5 +60,5 @@
         self.failed_sources: set[NodeId] = set()
 
     def pending_attempts(self) -> int:
-        """Return how many attempts have not ended."""
+        """Return the number of attempts that have not ended."""
         return sum(attempt.pending for attempt in self.attempts)
--- a/stonecove/routing/leased_budget.py
+++ b/stonecove/routing/leased_budget.py
@@ -1,4 +1,4 @@
-"""Leases of a shared budget that a router holds and spends without asking again."""
+"""Leases of a shared budget, from which a router spends without further requests."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 @dataclass(slots=True)
 class ActiveLease:
-    """A lease that has not expired as far as is known."""
+    """A lease that is not known to have expired."""
 
     expires_at_ms: float
     remaining_ms: float
--- a/stonecove/routing/link_load.py
+++ b/stonecove/routing/link_load.py
@@ -9,9 +9,9 @@
 PACE_HALF_LIFE_IN_OBJECTIVES = 3.0  # an observed pace is half forgotten after this many shortest objectives
 BURST_DEVIATIONS = 2.0  # a router may exceed its share by this many standard deviations of its own work
 FULL_PACE_PRIOR = 0.4  # weight of the assumption of full pace, in shortest objectives
-FULL_PACE_SLOWDOWN = 1.3  # an answer slower than this shows what a link can carry
+FULL_PACE_SLOWDOWN = 1.3  # an answer slower than this shows the capacity of a link
 SLOWDOWN_TOLERANCE = 1.5  # an attempt that takes this multiple of the expected time is overdue
-MAX_OBSERVED_SLOWDOWN = 3.0  # one transfer shows no more than this: a few slow fills are no crowded link
+MAX_OBSERVED_SLOWDOWN = 3.0  # limits one transfer: a few slow fills do not mean that a link is congested
 OBSERVATION_WEIGHT = 0.1  # weight of one observation in a moving average
 MAX_HALVINGS = 64.0
 
@@ -27,7 +27,7 @@
 class LinkLoad:
     """Track this router's transfers over one link and how much they are slowed down.
 
-    A router sees only a thin slice of the traffic: its own transfers say little of a link that many fill.
+    A router sees only a small part of the traffic, so its own transfers show little of a link that many use.
     """
 
     capacity: float  # transfers at once within this router's share
@@ -51,12 +51,12 @@
         return float(0.5 ** min(MAX_HALVINGS, halvings))
 
     def slowdown(self, now_ms: float) -> float:
-        """Return by which factor transfers were slowed down lately."""
+        """Return the factor by which transfers were slowed down recently."""
         decay, prior_ms = self._decay(now_ms), FULL_PACE_PRIOR * self.objective_ms
         return (self.observed_ms * decay + prior_ms) / (self.expected_ms * decay + prior_ms)
 
     def expected_slowdown(self, now_ms: float) -> float:
-        """Return by which factor one more transfer would be slowed down."""
+        """Return the factor by which one more transfer would be slowed down."""
         slowdown = self.slowdown(now_ms)
         headroom = self.headroom * min(1.0, max(0.0, 2.0 - slowdown))
         return max(1.0, (self.in_flight + 1) / (self.capacity + headroom), slowdown)
@@ -68,7 +68,7 @@
         self.capacity = max(1.0, self.capacity * (new.capacity / old.capacity))
 
     def estimate_capacity(self, concurrent: int, slowdown: float) -> None:
-        """Learn the capacity from an answer that was slowed down beside so many concurrent ones."""
+        """Update the capacity from an answer's slowdown among so many concurrent transfers."""
         if slowdown >= FULL_PACE_SLOWDOWN or concurrent > self.capacity:
             observed = max(1.0, concurrent / max(slowdown, 1.0))
             self.capacity += OBSERVATION_WEIGHT * (observed - self.capacity)
--- a/stonecove/routing/outcomes.py
+++ b/stonecove/routing/outcomes.py
@@ -1,4 +1,4 @@
-"""What the end of an attempt shows of its cache, of its source and of the origin."""
+"""Recording of attempt outcomes for the cache, the source and the origin."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class OutcomeRecorder:
-    """Learn from the ends of attempts."""
+    """Update the routing state from the outcomes of attempts."""
 
     def __init__(self, state: RoutingState) -> None:
         self._state = state
@@ -26,7 +26,7 @@
     def record(
         self, now_ms: float, in_flight: InFlightRequest, attempt: Attempt, event: AttemptEnded
     ) -> None:
-        """Credit or blame the cache, the source and the origin of an attempt that has ended."""
+        """Record the outcome of an attempt for its cache, its source and the origin."""
         was_rejected_by_origin = self._record_origin(now_ms, in_flight, attempt, event)
         if event.outcome is Outcome.OK:
             self._record_answer(now_ms, in_flight, attempt, event)
@@ -57,7 +57,7 @@
     def _record_origin(
         self, now_ms: float, in_flight: InFlightRequest, attempt: Attempt, event: AttemptEnded
     ) -> bool:
-        """Record how the origin fared; return whether it rejected the request."""
+        """Record the origin's part in an outcome; return whether it rejected the request."""
         state, status = self._state, event.cache_status
         was_rejected = status == CacheStatus.ORIGIN_FAILED or (
             status in _SOURCE_FAILURES and attempt.source_id in state.endpoints.origins
@@ -88,7 +88,7 @@
     def _record_hit(
         self, now_ms: float, in_flight: InFlightRequest, attempt: Attempt, event: AttemptEnded
     ) -> None:
-        attempt.source_charge.work_ms = 0.0  # it never reached the parent
+        attempt.source_charge.work_ms = 0.0  # the attempt never reached the parent
         attempt.cache_load.observe(now_ms, event.duration_ms, in_flight.work_ms)
         if not self._state.settings.weights_known and in_flight.work_ms > 0:
             slowdown = event.duration_ms / in_flight.work_ms
@@ -97,7 +97,7 @@
     def _record_fill(
         self, now_ms: float, in_flight: InFlightRequest, attempt: Attempt, event: AttemptEnded
     ) -> None:
-        """Observe the links that a fill passed; each is blamed for what the others do not explain."""
+        """Record a fill's transfer on its links; each gets the slowdown that the others do not explain."""
         state, work_ms = self._state, in_flight.work_ms
         state.fill_wait_ms += OBSERVATION_WEIGHT * (event.fill_wait_ms - state.fill_wait_ms)
         transfer_ms = min(
@@ -112,7 +112,7 @@
     def _record_source_failure(
         self, now_ms: float, in_flight: InFlightRequest, attempt: Attempt, event: AttemptEnded
     ) -> None:
-        """Record a fill that failed at its source; the cache itself has answered."""
+        """Record a fill that failed at its source, although the cache itself answered."""
         state = self._state
         in_flight.failed_sources.add(attempt.source_id)
         if event.cache_status != CacheStatus.SOURCE_MISSING_OBJECT:
@@ -122,10 +122,10 @@
             self.record_source_failure(now_ms, attempt)
 
     def _record_reset(self, now_ms: float, in_flight: InFlightRequest, attempt: Attempt) -> None:
-        """Count a broken connection once, or one with many attempts on it would eject the cache."""
+        """Count a reset connection once, or one that carried many attempts would eject the cache."""
         detector = self._state.cache_detectors[attempt.node_id]
         if attempt.sent_ms > detector.last_reset_ms:
             detector.last_reset_ms = now_ms
             self.record_cache_failure(now_ms, attempt, RESET_FAILURE_WEIGHT)
         if detector.is_available(now_ms):
-            in_flight.attempted_nodes.discard(attempt.node_id)  # it may hold the object, unlike the next one
+            in_flight.attempted_nodes.discard(attempt.node_id)  # unlike other caches it may hold the object
--- a/stonecove/routing/outlier_detection.py
+++ b/stonecove/routing/outlier_detection.py
@@ -1,4 +1,4 @@
-"""Ejection of nodes that fail or fall silent."""
+"""Ejection of nodes that fail or stop responding."""
 
 from __future__ import annotations
 
@@ -8,13 +8,13 @@
 
 from stonecove.routing.endpoints import NodeId
 
-EJECTION_FAILURES = 2.0  # failures in a row, with no answer since, that eject a node
-RESET_FAILURE_WEIGHT = 0.5  # where a process has died, the next connection is refused and counts in full
+EJECTION_FAILURES = 2.0  # consecutive failures that eject a node
+RESET_FAILURE_WEIGHT = 0.5  # if the process has died, the next connection is refused and counts in full
 
 
 @dataclass(slots=True)
 class OutlierDetector:
-    """Track failures of one node in one role. A success clears them, several in a row eject the node."""
+    """Track failures of one node in one role. A success clears them; consecutive ones eject the node."""
 
     last_success_ms: float = -math.inf
     failure_count: float = 0.0
@@ -29,17 +29,17 @@
         """Count the failure of an attempt sent at `sent_ms`; return whether it ejects the node."""
         if sent_ms <= self.last_success_ms:
             return False
-        before, self.failure_count = self.failure_count, self.failure_count + weight
+        previous_count, self.failure_count = self.failure_count, self.failure_count + weight
         if self.failure_count >= EJECTION_FAILURES and now_ms >= self.ejected_until_ms:
             self.ejected_until_ms = now_ms + ejection_ms
-        return before < EJECTION_FAILURES <= self.failure_count
+        return previous_count < EJECTION_FAILURES <= self.failure_count
 
     def is_available(self, now_ms: float) -> bool:
         """Return whether the node is not ejected now."""
         return now_ms >= self.ejected_until_ms
 
     def begin_trial(self, now_ms: float, ejection_ms: float) -> None:
-        """Let one attempt try a node whose ejection is over, and keep all others away meanwhile."""
+        """Let one attempt try a node whose ejection has ended; the node stays ejected for all others."""
         if self.failure_count >= EJECTION_FAILURES:
             self.ejected_until_ms = now_ms + ejection_ms
 
--- a/stonecove/routing/popularity.py
+++ b/stonecove/routing/popularity.py
@@ -1,4 +1,4 @@
-"""Which objects are popular enough to be cached, and at which rank."""
+"""Selection of the objects that are popular enough to be cached, and of their ranks."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
         self._rank_densities = (math.inf, math.inf)
 
     def _current_weight(self, now_ms: float) -> float:
-        """Return what a request counts now; weights grow with time, so that old counts need no rewriting."""
+        """Return the weight of a request; weights grow with time, so that old counts need no update."""
         doublings = (now_ms - self._epoch_ms) / self._half_life_ms
         if doublings > MAX_DOUBLINGS or not self._requests_seen:
             self._rescale(2.0**-doublings if self._requests_seen else 1.0)
@@ -48,9 +48,9 @@
         self._min_admitted_count *= factor
 
     def set_half_life(self, now_ms: float, half_life_ms: float) -> None:
-        """Change the half-life of counts from now on; their present weight stays."""
-        before, self._half_life_ms = self._half_life_ms, max(half_life_ms, MIN_HALF_LIFE_MS)
-        self._epoch_ms = now_ms - (now_ms - self._epoch_ms) * (self._half_life_ms / before)
+        """Change the half-life of counts from now on; their current weights stay."""
+        previous_ms, self._half_life_ms = self._half_life_ms, max(half_life_ms, MIN_HALF_LIFE_MS)
+        self._epoch_ms = now_ms - (now_ms - self._epoch_ms) * (self._half_life_ms / previous_ms)
 
     def record_request(self, now_ms: float, key: int, size_kb: float, chunk_index: int) -> None:
         """Count one request of a chunk of an object. `size_kb` is 0 where it is unknown."""
@@ -71,7 +71,7 @@
             self._rebuild_ranks()
 
     def _evict_less_popular_half(self) -> None:
-        """Drop half of the objects. They stay in the totals, or the other shares would be overstated."""
+        """Drop half of the objects. They stay in the totals, or the shares of others would be overstated."""
         by_count = sorted(self._table, key=lambda key: (-self._table[key].count, key))
         self._table = {key: self._table[key] for key in by_count[: MAX_TRACKED_OBJECTS // 2]}
 
@@ -83,18 +83,18 @@
     def _rebuild_ranks(self) -> None:
         """Find the smallest admitted count and the densities that separate the ranks."""
         items = sorted(self._table.items(), key=lambda pair: (-pair[1].count, pair[0]))
-        reached, densities = 0.0, []
+        cumulative_count, densities = 0.0, []
         for _, item in items:
             densities.append(self._density(item))
-            reached += item.count
+            cumulative_count += item.count
             self._min_admitted_count = item.count
-            if reached >= ADMITTED_REQUEST_SHARE * self._total_count:
+            if cumulative_count >= ADMITTED_REQUEST_SHARE * self._total_count:
                 break
         densities.sort(reverse=True)
         self._rank_densities = (densities[len(densities) // 3], densities[2 * len(densities) // 3])
 
     def is_untrained(self) -> bool:
-        """Return whether too few requests were seen for a ranking."""
+        """Return whether too few requests were counted for a ranking."""
         return self._requests_seen < MIN_REQUESTS_FOR_RANKING
 
     def is_admitted(self, key: int) -> bool:
--- a/stonecove/routing/purges.py
+++ b/stonecove/routing/purges.py
@@ -1,4 +1,4 @@
-"""How old a copy may be after purges."""
+"""The maximum age of copies after purges."""
 
 from __future__ import annotations
 
@@ -6,14 +6,14 @@
 
 from stonecove.routing.events import PurgeReceived
 
-PURGE_RETENTION_MARGIN = 1.5  # purges are remembered for this multiple of the time that old copies may last
-MIN_AGE_MS = 0.001  # an age of 0 would mean that any copy will do
+PURGE_RETENTION_MARGIN = 1.5  # purges are stored for this multiple of the lifetime of outdated copies
+MIN_AGE_MS = 0.001  # an age of 0 would mean that any copy is acceptable
 _ANY_GROUP = -1
 _ANY_OBJECT = 0
 
 
 class PurgeHistory:
-    """Remember purges until no copy from before them can be left.
+    """Store purges until no copy from before them can exist.
 
     Without it a client could be answered from a copy that is older than a purge.
     """
@@ -24,14 +24,14 @@
         self._next_sweep_ms = -math.inf
 
     def configure(self, now_ms: float, retention_ms: float) -> None:
-        """Set how long purges are remembered. A shorter time holds once the present one has passed."""
+        """Set how long purges are stored. A shorter time takes effect after the current one has passed."""
         if retention_ms != self._next_retention_ms:
             self._next_retention_ms = retention_ms
             self._retention_ms = max(self._retention_ms, retention_ms)
             self._next_sweep_ms = now_ms + self._retention_ms
 
     def record(self, now_ms: float, event: PurgeReceived) -> None:
-        """Remember a purge of an object, or of a group where no object is named."""
+        """Store a purge of an object, or of a group where no object is named."""
         name = (event.object_key, _ANY_GROUP) if event.object_key else (_ANY_OBJECT, event.group)
         self._purged_at_ms[name] = max(now_ms - event.age_ms, self._purged_at_ms.get(name, -math.inf))
         if now_ms >= self._next_sweep_ms:
@@ -47,7 +47,7 @@
         }
 
     def max_age_ms(self, now_ms: float, object_key: int, group: int) -> float:
-        """Return the largest age of a copy from after the last purge; infinite if there was none lately."""
+        """Return the maximum age of a copy from after the last purge; infinite without a recent purge."""
         purged_ms = max(
             self._purged_at_ms.get((object_key, _ANY_GROUP), -math.inf),
             self._purged_at_ms.get((_ANY_OBJECT, group), -math.inf),
--- a/stonecove/routing/rendezvous.py
+++ b/stonecove/routing/rendezvous.py
@@ -14,7 +14,7 @@
 
 
 def mix64(value: int) -> int:
-    """Return a 64-bit hash of a whole number (the finalizer of SplitMix64)."""
+    """Return a 64-bit hash of an integer (the finalizer of SplitMix64)."""
     value = (value + 0x9E3779B97F4A7C15) & MASK_64_BITS
     value = ((value ^ (value >> 30)) * 0xBF58476D1CE4E5B9) & MASK_64_BITS
     value = ((value ^ (value >> 27)) * 0x94D049BB133111EB) & MASK_64_BITS
@@ -27,9 +27,9 @@
 
 
 def chunk_key(request: RequestReceived) -> int:
-    """Return the key that names the home cache of a chunk.
+    """Return the key that selects the home cache of a chunk.
 
-    Each chunk has a home of its own, or all chunks of a large object would load one cache.
+    Each chunk has its own home, or one cache would serve all chunks of a large object.
     """
     if not request.chunk_index:
         return request.object_key
--- a/stonecove/routing/settings.py
+++ b/stonecove/routing/settings.py
@@ -1,4 +1,4 @@
-"""Settings of the routing decisions, typed. `stonecove.settings` reads them from the platform's JSON.
+"""Typed settings of the routing decisions. `stonecove.settings` reads them from the platform's JSON.
 
 Times are milliseconds and sizes are KB. A class, zone or kind is its index in the lists of the settings.
 """
@@ -79,11 +79,11 @@
     connect_timeout_ms: float
     load_report_fields: tuple[str, ...]
     endpoint_list_polled: bool
-    # Read by the edge router alone; the decisions do without them.
+    # Used by the edge router alone, not by the routing decisions.
     zones: tuple[str, ...] = ()
     kinds: tuple[str, ...] = ()
     max_open_requests: int = 20_000
     streams_per_connection: int = 100
     connection_idle_ms: float = 15_000.0
-    handshakes_priced: bool = False  # each new connection to a cache costs the whole fleet
+    handshakes_priced: bool = False  # each new connection to a cache adds cost for the whole fleet
     router_messages_allowed: bool = False  # routers may send each other datagrams
--- a/stonecove/routing/slow_start.py
+++ b/stonecove/routing/slow_start.py
@@ -1,4 +1,4 @@
-"""Slow start: how much work a node gets while it warms up."""
+"""Slow start: limits on the work of a node while it warms up."""
 
 from __future__ import annotations
 
@@ -13,8 +13,8 @@
 if TYPE_CHECKING:
     from stonecove.routing.leased_budget import LeasedBudget
 
-BUDGET_UTILIZATION = 0.6  # sizes are rough and routers uneven, so a part of the limit stays unused
-LEASE_REQUEST_FRACTION = 0.5  # a lease is requested once this fraction of the unleased budget is left
+BUDGET_UTILIZATION = 0.6  # a margin for inexact sizes and uneven load among routers
+LEASE_REQUEST_FRACTION = 0.5  # a lease is requested once this fraction of the unleased budget remains
 
 
 @dataclass(slots=True)
@@ -28,7 +28,7 @@
 class SlowStartBudget:
     """Limit the work sent to a node in slow start to this router's share of its overload limit.
 
-    Without it the routers of a fleet, each within reason, overload a warming node together.
+    Without it the routers of a fleet, each with a modest load, together overload a node that warms up.
     """
 
     def __init__(self, window_ms: float) -> None:
@@ -39,18 +39,18 @@
         self.leased: LeasedBudget | None = None
 
     def configure(self, initial_fraction: float, duration_ms: float, overload_multiple: float) -> None:
-        """Set the limits from now on. Charges stay, or a change would grant a second budget at once."""
+        """Set the limits from now on. Charges stay, or a change would grant a second budget."""
         self._initial_fraction = initial_fraction
         self._duration_ms = duration_ms
         self._overload_multiple = overload_multiple
 
     def capacity_fraction(self, now_ms: float, started_ms: float) -> float:
-        """Return the fraction of its capacity that a node has at least; 1 once it is surely warm."""
+        """Return the minimum fraction of its capacity that a node has; 1 after its slow start."""
         age_ms = now_ms - started_ms
         if started_ms <= 0 or age_ms >= self._duration_ms + self._window_ms:
             return 1.0
-        warmed = max(0.0, age_ms - self._window_ms) / max(self._duration_ms, 1.0)
-        return self._initial_fraction + (1 - self._initial_fraction) * min(1.0, warmed)
+        progress = max(0.0, age_ms - self._window_ms) / max(self._duration_ms, 1.0)
+        return self._initial_fraction + (1 - self._initial_fraction) * min(1.0, progress)
 
     def admits(self, now_ms: float, node: Node, work_ms: float, link: LinkShare) -> bool:
         """Return whether this much transfer time may be sent to the node now."""
@@ -67,12 +67,12 @@
         return self.leased is not None and work_ms <= self.leased.remaining(now_ms, node.node_id)
 
     def fleet_limit_ms(self, now_ms: float, node: Node, capacity: float) -> float:
-        """Return the work that all routers together may send to the node within a window."""
+        """Return the work that all routers together may send to the node within one window."""
         fraction = self.capacity_fraction(now_ms, node.started_ms)
         return self._overload_multiple * fraction * self._window_ms * capacity * BUDGET_UTILIZATION
 
     def should_request_lease(self, now_ms: float, node: Node, work_ms: float, link: LinkShare) -> bool:
-        """Return whether the remaining budget calls for another lease."""
+        """Return whether the remaining budget is low enough to request another lease."""
         if self.leased is None or node.node_id not in self.charges:
             return False
         limit_ms = self.unleased_fraction * link.share * self.fleet_limit_ms(now_ms, node, link.capacity)
@@ -82,7 +82,7 @@
         return self.leased.remaining(now_ms, node.node_id) < 2 * work_ms
 
     def charge(self, now_ms: float, node_id: NodeId, work_ms: float) -> SlowStartCharge:
-        """Charge an attempt, whatever its end, if the node is in slow start; return the charge."""
+        """Charge an attempt, whatever its outcome, if the node is in slow start; return the charge."""
         charge = SlowStartCharge(now_ms, work_ms)
         if node_id not in self.charges:
             return charge
@@ -93,7 +93,7 @@
         return charge
 
     def forget_removed(self, since_ms: float, listed: Container[NodeId]) -> None:
-        """Drop what is known of nodes that are not listed, but for charges that are later than `since_ms`.
+        """Drop the records of nodes that are not listed, except for charges later than `since_ms`.
 
         Without those a node that is removed and listed again would get a second budget.
         """
--- a/stonecove/routing/state.py
+++ b/stonecove/routing/state.py
@@ -1,4 +1,4 @@
-"""Everything that the routing decisions remember between two events."""
+"""The state of the routing decisions between events."""
 
 from __future__ import annotations
 
@@ -24,16 +24,16 @@
     from stonecove.routing.leased_budget import LeasedBudget
 
 POPULARITY_HALF_LIFE_IN_SLOW_STARTS = 4.0
-COPY_LIFETIME_IN_SLOW_STARTS = 1.0  # a copy that was stored is assumed to be there for this long
+COPY_LIFETIME_IN_SLOW_STARTS = 1.0  # a stored copy is assumed to stay in its cache for this long
 _FULL_LINK = LinkShare(1.0, 1.0)
 
 
 class RoutingState:
-    """Own the parts of the decisions that remember something, and adapt them to other settings."""
+    """Own the stateful parts of the decisions, and adapt them to changed settings."""
 
     def __init__(self, settings: Settings, entropy: int) -> None:
         self.random = random.Random(entropy)
-        self.actions: list[Action] = []  # of the event that is being handled
+        self.actions: list[Action] = []  # of the event being handled
         self.endpoints = EndpointTable()
         self.popularity = Popularity()
         self.cache_detectors = OutlierDetectors(OutlierDetector)
@@ -54,7 +54,7 @@
         self.zone_link = LinkLoad.for_share(self._zone_link_share(), objective_ms)
 
     def _apply(self, now_ms: float, settings: Settings) -> None:
-        """Set all that follows from the settings; what was learned is kept."""
+        """Set everything that depends on the settings; observations are kept."""
         self.settings = settings
         self.share = RouterShare.from_settings(settings)
         self.popularity.set_half_life(
@@ -76,21 +76,21 @@
         self.endpoints.assign_roles(settings)
 
     def reconfigure(self, now_ms: float, settings: Settings) -> None:
-        """Adapt to other settings. Open requests keep the settings of their class."""
+        """Adapt to changed settings. Open requests keep the settings of their class."""
         listed = self.endpoints.listed
         nodes = [listed[node_id] for node_id in self.link_loads if node_id in listed]
-        zone_link_before = self._zone_link_share()
-        before = [self.link_share(node) for node in nodes]
+        previous_zone_link = self._zone_link_share()
+        previous_shares = [self.link_share(node) for node in nodes]
         self._apply(now_ms, settings)
         objective_ms = self.share.shortest_objective_ms
-        self.zone_link.resize(zone_link_before, self._zone_link_share(), objective_ms)
-        for node, share_before in zip(nodes, before, strict=True):
-            self.link_loads[node.node_id].resize(share_before, self.link_share(node), objective_ms)
+        self.zone_link.resize(previous_zone_link, self._zone_link_share(), objective_ms)
+        for node, previous_share in zip(nodes, previous_shares, strict=True):
+            self.link_loads[node.node_id].resize(previous_share, self.link_share(node), objective_ms)
         self.origin_load.objective_ms = objective_ms
 
     def enable_leases(self, unleased_fraction: float, retry_fraction: float) -> None:
         """Spend only these fractions of this router's shares without a lease from now on."""
-        from stonecove.routing.leased_budget import LeasedBudget  # only where routers share
+        from stonecove.routing.leased_budget import LeasedBudget  # loaded only where leases are in use
 
         self.leased = self.leased or LeasedBudget()
         for budget in (self.cache_budget, self.parent_budget):
@@ -100,7 +100,7 @@
         self.retries.limit(retry_fraction)
 
     def forget_removed(self, now_ms: float) -> None:
-        """Drop what is known of nodes that are not listed any more, so that no table grows for ever."""
+        """Drop the records of nodes that are not listed any more, or the tables would grow without bound."""
         listed = self.endpoints.listed
         since_ms = now_ms - self.settings.overload_window_ms
         for budget in (self.cache_budget, self.parent_budget):
@@ -120,7 +120,7 @@
     def link_share(self, node: Node) -> LinkShare:
         """Return the capacity of a node and this router's share of it.
 
-        The node's weight tells its capacity where weights are known, else a part of the links that it feeds.
+        The capacity is the node's weight where weights are known, else a share of the links that it feeds.
         """
         settings, share = self.settings, self.share
         if node.kind == settings.parent_kind:
@@ -144,5 +144,5 @@
         return load
 
     def copy_lifetime_ms(self) -> float:
-        """Return how long a stored copy is assumed to be there."""
+        """Return how long a stored copy is assumed to stay in its cache."""
         return COPY_LIFETIME_IN_SLOW_STARTS * self.settings.slow_start_ms
--- a/stonecove/routing/stored_copies.py
+++ b/stonecove/routing/stored_copies.py
@@ -1,4 +1,4 @@
-"""Where copies of objects are probably stored."""
+"""Record of the caches that probably store copies of objects."""
 
 from __future__ import annotations
 
@@ -20,13 +20,13 @@
 
 
 class StoredCopies:
-    """Remember, in a bounded table, when this router last had each copy stored."""
+    """Record, in a bounded table, when this router last had each copy stored."""
 
     def __init__(self) -> None:
         self.stored_at_ms: dict[StoredCopy, float] = {}
 
     def record(self, now_ms: float, copy: StoredCopy, lifetime_ms: float) -> None:
-        """Remember a copy. Those older than `lifetime_ms` go first, a few at each call."""
+        """Record a copy. A few copies older than `lifetime_ms` are evicted at each call."""
         self.stored_at_ms.pop(copy, None)
         self.stored_at_ms[copy] = now_ms
         for _ in range(EVICTIONS_PER_RECORD):
@@ -37,5 +37,5 @@
             del self.stored_at_ms[oldest]
 
     def last_stored_ms(self, copy: StoredCopy) -> float:
-        """Return when the copy was last stored; minus infinity if that is not known."""
+        """Return when the copy was last stored; minus infinity if unknown."""
         return self.stored_at_ms.get(copy, -math.inf)
--- a/stonecove/server/leases.py
+++ b/stonecove/server/leases.py
@@ -19,7 +19,7 @@
 
 from stonecove.exchange import ClientRequest
 from stonecove.pipeline.route import Route
-from stonecove.quotas.leases import LIFE_PART, Grant, Holder
+from stonecove.quotas.leases import LIFETIME_IN_WINDOWS, Grant, LeaseHolder
 from stonecove.quotas.quota import Plan, PlanError, Quota
 from stonecove.routing.actions import RequestLease, ReturnLease
 from stonecove.routing.events import LeaseGranted, LeaseTerms
@@ -52,7 +52,7 @@
 
     def dumps(self) -> str:
         """As the file has it."""
-        plan = self.plan.told() if self.plan is not None else None
+        plan = self.plan.to_table() if self.plan is not None else None
         return json.dumps(
             {
                 "socket": self.socket,
@@ -102,7 +102,7 @@
         """The own part begins at once, or after the rest that the file states."""
         self._file, self._name, self._settings = file, name, settings
         self._route, self._clock, self._spawn = route, clock, spawn
-        self._holder = Holder(file.window * LIFE_PART)
+        self._holder = LeaseHolder(file.window * LIFETIME_IN_WINDOWS)
         self._born = time.monotonic()
         self._rest_until = self._born + file.rest  # until then we have no part of our own
         self._zone = settings.zones[settings.zone] if settings.zone < len(settings.zones) else ""
@@ -168,10 +168,10 @@
 
     def _want(self, want: RequestLease) -> None:
         now = time.monotonic()
-        if not self._here or (number := self._holder.wants(want.node_id, now)) is None:
+        if not self._here or (number := self._holder.begin_request(want.node_id, now)) is None:
             return
         if not math.isfinite(want.fleet_limit_ms + want.growth_ms_per_s):
-            self._holder.refused(number)
+            self._holder.end_request(number)
             return
         self._route.book.counts["lease_asked"] += 1
         pool = f"zone:{self._settings.zone}" if want.zonal else "fleet"
@@ -187,7 +187,7 @@
             }
         )
         if not said:
-            self._holder.refused(number)
+            self._holder.end_request(number)
 
     def _unspent(self, unspent: ReturnLease) -> None:
         self._say({"do": "back", "number": unspent.lease_id, "left": unspent.work_ms})
@@ -203,11 +203,11 @@
             await trio.sleep(FETCH_EVERY)
             now = time.monotonic()
             if not self._here:
-                self._quota.lost()
+                self._quota.abandon_fetches()
                 continue
-            for path, count in self._quota.wants(now):
+            for path, count in self._quota.batches_to_fetch(now):
                 if not self._say({"do": "take", "path": path, "count": count}):
-                    self._quota.granted(path, 0, "", now, now)
+                    self._quota.add_batch(path, 0, "", now, now)
                 else:
                     self._asked_at[path] = now
 
@@ -244,7 +244,7 @@
             except trio.WouldBlock:
                 break
         if self._quota is not None:
-            self._quota.lost()
+            self._quota.abandon_fetches()
         self._asked_at.clear()
 
     async def _talk(self, stream: trio.SocketStream) -> str:
@@ -298,17 +298,17 @@
                 log(LogEvent.LESSOR_CONNECTED, unleased_fraction=self._own)
             case "grant":
                 grant = Grant(int(word["number"]), int(word["node"]), float(word["work"]))
-                if self._holder.granted(grant, now):
+                if self._holder.accept_grant(grant, now):
                     self._route.book.counts["lease_granted"] += 1
-                    for number, left, until in self._holder.hand_over(grant.node):
+                    for number, left, until in self._holder.pop_leases(grant.node):
                         self._piece(number, grant.node, left, until, now)
             case "none":
-                self._holder.refused(int(word["number"]))
+                self._holder.end_request(int(word["number"]))
             case "tokens" if self._quota is not None:
                 zone, cls, client = map(str, word["path"])
                 path = zone, cls, client
                 asked_at = self._asked_at.pop(path, -math.inf)
-                self._quota.granted(path, int(word["count"]), str(word["limit"]), asked_at, now)
+                self._quota.add_batch(path, int(word["count"]), str(word["limit"]), asked_at, now)
             case "wrong":
                 raise ValueError(str(word["why"]))
 
--- a/stonecove/server/tracing.py
+++ b/stonecove/server/tracing.py
@@ -146,8 +146,8 @@
                 "txn": asked.txn,
                 "class": asked.cls,
                 "item": asked.item,
-                "part": asked.part,
-                "ttl_ms": asked.ttl,
+                "part": asked.chunk_index,
+                "ttl_ms": asked.timeout_ms,
             },
         )
         request = inner(asked)
@@ -198,7 +198,7 @@
             span.set_attributes(
                 {
                     "verdict": answer.verdict.value,
-                    "pause_ms": answer.pause,
+                    "pause_ms": answer.retry_after_ms,
                     "bytes": len(answer.body),
                     "attempts": len(request.attempts),
                 }
--- a/stonecove/settings.py
+++ b/stonecove/settings.py
@@ -1,7 +1,7 @@
-"""The one reader of the platform's settings, shared by the edge router and the simulator's adapter.
+"""Reader of the platform's settings, for the edge router and the simulator's adapter.
 
-The platform's names are mapped to the code's here and nowhere else: each JSON key stands beside the field
-that it fills. docs/GLOSSARY.md lists both.
+The platform's names are mapped to the code's names here and nowhere else: each JSON key stands next to the
+field that it sets. docs/GLOSSARY.md lists both.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 
 from stonecove.routing.settings import ClassSettings, DeduplicationScope, Idempotency, Settings
 
-DEFAULT_CONNECT_TIMEOUT_MS = 1000.0  # where the settings name none: at 0 no connection would ever come up
+DEFAULT_CONNECT_TIMEOUT_MS = 1000.0  # without one in the settings; at 0 no connection could be established
 _KNOWN_WEIGHTS = ("nominal", "rough")
 _POLLED_DISCOVERY = "ask"
 
@@ -28,7 +28,7 @@
     "cell": DeduplicationScope.CELL,
 }
 
-# Names in refusals and reports, where they differ from the code's.
+# Published names, in rejection messages and reports, where they differ from the code's.
 _REPORTED_NAMES = {
     "cancellation_allowed": "may_cancel",
     "client_kb_per_s": "client_pace",
@@ -78,12 +78,12 @@
 
 
 def reported_name(field_name: str) -> str:
-    """Return the name by which refusals and reports call a field of `Settings` or `ClassSettings`."""
+    """Return the published name of a field of `Settings` or `ClassSettings`."""
     return _REPORTED_NAMES.get(field_name, field_name)
 
 
 def _require(table: Table, key: str, path: str = "") -> Any:
-    """Return a setting without which nothing can be decided; raise ValueError if it is missing."""
+    """Return a mandatory setting; raise ValueError if it is missing."""
     if key not in table:
         raise ValueError(f"settings lack '{path}{key}'")
     return table[key]
@@ -122,7 +122,7 @@
 
 
 def settings_from(table: Table) -> Settings:
-    """Return the settings in decoded JSON, passing over unknown keys; raise ValueError for unusable ones."""
+    """Return the settings in decoded JSON, ignoring unknown keys; raise ValueError for unusable ones."""
     zone, classes = int(_require(table, "zone")), _require(table, "classes")
     if not classes:
         raise ValueError("settings name no 'classes'")
--- a/stonecove/simulator_adapter.py
+++ b/stonecove/simulator_adapter.py
@@ -1,7 +1,7 @@
-"""Adapter to the simulator: reads batches of events on standard input, writes actions on standard output.
+"""Adapter to the simulator: reads batches of events from standard input, writes actions to standard output.
 
-It hosts one `Director` for each simulated router and decides nothing. Numbers are big-endian; a node's id is
-its address and port.
+It hosts one `Director` for each simulated router and makes no decisions itself. Numbers are big-endian; a
+node's id consists of its address and port.
 """
 
 from __future__ import annotations
@@ -48,7 +48,7 @@
 
 
 class RecordCode(IntEnum):
-    """The code that begins a record of a batch."""
+    """Code at the start of each record of a batch."""
 
     PURGE = 10
     TIMER_EXPIRED = 20
@@ -64,7 +64,7 @@
 
 
 class ActionCode(IntEnum):
-    """The code that begins an action of a reply."""
+    """Code at the start of each action of a reply."""
 
     HEALTH_CHECK = 20
     CANCEL = 30
@@ -109,7 +109,7 @@
 
 
 class DecodedEvent(NamedTuple):
-    """An event for one instance, and the offset behind its record."""
+    """An event for one instance, and the offset of the next record."""
 
     instance: int
     event: Event
@@ -121,7 +121,7 @@
 
 
 def _read_floats(body: bytes, offset: int, count: int) -> tuple[tuple[float, ...], int]:
-    """Return some numbers, and the offset behind them."""
+    """Return `count` numbers, and the offset after them."""
     return struct.unpack_from(f">{count}f", body, offset), offset + 4 * count
 
 
@@ -287,7 +287,7 @@
 
 
 class SimulatorAdapter:
-    """Host the directors of one process."""
+    """Host one director for each simulated router."""
 
     def __init__(self) -> None:
         self.directors: dict[int, Director] = {}
@@ -320,7 +320,7 @@
         return _REPLY_HEADER.pack(len(out), _REPLY_HEADER.size + len(data)) + data
 
     def _handle_record(self, now_ms: float, body: bytes, offset: int, out: list[bytes]) -> int:
-        """Hand one record to its director; return the offset of the next."""
+        """Pass one record to its director; return the offset of the next."""
         code, offset = body[offset], offset + 1
         if code == RecordCode.LAUNCH:
             return self._launch(body, offset)
@@ -341,7 +341,7 @@
         return decoded.end
 
     def _launch(self, body: bytes, offset: int) -> int:
-        """Start an instance, in place of one of the same number; return the offset of the next record."""
+        """Start an instance, replacing one of the same number; return the offset of the next record."""
         instance, entropy, count = _LAUNCH.unpack_from(body, offset)
         offset += _LAUNCH.size
         if offset + count > len(body):
@@ -357,7 +357,7 @@
 
 
 def _read(stream: BinaryIO, count: int) -> bytes:
-    """Read `count` bytes, or fewer at the end of the input."""
+    """Return `count` bytes, or fewer at the end of the input."""
     data = b""
     while len(data) < count:
         more = stream.read(count - len(data))
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""A small world of made-up settings and nodes for the tests."""
+"""Settings, nodes and a harness around one director, for tests of the routing decisions."""
 
 from __future__ import annotations
 
@@ -20,11 +20,12 @@
 
 
 def pytest_configure(config: pytest.Config) -> None:
-    """Tests that are known to fail are held to failing."""
+    """Register the tests that are known to fail, which must go on failing."""
     known_red.configure(config, config.rootpath / known_red.NAME)
 
 
 def make_class(**changes: Any) -> ClassSettings:
+    """Return the settings of a class, with these changes to the usual ones."""
     base = ClassSettings(
         name="pictures",
         priority_weight=2.0,
@@ -44,6 +45,7 @@
 
 
 def make_settings(*classes: ClassSettings, **changes: Any) -> Settings:
+    """Return the settings of a router, with these changes to the usual ones."""
     base = Settings(
         classes=classes or (make_class(),),
         zone=1,
@@ -81,56 +83,77 @@
 
 
 def make_nodes() -> list[Node]:
+    """Return the usual caches, parents and origin, all ready and warmed up."""
     ready = NodeState.READY
     nodes = [Node(n, 0, 0.0, ready, n % 2, 1, 1.0) for n in CACHES]
     nodes += [Node(n, 1, 0.0, ready, 0, 0, 1.0) for n in PARENTS]
     return [*nodes, Node(ORIGIN, 2, 0.0, ready, 0, 0, 1.0)]
 
 
-class World:
-    """One director, its clock and the requests it was given."""
+class DirectorHarness:
+    """One director with its clock and request numbers."""
 
     def __init__(self, settings: Settings | None = None, nodes: list[Node] | None = None) -> None:
         self.director = Director(settings or make_settings(), 7)
-        self.now = 100_000.0
-        self.next = 0
+        self.now_ms = 100_000.0
+        self.last_request_id = 0
         self.nodes = make_nodes() if nodes is None else nodes
-        self.give(EndpointListUpdate(EndpointListKind.CACHED_SNAPSHOT, tuple(self.nodes)))
+        self.deliver(EndpointListUpdate(EndpointListKind.CACHED_SNAPSHOT, tuple(self.nodes)))
 
-    def give(self, event: Event, wait: float = 0.0) -> list[Action]:
-        self.now += wait
-        return self.director.handle(self.now, event)
+    def deliver(self, event: Event, wait_ms: float = 0.0) -> list[Action]:
+        """Advance the clock and deliver an event; return the director's actions."""
+        self.now_ms += wait_ms
+        return self.director.handle(self.now_ms, event)
 
-    def ask(self, object_key: int = 5, wait: float = 1.0, **changes: Any) -> list[Action]:
-        self.next += 1
-        request = RequestReceived(self.next, 0, object_key, 4000.0, 100.0, 3, 0)
-        return self.give(request._replace(**changes), wait)
+    def request(self, object_key: int = 5, wait_ms: float = 1.0, **changes: Any) -> list[Action]:
+        """Deliver a new request; return the director's actions."""
+        self.last_request_id += 1
+        request = RequestReceived(self.last_request_id, 0, object_key, 4000.0, 100.0, 3, 0)
+        return self.deliver(request._replace(**changes), wait_ms)
 
-    def end(
+    def end_attempt(
         self,
-        get: SendAttempt,
+        sent: SendAttempt,
         outcome: Outcome = Outcome.OK,
-        wait: float = 1.0,
-        note: int = 0,
-        attempt: int = 0,
-        closed: bool | None = None,
+        wait_ms: float = 1.0,
+        cache_status: int = 0,
+        attempt_index: int = 0,
+        answered: bool | None = None,
     ) -> list[Action]:
-        over = outcome is Outcome.OK if closed is None else closed
-        return self.give(
-            AttemptEnded(get.request_id, attempt, get.node_id, outcome, wait, over, note, 0.0, ()), wait
+        """Deliver the end of an attempt that took `wait_ms`; return the director's actions.
+
+        `answered`, whether the request has its final answer, follows from the outcome if it is None.
+        """
+        has_answer = outcome is Outcome.OK if answered is None else answered
+        return self.deliver(
+            AttemptEnded(
+                sent.request_id,
+                attempt_index,
+                sent.node_id,
+                outcome,
+                wait_ms,
+                has_answer,
+                cache_status,
+                0.0,
+                (),
+            ),
+            wait_ms,
         )
 
-    def list(
-        self, node: int, kind: EndpointListKind = EndpointListKind.DELTA, **changes: Any
+    def update_node(
+        self, node_id: int, kind: EndpointListKind = EndpointListKind.DELTA, **changes: Any
     ) -> list[Action]:
-        entry = next(n for n in self.nodes if n.node_id == node)
-        return self.give(EndpointListUpdate(kind, (entry._replace(**changes),)))
+        """Deliver an update of the endpoint list with one changed node; return the director's actions."""
+        entry = next(node for node in self.nodes if node.node_id == node_id)
+        return self.deliver(EndpointListUpdate(kind, (entry._replace(**changes),)))
 
 
-def gets(actions: list[Action]) -> list[SendAttempt]:
-    return [act for act in actions if isinstance(act, SendAttempt)]
+def sent_attempts(actions: list[Action]) -> list[SendAttempt]:
+    """Return the attempts among the actions."""
+    return [action for action in actions if isinstance(action, SendAttempt)]
 
 
 @pytest.fixture
-def world() -> World:
-    return World()
+def harness() -> DirectorHarness:
+    """Return a harness with the usual settings and nodes."""
+    return DirectorHarness()
--- a/tests/golden_decisions_storage.py
+++ b/tests/golden_decisions_storage.py
@@ -1,4 +1,4 @@
-"""How recordings are stored: the first steps in full, hashes of all, and what differs from them."""
+"""Storage of recordings: the first steps in full, hashes of all, and a report of differences."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 FOLDER = Path(__file__).parent / "golden" / "decisions"
 FULL_STEPS = 200  # steps that are stored in full; of the others, a hash
-BLOCK = 50  # steps that have one long hash in common
+BLOCK = 50  # steps that share one long hash
 
 
 def _hash(value: Any) -> str:
@@ -17,18 +17,18 @@
 
 
 def _block(lines: list[Any]) -> str:
-    """Return 16 hex digits of the hash of all lines, and 3 of each, so that the one that differs is found."""
+    """Return 16 hex digits of the hash of all lines, and 3 of each line, to locate a difference."""
     return _hash(lines)[:16] + "".join(_hash(line)[:3] for line in lines)
 
 
 def _first_in_block(was: str, now: str) -> int | None:
-    """Return the place of the first line in which two blocks differ; None if only the long hash does."""
+    """Return the index of the first line in which two blocks differ; None if only the long hash does."""
     places = range(16, max(len(was), len(now)), 3)
     return next(((at - 16) // 3 for at in places if was[at : at + 3] != now[at : at + 3]), None)
 
 
 def stored_lines(lines: list[Any], full: int = FULL_STEPS) -> dict[str, Any]:
-    """Return what is stored of a sequence of steps: the first ones in full, and hashes of all."""
+    """Return the stored form of a sequence of steps: the first ones in full, and hashes of all."""
     return {
         "first": lines[:full],
         "blocks": [_block(lines[start : start + BLOCK]) for start in range(0, len(lines), BLOCK)],
@@ -36,7 +36,7 @@
 
 
 def first_difference(stored: dict[str, Any], present: dict[str, Any]) -> str:
-    """Return a sentence on the first step that differs; empty if none does."""
+    """Return a description of the first step that differs; empty if none does."""
     for number, (was, now) in enumerate(zip(stored["first"], present["first"], strict=False)):
         if was != now:
             return f"step {number}: recorded {was}, now {now}"
@@ -49,7 +49,7 @@
 
 
 def difference_from(name: str, present: dict[str, Any]) -> str:
-    """Return in what a golden file differs from the present values; empty if in nothing."""
+    """Return a description of the first difference between a golden file and the present values, or ""."""
     return first_difference(read_json(name), json.loads(json.dumps(present)))
 
 
--- a/tests/golden_decisions_types.py
+++ b/tests/golden_decisions_types.py
@@ -1,7 +1,6 @@
-"""The events and actions of the decision module, built and described without their names.
+"""Events and actions of the routing decisions, built and described without the names of the code.
 
-This is the one place of the recordings of decisions that knows the program's types: a rename changes the
-right sides here, and no recorded data.
+This is the only module of the recordings that uses the program's types: a rename changes no recorded data.
 """
 
 from __future__ import annotations
@@ -42,14 +41,14 @@
 )
 from stonecove.settings import read_settings
 
-DRAINING, GONE, READY = 0, 1, 2
-DELTA, FULL, CACHED, FAILED = 0, 1, 2, 3
+DRAINING, REMOVED, READY = 0, 1, 2
+DELTA, SNAPSHOT, CACHED, FAILED = 0, 1, 2, 3
 OUTCOMES = (0, 1, 4, 5, 8, 9, 10, 13, 14, 255)
 OK, CANCELLED, TIMEOUT, MISS, OVERLOADED, UNSENT, RESET, ERROR, CONNECT_FAILED, UNKNOWN = OUTCOMES
 NO_NOTE, HIT, FILLED, FILLED_BY_ORIGIN = 0, 1, 2, 3
-SOURCE_REFUSED, SOURCE_BROKE, SOURCE_LACKS, NO_FILL_PLACE, ORIGIN_FAILED = 6, 7, 8, 9, 10
+SOURCE_REJECTED, SOURCE_DISCONNECTED, SOURCE_MISSING_OBJECT, NO_FILL_SLOT, ORIGIN_FAILED = 6, 7, 8, 9, 10
 NOTES = range(11)
-RETRY_CREDIT = -1  # the node number under which credit for retries is leased
+RETRY_LEASE_NODE = -1  # in place of a node id: the lease is of retries
 
 
 class Endpoint(NamedTuple):
@@ -57,7 +56,7 @@
 
     node: int
     kind: int
-    started: float
+    started_ms: float
     state: int
     cell: int
     zone: int
@@ -70,21 +69,23 @@
 # -- the program's types: events in, actions out --
 
 
-def make_node(node: int, kind: int, started: float, state: int, cell: int, zone: int, weight: float) -> Node:
+def make_node(
+    node: int, kind: int, started_ms: float, state: int, cell: int, zone: int, weight: float
+) -> Node:
     """Return one entry of an endpoint list."""
-    return Node(node, kind, started, NodeState(state), cell, zone, weight)
+    return Node(node, kind, started_ms, NodeState(state), cell, zone, weight)
 
 
-def make_list(form: int, endpoints: Iterable[Endpoint]) -> Event:
+def make_list(kind: int, endpoints: Iterable[Endpoint]) -> Event:
     """Return an update of the endpoint list."""
-    return EndpointListUpdate(EndpointListKind(form), tuple(make_node(*one) for one in endpoints))
+    return EndpointListUpdate(EndpointListKind(kind), tuple(make_node(*one) for one in endpoints))
 
 
 def make_request(
-    request: int, kind: int, key: int, time_left: float, size: float, group: int, part: int
+    request: int, class_index: int, key: int, timeout_ms: float, size_kb: float, group: int, chunk: int
 ) -> Event:
     """Return a client's request."""
-    return RequestReceived(request, kind, key, time_left, size, group, part)
+    return RequestReceived(request, class_index, key, timeout_ms, size_kb, group, chunk)
 
 
 def make_attempt_end(
@@ -92,15 +93,15 @@
     attempt: int,
     node: int,
     outcome: int,
-    took: float,
+    duration_ms: float,
     final: bool,
     note: int,
-    waited: float,
+    fill_wait_ms: float,
     load: tuple[float, ...],
 ) -> Event:
     """Return the end of an attempt."""
     return AttemptEnded(
-        request, attempt, node, Outcome(outcome), took, final, CacheStatus(note), waited, load
+        request, attempt, node, Outcome(outcome), duration_ms, final, CacheStatus(note), fill_wait_ms, load
     )
 
 
@@ -115,23 +116,23 @@
 
 
 def make_timer_end(token: int) -> Event:
-    """Return the end of a timer that was asked for."""
+    """Return the expiry of a timer that the director started."""
     return TimerExpired(token)
 
 
-def make_purge(age: float, group: int, key: int) -> Event:
+def make_purge(age_ms: float, group: int, key: int) -> Event:
     """Return a purge of an object, or of a group where the key is 0."""
-    return PurgeReceived(age, group, key)
+    return PurgeReceived(age_ms, group, key)
 
 
-def make_probe_end(node: int, succeeded: bool, took: float, load: tuple[float, ...]) -> Event:
+def make_probe_end(node: int, succeeded: bool, duration_ms: float, load: tuple[float, ...]) -> Event:
     """Return the result of a health check."""
-    return HealthCheckEnded(node, succeeded, took, load)
+    return HealthCheckEnded(node, succeeded, duration_ms, load)
 
 
-def make_fleet_size(fleet: int, by_zone: tuple[int, ...]) -> Event:
-    """Return the present numbers of routers."""
-    return FleetSizeChanged(fleet, by_zone)
+def make_fleet_size(fleet_size: int, by_zone: tuple[int, ...]) -> Event:
+    """Return a change of the number of routers."""
+    return FleetSizeChanged(fleet_size, by_zone)
 
 
 def make_settings_change(settings: dict[str, Any]) -> Event:
@@ -139,14 +140,14 @@
     return SettingsChanged(read_settings(json.dumps(settings)))
 
 
-def make_lease_terms(own: float, retries: float) -> Event:
-    """Return the parts of its shares that a router spends without a lease."""
-    return LeaseTerms(own, retries)
+def make_lease_terms(unleased_fraction: float, retry_fraction: float) -> Event:
+    """Return the fractions of its shares that a router spends without a lease."""
+    return LeaseTerms(unleased_fraction, retry_fraction)
 
 
-def make_lease(number: int, node: int, work: float, until: float) -> Event:
-    """Return a granted lease, or the end of one where no work is left."""
-    return LeaseGranted(number, node, work, until)
+def make_lease(number: int, node: int, work: float, expires_at_ms: float) -> Event:
+    """Return a granted lease, or the end of one if the work is 0."""
+    return LeaseGranted(number, node, work, expires_at_ms)
 
 
 EVENT_FACTORIES: dict[str, Callable[..., Event]] = {
@@ -165,26 +166,26 @@
 }
 
 DESCRIBERS: dict[type, Callable[[Any], list[Any]]] = {
-    SendAttempt: lambda act: [
-        "send", act.request_id,
-        act.node_id,
-        act.deadline_ms,
-        act.source_id,
-        act.cache_rank,
-        act.max_age_ms,
-        int(act.fetch_mode),
+    SendAttempt: lambda action: [
+        "send", action.request_id,
+        action.node_id,
+        action.deadline_ms,
+        action.source_id,
+        action.cache_rank,
+        action.max_age_ms,
+        int(action.fetch_mode),
     ],
-    CancelAttempt: lambda act: ["cancel", act.request_id, act.attempt_index],
-    RejectRequest: lambda act: ["reject", act.request_id, act.retry_after_ms],
-    FailRequest: lambda act: ["fail", act.request_id],
-    StartTimer: lambda act: ["timer", act.token, act.expires_at_ms],
-    WatchEndpointList: lambda act: ["watch"],
-    WriteLog: lambda act: ["log", act.text],
-    RequestLease: lambda act: [
-        "request-lease", act.node_id, act.work_ms, act.fleet_limit_ms, act.growth_ms_per_s,
-        act.share, act.zonal
+    CancelAttempt: lambda action: ["cancel", action.request_id, action.attempt_index],
+    RejectRequest: lambda action: ["reject", action.request_id, action.retry_after_ms],
+    FailRequest: lambda action: ["fail", action.request_id],
+    StartTimer: lambda action: ["timer", action.token, action.expires_at_ms],
+    WatchEndpointList: lambda action: ["watch"],
+    WriteLog: lambda action: ["log", action.text],
+    RequestLease: lambda action: [
+        "request-lease", action.node_id, action.work_ms, action.fleet_limit_ms, action.growth_ms_per_s,
+        action.share, action.zonal
     ],
-    ReturnLease: lambda act: ["return-lease", act.lease_id, act.work_ms],
+    ReturnLease: lambda action: ["return-lease", action.lease_id, action.work_ms],
 }  # fmt: skip
 
 
--- a/tests/golden_fleet_lease_file.py
+++ b/tests/golden_fleet_lease_file.py
@@ -40,7 +40,7 @@
 def _describe_plan(plan: Plan) -> Meaning:
     return {
         "fleet": _describe_limit(plan.fleet),
-        "reserved_fraction": plan.floor,
+        "reserved_fraction": plan.floor_fraction,
         "reserved_class": plan.floor_class,
         "zones": [[zone, _describe_limit(limit)] for zone, limit in plan.zones],
         "classes": [[zone, cls, _describe_limit(limit)] for zone, cls, limit in plan.classes],
--- a/tests/golden_fleet_spans.py
+++ b/tests/golden_fleet_spans.py
@@ -85,7 +85,7 @@
         stages.book.ended(good, Outcome.OK)
         stages.relay.answer(served, Answer(Verdict.SERVED, b"body"))
         refused = _traced(stages, 2, "00000000000000ab")
-        stages.relay.answer(refused, Answer(Verdict.REFUSED, pause=250.0))
+        stages.relay.answer(refused, Answer(Verdict.REFUSED, retry_after_ms=250.0))
         left = _traced(stages, 3, "00000000000000ac")
         given_up = _attempt(stages, left, 0, 0xA1, 0xA1)
         stages.relay.left(left)
--- a/tests/soak_faults.py
+++ b/tests/soak_faults.py
@@ -193,8 +193,8 @@
         (
             Edit(
                 "pipeline/admit.py",
-                "deadline = min(now + max(1.0, min(asked.ttl, self._longest) - MARGIN), self.latest)",
-                "deadline = min(now + 1500.0 + min(asked.ttl, self._longest), self.latest)",
+                "deadline = min(now + max(1.0, min(asked.timeout_ms, self._longest) - MARGIN), self.latest)",
+                "deadline = min(now + 1500.0 + min(asked.timeout_ms, self._longest), self.latest)",
             ),
         ),
     ),
--- a/tests/test_cold_fleet.py
+++ b/tests/test_cold_fleet.py
@@ -1,4 +1,4 @@
-"""A cold cache or parent under the sum of a whole fleet: thirty directors on one clock, seeds fixed."""
+"""The work that all routers of a fleet send to a cache or parent in slow start: 30 directors on one clock."""
 
 from __future__ import annotations
 
@@ -26,14 +26,14 @@
 )
 
 ROUTERS = 30
-RATE = 1.5  # requests a ms, of the whole fleet: about twice what the cold node bears at its start
-LASTS = 4000.0  # ms
-BEGIN = 1_000_000.0  # Unix ms
-SMALLEST, LARGEST = 10.0, 40.0  # KB, and as many ms of sending time
-MEAN = (SMALLEST + LARGEST) / 2
-WAY = 15.0  # ms to a cache and back, beside the sending time
-COLD, WARM, PARENT, COLD_PARENT = 11, 12, 21, 22
-WEIGHT = 30.0  # transfers at once
+REQUESTS_PER_MS = 1.5  # of the fleet: about twice what the node can bear at the start of its slow start
+DURATION_MS = 4000.0
+START_MS = 1_000_000.0  # Unix time
+MIN_SIZE_KB, MAX_SIZE_KB = 10.0, 40.0  # 1 KB takes 1 ms to send
+MEAN_SIZE_KB = (MIN_SIZE_KB + MAX_SIZE_KB) / 2
+ROUND_TRIP_MS = 15.0  # in addition to the sending time
+SLOW_CACHE, WARM_CACHE, WARM_PARENT, SLOW_PARENT = 11, 12, 21, 22
+NODE_WEIGHT = 30.0  # transfers at once
 SETTINGS = make_settings(
     fleet_size=ROUTERS,
     routers_by_zone=(0, ROUTERS),
@@ -51,111 +51,123 @@
 
 @dataclass(frozen=True, slots=True)
 class Role:
-    """A cold node: how it is listed, and of which actions it gets work."""
+    """The node in slow start, and the other nodes of its scenario."""
 
-    ident: int
+    slow_node_id: int
     kind: int
     zone: int
-    others: tuple[Node, ...]  # without which nothing works
-    warm: Node  # one like it, which is warm
+    others: tuple[Node, ...]  # of the other kind, warmed up
+    peer: Node  # of the same kind, warmed up
 
-    def node(self, started: float, state: NodeState = NodeState.READY) -> Node:
-        return Node(self.ident, self.kind, started, state, 0, self.zone, WEIGHT)
+    def node(self, started_ms: float, state: NodeState = NodeState.READY) -> Node:
+        """Return the entry of the node in the endpoint list."""
+        return Node(self.slow_node_id, self.kind, started_ms, state, 0, self.zone, NODE_WEIGHT)
 
-    def asked(self, get: SendAttempt) -> bool:
-        """Whether the attempt is work for it."""
-        return self.ident == (get.source_id if self.kind else get.node_id)
+    def serves(self, attempt: SendAttempt) -> bool:
+        """Return whether the attempt is work for the node."""
+        return self.slow_node_id == (attempt.source_id if self.kind else attempt.node_id)
 
 
-def warm(ident: int, kind: int, zone: int) -> Node:
-    return Node(ident, kind, 0.0, NodeState.READY, 0, zone, 1e4)
+def warm_node(node_id: int, kind: int, zone: int) -> Node:
+    """Return the entry of a node that has warmed up."""
+    return Node(node_id, kind, 0.0, NodeState.READY, 0, zone, 1e4)
 
 
-CACHE = Role(COLD, 0, 1, (warm(PARENT, 1, 0),), warm(WARM, 0, 1))
-PARENT_ROLE = Role(COLD_PARENT, 1, 0, (warm(WARM, 0, 1),), warm(PARENT, 1, 0))
-News = Iterator[tuple[float, Callable[["Fleet"], None]]]  # ms since the start, in order, and what happens
+CACHE_ROLE = Role(SLOW_CACHE, 0, 1, (warm_node(WARM_PARENT, 1, 0),), warm_node(WARM_CACHE, 0, 1))
+PARENT_ROLE = Role(SLOW_PARENT, 1, 0, (warm_node(WARM_CACHE, 0, 1),), warm_node(WARM_PARENT, 1, 0))
+Schedule = Iterator[tuple[float, Callable[["Fleet"], None]]]  # ms since the start, in order, and the step
 
 
 class Fleet:
-    """Directors on one clock, and servers that answer all; notes what goes to the cold node."""
+    """Directors on one clock and servers that answer every attempt; records the work of the observed node."""
 
     def __init__(self, role: Role) -> None:
         self.role = role
-        self.started = BEGIN
-        self.directors = [Director(SETTINGS, 100 + place) for place in range(ROUTERS)]
-        self.sent: list[tuple[float, float]] = []  # when, and how much work
+        self.started_ms = START_MS
+        self.directors = [Director(SETTINGS, 100 + index) for index in range(ROUTERS)]
+        self.sent: list[tuple[float, float]] = []  # time and work
         self.requests = 0
         self._random = random.Random(7)
-        self._answers: list[tuple[float, int, int, AttemptEnded]] = []  # when, order, director
+        self._answers: list[tuple[float, int, int, AttemptEnded]] = []  # time, order, director
         self._sizes: dict[int, float] = {}
-        self.now = BEGIN
-
-    def tell(self, event: Event, place: int | None = None) -> None:
-        """Tells one director, or all."""
-        for at, director in enumerate(self.directors):
-            if place is None or at == place:
-                self._carry(at, director.handle(self.now, event))
-
-    def whole(self, *nodes: Node) -> None:
-        """The whole list, to all."""
-        self.tell(EndpointListUpdate(EndpointListKind.SNAPSHOT, (*self.role.others, *nodes)))
-
-    def change(self, *nodes: Node) -> None:
-        """What has changed in the list, to all."""
-        self.tell(EndpointListUpdate(EndpointListKind.DELTA, nodes))
-
-    def renew(self, place: int) -> None:
-        """A router that was restarted knows the list and nothing else."""
-        self.directors[place] = Director(SETTINGS, 200 + place)
-        self.tell(
-            EndpointListUpdate(EndpointListKind.SNAPSHOT, (*self.role.others, self.role.node(self.started))),
-            place,
+        self.now_ms = START_MS
+
+    def deliver(self, event: Event, target: int | None = None) -> None:
+        """Deliver an event to one director, or to all."""
+        for index, director in enumerate(self.directors):
+            if target is None or index == target:
+                self._apply(index, director.handle(self.now_ms, event))
+
+    def send_snapshot(self, *nodes: Node) -> None:
+        """Deliver a snapshot of the endpoint list to all directors."""
+        self.deliver(EndpointListUpdate(EndpointListKind.SNAPSHOT, (*self.role.others, *nodes)))
+
+    def send_delta(self, *nodes: Node) -> None:
+        """Deliver changes of the endpoint list to all directors."""
+        self.deliver(EndpointListUpdate(EndpointListKind.DELTA, nodes))
+
+    def restart_router(self, index: int) -> None:
+        """Replace a director by a new one, which knows only the endpoint list."""
+        self.directors[index] = Director(SETTINGS, 200 + index)
+        self.deliver(
+            EndpointListUpdate(
+                EndpointListKind.SNAPSHOT, (*self.role.others, self.role.node(self.started_ms))
+            ),
+            index,
         )
 
-    def play(self, news: News) -> None:
-        """Load until the end, and the news in between."""
-        following = next(news, None)
-        while self.now < BEGIN + LASTS:
-            due = self.now + self._random.expovariate(RATE)
-            while following is not None and BEGIN + following[0] <= due:
-                self.now = max(self.now, BEGIN + following[0])
-                following[1](self)
-                following = next(news, None)
-            self._answer(due)
-            self.now = due
-            self._ask()
-
-    def _ask(self) -> None:
+    def run(self, schedule: Schedule) -> None:
+        """Send requests until the end, and run the steps of the schedule in between."""
+        next_step = next(schedule, None)
+        while self.now_ms < START_MS + DURATION_MS:
+            arrival_ms = self.now_ms + self._random.expovariate(REQUESTS_PER_MS)
+            while next_step is not None and START_MS + next_step[0] <= arrival_ms:
+                self.now_ms = max(self.now_ms, START_MS + next_step[0])
+                next_step[1](self)
+                next_step = next(schedule, None)
+            self._answer(arrival_ms)
+            self.now_ms = arrival_ms
+            self._request()
+
+    def _request(self) -> None:
         self.requests += 1
-        place = self._random.randrange(ROUTERS)
-        size, key = self._random.uniform(SMALLEST, LARGEST), self._random.randrange(1, 1 << 40)
+        index = self._random.randrange(ROUTERS)
+        size, key = self._random.uniform(MIN_SIZE_KB, MAX_SIZE_KB), self._random.randrange(1, 1 << 40)
         self._sizes[self.requests] = size
         request = RequestReceived(self.requests, 0, key, 4000.0, size, 3, 0)
-        self._carry(place, self.directors[place].handle(self.now, request))
+        self._apply(index, self.directors[index].handle(self.now_ms, request))
 
-    def _carry(self, place: int, actions: Sequence[Action]) -> None:
+    def _apply(self, index: int, actions: Sequence[Action]) -> None:
         for action in actions:
             if not isinstance(action, SendAttempt):
                 continue
             work = self._sizes[action.request_id]
-            if self.role.asked(action):
-                self.sent.append((self.now, work))
-            took = WAY + work
+            if self.role.serves(action):
+                self.sent.append((self.now_ms, work))
+            duration_ms = ROUND_TRIP_MS + work
             ended = AttemptEnded(
-                action.request_id, 0, action.node_id, Outcome.OK, took, True, int(CacheStatus.FILLED), 5.0, ()
+                action.request_id,
+                0,
+                action.node_id,
+                Outcome.OK,
+                duration_ms,
+                True,
+                int(CacheStatus.FILLED),
+                5.0,
+                (),
             )
-            heapq.heappush(self._answers, (self.now + took, action.request_id, place, ended))
+            heapq.heappush(self._answers, (self.now_ms + duration_ms, action.request_id, index, ended))
 
-    def _answer(self, until: float) -> None:
-        while self._answers and self._answers[0][0] <= until:
-            self.now, _, place, ended = heapq.heappop(self._answers)
-            self._carry(place, self.directors[place].handle(self.now, ended))
+    def _answer(self, until_ms: float) -> None:
+        while self._answers and self._answers[0][0] <= until_ms:
+            self.now_ms, _, index, ended = heapq.heappop(self._answers)
+            self._apply(index, self.directors[index].handle(self.now_ms, ended))
 
-    # -- the rule --
+    # -- the limit --
 
-    def allowed(self, at: float) -> float:
-        """Requests of mean work that the settings let the node bear in the window that ends then."""
-        cold_from, warm_up, multiple = (
+    def allowed(self, at_ms: float) -> float:
+        """Return the limit of the settings for the window that ends then, in requests of mean work."""
+        initial_fraction, slow_start_ms, multiple = (
             (
                 SETTINGS.parent_slow_start_initial_fraction,
                 SETTINGS.parent_slow_start_ms,
@@ -164,127 +176,138 @@
             if self.role.kind
             else (SETTINGS.slow_start_initial_fraction, SETTINGS.slow_start_ms, SETTINGS.overload_multiple)
         )
-        warmed = max(0.0, at - self.started - SETTINGS.overload_window_ms) / warm_up
-        present = cold_from + (1.0 - cold_from) * min(1.0, warmed)
-        return multiple * present * SETTINGS.overload_window_ms * WEIGHT / MEAN
+        progress = max(0.0, at_ms - self.started_ms - SETTINGS.overload_window_ms) / slow_start_ms
+        fraction = initial_fraction + (1.0 - initial_fraction) * min(1.0, progress)
+        return multiple * fraction * SETTINGS.overload_window_ms * NODE_WEIGHT / MEAN_SIZE_KB
 
     def worst(self) -> tuple[float, float, float]:
-        """Most work in a window against the bound: the part of it, in requests of mean work, and when."""
-        within, total, most = deque[tuple[float, float]](), 0.0, (0.0, 0.0, 0.0)
-        for at, work in self.sent:
-            within.append((at, work))
+        """Return the largest work in a window: as a fraction of the bound, in mean requests, and when."""
+        window, total, largest = deque[tuple[float, float]](), 0.0, (0.0, 0.0, 0.0)
+        for at_ms, work in self.sent:
+            window.append((at_ms, work))
             total += work
-            while within[0][0] <= at - SETTINGS.overload_window_ms:
-                total -= within.popleft()[1]
-            n = self.allowed(at)
-            most = max(most, (total / MEAN / (n + 2.0 * math.sqrt(n) + 2.0), total / MEAN, at - BEGIN))
-        return most
+            while window[0][0] <= at_ms - SETTINGS.overload_window_ms:
+                total -= window.popleft()[1]
+            limit = self.allowed(at_ms)
+            largest = max(
+                largest,
+                (
+                    total / MEAN_SIZE_KB / (limit + 2.0 * math.sqrt(limit) + 2.0),
+                    total / MEAN_SIZE_KB,
+                    at_ms - START_MS,
+                ),
+            )
+        return largest
 
 
-def start(role: Role) -> News:
-    """The node is cold from the first moment on."""
-    yield 0.0, lambda fleet: fleet.whole(role.node(BEGIN))
+def start(role: Role) -> Schedule:
+    """Keep the node in slow start from the beginning."""
+    yield 0.0, lambda fleet: fleet.send_snapshot(role.node(START_MS))
 
 
-def whole_lists(role: Role) -> News:
-    """The whole list is told again and again."""
-    for number in range(int(LASTS / 100.0)):
-        yield 100.0 * number, lambda fleet: fleet.whole(role.node(BEGIN))
+def snapshots(role: Role) -> Schedule:
+    """Deliver snapshots of the list again and again."""
+    for number in range(int(DURATION_MS / 100.0)):
+        yield 100.0 * number, lambda fleet: fleet.send_snapshot(role.node(START_MS))
 
 
-def join(role: Role) -> News:
-    """It comes beside a warm one, which leaves soon after."""
-    yield 0.0, lambda fleet: fleet.whole(role.warm)
+def join(role: Role) -> Schedule:
+    """Add the node beside a peer, which drains and is removed soon after."""
+    yield 0.0, lambda fleet: fleet.send_snapshot(role.peer)
 
-    def comes(fleet: Fleet) -> None:
-        fleet.started = fleet.now
-        fleet.change(role.node(fleet.now))
+    def add(fleet: Fleet) -> None:
+        fleet.started_ms = fleet.now_ms
+        fleet.send_delta(role.node(fleet.now_ms))
 
-    yield 300.0, comes
-    yield 400.0, lambda fleet: fleet.change(role.warm._replace(state=NodeState.DRAINING))
-    yield 700.0, lambda fleet: fleet.change(role.warm._replace(state=NodeState.REMOVED))
+    yield 300.0, add
+    yield 400.0, lambda fleet: fleet.send_delta(role.peer._replace(state=NodeState.DRAINING))
+    yield 700.0, lambda fleet: fleet.send_delta(role.peer._replace(state=NodeState.REMOVED))
 
 
-def _again_and_again(role: Role, goes: Callable[[Fleet], None], comes: Callable[[Fleet], None]) -> News:
-    yield 0.0, lambda fleet: fleet.whole(role.node(BEGIN))
-    for number in range(1, int(LASTS / 400.0)):
-        yield 400.0 * number, goes
-        yield 400.0 * number + 50.0, comes
+def _repeat(role: Role, first: Callable[[Fleet], None], second: Callable[[Fleet], None]) -> Schedule:
+    yield 0.0, lambda fleet: fleet.send_snapshot(role.node(START_MS))
+    for number in range(1, int(DURATION_MS / 400.0)):
+        yield 400.0 * number, first
+        yield 400.0 * number + 50.0, second
 
 
-def drain(role: Role) -> News:
-    """It drains for a moment, and is ready again."""
-    yield from _again_and_again(
+def drain(role: Role) -> Schedule:
+    """Drain the node for a moment, again and again."""
+    yield from _repeat(
         role,
-        lambda fleet: fleet.change(role.node(BEGIN, NodeState.DRAINING)),
-        lambda fleet: fleet.change(role.node(BEGIN)),
+        lambda fleet: fleet.send_delta(role.node(START_MS, NodeState.DRAINING)),
+        lambda fleet: fleet.send_delta(role.node(START_MS)),
     )
 
 
-def leave_and_return(role: Role) -> News:
-    """It leaves the list and returns to it, and was not restarted: its cold start goes on."""
-    yield from _again_and_again(
+def leave_and_return(role: Role) -> Schedule:
+    """Remove the node and list it again without a restart, so that its slow start goes on."""
+    yield from _repeat(
         role,
-        lambda fleet: fleet.change(role.node(BEGIN, NodeState.REMOVED)),
-        lambda fleet: fleet.change(role.node(BEGIN)),
+        lambda fleet: fleet.send_delta(role.node(START_MS, NodeState.REMOVED)),
+        lambda fleet: fleet.send_delta(role.node(START_MS)),
     )
 
 
-def missing_in_whole_lists(role: Role) -> News:
-    """A whole list lacks it, the next one has it again."""
-    yield from _again_and_again(
-        role, lambda fleet: fleet.whole(), lambda fleet: fleet.whole(role.node(BEGIN))
+def missing_in_snapshots(role: Role) -> Schedule:
+    """Leave the node out of every other snapshot."""
+    yield from _repeat(
+        role, lambda fleet: fleet.send_snapshot(), lambda fleet: fleet.send_snapshot(role.node(START_MS))
     )
 
 
-def restarted(role: Role) -> News:
-    """It starts anew again and again: as cold as at first, whatever it was sent before."""
+def restarted(role: Role) -> Schedule:
+    """Restart the node again and again: each slow start is a full one, whatever was sent before."""
 
-    def anew(fleet: Fleet) -> None:
-        fleet.started = fleet.now
-        fleet.change(role.node(fleet.now))
+    def restart(fleet: Fleet) -> None:
+        fleet.started_ms = fleet.now_ms
+        fleet.send_delta(role.node(fleet.now_ms))
 
-    yield from _again_and_again(role, lambda fleet: None, anew)
+    yield from _repeat(role, lambda fleet: None, restart)
 
 
-def routers_return(role: Role) -> News:
-    """Routers are restarted one after the other, all within the time of the trial."""
-    yield 0.0, lambda fleet: fleet.whole(role.node(BEGIN))
-    for place in range(ROUTERS):
+def routers_return(role: Role) -> Schedule:
+    """Restart all routers one after the other."""
+    yield 0.0, lambda fleet: fleet.send_snapshot(role.node(START_MS))
+    for index in range(ROUTERS):
 
-        def renew(fleet: Fleet, place: int = place) -> None:
-            fleet.renew(place)
+        def restart_one(fleet: Fleet, index: int = index) -> None:
+            fleet.restart_router(index)
 
-        yield 500.0 + 100.0 * place, renew
+        yield 500.0 + 100.0 * index, restart_one
 
 
-ROLES = {"cache": CACHE, "parent": PARENT_ROLE}
-STORIES: list[Any] = [start, whole_lists, join, drain, restarted, routers_return]
+ROLES = {"cache": CACHE_ROLE, "parent": PARENT_ROLE}
+SCENARIOS: list[Any] = [start, snapshots, join, drain, restarted, routers_return]
 
 
-def overdone(role: Role, story: Callable[[Role], News]) -> str:
-    """Plays a story; how far over the bound the node was sent work, empty if it never was."""
+def excess_work(role: Role, scenario: Callable[[Role], Schedule]) -> str:
+    """Run a scenario; return by how much the work exceeded the bound, "" if it did not."""
     fleet = Fleet(role)
-    fleet.play(story(role))
-    assert len(fleet.sent) > 0.3 * fleet.allowed(BEGIN)  # it is used, and there is more to do
-    assert fleet.requests / LASTS * SETTINGS.overload_window_ms > 2.0 * fleet.allowed(BEGIN)
-    part, count, at = fleet.worst()
-    return f"{count:.0f} requests of mean work, {part:.2f} of the bound, at {at:.0f} ms" if part > 1.0 else ""
+    fleet.run(scenario(role))
+    assert len(fleet.sent) > 0.3 * fleet.allowed(START_MS)  # the node is used, and the demand is higher
+    assert fleet.requests / DURATION_MS * SETTINGS.overload_window_ms > 2.0 * fleet.allowed(START_MS)
+    fraction, count, at_ms = fleet.worst()
+    return (
+        f"{count:.0f} requests of mean work, {fraction:.2f} of the bound, at {at_ms:.0f} ms"
+        if fraction > 1.0
+        else ""
+    )
 
 
-@pytest.mark.parametrize("story", STORIES, ids=lambda story: story.__name__)
+@pytest.mark.parametrize("scenario", SCENARIOS, ids=lambda scenario: scenario.__name__)
 @pytest.mark.parametrize("role", ROLES)
-def test_no_cold_node_is_sent_more_than_it_bears_by_all_together(
-    role: str, story: Callable[[Role], News]
+def test_a_fleet_keeps_to_the_budget_of_a_node_in_slow_start(
+    role: str, scenario: Callable[[Role], Schedule]
 ) -> None:
-    assert not overdone(ROLES[role], story)
+    assert not excess_work(ROLES[role], scenario)
 
 
-def test_a_cold_node_that_leaves_the_list_and_returns_is_sent_no_more_for_that() -> None:
-    """Guards against what it was sent within the window being forgotten with its entry."""
+def test_a_node_that_is_listed_again_in_slow_start_gets_no_second_budget() -> None:
+    """Guard against charges within the window that are dropped with the removed entry."""
     found = {
-        f"{name}, {story.__name__}": overdone(role, story)
+        f"{name}, {scenario.__name__}": excess_work(role, scenario)
         for name, role in ROLES.items()
-        for story in (leave_and_return, missing_in_whole_lists)
+        for scenario in (leave_and_return, missing_in_snapshots)
     }
     assert found == dict.fromkeys(found, "")
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -17,8 +17,8 @@
 from stonecove.fleet.placement import Demand, Host, place
 from stonecove.fleet.restart import Do, Instance, Phase, Policy
 from stonecove.fleet.rolling import Roll, RollState
-from stonecove.quotas.buckets import Bucket, Hierarchy
-from stonecove.quotas.leases import Grant, Holder, Lessor, own_part
+from stonecove.quotas.buckets import Bucket, BucketHierarchy
+from stonecove.quotas.leases import Grant, LeaseHolder, Lessor, unleased_fraction_for
 from stonecove.runtime.notify import notify, watchdog_every
 from stonecove.runtime.pipe import Pipe, from_setting
 
@@ -183,37 +183,44 @@
 
 def test_pieces_are_asked_granted_spent_and_age_out() -> None:
     lessor = Lessor(WINDOW, 0.0)
-    lessor.rule(7, RULE, 0.0)
-    assert lessor.ask("a", 1, 7, 1.0) is None  # it knows nothing of the past yet
+    lessor.set_limit(7, RULE, 0.0)
+    assert lessor.request_lease("a", 1, 7, 1.0) is None  # it knows nothing of the past yet
     now = 5.0
-    holder = Holder(lessor.life)
-    number = holder.wants(7, now)
-    assert number == 1 and holder.wants(7, now) is None
-    grant = lessor.ask("a", number, 7, now)
-    assert grant is not None and lessor.ask("a", number, 7, now) == grant  # asked twice, granted once
-    assert holder.granted(grant, now) and not holder.granted(grant, now)
+    holder = LeaseHolder(lessor.lifetime_s)
+    number = holder.begin_request(7, now)
+    assert number == 1 and holder.begin_request(7, now) is None
+    grant = lessor.request_lease("a", number, 7, now)
+    assert (
+        grant is not None and lessor.request_lease("a", number, 7, now) == grant
+    )  # asked twice, granted once
+    assert holder.accept_grant(grant, now) and not holder.accept_grant(grant, now)
     assert holder.spend(7, grant.work / 2, now) and not holder.spend(7, grant.work, now)
-    assert holder.left(7, now + lessor.life) == 0.0 and not holder.spend(7, 0.1, now + lessor.life)
-    assert holder.idle(now + lessor.life) == [(1, grant.work / 2)] and holder.idle(now + 99) == []
-    lessor.give_back("a", 1, grant.work / 2, now + 1)
-    lessor.give_back("a", 1, grant.work / 2, now + 1)
-    assert lessor.booked(7, now + 1) == pytest.approx(grant.work / 2)
-    assert lessor.booked(7, now + WINDOW + lessor.life) == 0.0
-    assert lessor.ask("a", 9, 8, now) is None  # a node without a rule
+    assert holder.unspent_work(7, now + lessor.lifetime_s) == 0.0 and not holder.spend(
+        7, 0.1, now + lessor.lifetime_s
+    )
+    assert (
+        holder.pop_expired(now + lessor.lifetime_s) == [(1, grant.work / 2)]
+        and holder.pop_expired(now + 99) == []
+    )
+    lessor.return_lease("a", 1, grant.work / 2, now + 1)
+    lessor.return_lease("a", 1, grant.work / 2, now + 1)
+    assert lessor.booked_work(7, now + 1) == pytest.approx(grant.work / 2)
+    assert lessor.booked_work(7, now + WINDOW + lessor.lifetime_s) == 0.0
+    assert lessor.request_lease("a", 9, 8, now) is None  # a node without a rule
 
 
 def test_late_strange_and_given_up_answers_are_passed_over() -> None:
-    holder = Holder(1.0)
-    number = holder.wants(7, 0.0)
+    holder = LeaseHolder(1.0)
+    number = holder.begin_request(7, 0.0)
     assert number is not None
-    assert not holder.granted(Grant(number, 8, 5.0), 0.1)  # of another node
-    number = holder.wants(7, 1.5)
-    assert number is not None and not holder.granted(Grant(number, 7, 5.0), 2.5)  # late
-    number = holder.wants(7, 3.0)
-    assert number is not None and holder.wants(7, 4.1) == number + 1  # given up
-    assert not holder.granted(Grant(number, 7, 5.0), 4.2)
-    holder.refused(number + 1)
-    assert holder.wants(7, 4.3) == number + 2 and holder.late == 3
+    assert not holder.accept_grant(Grant(number, 8, 5.0), 0.1)  # of another node
+    number = holder.begin_request(7, 1.5)
+    assert number is not None and not holder.accept_grant(Grant(number, 7, 5.0), 2.5)  # late
+    number = holder.begin_request(7, 3.0)
+    assert number is not None and holder.begin_request(7, 4.1) == number + 1  # given up
+    assert not holder.accept_grant(Grant(number, 7, 5.0), 4.2)
+    holder.end_request(number + 1)
+    assert holder.begin_request(7, 4.3) == number + 2 and holder.ignored_grants == 3
 
 
 @pytest.mark.parametrize("number", range(12))
@@ -223,36 +230,36 @@
     """
     chooser = random.Random(number)
     lessor, now, rule = Lessor(WINDOW, 0.0), 0.0, RULE / 4
-    holders = [Holder(lessor.life) for _ in range(6)]
+    holders = [LeaseHolder(lessor.lifetime_s) for _ in range(6)]
     names = [f"h{place}" for place in range(6)]
     spent: deque[float] = deque()
-    in_flight: list[tuple[float, Holder, Grant]] = []
+    in_flight: list[tuple[float, LeaseHolder, Grant]] = []
     most, work = 0, 0.1
     for _ in range(12_000):
         now += chooser.expovariate(400.0)
         rule = min(RULE, rule * 1.0005)
-        lessor.rule(7, rule, now)
+        lessor.set_limit(7, rule, now)
         at = chooser.randrange(6)
         if chooser.random() < 0.002:
-            lessor.gone(names[at])
-            holders[at], names[at] = Holder(lessor.life), f"{names[at]}'"
+            lessor.remove_holder(names[at])
+            holders[at], names[at] = LeaseHolder(lessor.lifetime_s), f"{names[at]}'"
         if chooser.random() < 0.0001:
             lessor = Lessor(WINDOW, now)
-            lessor.rule(7, rule, now)
-        if (asked := holders[at].wants(7, now)) is not None:
+            lessor.set_limit(7, rule, now)
+        if (asked := holders[at].begin_request(7, now)) is not None:
             for _ in range(chooser.choice((1, 1, 2))):
-                grant = lessor.ask(names[at], asked, 7, now)
+                grant = lessor.request_lease(names[at], asked, 7, now)
                 if grant is None:
-                    holders[at].refused(asked)
+                    holders[at].end_request(asked)
                 elif chooser.random() < 0.9:
                     in_flight.append((now + chooser.choice((0.0, 0.01, 2.0)), holders[at], grant))
         for one in [one for one in in_flight if one[0] <= now]:
-            one[1].granted(one[2], now)
+            one[1].accept_grant(one[2], now)
             in_flight.remove(one)
         if holders[at].spend(7, work, now):
             spent.append(now)
-        for returned, left in holders[at].idle(now):
-            lessor.give_back(names[at], returned, left, now)
+        for returned, left in holders[at].pop_expired(now):
+            lessor.return_lease(names[at], returned, left, now)
         while spent and spent[0] <= now - WINDOW:
             spent.popleft()
         most = max(most, len(spent))
@@ -263,28 +270,30 @@
 @pytest.mark.parametrize(("holders", "piece"), [(1, 1.4), (20, 1.0), (2000, 1.0)])
 def test_among_many_a_piece_is_what_is_wanted(holders: int, piece: float) -> None:
     lessor = Lessor(WINDOW, -9.0)
-    lessor.rule(7, RULE, 0.0)
+    lessor.set_limit(7, RULE, 0.0)
     for number in range(holders):
-        lessor.ask(f"h{number}", 1, 7, 0.0, 1.0)
-    before = lessor.booked(7, 0.0)
+        lessor.request_lease(f"h{number}", 1, 7, 0.0, 1.0)
+    before = lessor.booked_work(7, 0.0)
     assert before <= 0.7 * RULE
     if holders < 50:
-        grant = lessor.ask("one more", 1, 7, 0.0, 1.0)
+        grant = lessor.request_lease("one more", 1, 7, 0.0, 1.0)
         assert grant is not None and grant.work == pytest.approx(piece if holders > 1 else 1.4)
-    assert own_part(1) == own_part(5) == 0.3 and own_part(2000) == pytest.approx(0.00075)
+    assert unleased_fraction_for(1) == unleased_fraction_for(5) == 0.3 and unleased_fraction_for(
+        2000
+    ) == pytest.approx(0.00075)
     piece_for_large = Lessor(WINDOW, -9.0)
-    piece_for_large.rule(7, RULE, 0.0)
-    large = piece_for_large.ask("one", 1, 7, 0.0, 0.2 * RULE)
+    piece_for_large.set_limit(7, RULE, 0.0)
+    large = piece_for_large.request_lease("one", 1, 7, 0.0, 0.2 * RULE)
     assert large is not None and large.work == 0.2 * RULE  # less would be of no use
 
 
 def test_a_clock_that_jumps_back_ends_what_was_known() -> None:
     lessor = Lessor(WINDOW, 100.0)
-    lessor.rule(7, RULE, 110.0)
-    assert lessor.ask("a", 1, 7, 110.0)
-    assert lessor.ask("a", 2, 7, 50.0) is None
-    lessor.rule(7, RULE, 51.0)
-    assert lessor.ask("a", 3, 7, 54.4) is None and lessor.ask("a", 4, 7, 54.6)
+    lessor.set_limit(7, RULE, 110.0)
+    assert lessor.request_lease("a", 1, 7, 110.0)
+    assert lessor.request_lease("a", 2, 7, 50.0) is None
+    lessor.set_limit(7, RULE, 51.0)
+    assert lessor.request_lease("a", 3, 7, 54.4) is None and lessor.request_lease("a", 4, 7, 54.6)
 
 
 # -- buckets --
@@ -295,13 +304,13 @@
         with pytest.raises(ValueError, match="rate"):
             Bucket(*wrong)
     with pytest.raises(ValueError, match="floor"):
-        Hierarchy(10, 10, 1.0)
+        BucketHierarchy(10, 10, 1.0)
     with pytest.raises(ValueError, match="no bucket at z"):
-        Hierarchy(10, 10).set(("z", "c"), 1, 1, 1)
+        BucketHierarchy(10, 10).add_bucket(("z", "c"), 1, 1, 1)
 
 
 def play(
-    limits: Hierarchy, wanted: dict[tuple[str, str, str], float], seconds: float = 20.0
+    limits: BucketHierarchy, wanted: dict[tuple[str, str, str], float], seconds: float = 20.0
 ) -> dict[Any, float]:
     """What each gets a second, if it asks so often."""
     taken = dict.fromkeys(wanted, 0)
@@ -315,30 +324,30 @@
 
 
 def test_what_one_leaves_others_may_borrow_and_each_keeps_its_own() -> None:
-    limits = Hierarchy(100, 10)
+    limits = BucketHierarchy(100, 10)
     for zone in "ab":
-        limits.set((zone,), 50, 10, 100)
+        limits.add_bucket((zone,), 50, 10, 100)
     alone = play(limits, {("a", "x", "c"): 300})
     assert 95 <= alone["a", "x", "c"] <= 105  # the other zone's part is free
-    limits = Hierarchy(100, 10)
+    limits = BucketHierarchy(100, 10)
     for zone in "ab":
-        limits.set((zone,), 50, 10, 100)
+        limits.add_bucket((zone,), 50, 10, 100)
     both = play(limits, {("a", "x", "c"): 900, ("b", "x", "c"): 60})
     assert sum(both.values()) <= 106 and both["b", "x", "c"] >= 40
 
 
 def test_the_most_valued_class_has_a_floor_that_none_may_borrow() -> None:
-    limits = Hierarchy(100, 10, 0.2, "pick-confirm")
+    limits = BucketHierarchy(100, 10, 0.2, "pick-confirm")
     got = play(limits, {("a", "item-image", "c"): 1000, ("a", "pick-confirm", "c"): 18})
     assert got["a", "pick-confirm", "c"] >= 17.9 and got["a", "item-image", "c"] <= 82
     assert "fleet" in {limits.take("a", "item-image", "c", 20.0) for _ in range(20)}
 
 
 def test_a_refusal_names_its_limit_and_clients_are_bounded_each() -> None:
-    limits = Hierarchy(1000, 100)
-    limits.set(("a",), 500, 50, 1000)
-    limits.set(("a", "x"), 100, 10, 200)
-    limits.set(("a", "x", "greedy"), 5, 5, 5)
+    limits = BucketHierarchy(1000, 100)
+    limits.add_bucket(("a",), 500, 50, 1000)
+    limits.add_bucket(("a", "x"), 100, 10, 200)
+    limits.add_bucket(("a", "x", "greedy"), 5, 5, 5)
     assert [limits.take("a", "x", "greedy", 0.0) for _ in range(6)] == [""] * 5 + ["a/x/greedy"]
     assert limits.take("a", "x", "other", 0.0) == ""
     assert limits.take("a", "x", "greedy", -100.0) == "a/x/greedy"  # a clock set back earns nothing
--- a/tests/test_golden_decisions.py
+++ b/tests/test_golden_decisions.py
@@ -1,4 +1,4 @@
-"""The decisions, and the simulator's wire around them, are those that were recorded."""
+"""The routing decisions, and the simulator protocol around them, match the recordings."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 @cache
 def conversation(name: str) -> Recording:
-    """Return the conversation of that name, as the program has it now."""
+    """Return the conversation of that name with the present program."""
     return Conversation(BY_NAME[name]).run()
 
 
@@ -54,7 +54,7 @@
     assert set(notes) == {str(code) for code in NOTES}
 
 
-# -- the wire: records of events, by the published layout --
+# -- the wire: records of events, in the published layout --
 
 LAUNCH, STOP, PEER_MESSAGE = 70, 50, 90
 NOT_ON_THE_WIRE = ("fleet-size", "settings-change", "lease-terms", "lease")
@@ -62,7 +62,7 @@
 ACTION_BYTES = {30: 10, 40: 9, LOG: 7, 60: 17, 70: 6, 80: 39, 110: 17}  # without the text of a log line
 INSTANCES = {3: "ordinary", 4: "overloaded-origin", 5: "no-parents"}
 STREAM_EVENTS = 450  # of each instance
-RESTARTED_AFTER = 300  # batches after which one instance is stopped and launched anew
+RESTARTED_AFTER = 300  # batches, after which one instance is stopped and launched again
 
 
 def _address(node: int) -> tuple[int, int]:
@@ -80,42 +80,42 @@
 
 
 def event_record(instance: int, step: Step) -> bytes:
-    """Return the record of an event; raises KeyError for one that the wire does not have."""
+    """Return the record of an event; raise KeyError for one that does not exist on the wire."""
     kind, values = step
     match kind:
         case "purge":
-            age, group, key = values
-            return struct.pack(">BIdHQ", 10, instance, age, group, key)
+            age_ms, group, key = values
+            return struct.pack(">BIdHQ", 10, instance, age_ms, group, key)
         case "timer-end":
             return struct.pack(">BII", 20, instance, values[0])
         case "list":
-            form, endpoints = values
+            list_kind, endpoints = values
             entries = [
                 struct.pack(
-                    ">BdBHIHHf", one.kind, one.started, one.state, one.cell, *_address(one.node), one.zone,
+                    ">BdBHIHHf", one.kind, one.started_ms, one.state, one.cell, *_address(one.node), one.zone,
                     one.weight,
                 )
                 for one in endpoints
             ]  # fmt: skip
-            return struct.pack(">BIBII", 30, instance, form, 9, len(entries)) + b"".join(entries)
+            return struct.pack(">BIBII", 30, instance, list_kind, 9, len(entries)) + b"".join(entries)
         case "response-start":
             request, attempt, node = values
             return struct.pack(">BIIBIHd", 40, instance, request, attempt, *_address(node), 1.5)
         case "attempt-end":
-            request, attempt, node, outcome, took, final, note, waited, load = values
+            request, attempt, node, outcome, duration_ms, final, note, fill_wait_ms, load = values
             return struct.pack(
-                ">BIIBIHBdBIdB", 60, instance, request, attempt, *_address(node), outcome, took, final, note,
-                waited, len(load),
+                ">BIIBIHBdBIdB", 60, instance, request, attempt, *_address(node), outcome, duration_ms, final,
+                note, fill_wait_ms, len(load),
             ) + _floats(load)  # fmt: skip
         case "request":
-            request, cls, key, time_left, size, group, part = values
+            request, cls, key, timeout_ms, size_kb, group, chunk = values
             return struct.pack(
-                ">BIIHHQdfffH", 80, instance, request, cls, 0, key, time_left, size, group, part, 0
+                ">BIIHHQdfffH", 80, instance, request, cls, 0, key, timeout_ms, size_kb, group, chunk, 0
             )
         case "probe-end":
-            node, succeeded, took, load = values
+            node, succeeded, duration_ms, load = values
             return struct.pack(
-                ">BIdBIHB", 100, instance, took, 0 if succeeded else 13, *_address(node), len(load)
+                ">BIdBIHB", 100, instance, duration_ms, 0 if succeeded else 13, *_address(node), len(load)
             ) + _floats(load)
         case "disconnect":
             return struct.pack(">BII", 110, instance, values[0])
@@ -129,7 +129,7 @@
 
 
 def _odd_records(instance: int) -> list[bytes]:
-    """Return records that the conversations lack: unknown codes, a probe, a message, an unknown instance."""
+    """Return records without a counterpart in the conversations: unknown codes and instances, a probe."""
     entry = struct.pack(">BdBHIHHf", 0, 0.0, 9, 0, *_address(0xA01), 1, 20.0)
     unknown_outcome = ("attempt-end", (1, 0, 0xA01, 77, 5.0, False, 99, 0.0, ()))
     return [
@@ -144,7 +144,7 @@
 
 
 def stream_batches() -> list[tuple[float, list[bytes]]]:
-    """Return batches of records with their times: three instances, the events of their conversations."""
+    """Return timed batches with the events of the conversations of three instances."""
     timed = []
     for instance, name in INSTANCES.items():
         found = conversation(name)
@@ -173,7 +173,7 @@
 
 
 def converse(data: bytes) -> bytes:
-    """Return what the adapter answers to a stream."""
+    """Return the output of the adapter for a stream."""
     sink = io.BytesIO()
     simulator_adapter.serve(io.BytesIO(data), sink)
     return sink.getvalue()
@@ -232,32 +232,32 @@
 
 
 def malformed_streams() -> dict[str, bytes]:
-    """Return streams that are refused, by what is wrong."""
-    good = launch_record(3, router_settings())
+    """Return malformed streams, by fault."""
+    launch = launch_record(3, router_settings())
     request = _request_record()
     return {
         "header-cut-short": b"abc",
-        "batch-cut-short": batch(1.0, good)[:-4],
+        "batch-cut-short": batch(1.0, launch)[:-4],
         "length-too-large": struct.pack(">dII", 0.0, 18, 0) + b"x",
         "length-below-header": struct.pack(">dII", 0.0, 3, 0),
         "unknown-code": batch(1.0, b"\xff\x00\x00\x00\x01"),
         "record-cut-short": batch(1.0, request[:-3]),
         "fewer-records-than-told": struct.pack(">dII", 0.0, 16 + len(request), 2) + request,
         "more-bytes-than-records": struct.pack(">dII", 0.0, 18, 0) + b"xx",
-        "settings-cut-short": batch(1.0, good[:-9]),
+        "settings-cut-short": batch(1.0, launch[:-9]),
         "list-cut-short": batch(1.0, struct.pack(">BIBII", 30, 3, 2, 1, 3) + b"\0" * 30),
         "list-cut-within-an-entry": batch(1.0, struct.pack(">BIBII", 30, 3, 2, 1, 1) + b"\0" * 23),
         "loads-cut-short": batch(1.0, struct.pack(">BIdBIHB", 100, 3, 1.0, 0, 0xA, 80, 4) + b"\0" * 8),
-        "second-batch-broken": batch(1.0, good) + batch(2.0, b"\x63"),
+        "second-batch-broken": batch(1.0, launch) + batch(2.0, b"\x63"),
     }
 
 
 def reported_streams() -> dict[str, bytes]:
-    """Return streams whose first record leads to a report of an error, by what is wrong."""
-    lacking = router_settings()
-    del lacking["zone"]
+    """Return streams whose first record leads to a reported error, by fault."""
+    incomplete = router_settings()
+    del incomplete["zone"]
     return {
-        "settings-without-zone": batch(1.0, launch_record(5, lacking)),
+        "settings-without-zone": batch(1.0, launch_record(5, incomplete)),
         "settings-without-classes": batch(1.0, launch_record(5, {"zone": 1, "classes": []})),
         "class-without-deadline": batch(1.0, launch_record(5, {"zone": 1, "classes": [{}]})),
         "deadline-of-zero": batch(1.0, launch_record(5, {"zone": 1, "classes": [{"deadline": 0.0}]})),
@@ -300,7 +300,7 @@
 
 
 def errors_found(streams: dict[str, dict[str, str]]) -> dict[str, dict[str, Any]]:
-    """Return what becomes of streams given as hex."""
+    """Return the results of streams given as hexadecimal text."""
     return {
         "malformed": {name: run_main(bytes.fromhex(data)) for name, data in streams["malformed"].items()},
         "reported": {name: run_reported(bytes.fromhex(data)) for name, data in streams["reported"].items()},
@@ -320,7 +320,7 @@
 
 
 def record() -> None:
-    """Write all golden files of this module anew."""
+    """Rewrite all golden files of this module."""
     for name in BY_NAME:
         write_json(FOLDER / f"director-{name}.json", summary_of(conversation(name)))
     stream = make_stream()
--- a/tests/test_golden_exchanges.py
+++ b/tests/test_golden_exchanges.py
@@ -92,13 +92,13 @@
         "cls": cls,
         "item": "00000000000000ff",
         "chunk": "0",
-        "kind": kinds.index(cls),
-        "key": 255,
-        "part": 0,
+        "class_index": kinds.index(cls),
+        "object_key": 255,
+        "chunk_index": 0,
         "group": 0,
-        "size": 0.0,
-        "ttl": 1000.0,
-        "seen": "",
+        "size_kb": 0.0,
+        "timeout_ms": 1000.0,
+        "client_tag": "",
         "body": b"",
         "reply": lambda answer: None,
     }
@@ -116,7 +116,7 @@
         max_age_ms=0.0,
         fetch_mode=0,
     )
-    request = OpenRequest(1, asked, settings.classes[asked.kind], NOW_MS + 985.0)
+    request = OpenRequest(1, asked, settings.classes[asked.class_index], NOW_MS + 985.0)
     return Attempt(request, 0, usual._replace(**order), NOW_MS)
 
 
@@ -141,10 +141,16 @@
     }
     asked: dict[str, dict[str, Any]] = {
         "segment": {"chunk": "65535"},
-        "client-tag": {"seen": "v1.a_b-c"},
-        "idempotency-key": {"cls": "order", "nonce": "key-1"},
-        "body": {"cls": "order", "nonce": "key-1", "body": b"a=b\r\n\x00\xff"},
-        "every-field": {"cls": "order", "chunk": "9", "seen": "v1", "nonce": "key-1", "body": b"b"},
+        "client-tag": {"client_tag": "v1.a_b-c"},
+        "idempotency-key": {"cls": "order", "idempotency_key": "key-1"},
+        "body": {"cls": "order", "idempotency_key": "key-1", "body": b"a=b\r\n\x00\xff"},
+        "every-field": {
+            "cls": "order",
+            "chunk": "9",
+            "client_tag": "v1",
+            "idempotency_key": "key-1",
+            "body": b"b",
+        },
     }
     found = {
         name: command(make_attempt(client_request(settings), settings, **order), NOW_MS)
@@ -166,8 +172,8 @@
         "verdict": VERDICTS[one.verdict],
         "body": shown(one.body),
         "tag": one.tag,
-        "retry_after_ms": one.pause,
-        "copy_made_unix_ms": one.born,
+        "retry_after_ms": one.retry_after_ms,
+        "copy_made_unix_ms": one.copy_made_at_ms,
     }
 
 
@@ -191,9 +197,9 @@
     requests = OpenRequests()
     admit = Admit(settings, requests, Budget(), 0.0, SEED)
     relay = Relay(settings, Book(clock, admit, lambda event: ends.append(describe_end(event))))
-    asked = client_request(settings, case["class"], seen=case["client_tag"])
+    asked = client_request(settings, case["class"], client_tag=case["client_tag"])
     asked.reply = lambda answer: answers.append(describe_answer(answer))
-    request = requests.add(asked, settings.classes[asked.kind], NOW_MS + 985.0, 0)
+    request = requests.add(asked, settings.classes[asked.class_index], NOW_MS + 985.0, 0)
     order = SendAttempt(request.req, 17, NOW_MS + 900.0, 17, 0, case["max_age_ms"], 0)
     attempt = Attempt(request, 0, order, NOW_MS - 30.0, written_at=NOW_MS - 20.0)
     request.attempts.append(attempt)
@@ -215,12 +221,12 @@
 def client_heads() -> bytes:
     """Return the CGI header of each answer."""
     answers = {
-        "served": Answer(Verdict.SERVED, b"abc", "v1", born=NOW_MS),
+        "served": Answer(Verdict.SERVED, b"abc", "v1", copy_made_at_ms=NOW_MS),
         "served-without-tag": Answer(Verdict.SERVED, b""),
-        "not-modified": Answer(Verdict.UNCHANGED, b"", "v1", born=NOW_MS),
+        "not-modified": Answer(Verdict.UNCHANGED, b"", "v1", copy_made_at_ms=NOW_MS),
         "rejected": Answer(Verdict.REFUSED),
-        "rejected-with-pause": Answer(Verdict.REFUSED, pause=749.6),
-        "rejected-with-negative-pause": Answer(Verdict.REFUSED, pause=-3.0),
+        "rejected-with-pause": Answer(Verdict.REFUSED, retry_after_ms=749.6),
+        "rejected-with-negative-pause": Answer(Verdict.REFUSED, retry_after_ms=-3.0),
         "failed": Answer(Verdict.FAILED),
     }
     return as_json({name: shown(head_of(answer)) for name, answer in answers.items()})
