--- a/tests/test_golden_settings.py
+++ b/tests/test_golden_settings.py
@@ -1,4 +1,4 @@
-"""Golden data of the settings, the configuration, the deploy file and the log line."""
+"""Golden data of the settings, the configuration, the deploy file and the log format."""
 
 from __future__ import annotations
 
@@ -133,7 +133,7 @@
 
 
 class TracedTable(dict[str, Any]):
-    """A decoded JSON object that notes which of its keys are read."""
+    """A decoded JSON object that records which of its keys are read."""
 
     def __init__(self, table: Mapping[str, Any], path: str, read_keys: set[str]) -> None:
         super().__init__({key: traced(value, f"{path}{key}", read_keys) for key, value in table.items()})
@@ -149,7 +149,7 @@
 
 
 def traced(value: Any, path: str, read_keys: set[str]) -> Any:
-    """Return a decoded JSON value whose objects note which of their keys are read."""
+    """Return a decoded JSON value whose objects record which of their keys are read."""
     if isinstance(value, dict):
         return TracedTable(value, f"{path}." if path else "", read_keys)
     if isinstance(value, list):
@@ -279,7 +279,7 @@
 
 
 def deploy_commands() -> bytes:
-    """Return the keys of the deploy file and its commands; which sources it names may change.
+    """Return the keys and commands of the deploy file, without the names of sources.
 
     The module that `sim` runs is one of these sources.
     """
@@ -291,7 +291,7 @@
 
 
 def imported_modules(path: Path) -> Iterator[str]:
-    """Yield the modules of the package that a source file imports anywhere, and what could be one."""
+    """Yield the names that a source file imports anywhere and that may be modules of the package."""
     for node in ast.walk(ast.parse(path.read_text())):
         if isinstance(node, ast.Import):
             yield from (alias.name for alias in node.names)
@@ -301,7 +301,7 @@
 
 
 def source_of(module: str) -> Path | None:
-    """Return the source file of a module of the package; None for what is no such module."""
+    """Return the source file of a module of the package; None for any other name."""
     base = ROOT.joinpath(*module.split("."))
     for path in (base.with_suffix(".py"), base / "__init__.py"):
         if module.split(".")[0] == "stonecove" and path.is_file():
@@ -310,7 +310,7 @@
 
 
 def reachable_sources(modules: list[str]) -> set[Path]:
-    """Return the sources of these modules and of all that they import, be it within a function."""
+    """Return the sources of these modules and of all that they import, also within functions."""
     found: set[Path] = set()
     waiting = list(modules)
     while waiting:
@@ -362,7 +362,7 @@
 
 
 def log_written() -> bytes:
-    """Return what is written to standard error, with lines of one event limited to a few a second."""
+    """Return the log on standard error, where repeated lines of one event are limited per second."""
     written = io.StringIO()
     with contextlib.redirect_stderr(written):
         for second in (1764576100.5, 1764576101.5, 1764576102.5):
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -7,7 +7,7 @@
 from typing import Any
 
 import pytest
-from conftest import gets, make_nodes, make_settings
+from conftest import make_nodes, make_settings, sent_attempts
 
 from stonecove.discovery import Member, presence
 from stonecove.discovery.merge import Merge, Source, Told, merged
@@ -495,7 +495,9 @@
         sent[fleet] = sum(
             isinstance(act, SendAttempt)
             for req in range(400)
-            for act in gets(director.handle(100_001.0, RequestReceived(req, 0, req, 4000.0, 100.0, 3, 0)))
+            for act in sent_attempts(
+                director.handle(100_001.0, RequestReceived(req, 0, req, 4000.0, 100.0, 3, 0))
+            )
         )
     assert 0 < sent[8] < sent[1]
 
--- a/tests/test_other_limits.py
+++ b/tests/test_other_limits.py
@@ -1,4 +1,4 @@
-"""Limits, times and permissions that other deployments give: the real program keeps to them."""
+"""The real program under limits of other deployments: streams per connection, connect time-out."""
 
 from __future__ import annotations
 
@@ -10,10 +10,11 @@
 
 
 def limits(**changes: Any) -> dict[str, Any]:
+    """Return the usual limits of the settings with these changes."""
     return {**SETTINGS["limits"], **changes}
 
 
-def test_one_stream_a_connection_bounds_the_work_no_more_than_many() -> None:
+def test_one_stream_per_connection_allows_as_many_requests_as_many_streams() -> None:
     stand = Stand(limits=limits(streams_per_conn=1))
     try:
         clients = [stand.client() for _ in range(2)]
@@ -29,7 +30,7 @@
         stand.close()
 
 
-def test_an_answer_may_pause_where_connections_may_take_long() -> None:
+def test_an_answer_may_stall_for_less_than_a_long_connect_timeout() -> None:
     stand = Stand(limits=limits(connect_timeout=3000.0))
     try:
         client = stand.client()
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -1,9 +1,18 @@
-"""The five rules, each with a test that fails when its guard is taken out."""
+"""The five hard rules of routing, each with a test that fails when its check is removed."""
 
 from __future__ import annotations
 
 import pytest
-from conftest import CACHES, ORIGIN, PARENTS, World, gets, make_class, make_nodes, make_settings
+from conftest import (
+    CACHES,
+    ORIGIN,
+    PARENTS,
+    DirectorHarness,
+    make_class,
+    make_nodes,
+    make_settings,
+    sent_attempts,
+)
 
 from stonecove.routing.actions import CancelAttempt, FailRequest, RejectRequest
 from stonecove.routing.endpoints import EndpointListKind, NodeState
@@ -23,150 +32,156 @@
 # -- 1. one final answer --
 
 
-def test_timeout_at_the_deadline_is_answered_once(world: World) -> None:
-    get = gets(world.ask())[0]
-    actions = world.end(get, Outcome.TIMEOUT, 4000.0)
-    assert [type(a) for a in actions if isinstance(a, FINAL)] == [RejectRequest]
-    assert not gets(actions)
-    assert world.give(ClientDisconnected(get.request_id)) == []
+def test_timeout_at_the_deadline_is_answered_once(harness: DirectorHarness) -> None:
+    attempt = sent_attempts(harness.request())[0]
+    actions = harness.end_attempt(attempt, Outcome.TIMEOUT, 4000.0)
+    assert [type(action) for action in actions if isinstance(action, FINAL)] == [RejectRequest]
+    assert not sent_attempts(actions)
+    assert harness.deliver(ClientDisconnected(attempt.request_id)) == []
 
 
-def test_nothing_goes_out_after_the_final_answer(world: World) -> None:
-    get = gets(world.ask())[0]
-    world.give(ClientDisconnected(get.request_id))
-    assert world.give(TimerExpired(get.request_id), 2000.0) == []
-    assert world.end(get, Outcome.CANCELLED, closed=True) == []
+def test_nothing_is_sent_after_the_final_answer(harness: DirectorHarness) -> None:
+    attempt = sent_attempts(harness.request())[0]
+    harness.deliver(ClientDisconnected(attempt.request_id))
+    assert harness.deliver(TimerExpired(attempt.request_id), 2000.0) == []
+    assert harness.end_attempt(attempt, Outcome.CANCELLED, answered=True) == []
 
 
-def test_no_second_copy_goes_out_at_the_deadline(world: World) -> None:
-    asked = [gets(world.ask(object_key=1))[0] for _ in range(3)]
-    world.now += 4500.0
-    assert not any(gets(world.give(TimerExpired(get.request_id))) for get in asked)
+def test_no_hedged_request_is_sent_after_the_deadline(harness: DirectorHarness) -> None:
+    attempts = [sent_attempts(harness.request(object_key=1))[0] for _ in range(3)]
+    harness.now_ms += 4500.0
+    assert not any(sent_attempts(harness.deliver(TimerExpired(attempt.request_id))) for attempt in attempts)
 
 
-def test_answer_calls_off_the_second_copy(world: World) -> None:
-    first = gets(world.ask(object_key=1))[0]
-    other = gets(world.ask(object_key=1))[0]
+def test_an_answer_cancels_the_other_attempt(harness: DirectorHarness) -> None:
+    first = sent_attempts(harness.request(object_key=1))[0]
+    other = sent_attempts(harness.request(object_key=1))[0]
     assert first.node_id == other.node_id
-    world.give(TimerExpired(first.request_id), 1500.0)
-    second = gets(world.give(TimerExpired(other.request_id)))[0]
+    harness.deliver(TimerExpired(first.request_id), 1500.0)
+    second = sent_attempts(harness.deliver(TimerExpired(other.request_id)))[0]
     assert second.node_id != other.node_id
-    actions = world.end(second, attempt=1)
+    actions = harness.end_attempt(second, attempt_index=1)
     assert actions == [CancelAttempt(other.request_id, 0)]
 
 
 def test_no_more_attempts_than_allowed() -> None:
-    world = World(make_settings(max_attempts=2))
-    first = gets(world.ask())[0]
-    second = gets(world.end(first, Outcome.CONNECT_FAILED))[0]
-    last = world.end(second, Outcome.CONNECT_FAILED, attempt=1)
-    assert isinstance(last[-1], RejectRequest) and not gets(last)
-
-
-def test_pause_is_told_where_it_is_passed_on() -> None:
-    for allowed, least, most in ((True, 400.0, 900.0), (False, 0.0, 0.0)):
-        world = World(make_settings(retry_after_allowed=allowed), nodes=[])
-        pauses = [
-            act.retry_after_ms for _ in range(20) for act in world.ask() if isinstance(act, RejectRequest)
+    harness = DirectorHarness(make_settings(max_attempts=2))
+    first = sent_attempts(harness.request())[0]
+    second = sent_attempts(harness.end_attempt(first, Outcome.CONNECT_FAILED))[0]
+    last = harness.end_attempt(second, Outcome.CONNECT_FAILED, attempt_index=1)
+    assert isinstance(last[-1], RejectRequest) and not sent_attempts(last)
+
+
+def test_retry_after_is_given_where_it_is_allowed() -> None:
+    for allowed, min_ms, max_ms in ((True, 400.0, 900.0), (False, 0.0, 0.0)):
+        harness = DirectorHarness(make_settings(retry_after_allowed=allowed), nodes=[])
+        delays_ms = [
+            action.retry_after_ms
+            for _ in range(20)
+            for action in harness.request()
+            if isinstance(action, RejectRequest)
         ]
-        assert len(pauses) == 20 and least <= min(pauses) and max(pauses) <= most
+        assert len(delays_ms) == 20 and min_ms <= min(delays_ms) and max(delays_ms) <= max_ms
 
 
-# -- 2. no effect twice --
+# -- 2. no duplicate effects --
 
 
-def keyed(**changes: object) -> World:
+def harness_with_keys(**changes: object) -> DirectorHarness:
+    """Return a harness whose only class has idempotency keys and is never cached."""
     cls = make_class(idempotency=Idempotency.IDEMPOTENCY_KEY, never_cached=True, **changes)
-    return World(make_settings(cls))
+    return DirectorHarness(make_settings(cls))
 
 
-def test_unsafe_work_is_retried_only_when_it_surely_did_not_run() -> None:
-    for outcome, again in (
+def test_non_idempotent_requests_are_retried_only_if_proven_not_executed() -> None:
+    for outcome, retried in (
         (Outcome.REJECTED_OVERLOADED, True),
         (Outcome.RESET, False),
         (Outcome.ERROR, False),
     ):
-        world = World(make_settings(make_class(idempotency=Idempotency.NON_IDEMPOTENT)))
-        actions = world.end(gets(world.ask())[0], outcome)
-        assert bool(gets(actions)) is again
-        assert again or isinstance(actions[-1], FailRequest)
+        harness = DirectorHarness(make_settings(make_class(idempotency=Idempotency.NON_IDEMPOTENT)))
+        actions = harness.end_attempt(sent_attempts(harness.request())[0], outcome)
+        assert bool(sent_attempts(actions)) is retried
+        assert retried or isinstance(actions[-1], FailRequest)
 
 
-def test_keyed_work_is_not_resent_after_its_window() -> None:
-    for wait, again in ((1500.0, True), (2500.0, False)):
-        world = keyed()
-        actions = world.end(gets(world.ask())[0], Outcome.RESET, wait)
-        assert bool(gets(actions)) is again
+def test_requests_with_a_key_are_not_retried_after_the_deduplication_window() -> None:
+    for wait_ms, retried in ((1500.0, True), (2500.0, False)):
+        harness = harness_with_keys()
+        actions = harness.end_attempt(sent_attempts(harness.request())[0], Outcome.RESET, wait_ms)
+        assert bool(sent_attempts(actions)) is retried
 
 
 def test_the_window_counts_from_the_first_attempt_that_may_have_run() -> None:
-    world = keyed()
-    asked = [gets(world.ask(object_key=1))[0] for _ in range(2)]
-    world.give(TimerExpired(asked[0].request_id), 1200.0)
-    second = gets(world.give(TimerExpired(asked[1].request_id)))[0]
-    assert not gets(world.end(second, Outcome.RESET, 100.0, attempt=1))
-    actions = world.end(asked[1], Outcome.RESET, 900.0)
-    assert not gets(actions) and isinstance(actions[-1], RejectRequest)
-
-
-def test_keyed_work_stays_within_its_cell() -> None:
-    world = keyed(deduplication_scope=DeduplicationScope.CELL)
-    get = gets(world.ask())[0]
-    again = gets(world.end(get, Outcome.RESET))
-    assert again and again[0].node_id % 2 == get.node_id % 2
-    last = world.end(again[0], Outcome.RESET, 2500.0, attempt=1)
+    harness = harness_with_keys()
+    attempts = [sent_attempts(harness.request(object_key=1))[0] for _ in range(2)]
+    harness.deliver(TimerExpired(attempts[0].request_id), 1200.0)
+    second = sent_attempts(harness.deliver(TimerExpired(attempts[1].request_id)))[0]
+    assert not sent_attempts(harness.end_attempt(second, Outcome.RESET, 100.0, attempt_index=1))
+    actions = harness.end_attempt(attempts[1], Outcome.RESET, 900.0)
+    assert not sent_attempts(actions) and isinstance(actions[-1], RejectRequest)
+
+
+def test_retries_with_a_key_stay_within_the_cell() -> None:
+    harness = harness_with_keys(deduplication_scope=DeduplicationScope.CELL)
+    attempt = sent_attempts(harness.request())[0]
+    retried = sent_attempts(harness.end_attempt(attempt, Outcome.RESET))
+    assert retried and retried[0].node_id % 2 == attempt.node_id % 2
+    last = harness.end_attempt(retried[0], Outcome.RESET, 2500.0, attempt_index=1)
     assert isinstance(last[-1], FailRequest)
 
 
-def test_no_second_copy_where_none_is_allowed() -> None:
-    world = World(make_settings(hedging_allowed=False))
-    asked = [gets(world.ask(object_key=1))[0] for _ in range(3)]
-    world.give(TimerExpired(asked[0].request_id), 1500.0)
-    assert not any(gets(world.give(TimerExpired(get.request_id))) for get in asked)
+def test_no_hedged_request_is_sent_where_hedging_is_not_allowed() -> None:
+    harness = DirectorHarness(make_settings(hedging_allowed=False))
+    attempts = [sent_attempts(harness.request(object_key=1))[0] for _ in range(3)]
+    harness.deliver(TimerExpired(attempts[0].request_id), 1500.0)
+    assert not any(sent_attempts(harness.deliver(TimerExpired(attempt.request_id))) for attempt in attempts)
 
 
 # -- 3. drains --
 
 
 @pytest.mark.parametrize("state", [NodeState.DRAINING, NodeState.REMOVED])
-def test_nothing_new_goes_to_a_leaving_node(state: NodeState) -> None:
-    world = World()
-    get = gets(world.ask())[0]
-    world.list(get.node_id, state=state)
-    world.list(get.source_id, state=state)
+def test_draining_and_removed_nodes_get_no_new_requests(state: NodeState) -> None:
+    harness = DirectorHarness()
+    attempt = sent_attempts(harness.request())[0]
+    harness.update_node(attempt.node_id, state=state)
+    harness.update_node(attempt.source_id, state=state)
     for key in range(20):
-        for sent in gets(world.ask(object_key=key, size_kb=1.0)):
-            assert sent.node_id != get.node_id and sent.source_id != get.source_id
-    again = gets(world.end(get, Outcome.RESET))
-    assert again and again[0].node_id != get.node_id and again[0].source_id != get.source_id
+        for sent in sent_attempts(harness.request(object_key=key, size_kb=1.0)):
+            assert sent.node_id != attempt.node_id and sent.source_id != attempt.source_id
+    retried = sent_attempts(harness.end_attempt(attempt, Outcome.RESET))
+    assert retried and retried[0].node_id != attempt.node_id and retried[0].source_id != attempt.source_id
 
 
-def test_a_node_missing_from_a_full_list_is_gone(world: World) -> None:
-    world.give(
-        EndpointListUpdate(EndpointListKind.SNAPSHOT, tuple(n for n in world.nodes if n.node_id != CACHES[0]))
+def test_a_node_missing_from_a_snapshot_is_removed(harness: DirectorHarness) -> None:
+    harness.deliver(
+        EndpointListUpdate(
+            EndpointListKind.SNAPSHOT, tuple(n for n in harness.nodes if n.node_id != CACHES[0])
+        )
     )
-    assert all(gets(world.ask(object_key=key))[0].node_id != CACHES[0] for key in range(100))
+    assert all(sent_attempts(harness.request(object_key=key))[0].node_id != CACHES[0] for key in range(100))
 
 
-def test_a_failed_list_call_changes_nothing(world: World) -> None:
-    world.give(EndpointListUpdate(EndpointListKind.FAILED, ()))
-    assert gets(world.ask())
+def test_a_failed_list_request_changes_nothing(harness: DirectorHarness) -> None:
+    harness.deliver(EndpointListUpdate(EndpointListKind.FAILED, ()))
+    assert sent_attempts(harness.request())
 
 
-# -- 4. cold nodes --
+# -- 4. slow start --
 
 
-def test_a_cold_cache_gets_no_more_than_its_budget() -> None:
+def test_a_cache_in_slow_start_gets_no_more_than_its_budget() -> None:
     settings = make_settings()
-    world = World(settings)
+    harness = DirectorHarness(settings)
     for node in CACHES[1:]:
-        world.list(node, state=NodeState.REMOVED)
-    world.list(CACHES[0], started_ms=world.now)
+        harness.update_node(node, state=NodeState.REMOVED)
+    harness.update_node(CACHES[0], started_ms=harness.now_ms)
     work = sum(
         100.0
         for n in range(400)
-        for get in gets(world.ask(object_key=n, wait=1.0))
-        if get.node_id == CACHES[0]
+        for attempt in sent_attempts(harness.request(object_key=n, wait_ms=1.0))
+        if attempt.node_id == CACHES[0]
     )
     capacity = settings.zone_link_kb_per_s[1] / settings.client_kb_per_s
     assert (
@@ -179,15 +194,15 @@
     )
 
 
-def test_a_cold_parent_gets_no_more_than_its_budget() -> None:
+def test_a_parent_in_slow_start_gets_no_more_than_its_budget() -> None:
     settings = make_settings()
-    world = World(settings)
-    world.list(PARENTS[0], started_ms=world.now)
+    harness = DirectorHarness(settings)
+    harness.update_node(PARENTS[0], started_ms=harness.now_ms)
     sources = []
     for n in range(300):
-        for get in gets(world.ask(object_key=n, wait=1.0, size_kb=500.0)):
-            sources.append(get.source_id)
-            world.end(get, note=CacheStatus.FILLED)
+        for attempt in sent_attempts(harness.request(object_key=n, wait_ms=1.0, size_kb=500.0)):
+            sources.append(attempt.source_id)
+            harness.end_attempt(attempt, cache_status=CacheStatus.FILLED)
     capacity = sum(settings.zone_link_kb_per_s) / settings.client_kb_per_s / len(PARENTS)
     allowed = (
         settings.parent_overload_multiple
@@ -199,57 +214,57 @@
     assert sources.count(PARENTS[1]) > sources.count(PARENTS[0])
 
 
-def test_a_node_long_started_is_warm(world: World) -> None:
-    world.list(PARENTS[0], started_ms=world.now - 60_000.0)
-    sources = {gets(world.ask(object_key=n))[0].source_id for n in range(60)}
+def test_a_node_that_started_long_ago_is_not_in_slow_start(harness: DirectorHarness) -> None:
+    harness.update_node(PARENTS[0], started_ms=harness.now_ms - 60_000.0)
+    sources = {sent_attempts(harness.request(object_key=n))[0].source_id for n in range(60)}
     assert sources == set(PARENTS)
 
 
 # -- 5. purges --
 
 
-def test_no_copy_older_than_a_purge_will_do(world: World) -> None:
-    assert gets(world.ask(object_key=9))[0].max_age_ms == 0.0
-    held = gets(world.ask(object_key=9))[0]
-    world.give(PurgeReceived(200.0, 0, 9), 1.0)
-    sent = gets(world.ask(object_key=9, wait=50.0))[0]
+def test_no_copy_older_than_a_purge_is_accepted(harness: DirectorHarness) -> None:
+    assert sent_attempts(harness.request(object_key=9))[0].max_age_ms == 0.0
+    earlier = sent_attempts(harness.request(object_key=9))[0]
+    harness.deliver(PurgeReceived(200.0, 0, 9), 1.0)
+    sent = sent_attempts(harness.request(object_key=9, wait_ms=50.0))[0]
     assert 0 < sent.max_age_ms < 250.0 and not sent.fetch_mode & 1
-    again = gets(world.end(held, Outcome.RESET))[0]
-    assert 0 < again.max_age_ms < 252.0
+    retried = sent_attempts(harness.end_attempt(earlier, Outcome.RESET))[0]
+    assert 0 < retried.max_age_ms < 252.0
 
 
-def test_a_purge_of_a_group_covers_its_objects(world: World) -> None:
-    world.give(PurgeReceived(0.0, 3, 0))
-    assert 0 < gets(world.ask(object_key=4, wait=0.0))[0].max_age_ms < 1.0
-    assert gets(world.ask(object_key=4, group=2))[0].max_age_ms == 0.0
+def test_a_purge_of_a_group_covers_its_objects(harness: DirectorHarness) -> None:
+    harness.deliver(PurgeReceived(0.0, 3, 0))
+    assert 0 < sent_attempts(harness.request(object_key=4, wait_ms=0.0))[0].max_age_ms < 1.0
+    assert sent_attempts(harness.request(object_key=4, group=2))[0].max_age_ms == 0.0
 
 
-def test_the_youngest_purge_counts_and_is_forgotten_in_time(world: World) -> None:
-    world.give(PurgeReceived(0.0, 0, 9))
-    world.give(PurgeReceived(300.0, 0, 9), 100.0)
-    assert gets(world.ask(object_key=9, wait=0.0))[0].max_age_ms < 100.1
-    assert gets(world.ask(object_key=9, wait=5000.0))[0].max_age_ms > 0.0
-    assert gets(world.ask(object_key=9, wait=10_000.0))[0].max_age_ms == 0.0
+def test_the_latest_purge_counts_and_expires(harness: DirectorHarness) -> None:
+    harness.deliver(PurgeReceived(0.0, 0, 9))
+    harness.deliver(PurgeReceived(300.0, 0, 9), 100.0)
+    assert sent_attempts(harness.request(object_key=9, wait_ms=0.0))[0].max_age_ms < 100.1
+    assert sent_attempts(harness.request(object_key=9, wait_ms=5000.0))[0].max_age_ms > 0.0
+    assert sent_attempts(harness.request(object_key=9, wait_ms=10_000.0))[0].max_age_ms == 0.0
 
 
 def test_the_class_limit_still_caps_the_age() -> None:
-    world = World(make_settings(make_class(fresh_ms=1000.0, stale_ms=3000.0)))
-    world.give(PurgeReceived(0.0, 0, 9))
-    assert gets(world.ask(object_key=9, wait=3000.0))[0].max_age_ms == 1000.0
+    harness = DirectorHarness(make_settings(make_class(fresh_ms=1000.0, stale_ms=3000.0)))
+    harness.deliver(PurgeReceived(0.0, 0, 9))
+    assert sent_attempts(harness.request(object_key=9, wait_ms=3000.0))[0].max_age_ms == 1000.0
 
 
-def test_many_purges_take_bounded_memory(world: World) -> None:
+def test_many_purges_take_bounded_memory(harness: DirectorHarness) -> None:
     for n in range(20_000):
-        world.give(PurgeReceived(0.0, 0, n + 1), 10.0)
-    assert len(world.director.state.purges._purged_at_ms) < 3000
+        harness.deliver(PurgeReceived(0.0, 0, n + 1), 10.0)
+    assert len(harness.director.state.purges._purged_at_ms) < 3000
 
 
-def test_work_that_is_never_kept_goes_to_the_origin_unkept() -> None:
-    world = keyed()
-    get = gets(world.ask())[0]
-    assert get.source_id == ORIGIN and get.cache_rank == 0
+def test_requests_that_are_never_cached_go_to_the_origin() -> None:
+    harness = harness_with_keys()
+    attempt = sent_attempts(harness.request())[0]
+    assert attempt.source_id == ORIGIN and attempt.cache_rank == 0
 
 
-def test_list_made_of_nothing_but_origins_refuses() -> None:
-    world = World(nodes=make_nodes()[-1:])
-    assert isinstance(world.ask()[0], RejectRequest)
+def test_requests_are_rejected_without_caches() -> None:
+    harness = DirectorHarness(nodes=make_nodes()[-1:])
+    assert isinstance(harness.request()[0], RejectRequest)
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -7,7 +7,7 @@
 from typing import Any, cast
 
 import pytest
-from conftest import CACHES, ORIGIN, World, gets, make_nodes, make_settings
+from conftest import CACHES, ORIGIN, DirectorHarness, make_nodes, make_settings, sent_attempts
 
 from stonecove.pipeline.send import Link
 from stonecove.routing.actions import FailRequest, RejectRequest, SendAttempt
@@ -17,15 +17,15 @@
 READY = NodeState.READY
 
 
-def answered(world: World, requests: int) -> list[SendAttempt]:
+def answered(harness: DirectorHarness, requests: int) -> list[SendAttempt]:
     """Asks so many times; every request is sent, refused or failed at once."""
     sent = []
     for key in range(requests):
-        actions = world.ask(object_key=key)
-        sent += gets(actions)
-        assert gets(actions) or isinstance(actions[-1], (RejectRequest, FailRequest))
-        for get in gets(actions):
-            world.end(get, note=CacheStatus.HIT)
+        actions = harness.request(object_key=key)
+        sent += sent_attempts(actions)
+        assert sent_attempts(actions) or isinstance(actions[-1], (RejectRequest, FailRequest))
+        for get in sent_attempts(actions):
+            harness.end_attempt(get, cache_status=CacheStatus.HIT)
     return sent
 
 
@@ -35,7 +35,7 @@
     settings = make_settings(
         fleet_size=600, routers_by_zone=(0, *[15] * 40), zone_link_kb_per_s=(0.0, *[9000.0] * 40)
     )
-    sent = answered(World(settings, [*nodes, Node(ORIGIN + 5000, 2, 0.0, READY, 0, 0, 1.0)]), 300)
+    sent = answered(DirectorHarness(settings, [*nodes, Node(ORIGIN + 5000, 2, 0.0, READY, 0, 0, 1.0)]), 300)
     assert len({get.source_id for get in sent}) > 50
     assert {get.node_id % 40 for get in sent} == {2}
 
@@ -50,50 +50,52 @@
     ],
 )
 def test_odd_shares(changes: dict[str, int]) -> None:
-    world = World(make_settings(**changes), [n._replace(zone=changes.get("zone", 1)) for n in make_nodes()])
-    assert answered(world, 60)
+    harness = DirectorHarness(
+        make_settings(**changes), [n._replace(zone=changes.get("zone", 1)) for n in make_nodes()]
+    )
+    assert answered(harness, 60)
 
 
 def test_a_location_with_one_cache() -> None:
-    sent = answered(World(nodes=[n for n in make_nodes() if n.node_id not in CACHES[1:]]), 40)
+    sent = answered(DirectorHarness(nodes=[n for n in make_nodes() if n.node_id not in CACHES[1:]]), 40)
     assert {get.node_id for get in sent} == {CACHES[0]}
 
 
 def test_all_caches_replaced_at_once_while_hundreds_are_held() -> None:
-    world = World(make_settings(max_attempts=6), [n._replace(weight=500.0) for n in make_nodes()])
-    held = [gets(world.ask(object_key=n, size_kb=1.0))[0] for n in range(300)]
-    fresh = [Node(100 + n, 0, world.now, READY, 0, 1, 1.0) for n in range(4)]
-    world.give(
+    harness = DirectorHarness(make_settings(max_attempts=6), [n._replace(weight=500.0) for n in make_nodes()])
+    held = [sent_attempts(harness.request(object_key=n, size_kb=1.0))[0] for n in range(300)]
+    fresh = [Node(100 + n, 0, harness.now_ms, READY, 0, 1, 1.0) for n in range(4)]
+    harness.deliver(
         EndpointListUpdate(
-            EndpointListKind.SNAPSHOT, (*fresh, *[n for n in world.nodes if n.node_id not in CACHES])
+            EndpointListKind.SNAPSHOT, (*fresh, *[n for n in harness.nodes if n.node_id not in CACHES])
         )
     )
     for get in held:
-        actions = world.give(
+        actions = harness.deliver(
             AttemptEnded(get.request_id, 0, get.node_id, Outcome.RESET, 5.0, False, 0, 0.0, ())
         )
-        assert all(again.node_id >= 100 for again in gets(actions))
-        assert gets(actions) or isinstance(actions[-1], RejectRequest)
+        assert all(again.node_id >= 100 for again in sent_attempts(actions))
+        assert sent_attempts(actions) or isinstance(actions[-1], RejectRequest)
 
 
 def test_weights_that_change_with_every_list() -> None:
-    world = World(make_settings(weights_known=True))
+    harness = DirectorHarness(make_settings(weights_known=True))
     for turn, weight in enumerate((0.0, 1e-9, 4.0, 1e9, -3.0) * 4):
-        world.list(CACHES[turn % 4], weight=weight)
-        for get in gets(world.ask(object_key=turn)):
-            world.end(get, note=CacheStatus.HIT)
+        harness.update_node(CACHES[turn % 4], weight=weight)
+        for get in sent_attempts(harness.request(object_key=turn)):
+            harness.end_attempt(get, cache_status=CacheStatus.HIT)
 
 
 @pytest.mark.parametrize("load", [(), (0.0,), (math.nan, math.inf, -1.0, 1e30, 7.0)])
 def test_reports_of_any_kind_mislead_nobody(load: tuple[float, ...]) -> None:
-    world = World(make_settings(load_report_fields=("busy_reqs", "x1")))
-    home = gets(world.ask(object_key=1))[0]
-    world.give(
+    harness = DirectorHarness(make_settings(load_report_fields=("busy_reqs", "x1")))
+    home = sent_attempts(harness.request(object_key=1))[0]
+    harness.deliver(
         AttemptEnded(home.request_id, 0, home.node_id, Outcome.OK, 1.0, True, CacheStatus.HIT, 0.0, load)
     )
     for node in (home.node_id, 999):
-        assert world.give(HealthCheckEnded(node, True, 1.0, load)) == []
-    assert gets(world.ask(object_key=1))[0].node_id == home.node_id
+        assert harness.deliver(HealthCheckEnded(node, True, 1.0, load)) == []
+    assert sent_attempts(harness.request(object_key=1))[0].node_id == home.node_id
 
 
 class Compared(str):
--- a/tests/test_simulator_adapter.py
+++ b/tests/test_simulator_adapter.py
@@ -1,4 +1,4 @@
-"""The wire adapter, with bytes of our own."""
+"""The simulator adapter, with records built by hand from the wire format."""
 
 from __future__ import annotations
 
@@ -33,28 +33,36 @@
 }
 
 
-def launch(inst: int) -> bytes:
+def launch(instance: int) -> bytes:
+    """Return a record that launches an instance."""
     text = json.dumps(SETTINGS).encode()
-    return struct.pack(">BIQI", 70, inst, 5, len(text)) + text
+    return struct.pack(">BIQI", 70, instance, 5, len(text)) + text
 
 
-def listed(inst: int) -> bytes:
+def endpoint_list(instance: int) -> bytes:
+    """Return a cached snapshot of the endpoint list: one cache, one parent and one origin."""
     nodes = [(0, 0xA000001), (1, 0xA000002), (2, 0xA000003)]
-    entries = b"".join(struct.pack(">BdBHIHHf", kind, 0.0, 2, 0, addr, 80, 0, 1.0) for kind, addr in nodes)
-    return struct.pack(">BIBII", 30, inst, 2, 1, 3) + entries
+    entries = b"".join(
+        struct.pack(">BdBHIHHf", kind, 0.0, 2, 0, address, 80, 0, 1.0) for kind, address in nodes
+    )
+    return struct.pack(">BIBII", 30, instance, 2, 1, 3) + entries
 
 
-def incoming(inst: int, req: int, grace: float = 3000.0) -> bytes:
-    return struct.pack(">BIIHHQdfffH", 80, inst, req, 0, 0, 99, grace, 50.0, 4.0, 0.0, 0)
+def request(instance: int, request_id: int, timeout_ms: float = 3000.0) -> bytes:
+    """Return the record of a client request."""
+    return struct.pack(">BIIHHQdfffH", 80, instance, request_id, 0, 0, 99, timeout_ms, 50.0, 4.0, 0.0, 0)
 
 
-def done(inst: int, req: int, code: int = 0, load: tuple[float, ...] = (1.0, 0.5)) -> bytes:
+def attempt_ended(
+    instance: int, request_id: int, code: int = 0, load: tuple[float, ...] = (1.0, 0.5)
+) -> bytes:
+    """Return the record of an ended attempt."""
     return struct.pack(
-        ">BIIBIHBdBIdB", 60, inst, req, 0, 0xA000001, 80, code, 12.0, code == 0, 1, 0.0, len(load)
+        ">BIIBIHBdBIdB", 60, instance, request_id, 0, 0xA000001, 80, code, 12.0, code == 0, 1, 0.0, len(load)
     ) + struct.pack(f">{len(load)}f", *load)
 
 
-OTHERS = [
+OTHER_RECORDS = [
     struct.pack(">BIdHQ", 10, 3, 20.0, 4, 0),
     struct.pack(">BII", 20, 3, 8),
     struct.pack(">BIIBIHd", 40, 3, 8, 0, 0xA000001, 80, 1.0),
@@ -64,12 +72,14 @@
 ]
 
 
-def batch(*records: bytes, now: float = 1000.0) -> bytes:
+def batch(*records: bytes, now_ms: float = 1000.0) -> bytes:
+    """Return a batch of records."""
     body = b"".join(records)
-    return struct.pack(">dII", now, 16 + len(body), len(records)) + body
+    return struct.pack(">dII", now_ms, 16 + len(body), len(records)) + body
 
 
-def talk(*batches: bytes) -> list[tuple[int, bytes]]:
+def replies_to(*batches: bytes) -> list[tuple[int, bytes]]:
+    """Serve the batches; return the number of actions and the body of each reply."""
     sink = io.BytesIO()
     serve(io.BytesIO(b"".join(batches)), sink)
     data, replies = sink.getvalue(), []
@@ -81,34 +91,37 @@
 
 
 def test_empty_batch() -> None:
-    assert talk(batch()) == [(0, b"")]
+    assert replies_to(batch()) == [(0, b"")]
 
 
-def test_a_request_becomes_a_get_and_a_timer() -> None:
-    replies = talk(batch(), batch(launch(3), listed(3)), batch(incoming(3, 8)))
+def test_a_request_leads_to_an_attempt_and_a_timer() -> None:
+    replies = replies_to(batch(), batch(launch(3), endpoint_list(3)), batch(request(3, 8)))
     assert [count for count, _ in replies] == [0, 0, 2]
-    get = struct.unpack_from(">BIIIHdIHBdB", replies[2][1])
-    assert get == (80, 3, 8, 0xA000001, 80, 4000.0, 0xA000002, 80, 1, 0.0, 0)
+    sent = struct.unpack_from(">BIIIHdIHBdB", replies[2][1])
+    assert sent == (80, 3, 8, 0xA000001, 80, 4000.0, 0xA000002, 80, 1, 0.0, 0)
     assert struct.unpack_from(">BII", replies[2][1], 39) == (110, 3, 8)
 
 
 def test_every_event_is_read() -> None:
-    for record in OTHERS:
-        assert talk(batch(launch(3), listed(3), record, incoming(3, 9)))[0][0] == 2
-    assert talk(batch(launch(3), listed(3), incoming(3, 8)), batch(done(3, 8)))[1] == (0, b"")
+    for record in OTHER_RECORDS:
+        assert replies_to(batch(launch(3), endpoint_list(3), record, request(3, 9)))[0][0] == 2
+    assert replies_to(batch(launch(3), endpoint_list(3), request(3, 8)), batch(attempt_ended(3, 8)))[1] == (
+        0,
+        b"",
+    )
 
 
-def test_instances_stand_apart_and_restart_empty() -> None:
+def test_instances_are_independent_and_restart_without_state() -> None:
     stop = struct.pack(">BI", 50, 3)
-    first = batch(launch(3), stop, launch(3), listed(3), launch(4))
-    replies = talk(first, batch(incoming(3, 1), incoming(4, 1)))
+    first = batch(launch(3), stop, launch(3), endpoint_list(3), launch(4))
+    replies = replies_to(first, batch(request(3, 1), request(4, 1)))
     assert replies[1][0] == 3
     assert struct.unpack_from(">BII", replies[1][1], 56) == (60, 4, 1)
 
 
-def test_actions_are_written_out() -> None:
+def test_actions_are_encoded() -> None:
     adapter = SimulatorAdapter()
-    adapter.handle_batch(0.0, 2, launch(3) + listed(3))
+    adapter.handle_batch(0.0, 2, launch(3) + endpoint_list(3))
     expected = [
         (CancelAttempt(1, 2), (30, 3, 1, 2), ">BIIB"),
         (FailRequest(1), (40, 3, 1), ">BII"),
@@ -122,18 +135,18 @@
         assert struct.unpack(form, simulator_adapter._WRITERS[type(action)](3, action)) == fields
 
 
-def test_an_exception_becomes_a_bug_report(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_an_exception_is_reported_in_the_reply(monkeypatch: pytest.MonkeyPatch) -> None:
     adapter = SimulatorAdapter()
-    adapter.handle_batch(0.0, 2, launch(3) + listed(3))
+    adapter.handle_batch(0.0, 2, launch(3) + endpoint_list(3))
 
-    def broken(now: float, event: object) -> list[object]:
+    def failing(now_ms: float, event: object) -> list[object]:
         raise KeyError("a slip")
 
-    monkeypatch.setattr(adapter.directors[3], "handle", broken)
-    reply = adapter.handle_batch(1.0, 1, incoming(3, 8))
+    monkeypatch.setattr(adapter.directors[3], "handle", failing)
+    reply = adapter.handle_batch(1.0, 1, request(3, 8))
     assert reply[8] == 100 and b"a slip" in reply
-    bad = json.dumps({"classes": []}).encode()
-    reply = adapter.handle_batch(2.0, 1, struct.pack(">BIQI", 70, 5, 1, len(bad)) + bad)
+    invalid = json.dumps({"classes": []}).encode()
+    reply = adapter.handle_batch(2.0, 1, struct.pack(">BIQI", 70, 5, 1, len(invalid)) + invalid)
     assert reply[8] == 100 and b"zone" in reply
 
 
@@ -143,13 +156,13 @@
         b"abc",
         batch(launch(3))[:-4],
         batch(b"\xff\x00\x00\x00\x01"),
-        batch(incoming(3, 8)[:-3]),
-        batch(incoming(3, 8))[:-50] + b"\0" * 50,
+        batch(request(3, 8)[:-3]),
+        batch(request(3, 8))[:-50] + b"\0" * 50,
         struct.pack(">dII", 0.0, 3, 0),
         struct.pack(">dII", 0.0, 18, 0) + b"xx",
     ],
 )
-def test_malformed_frames_are_refused(data: bytes) -> None:
+def test_malformed_batches_are_rejected(data: bytes) -> None:
     done = subprocess.run(
         [sys.executable, "-m", "stonecove.simulator_adapter"], input=data, capture_output=True
     )
@@ -158,12 +171,12 @@
     assert b"malformed input" in done.stderr and b"Traceback" not in done.stderr
 
 
-def test_a_short_record_within_a_sound_frame_is_a_wire_error() -> None:
+def test_a_truncated_record_in_a_valid_batch_is_a_wire_error() -> None:
     with pytest.raises(WireError):
-        SimulatorAdapter().handle_batch(0.0, 1, incoming(3, 8)[:-3])
+        SimulatorAdapter().handle_batch(0.0, 1, request(3, 8)[:-3])
 
 
-def test_settings_name_what_is_missing() -> None:
+def test_errors_in_settings_name_the_missing_key() -> None:
     for missing, table in (
         ("classes", {"zone": 1}),
         ("zone", {"classes": []}),
