--- a/benchmarks/capacity_coordination.py
+++ b/benchmarks/capacity_coordination.py
@@ -18,8 +18,8 @@
 from stonecove.protocols.zookeeper.registration import Registrar
 from stonecove.protocols.zookeeper.session import Figures as SessionFigures
 from stonecove.protocols.zookeeper.tree_watch import Tree
-from stonecove.runtime.log import divert
-from stonecove.transport.zookeeper import Ensemble
+from stonecove.runtime.log import set_log_sink
+from stonecove.transport.zookeeper import ZooKeeperClient
 
 
 class CountingSink:
@@ -50,22 +50,22 @@
     CACHES_PATH, ROUTERS_PATH = "/stonecove/boxes", "/stonecove/routers"
 
     def __init__(self, servers: tuple[tuple[str, int], ...], number: int, recursive: bool) -> None:
-        self.ensemble = Ensemble(servers, number, SessionFigures(), lambda: None)
+        self.ensemble = ZooKeeperClient(servers, number, SessionFigures(), lambda: None)
         self.caches, self.routers = CountingSink(), CountingSink()
         record = json.dumps(
             {"name": f"router-{number:04}", "zone": "edge-1", "state": "ready",
              "listen": f"10.0.{number // 250}.{number % 250}:6565", "started": 1_700_000_000_000}
         ).encode()  # fmt: skip
         self.registrar = Registrar(
-            self.ROUTERS_PATH, f"router-{number:04}", record, self.ensemble.ask,
+            self.ROUTERS_PATH, f"router-{number:04}", record, self.ensemble.request,
             lambda: self.ensemble.session.session, lambda data: False, lambda *what, **more: None,
         )  # fmt: skip
         trees = (
-            Tree(self.CACHES_PATH, self.ensemble.ask, self.caches, recursive),
-            Tree(self.ROUTERS_PATH, self.ensemble.ask, self.routers, recursive),
+            Tree(self.CACHES_PATH, self.ensemble.request, self.caches, recursive),
+            Tree(self.ROUTERS_PATH, self.ensemble.request, self.routers, recursive),
         )
         for feed in (trees[0].feed, self.registrar.feed, trees[1].feed):
-            self.ensemble.add(feed)
+            self.ensemble.add_listener(feed)
 
     @property
     def settled(self) -> bool:
@@ -162,7 +162,7 @@
 
 async def _sessions(count: int, caches: int, recursive: bool, short: bool) -> Figures:
     keeper = await trio.to_thread.run_sync(Standin, 3)
-    divert(lambda event, fields: None)
+    set_log_sink(lambda event, fields: None)
     try:
         for path in ("/stonecove", Member.CACHES_PATH, Member.ROUTERS_PATH):
             keeper.do(f"create {path}")
@@ -173,7 +173,7 @@
             nursery.cancel_scope.cancel()
         return figures
     finally:
-        divert(None)
+        set_log_sink(None)
         keeper.close()
 
 
--- a/benchmarks/capacity_log.py
+++ b/benchmarks/capacity_log.py
@@ -19,9 +19,9 @@
 from benchmarks.capacity_fits import BOUND_BYTES, PURGE_RATE, ROUTERS, Figures, line_fit
 from stonecove.discovery import PurgeUpdate, Told
 from stonecove.protocols.change_log import Follower
-from stonecove.runtime.log import divert
+from stonecove.runtime.log import set_log_sink
 from stonecove.standins.depot import HOST
-from stonecove.transport.change_log_follower import ChangeLog
+from stonecove.transport.change_log_follower import ChangeLogClient
 
 TCP_HEADERS, TCP_TIMESTAMPS = 40, 12
 WINDOWS = (0.0, 0.05, 0.1, 0.2, 0.5)  # seconds for which a change log's server gathers
@@ -156,7 +156,7 @@
 async def _follow_all(servers: Sequence[LogServer], sinks: Sequence[DelaySink], seconds: float) -> None:
     async with trio.open_nursery() as nursery:
         for server, sink in zip(servers, sinks, strict=True):
-            nursery.start_soon(ChangeLog(HOST, server.port, Follower(1)).run, sink)
+            nursery.start_soon(ChangeLogClient(HOST, server.port, Follower(1)).run, sink)
         await trio.sleep(seconds)
         nursery.cancel_scope.cancel()
 
@@ -183,12 +183,12 @@
         for thread in threads:
             thread.start()
 
-    divert(lambda event, fields: None)
+    set_log_sink(lambda event, fields: None)
     try:
         threading.Thread(target=begin).start()
         trio.run(_follow_all, servers, sinks, warm + seconds + 1.5)
     finally:
-        divert(None)
+        set_log_sink(None)
     for thread in threads:
         thread.join()
     figures: Figures = {}
--- a/benchmarks/capacity_router.py
+++ b/benchmarks/capacity_router.py
@@ -43,9 +43,9 @@
 from stonecove.routing.purges import PURGE_RETENTION_MARGIN, PurgeHistory
 from stonecove.routing.rendezvous import RendezvousHash
 from stonecove.runtime.clock import Clock
-from stonecove.runtime.log import divert
+from stonecove.runtime.log import set_log_sink
 from stonecove.runtime.timers import Timers
-from stonecove.state.budget import Budget
+from stonecove.state.budget import MemoryBudget
 
 CALM_CHANGES = 318  # a day: 6 caches fail and 100 are restarted, each told of as draining, gone and ready
 RELEASE_CHANGES = 870  # each of 290 caches, the same three
@@ -141,8 +141,8 @@
 def bare_route(parents: int) -> tuple[Route, tuple[Member, ...]]:
     """A router's core without I/O, told of a whole list."""
     clock = Clock()
-    budget = Budget()
-    budget.most = 48e6
+    budget = MemoryBudget()
+    budget.limit_bytes = 48e6
     route = Route(edge_settings(), 7, clock, Timers(clock, time.monotonic, _idle), budget, 0.0, _connect)
     members = tuple(Member(one, "127.0.0.1", 6565) for one in listed_nodes(parents))
     route.told(MembersUpdate(True, members))
@@ -161,11 +161,11 @@
 @contextmanager
 def silent_log() -> Iterator[None]:
     """The core's lines go nowhere."""
-    divert(_discard)
+    set_log_sink(_discard)
     try:
         yield
     finally:
-        divert(None)
+        set_log_sink(None)
 
 
 def purge_frame(number: int) -> bytes:
--- a/benchmarks/membership.py
+++ b/benchmarks/membership.py
@@ -32,10 +32,10 @@
 from stonecove.discovery.roster import Claim
 from stonecove.protocols.zookeeper.session import Figures
 from stonecove.routing.endpoints import NodeState
-from stonecove.runtime.log import divert
+from stonecove.runtime.log import set_log_sink
 from stonecove.standins.depot import Depot
 from stonecove.standins.webserver import Asker, settings
-from stonecove.transport.zookeeper import Ensemble
+from stonecove.transport.zookeeper import ZooKeeperClient
 
 BOXES, ROUTERS = "/stonecove/boxes", "/stonecove/routers"
 PACE = 400.0  # requests a second
@@ -412,7 +412,7 @@
 
     async def play() -> float:
         figures = Figures(timeout=1.0)
-        ensembles = [Ensemble(servers, seed, figures, lambda: None) for seed in range(instances)]
+        ensembles = [ZooKeeperClient(servers, seed, figures, lambda: None) for seed in range(instances)]
 
         async def all_up(name: str, began: float) -> None:
             while sum(ensemble.session.connected for ensemble in ensembles) < instances:
@@ -436,7 +436,7 @@
             nursery.cancel_scope.cancel()
         return began
 
-    divert(lambda event, fields: None)
+    set_log_sink(lambda event, fields: None)
     try:
         began = trio.run(play)
         at = sorted(
@@ -456,7 +456,7 @@
             "storm_silent_back_ms": took["silent"],
         }
     finally:
-        divert(None)
+        set_log_sink(None)
         keeper.close()
 
 
--- a/benchmarks/rollout.py
+++ b/benchmarks/rollout.py
@@ -23,11 +23,11 @@
 from stonecove.rollout.messages import DEFAULT_WAVES, Bounds, RolloutState
 from stonecove.routing.settings import Settings
 from stonecove.runtime.clock import Clock
-from stonecove.runtime.log import divert
+from stonecove.runtime.log import set_log_sink
 from stonecove.server.config import config_from
 from stonecove.server.configuration import ConfigurationKeeper
 from stonecove.standins.webserver import settings
-from stonecove.transport.zookeeper import Ensemble
+from stonecove.transport.zookeeper import ZooKeeperClient
 
 PATH = "/stonecove/configuration"
 SESSION = Figures(timeout=10.0)
@@ -65,7 +65,7 @@
             "changelog": "127.0.0.1:1",
             "settings": own,
         }
-        self.ensemble = Ensemble(servers, number, SESSION, lambda: None)
+        self.ensemble = ZooKeeperClient(servers, number, SESSION, lambda: None)
         self.session = CountedSession(servers, number, SESSION)
         self.ensemble.session = self.session
         self.keeper = ConfigurationKeeper(
@@ -138,7 +138,7 @@
 
 def main() -> None:
     """Measures all, and prints the figures."""
-    divert(lambda event, fields: None)
+    set_log_sink(lambda event, fields: None)
     changes = 1 if "--short" in sys.argv[1:] else CHANGES
     figures: dict[str, float] = {}
     for count in (50, 150, 400):
--- a/stonecove/explore/codecs.py
+++ b/stonecove/explore/codecs.py
@@ -18,7 +18,7 @@
 from stonecove.protocols import resp
 from stonecove.protocols.buffer import Buffer, BufferFullError
 from stonecove.protocols.fastcgi import codec as fastcgi
-from stonecove.state.budget import Budget
+from stonecove.state.budget import MemoryBudget
 
 EVERY = 12
 MOST_UNREAD = 1 << 20
@@ -72,8 +72,8 @@
 
 def play_fastcgi(parts: Iterator[bytes]) -> Outcome:
     """What the FastCGI decoder makes of these pieces; the budget must be given back in the end."""
-    budget = Budget()
-    budget.most = 4e5
+    budget = MemoryBudget()
+    budget.limit_bytes = 4e5
     buffer, decoder, out = Buffer(MOST_UNREAD), fastcgi.Decoder(budget, lambda: 1.0), []
     error = ""
     try:
@@ -89,8 +89,8 @@
     except (fastcgi.FastCgiError, BufferFullError) as problem:
         error = type(problem).__name__
     decoder.close()
-    if budget._coming:
-        error += f" and {budget._coming} bytes kept"
+    if budget._incomplete_bytes:
+        error += f" and {budget._incomplete_bytes} bytes kept"
     return (*out, f"open {sorted(decoder.open)} away {decoder.turned_away}"), error
 
 
--- a/stonecove/explore/fingerprint.py
+++ b/stonecove/explore/fingerprint.py
@@ -19,7 +19,7 @@
 from stonecove.explore.properties import PropertyMonitor
 from stonecove.explore.scope import Scope
 from stonecove.pipeline import admit, relay, route, send
-from stonecove.pipeline.book import Book
+from stonecove.pipeline.book import AttemptRecorder
 from stonecove.protocols import upstream_channel as channel
 from stonecove.protocols.change_log import Follower
 from stonecove.protocols.fastcgi import codec as fastcgi
@@ -61,72 +61,79 @@
             "nodes": WIRING,
             "requests": WIRING,
             "admit": WIRING,
-            "book": WIRING,
+            "recorder": WIRING,
             "relay": WIRING,
             "send": WIRING,
-            "_carry": FIXED,
+            "_action_handlers": FIXED,
             "_wake": WIRING,
             "_events": "empty between steps",
-            "_busy": "false between steps",
-            "_said": SAID,
-            "gate": "none in the explorer's installation",
+            "_processing": "false between steps",
+            "_last_notice_ms": SAID,
+            "shared_limit_check": "none in the explorer's installation",
         },
     ),
     admit.Admit: (
-        "cpu latest",
+        "cpu final_deadline_ms",
         {
             "_random": "always the middle here",
-            "_longest_pause": FIXED,
-            "_longest": FIXED,
-            "_priority": FIXED,
-            "_patience": FIXED,
+            "_max_retry_after_ms": FIXED,
+            "_max_wait_ms": FIXED,
+            "_relative_priority": FIXED,
+            "_max_queueing_ms": FIXED,
             "_requests": WIRING,
             "_budget": WIRING,
-            "_most": FIXED,
+            "_max_open": FIXED,
             "_bytes_per_kb": FIXED,
             "_classes": FIXED,
-            "_pace": FIXED,
+            "_transfer_bytes_per_s": FIXED,
         },
     ),
-    Book: ("", {"_clock": WIRING, "_admit": WIRING, "_post": WIRING, "counts": SAID}),
-    relay.Relay: ("", {"_report_fields": FIXED, "_book": WIRING}),
+    AttemptRecorder: ("", {"_clock": WIRING, "_admit": WIRING, "_post": WIRING, "counts": SAID}),
+    relay.Relay: ("", {"_report_fields": FIXED, "_recorder": WIRING}),
     send.Send: (
-        "most_links _links _where",
+        "max_connections _connections _connection_by_attempt",
         {
             "_clock": WIRING,
             "_timers": WIRING,
             "_nodes": WIRING,
             "_settings": FIXED,
-            "_book": WIRING,
+            "_recorder": WIRING,
             "_relay": WIRING,
             "_connect": WIRING,
-            "watcher": WIRING,
-            "outlived": WIRING,
+            "on_write": WIRING,
+            "is_decision_outdated": WIRING,
         },
     ),
-    send.Link: (
-        "node address opened_at open given_up answered doubtful heard_at used_at connection",
+    send.NodeConnection: (
+        "node_id address opened_at_ms attempts cancelled_ids answered_ids suspect last_received_ms "
+        "last_used_ms channel",
         {"_send": WIRING},
     ),
-    requests.OpenRequests: ("_open _txns", {"_next": "numbers are told by place"}),
+    requests.OpenRequests: ("_open _by_txn", {"_last_id": "numbers are told by place"}),
     requests.OpenRequest: (
-        "asked deadline holds answered backstop expired attempts",
-        {"req": "numbers are told by place", "cls": "that of the settings, which stay as they are here"},
+        "client_request deadline_ms reserved_bytes answered backstop_timer expired attempts",
+        {
+            "request_id": "numbers are told by place",
+            "class_settings": "that of the settings, which stay as they are here",
+        },
     ),
     requests.Attempt: (
-        "number order ordered_at written_at outdated ended not_run moved alarm",
+        "number action decided_at_ms written_at_ms purged ended not_executed reassigned deadline_timer",
         {"request": WIRING},
     ),
     nodes.NodeTable: ("_members", {}),
-    budget.Budget: ("most _used _coming", {"_holders": DERIVED}),
+    budget.MemoryBudget: (
+        "limit_bytes _reserved_bytes _incomplete_bytes",
+        {"_incomplete_by_holder": DERIVED},
+    ),
     Timers: (
         "_heap",
         {
             "_clock": WIRING,
-            "_steady": WIRING,
+            "_monotonic": WIRING,
             "_wake": WIRING,
-            "_count": "the order of equal times is that of the heap",
-            "_tidy_at": "there are never so many here",
+            "_sequence": "the order of equal times is that of the heap",
+            "_compact_at": "there are never so many here",
         },
     ),
     channel.Channel: (
@@ -290,7 +297,7 @@
         """The router's loop, with the stages and the decision module."""
 
     @property
-    def budget(self) -> budget.Budget:
+    def budget(self) -> budget.MemoryBudget:
         """The router's budget of bytes."""
 
     @property
@@ -360,7 +367,9 @@
     def __init__(self, simulation: SimulationState) -> None:
         self._simulation = simulation
         self._now = simulation.now
-        self._place = {request.req: int(request.asked.txn, 16) for request in simulation.route.requests}
+        self._place = {
+            request.request_id: int(request.client_request.txn, 16) for request in simulation.route.requests
+        }
 
     def time(self, moment: float) -> float:
         """A Unix millisecond, told from now on; 0 stays 0."""
@@ -383,41 +392,48 @@
         opened = tuple(
             sorted(
                 (
-                    int(request.asked.txn, 16),
-                    time(request.deadline),
-                    request.holds,
+                    int(request.client_request.txn, 16),
+                    time(request.deadline_ms),
+                    request.reserved_bytes,
                     request.answered,
                     request.expired,
-                    self.alarm(request.backstop),
+                    self.alarm(request.backstop_timer),
                     tuple(map(self.attempt, request.attempts)),
                 )
                 for request in route.requests
             )
         )
         txns = tuple(
-            sorted((txn, self.request_place(request.req)) for txn, request in route.requests._txns.items())
+            sorted(
+                (txn, self.request_place(request.request_id))
+                for txn, request in route.requests._by_txn.items()
+            )
+        )
+        undecided = tuple(
+            (time(came), self.request_place(request.request_id)) for came, request in route._undecided
+        )
+        links = tuple(
+            (key, tuple(map(self.link, found))) for key, found in sorted(route.send._connections.items())
         )
-        undecided = tuple((time(came), self.request_place(request.req)) for came, request in route._undecided)
-        links = tuple((key, tuple(map(self.link, found))) for key, found in sorted(route.send._links.items()))
         where = tuple(
             sorted(
-                (self.request_place(attempt.request.req), attempt.number, link.node)
-                for attempt, link in route.send._where.items()
+                (self.request_place(attempt.request.request_id), attempt.number, link.node_id)
+                for attempt, link in route.send._connection_by_attempt.items()
             )
         )
         return (
             cpu,
-            time(route.admit.latest),
+            time(route.admit.final_deadline_ms),
             members,
             opened,
             txns,
             undecided,
             links,
             where,
-            route.send.most_links,
-            self._simulation.budget.most,
-            self._simulation.budget._used,
-            self._simulation.budget._coming,
+            route.send.max_connections,
+            self._simulation.budget.limit_bytes,
+            self._simulation.budget._reserved_bytes,
+            self._simulation.budget._incomplete_bytes,
         )
 
     def node(self, node: Node) -> tuple[Any, ...]:
@@ -435,7 +451,7 @@
     @staticmethod
     def alarm(alarm: Any) -> int:
         """Whether an alarm is set."""
-        return -1 if alarm is None else int(alarm.call is not None)
+        return -1 if alarm is None else int(alarm.callback is not None)
 
     def order(self, get: SendAttempt) -> tuple[Any, ...]:
         """An order, without the number of its request."""
@@ -452,29 +468,29 @@
         """An attempt of the stages."""
         return (
             attempt.number,
-            self.order(attempt.order),
-            self.time(attempt.ordered_at),
-            self.time(attempt.written_at),
-            attempt.outdated,
+            self.order(attempt.action),
+            self.time(attempt.decided_at_ms),
+            self.time(attempt.written_at_ms),
+            attempt.purged,
             attempt.ended,
-            attempt.not_run,
-            attempt.moved,
-            self.alarm(attempt.alarm),
+            attempt.not_executed,
+            attempt.reassigned,
+            self.alarm(attempt.deadline_timer),
         )
 
-    def link(self, link: send.Link) -> tuple[Any, ...]:
+    def link(self, link: send.NodeConnection) -> tuple[Any, ...]:
         """A connection to a cache, with its socket."""
-        opened = tuple(sorted((txn, attempt.number) for txn, attempt in link.open.items()))
+        opened = tuple(sorted((txn, attempt.number) for txn, attempt in link.attempts.items()))
         return (
-            link.node,
+            link.node_id,
             link.address,
-            self.time(link.opened_at),
+            self.time(link.opened_at_ms),
             opened,
-            tuple(sorted(link.given_up)),
-            tuple(sorted(link.answered)),
-            link.doubtful,
-            self.time(link.heard_at),
-            self.time(link.used_at),
+            tuple(sorted(link.cancelled_ids)),
+            tuple(sorted(link.answered_ids)),
+            link.suspect,
+            self.time(link.last_received_ms),
+            self.time(link.last_used_ms),
         )
 
     def channel(self, channel: peers.ServerChannel) -> tuple[Any, ...]:
@@ -482,7 +498,7 @@
         queue = tuple(self.command(command) for command in channel._queue)
         decoder, sock = channel.decoder, channel.sock
         return (
-            channel.link.node,
+            channel.link.node_id,
             channel.process,
             round(channel.until - self._simulation.t, 6),
             channel.silent,
@@ -506,23 +522,24 @@
             tuple(sorted(channel.numbers.items())),
             channel.halfway,
             any(
-                link is channel.link for link in self._simulation.route.send._links.get(channel.link.node, ())
+                link is channel.link
+                for link in self._simulation.route.send._connections.get(channel.link.node_id, ())
             ),
         )
 
     def command(self, command: Any) -> tuple[Any, ...]:
         """Something that waits to be written."""
-        if isinstance(command, send.Fetch):
+        if isinstance(command, send.FetchCommand):
             attempt = command._attempt
-            return (self.request_place(attempt.request.req), attempt.number, command.stale())
+            return (self.request_place(attempt.request.request_id), attempt.number, command.is_superseded())
         return (command._txn,)
 
     def timers(self) -> tuple[Any, ...]:
         """All alarms that are on, in their order."""
         return tuple(
-            (round(due - self._simulation.t, 6), self.call(alarm.call))
+            (round(due - self._simulation.t, 6), self.call(alarm.callback))
             for due, _, alarm in sorted(self._simulation.timers._heap, key=lambda entry: entry[:2])
-            if alarm.call is not None
+            if alarm.callback is not None
         )
 
     def call(self, call: Callable[[], None]) -> tuple[Any, ...]:
@@ -532,9 +549,9 @@
         found: list[Any] = [getattr(call.func, "__name__", "")]
         for argument in call.args:
             if isinstance(argument, requests.Attempt):
-                found += [self.request_place(argument.request.req), argument.number]
+                found += [self.request_place(argument.request.request_id), argument.number]
             elif isinstance(argument, requests.OpenRequest):
-                found.append(self.request_place(argument.req))
+                found.append(self.request_place(argument.request_id))
             else:
                 found.append(self.request_place(getattr(argument, "token", -1)))
         return tuple(found)
@@ -719,7 +736,7 @@
         )
         seen = []
         for txn, one in monitor.seen.items():
-            over = one.state != "open" and self._simulation.route.requests._txns.get(txn) is None
+            over = one.state != "open" and self._simulation.route.requests._by_txn.get(txn) is None
             sent = (
                 ()
                 if over
@@ -760,7 +777,7 @@
     found: list[object] = [
         route,
         route.admit,
-        route.book,
+        route.recorder,
         route.relay,
         route.send,
         route.requests,
--- a/stonecove/explore/peers.py
+++ b/stonecove/explore/peers.py
@@ -8,13 +8,13 @@
 from typing import Protocol
 
 from stonecove.explore.properties import PropertyMonitor
-from stonecove.pipeline.send import Link
+from stonecove.pipeline.send import NodeConnection
 from stonecove.protocols import resp
 from stonecove.protocols.fastcgi import codec as fastcgi
 from stonecove.protocols.fastcgi.session import Handler, Session
 from stonecove.protocols.upstream_channel import Channel
 from stonecove.runtime.clock import Clock
-from stonecove.state.budget import Budget
+from stonecove.state.budget import MemoryBudget
 
 _TXN = re.compile(rb"\*4\r\n\$5\r\nfetch\r\n\$16\r\n([0-9a-f]{16})\r\n\$\d+\r\n([^\r]*)\r\n")
 _ABORT = re.compile(rb"\*2\r\n\$5\r\nabort\r\n\$16\r\n([0-9a-f]{16})\r\n")
@@ -82,7 +82,7 @@
 class ServerChannel(Channel):
     """A connection to a server, its I/O done by the simulation."""
 
-    def __init__(self, observer: PeerObserver, link: Link, process: int, until: float) -> None:
+    def __init__(self, observer: PeerObserver, link: NodeConnection, process: int, until: float) -> None:
         super().__init__(link, observer.clock.now)
         self.link = link
         self.observer = observer
@@ -159,7 +159,7 @@
     """A client connection, its I/O done by the simulation."""
 
     def __init__(
-        self, sock: ClientSocket, handler: Handler, clock: Callable[[], float], budget: Budget
+        self, sock: ClientSocket, handler: Handler, clock: Callable[[], float], budget: MemoryBudget
     ) -> None:
         super().__init__(sock, handler, clock, budget)
         self.sock = sock
--- a/stonecove/explore/properties.py
+++ b/stonecove/explore/properties.py
@@ -10,7 +10,7 @@
 from typing import NamedTuple
 
 from stonecove.explore.machine import Violation
-from stonecove.pipeline.relay import SLACK
+from stonecove.pipeline.relay import AGE_TOLERANCE_MS
 from stonecove.routing.endpoints import Node, NodeState
 from stonecove.routing.events import Outcome, reported_outcome
 from stonecove.routing.settings import ClassSettings, DeduplicationScope, Idempotency
@@ -90,7 +90,9 @@
         Property("same-split", "a decoder gives the same for every split of the same bytes", "codecs"),
         Property("legal-read", "a legal stream is read to its end", "codecs"),
         Property(
-            "gone-closed", "connections to a node that is listed no more are closed", "README; Send.gone"
+            "gone-closed",
+            "connections to a node that is listed no more are closed",
+            "README; Send.close_unlisted",
         ),
         Property("bounded", "a decoder holds no more than its bound", "codecs"),
         Property("clean-error", "bytes that can't be read give the codec's own error", "codecs"),
@@ -373,14 +375,14 @@
         if cls.never_cached:
             return
         for told, purged, group, key in self.purges[:known]:
-            if born < purged - SLACK - 1.0:
+            if born < purged - AGE_TOLERANCE_MS - 1.0:
                 name = f"object {key:x}" if key else f"group {group}"
                 self.broken(
                     "no-purged",
                     f"a copy born {purged - born:.0f} ms before the purge of {name}, told "
                     f"{out - told:.0f} ms before its first byte",
                 )
-        if cls.fresh_ms and born < out - cls.fresh_ms - cls.stale_ms - SLACK - 1.0:
+        if cls.fresh_ms and born < out - cls.fresh_ms - cls.stale_ms - AGE_TOLERANCE_MS - 1.0:
             self.broken("not-too-old", f"a copy {out - born:.0f} ms old")
 
     def overdue(self, now: float) -> None:
--- a/stonecove/explore/reach.py
+++ b/stonecove/explore/reach.py
@@ -102,15 +102,31 @@
     ),
     ("routing/director.py", "_on_attempt_ended", "guards against late events, which the stages never send"),
     ("exchange.py", "__init__", "bad requests: tests/test_router.py"),
-    ("runtime/timers.py", "next_due|_make", "an alarm that raises; the seeded faults and tests play it"),
-    ("pipeline/book.py", "ended", "the second line against a second end: every caller looks first"),
+    (
+        "runtime/timers.py",
+        "next_due|_run_callback",
+        "an alarm that raises; the seeded faults and tests play it",
+    ),
+    ("pipeline/book.py", "attempt_ended", "the second line against a second end: every caller looks first"),
     ("pipeline/relay.py", "answer", "the second line against a second answer, in nocancel at its full depth"),
-    ("pipeline/relay.py", "spoilt|_wrong", "long bodies and wrong tags: tests/test_router.py"),
-    ("pipeline/route.py", "asked", "when memory is out, the codec turns requests away before the stages"),
-    ("pipeline/route.py", "_one", "an error in the decisions; the seeded faults play it"),
-    ("pipeline/route.py", "_backstop|_get", "the last line: the module answers first; SIGTERM at full depth"),
+    (
+        "pipeline/relay.py",
+        "corruption_reason|_rejection_reason",
+        "long bodies and wrong tags: tests/test_router.py",
+    ),
+    ("pipeline/route.py", "submit", "when memory is out, the codec turns requests away before the stages"),
+    ("pipeline/route.py", "_handle_event", "an error in the decisions; the seeded faults play it"),
+    (
+        "pipeline/route.py",
+        "_backstop|_send_attempt",
+        "the last line: the module answers first; SIGTERM at full depth",
+    ),
     ("pipeline/route.py", "expire", "the scope stopped at its full depth"),
-    ("pipeline/send.py", "takes|_place|arrived|down", "full connections, short arrays: tests/test_router.py"),
+    (
+        "pipeline/send.py",
+        "can_take|_assign|handle_response|handle_closed",
+        "full connections, short arrays: tests/test_router.py",
+    ),
     ("protocols/change_log.py", "take", "empty frames and unknown kinds: tests/test_router.py"),
     (
         "protocols/upstream_channel.py",
@@ -143,7 +159,7 @@
         "a whole core is never overdrawn by waiting in the scopes; the load day plays it",
     ),
     ("", "reconfigure", "settings that change: tests/test_settings_change.py"),
-    ("", "__len__|line|stats", "counts told to people"),
+    ("", "__len__|log_statistics|stats", "counts told to people"),
 )
 
 
--- a/stonecove/explore/simulation.py
+++ b/stonecove/explore/simulation.py
@@ -18,9 +18,9 @@
 from stonecove.explore.properties import PropertyMonitor
 from stonecove.explore.scope import ANSWERS, CACHE, CLASSES, ORIGIN, PARENT, Scope
 from stonecove.frontends.fastcgi import Front
-from stonecove.pipeline.admit import MARGIN
-from stonecove.pipeline.route import BACKSTOP, Route
-from stonecove.pipeline.send import Link, connection_limit
+from stonecove.pipeline.admit import RESPONSE_MARGIN_MS
+from stonecove.pipeline.route import BACKSTOP_MS, Route
+from stonecove.pipeline.send import NodeConnection, connection_limit
 from stonecove.protocols import resp
 from stonecove.protocols.buffer import Buffer
 from stonecove.protocols.change_log import Follower, frames
@@ -33,7 +33,7 @@
 from stonecove.runtime.clock import Clock, CpuCredit
 from stonecove.runtime.log_events import LogEvent
 from stonecove.runtime.timers import Timers
-from stonecove.state.budget import Budget
+from stonecove.state.budget import MemoryBudget
 
 START = 1_000_000.0  # the Unix second at which every run begins
 HAIR = 1e-7  # seconds past an alarm's time to which a wait goes, so that equal times are one instant
@@ -70,10 +70,10 @@
     def __init__(self) -> None:
         self.saved = 0.0
 
-    def share(self, cores: float) -> None:
+    def set_cores(self, cores: float) -> None:
         """Nothing depends on cores here."""
 
-    def left(self) -> float:
+    def remaining_s(self) -> float:
         """What was set."""
         return self.saved
 
@@ -94,14 +94,14 @@
     def __init__(self, scope: Scope) -> None:
         global _current
         _current = self
-        runtime_log.divert(_logged)
+        runtime_log.set_log_sink(_logged)
         self.scope = scope
         self.t = START  # seconds
         self.faults = scope.faults
         self.clock = Clock(self._seconds)
         self.timers = Timers(self.clock, self._seconds)
-        self.budget = Budget()
-        self.budget.most = MEMORY
+        self.budget = MemoryBudget()
+        self.budget.limit_bytes = MEMORY
         settings = bounds.settings(scope.attempts, scope.cancel)
         self.settings = settings
         self.monitor = PropertyMonitor(CLASSES, scope.attempts)
@@ -111,7 +111,7 @@
         setattr(self.route.admit, "_random", FixedRandom())  # noqa: B010
         setattr(self.route.director.state, "random", FixedRandom())  # noqa: B010
         setattr(self.route.director, "handle", MonitoredHandle(self))  # noqa: B010
-        self.route.send.most_links = connection_limit(SOCKETS)
+        self.route.send.max_connections = connection_limit(SOCKETS)
         self.front = Front(settings, self.route)
         self.front.ready = True
         self.names: dict[str, int] = {}
@@ -159,7 +159,7 @@
         return self.monitor.violations
 
     def _connect(self, owner: Any, address: tuple[str, int], patience: float) -> ServerChannel:
-        assert isinstance(owner, Link)
+        assert isinstance(owner, NodeConnection)
         channel = ServerChannel(self, owner, self.processes.get(address[1], 0), self.t + patience)
         self.channels.append(channel)
         return channel
@@ -172,7 +172,7 @@
     def txn_of(self, req: int) -> str:
         """The id of an open request; empty for one that is over."""
         request = self.route.requests.get(req)
-        return request.asked.txn if request is not None else ""
+        return request.client_request.txn if request is not None else ""
 
     def logged(self, event: str, fields: dict[str, object]) -> None:
         """Called for each line that the router logs."""
@@ -262,8 +262,8 @@
         number = next(
             (
                 attempt.number
-                for attempt, link in self.route.send._where.items()
-                if link.connection is channel and attempt.request.asked.txn == txn
+                for attempt, link in self.route.send._connection_by_attempt.items()
+                if link.channel is channel and attempt.request.client_request.txn == txn
             ),
             -1,
         )
@@ -273,14 +273,14 @@
             )
         source = int(fields["from"].removeprefix("s-"), 16) if "from" in fields else None
         channel.numbers[txn] = number
-        self.monitor.first_byte(txn, number, channel.link.node, source, self.now)
+        self.monitor.first_byte(txn, number, channel.link.node_id, source, self.now)
 
     # -- the steps --
 
     def _name(self, channel: ServerChannel) -> str:
         """A connection by its node and its place among those to it."""
-        node = channel.link.node
-        same = [other for other in self.channels if other.link.node == node]
+        node = channel.link.node_id
+        same = [other for other in self.channels if other.link.node_id == node]
         return f"{self.members[node][0]}.{same.index(channel)}"
 
     def _channel(self, name: str) -> ServerChannel:
@@ -314,7 +314,7 @@
         alarms = [
             alarm
             for _, _, alarm in self.timers._heap
-            if alarm.call is not None and getattr(alarm.call, "__name__", "") != "_sweep"
+            if alarm.callback is not None and getattr(alarm.callback, "__name__", "") != "_sweep"
         ]
         stopping = self.term_at < math.inf and not self.expired
         return not (alarms or len(self.route.requests) or self.channels or self.route._undecided or stopping)
@@ -356,8 +356,8 @@
 
     def _strained(self) -> bool:
         return (
-            self.budget.most < MEMORY
-            or self.route.send.most_links < connection_limit(SOCKETS)
+            self.budget.limit_bytes < MEMORY
+            or self.route.send.max_connections < connection_limit(SOCKETS)
             or getattr(self.route.admit.cpu, "saved", 0.0) < 0
         )
 
@@ -446,7 +446,7 @@
         else:
             noticed_later = word in ("reset", "hangup") and self.scope.fine
             if noticed_later or (
-                word == "second" and self.txn(int(args[1])) not in self._channel(args[0]).link.open
+                word == "second" and self.txn(int(args[1])) not in self._channel(args[0]).link.attempts
             ):
                 part = args[0]
         if part is None:
@@ -459,11 +459,11 @@
         One that comes up with nothing on it may take over what waits for others.
         """
         attempts = [getattr(command, "_attempt", None) for command in channel._queue]
-        return bool(not channel.sock.dead and channel.link.open) and all(
+        return bool(not channel.sock.dead and channel.link.attempts) and all(
             attempt is None
-            or not (attempt.ended or attempt.outdated)
-            and self.route.nodes.ready(attempt.order.node_id)
-            and self.route.nodes.ready(attempt.order.source_id)
+            or not (attempt.ended or attempt.purged)
+            and self.route.nodes.is_ready(attempt.action.node_id)
+            and self.route.nodes.is_ready(attempt.action.source_id)
             for attempt in attempts
         )
 
@@ -471,7 +471,7 @@
         """Takes a step, and in a coarse scope the router's own turns that follow at once."""
         global _current
         _current = self
-        runtime_log.divert(_logged)
+        runtime_log.set_log_sink(_logged)
         word, _, rest = step.partition(" ")
         self._one(word, rest.split())
         while not self.scope.fine and (own := [s for s in self.urgent() if s.startswith(("end", "decide"))]):
@@ -489,15 +489,17 @@
                 "log-followed",
                 f"{len(self.log)} events, {self.told_events} told, last {self.follower.last}",
             )
-        for attempt in self.route.send._where:
+        for attempt in self.route.send._connection_by_attempt:
             if attempt.request.answered and self.settings.cancellation_allowed:
-                broken("cancelled", f"attempt {attempt.number} of {attempt.request.asked.cls} stays out")
+                broken(
+                    "cancelled", f"attempt {attempt.number} of {attempt.request.client_request.cls} stays out"
+                )
         for channel in self.channels:
-            if not channel.over and not self.route.nodes.lists(channel.link.node):
+            if not channel.over and not self.route.nodes.is_listed(channel.link.node_id):
                 broken("gone-closed", f"{self._name(channel)} stays open")
             if channel.up and not (channel.over or channel.sock.dead or channel._full or channel._queue):
                 for txn in channel.asked:
-                    if txn not in channel.aborted and txn not in channel.link.open:
+                    if txn not in channel.aborted and txn not in channel.link.attempts:
                         broken("cancelled", f"{self._name(channel)} was not told of an attempt given up")
 
     def _one(self, word: str, args: list[str]) -> None:
@@ -552,7 +554,12 @@
         cls, _ = self.requests[int(place)]
         self.requests[int(place)] = (cls, "asked")
         now, txn = self.now, self.txn(int(place))
-        self.monitor.taken(txn, cls, now, min(now + TTL - MARGIN, self.route.admit.latest) + BACKSTOP)
+        self.monitor.taken(
+            txn,
+            cls,
+            now,
+            min(now + TTL - RESPONSE_MARGIN_MS, self.route.admit.final_deadline_ms) + BACKSTOP_MS,
+        )
         if self.session.finished:
             self.session = ClientSession(ClientSocket(self._record), self.front, self.clock.now, self.budget)
         body = b"b" * 8 if CLASSES[cls].never_cached else b""
@@ -636,7 +643,7 @@
 
     def _answer(self, word: str, channel: ServerChannel, place: int) -> None:
         txn = self.txn(place)
-        data, body, born = self._reply(word, txn, channel.link.node, self.requests[place][0])
+        data, body, born = self._reply(word, txn, channel.link.node_id, self.requests[place][0])
         self._answered(channel, txn, data)
         self.monitor.word(txn, channel.numbers.get(txn, -1), ANSWERS[word][0], body, born)
         channel.deliver(data)
@@ -663,7 +670,7 @@
 
     def _halfway(self, channel: ServerChannel, place: int) -> None:
         txn = self.txn(place)
-        data, body, born = self._reply("hit", txn, channel.link.node, self.requests[place][0])
+        data, body, born = self._reply("hit", txn, channel.link.node_id, self.requests[place][0])
         self._answered(channel, txn, data)
         channel.halfway = data[len(data) // 2 :]
         channel.owed = (txn, body, born)
@@ -728,8 +735,8 @@
         self._tell_list([fresh])
 
     def _do_relief(self) -> None:
-        self.budget.most = MEMORY
-        self.route.send.most_links = connection_limit(SOCKETS)
+        self.budget.limit_bytes = MEMORY
+        self.route.send.max_connections = connection_limit(SOCKETS)
         assert isinstance(self.route.admit.cpu, FixedCredit)
         self.route.admit.cpu.saved = 0.0
 
@@ -759,20 +766,20 @@
 
     def _do_term(self) -> None:
         self.term_at = self.t + LAST
-        self.route.admit.latest = self.now + LAST * 1000.0
+        self.route.admit.final_deadline_ms = self.now + LAST * 1000.0
 
     def _do_reload(self) -> None:
-        self.route.send.most_links = 1
+        self.route.send.max_connections = 1
 
     def _do_nomem(self) -> None:
-        self.budget.most = 0.0
+        self.budget.limit_bytes = 0.0
 
     def _do_nocpu(self) -> None:
         assert isinstance(self.route.admit.cpu, FixedCredit)
         self.route.admit.cpu.saved = -1.0
 
     def _do_nolinks(self) -> None:
-        self.route.send.most_links = self.route.send.links()
+        self.route.send.max_connections = self.route.send.connection_count()
 
     # -- towards the end --
 
@@ -804,10 +811,10 @@
         loads = [*state.link_loads.values(), state.zone_link]
         held: dict[str, object] = {
             "open requests": len(route.requests),
-            "request ids": len(route.requests._txns),
-            "connections": route.send.links(),
-            "attempts on connections": len(route.send._where),
-            "bytes of the budget": self.budget._used + self.budget._coming,
+            "request ids": len(route.requests._by_txn),
+            "connections": route.send.connection_count(),
+            "attempts on connections": len(route.send._connection_by_attempt),
+            "bytes of the budget": self.budget._reserved_bytes + self.budget._incomplete_bytes,
             "requests of the front": len(self.front._open),
             "ids of the client": 0 if self.session.finished else len(self.session._decoder.open),
             "answers unsent": 0
--- a/stonecove/fleet/lender.py
+++ b/stonecove/fleet/lender.py
@@ -14,9 +14,9 @@
 from stonecove.operator_config.records import Fleet
 from stonecove.quotas.lending import Lending, LendingError
 from stonecove.quotas.quota import Limit, Plan, PlanError
-from stonecove.runtime.log import log, log_some
+from stonecove.runtime.log import log, log_limited
 from stonecove.runtime.log_events import LogEvent
-from stonecove.runtime.unix import accept_all, bound
+from stonecove.runtime.unix import bind_private, serve_connections
 from stonecove.server.leases import LeaseFile
 
 SOCKET = "leases.sock"
@@ -79,9 +79,9 @@
     async def run(self, task_status: trio.TaskStatus[None] = trio.TASK_STATUS_IGNORED) -> None:
         """Serves until it is cancelled."""
         self._path.unlink(missing_ok=True)  # the folder's lock is ours: nobody else listens there
-        listener = bound(str(self._path), 256)
+        listener = bind_private(str(self._path), 256)
         task_status.started()
-        await accept_all(listener, self._holder)
+        await serve_connections(listener, self._holder)
 
     async def _holder(self, client: trio.socket.SocketType) -> None:
         """One holder, from its hello to its end."""
@@ -109,7 +109,7 @@
                 why = str(error) or type(error).__name__
             except (ValueError, KeyError, TypeError, AttributeError) as error:
                 why = str(error) or type(error).__name__
-                log_some(LogEvent.LEASE_MESSAGE_MALFORMED, name=name, reason=why)
+                log_limited(LogEvent.LEASE_MESSAGE_MALFORMED, name=name, reason=why)
                 with contextlib.suppress(OSError):
                     await client.send(json.dumps({"is": "wrong", "why": why}).encode() + b"\n")
             finally:
--- a/stonecove/fleet/rollout_controller.py
+++ b/stonecove/fleet/rollout_controller.py
@@ -44,7 +44,7 @@
     versions_path,
 )
 from stonecove.rollout.progress import progress_of
-from stonecove.transport.zookeeper import Ensemble
+from stonecove.transport.zookeeper import ZooKeeperClient
 
 KEPT_VERSIONS = 200  # overlays that are kept, each of 64 KB at most; older ones are deleted
 GATHER = 0.02  # seconds for which reports are gathered before they are looked at together
@@ -78,10 +78,10 @@
 
     def __init__(self, servers: tuple[Server, ...], figures: Figures, patience: float) -> None:
         """`patience`: seconds for which a connection is waited for, also when one is lost."""
-        self.ensemble = Ensemble(servers, secrets.randbits(32), figures, lambda: None)
+        self.ensemble = ZooKeeperClient(servers, secrets.randbits(32), figures, lambda: None)
         self._patience = patience
         self._up = trio.Event()
-        self.ensemble.add(lambda event: self._up.set() if isinstance(event, Up) else None)
+        self.ensemble.add_listener(lambda event: self._up.set() if isinstance(event, Up) else None)
 
     async def ask(self, what: zk.Request) -> Reply:
         """One request; its reply may say that the connection was lost. Raises ServiceError."""
@@ -97,7 +97,7 @@
             found.append(reply)
             done.set()
 
-        self.ensemble.ask(what, came)
+        self.ensemble.request(what, came)
         await done.wait()
         return found[0]
 
@@ -143,12 +143,12 @@
 class Reports:
     """The live routers' reports, kept in step with the servers. A report that can't be read is left out."""
 
-    def __init__(self, path: str, ensemble: Ensemble) -> None:
+    def __init__(self, path: str, ensemble: ZooKeeperClient) -> None:
         self.by_name: dict[str, Report] = {}
         self.changed = trio.Event()
         self._whole = trio.Event()
-        tree = Tree(routers_path(path), ensemble.ask, self, recursive=True)
-        ensemble.add(tree.feed)
+        tree = Tree(routers_path(path), ensemble.request, self, recursive=True)
+        ensemble.add_listener(tree.feed)
         if ensemble.session.connected:
             tree.feed(Up(ensemble.session.session, False))
 
--- a/stonecove/fleet/supervisor.py
+++ b/stonecove/fleet/supervisor.py
@@ -33,8 +33,8 @@
 from stonecove.operator_config.records import Fleet, FleetInstance
 from stonecove.runtime.log import log
 from stonecove.runtime.log_events import LogEvent
-from stonecove.runtime.notify import notify, reloading, watchdog_every
-from stonecove.runtime.unix import accept_all, bound
+from stonecove.runtime.notify import notify, notify_reloading, watchdog_interval_s
+from stonecove.runtime.unix import bind_private, serve_connections
 
 LAUNCH = Path(__file__).with_name("launch.py")
 STARTING_EVERY = 0.05  # seconds between two health checks of an instance that is starting
@@ -180,7 +180,7 @@
             with trio.open_signal_receiver(*SIGNALS) as signals:
                 self._recall()
                 listener = self._listen()
-                self._nursery.start_soon(accept_all, listener, self._answer)
+                self._nursery.start_soon(serve_connections, listener, self._answer)
                 if self.lender is not None:
                     await self._nursery.start(self.lender.run)
                 self._nursery.start_soon(self._tick)
@@ -484,7 +484,7 @@
                     unit.stats = _fields(line)
 
     async def _watchdog(self) -> None:
-        every = watchdog_every()
+        every = watchdog_interval_s()
         while every is not None:
             notify("WATCHDOG=1")
             await trio.sleep(every)
@@ -576,7 +576,7 @@
 
     def reload(self) -> list[str]:
         """Takes a new file over, whole or not at all; what is wrong otherwise, a line each."""
-        reloading()
+        notify_reloading()
         try:
             fleet = self._read()
             if Path(fleet.folder) != self.folder:
@@ -630,7 +630,7 @@
         path = self.folder / NAME
         path.unlink(missing_ok=True)  # the lock is ours: nobody else listens there
         try:
-            return bound(str(path))
+            return bind_private(str(path))
         except OSError as error:
             raise FleetError(f"{path}: {error.strerror or error}") from None
 
--- a/stonecove/frontends/fastcgi.py
+++ b/stonecove/frontends/fastcgi.py
@@ -11,7 +11,7 @@
 from stonecove.protocols.fastcgi.codec import COMPLETE
 from stonecove.protocols.fastcgi.session import Session
 from stonecove.routing.settings import Settings
-from stonecove.runtime.log import log_some
+from stonecove.runtime.log import log_limited
 from stonecove.runtime.log_events import LogEvent
 from stonecove.state.requests import OpenRequest
 
@@ -91,18 +91,18 @@
                 raise BadRequestError(413 if "too long" in bad else 408 if "in time" in bad else 400, bad)
             if params.get("CONTENT_LENGTH", "") not in ("", str(len(body))):
                 raise BadRequestError(400, "CONTENT_LENGTH is not that of the body")
-            asked = self._intake.take(path, fields_of(params), body, partial(self._reply, connection, ident))
+            asked = self._intake.parse(path, fields_of(params), body, partial(self._reply, connection, ident))
             asked.client = params.get("REMOTE_ADDR", "")[:64]
             asked.check_connection = connection.look_for_end
-            if self._route.requests.waits(asked.txn):
+            if self._route.requests.is_open(asked.txn):
                 raise BadRequestError(400, "X-Txn is that of an open request")
             if self.desk is not None and not self._let_in(connection, ident, params, asked):
                 return True
         except BadRequestError as error:
-            log_some(LogEvent.REQUEST_MALFORMED, status=error.status, reason=str(error))
+            log_limited(LogEvent.REQUEST_MALFORMED, status=error.status, reason=str(error))
             connection.answer(ident, _head(f"{error.status} {_REASONS[error.status]}", Content_Length=0), b"")
             return False
-        request = self._route.asked(asked)
+        request = self._route.submit(asked)
         if request is not None and not request.answered:
             self._open[connection, ident] = request
         return True
@@ -135,5 +135,5 @@
         """The client no longer waits: its id is free again once the end is written."""
         request = self._open.pop((connection, ident), None)
         if request is not None:
-            self._route.left(request)
+            self._route.client_disconnected(request)
             connection.end(ident, COMPLETE)
--- a/stonecove/frontends/http.py
+++ b/stonecove/frontends/http.py
@@ -22,7 +22,7 @@
 from stonecove.protocols.http import HttpError, HttpRequest, byte_range
 from stonecove.routing.settings import ClassSettings, Settings
 from stonecove.runtime.clock import Clock
-from stonecove.runtime.log import log_some
+from stonecove.runtime.log import log_limited
 from stonecove.runtime.log_events import LogEvent
 from stonecove.state.requests import OpenRequest
 
@@ -107,12 +107,12 @@
         if key := request.fields.get("x-txn-key"):
             fields["X-Txn-Key"] = key
         answer = partial(self._answer, request, known, decision, reply)
-        asked: ClientRequest = self._intake.take(f"/svc/{cls}", fields, request.body, answer)
+        asked: ClientRequest = self._intake.parse(f"/svc/{cls}", fields, request.body, answer)
         asked.on_disconnect = partial(self.over, decision, ran=True)
         asked.client = decision.subject if decision is not None and decision.subject else source
-        if self._route.requests.waits(asked.txn):
+        if self._route.requests.is_open(asked.txn):
             raise BadRequestError(400, "X-Txn is that of an open request")
-        return self._route.asked(asked)
+        return self._route.submit(asked)
 
     def over(self, decision: Decision | None, ran: bool) -> None:
         """A request that was let in has its final answer, or its client has left."""
@@ -176,7 +176,7 @@
 
     def left(self, request: OpenRequest) -> None:
         """The client of an open request has gone: what was sent may have run."""
-        self._route.left(request)
+        self._route.client_disconnected(request)
 
     def _pause(self, ms: float) -> Fields:
         """For how long to stay away: whole seconds, rounded up, and exactly."""
@@ -187,5 +187,5 @@
 
 def told(error: BadRequestError) -> int:
     """Logs a request that can't be taken; its status."""
-    log_some(LogEvent.REQUEST_MALFORMED, status=error.status, reason=str(error), front="http")
+    log_limited(LogEvent.REQUEST_MALFORMED, status=error.status, reason=str(error), front="http")
     return error.status
--- a/stonecove/frontends/token_check.py
+++ b/stonecove/frontends/token_check.py
@@ -8,7 +8,7 @@
 from stonecove.access.gate import Decision, Gate
 from stonecove.access.grants import Request
 from stonecove.runtime.clock import Clock
-from stonecove.runtime.log import log_some
+from stonecove.runtime.log import log_limited
 from stonecove.runtime.log_events import LogEvent
 
 
@@ -26,7 +26,7 @@
         decision = self.gate.check(request, item, self._clock.now() / 1000.0, time.monotonic())
         if not decision.good:
             self._count(f"token_{decision.reason.value}")
-            log_some(
+            log_limited(
                 LogEvent.TOKEN_REJECTED,
                 reason=decision.reason.value,
                 path=request.path[:200],
--- a/stonecove/pipeline/__init__.py
+++ b/stonecove/pipeline/__init__.py
@@ -1,1 +1,1 @@
-"""The stages that a request passes: take in, admit, route, send, relay, book."""
+"""The stages that a request passes through: intake, admission, routing, sending, relaying, recording."""
--- a/stonecove/pipeline/book.py
+++ b/stonecove/pipeline/book.py
@@ -1,4 +1,4 @@
-"""Stage 6, book: ends each attempt once, closes requests, and counts."""
+"""Stage 6, recording: ends each attempt once, closes completed requests, and counts."""
 
 from __future__ import annotations
 
@@ -13,8 +13,8 @@
 from stonecove.state.requests import Attempt, OpenRequest
 
 
-class Book:
-    """Tells the decisions of every end, exactly once."""
+class AttemptRecorder:
+    """Reports the end of each attempt to the decision module exactly once."""
 
     def __init__(self, clock: Clock, admit: Admit, post: Callable[[Event], None]) -> None:
         self._clock = clock
@@ -22,47 +22,47 @@
         self._post = post
         self.counts: Counter[str] = Counter()
 
-    def ended(
+    def attempt_ended(
         self,
         attempt: Attempt,
         outcome: Outcome,
-        note: int = 0,
-        waited: float = 0.0,
+        cache_status: int = 0,
+        waited_ms: float = 0.0,
         load: tuple[float, ...] = (),
     ) -> None:
-        """An attempt is over; late news of it is dropped."""
+        """Record the end of an attempt; later events of it are ignored."""
         if attempt.ended:
             return
         attempt.ended = True
-        attempt.not_run = outcome in PROVEN_NOT_EXECUTED
-        if attempt.alarm is not None:
-            attempt.alarm.off()
+        attempt.not_executed = outcome in PROVEN_NOT_EXECUTED
+        if attempt.deadline_timer is not None:
+            attempt.deadline_timer.cancel()
         self.counts[reported_outcome(outcome)] += 1
-        request, order = attempt.request, attempt.order
-        took = self._clock.now() - (attempt.written_at or attempt.ordered_at)
+        request, action = attempt.request, attempt.action
+        duration_ms = self._clock.now() - (attempt.written_at_ms or attempt.decided_at_ms)
         self._post(
             AttemptEnded(
-                request.req,
+                request.request_id,
                 attempt.number,
-                order.node_id,
+                action.node_id,
                 outcome,
-                took,
+                duration_ms,
                 request.answered,
-                note,
-                waited,
+                cache_status,
+                waited_ms,
                 load,
             )
         )
-        self.close_if_over(request)
+        self.close_if_complete(request)
 
-    def close_if_over(self, request: OpenRequest) -> None:
-        """Forgets a request that is answered and has nothing out any more."""
+    def close_if_complete(self, request: OpenRequest) -> None:
+        """Close a request that is answered and has no attempt in flight."""
         if request.answered and all(attempt.ended for attempt in request.attempts):
-            if request.backstop is not None:
-                request.backstop.off()
-            self._admit.leave(request)
+            if request.backstop_timer is not None:
+                request.backstop_timer.cancel()
+            self._admit.close_request(request)
 
-    def line(self, **more: object) -> None:
-        """Writes what was counted since the last line."""
-        log(LogEvent.STATS, **more, **dict(sorted(self.counts.items())))
+    def log_statistics(self, **fields: object) -> None:
+        """Log the counts since the last call, and reset them."""
+        log(LogEvent.STATS, **fields, **dict(sorted(self.counts.items())))
         self.counts.clear()
--- a/stonecove/pipeline/intake.py
+++ b/stonecove/pipeline/intake.py
@@ -1,4 +1,4 @@
-"""Stage 1, take in: makes a checked request of the fields that a front has read."""
+"""Stage 1, intake: builds a validated request from the fields that a front end has read."""
 
 from __future__ import annotations
 
@@ -8,76 +8,81 @@
 from stonecove.exchange import Answer, BadRequestError, ClientRequest
 from stonecove.routing.settings import Idempotency, Settings
 
-PATH = "/svc/"
-MOST_PART = 65_535
-MOST_GROUP = 255
-MOST_KB = 1e7
-LONGEST = 3_600_000.0  # ms that a client may claim to wait
-_HEX = re.compile(r"[0-9a-fA-F]{16}")
-_WHOLE = re.compile(r"[0-9]{1,9}")
-_NUMBER = re.compile(r"[0-9]{1,12}(\.[0-9]{1,12})?")
+PATH_PREFIX = "/svc/"
+MAX_CHUNK = 65_535
+MAX_GROUP = 255
+MAX_SIZE_KB = 1e7
+MAX_TTL_MS = 3_600_000.0
+_HEX_64 = re.compile(r"[0-9a-fA-F]{16}")
+_INTEGER = re.compile(r"[0-9]{1,9}")
+_DECIMAL = re.compile(r"[0-9]{1,12}(\.[0-9]{1,12})?")
 _TAG = re.compile(r"[0-9A-Za-z._-]{1,64}")
 
 
-def _field(fields: Mapping[str, str], name: str, form: re.Pattern[str], default: str | None = None) -> str:
-    """A field's text. Guards against text that would break out of the list of fields sent to a cache."""
+def _field(fields: Mapping[str, str], name: str, pattern: re.Pattern[str], default: str | None = None) -> str:
+    """Return a field's text; raise BadRequestError if it is missing or malformed.
+
+    Unchecked text could break out of the list of fields that is sent to a cache.
+    """
     text = fields.get(name, default)
     if text is None:
         raise BadRequestError(400, f"{name} is missing")
-    if not form.fullmatch(text):
+    if not pattern.fullmatch(text):
         raise BadRequestError(400, f"{name} can't be read")
     return text
 
 
-def _figure(
-    fields: Mapping[str, str], name: str, form: re.Pattern[str], most: float, default: str | None = None
+def _number(
+    fields: Mapping[str, str], name: str, pattern: re.Pattern[str], maximum: float, default: str | None = None
 ) -> float:
-    """A field's figure. Guards against one out of range, which no cache can use."""
-    value = float(_field(fields, name, form, default))
-    if value > most:
+    """Return a field's number; raise BadRequestError if it is malformed or out of range for caches."""
+    value = float(_field(fields, name, pattern, default))
+    if value > maximum:
         raise BadRequestError(400, f"{name} is out of range")
     return value
 
 
-def _bare(tag: str) -> str:
-    """A client's tag without the quotes and the weak mark; empty if it can't be passed on."""
-    bare = tag.strip().removeprefix("W/").strip('"')
-    return bare if _TAG.fullmatch(bare) else ""
+def _opaque_tag(tag: str) -> str:
+    """Return a client's entity tag without quotes and weak mark; empty if it can't be passed on."""
+    opaque = tag.strip().removeprefix("W/").strip('"')
+    return opaque if _TAG.fullmatch(opaque) else ""
 
 
 class Intake:
-    """Checks requests against the settings."""
+    """Validates requests against the settings."""
 
     def __init__(self, settings: Settings) -> None:
-        self._keyed = {cls.name for cls in settings.classes if cls.idempotency is Idempotency.IDEMPOTENCY_KEY}
-        self._kinds = {cls.name: place for place, cls in enumerate(settings.classes)}
+        self._keyed_classes = {
+            cls.name for cls in settings.classes if cls.idempotency is Idempotency.IDEMPOTENCY_KEY
+        }
+        self._index_by_class = {cls.name: index for index, cls in enumerate(settings.classes)}
 
-    def take(
+    def parse(
         self, path: str, fields: Mapping[str, str], body: bytes, reply: Callable[[Answer], None]
     ) -> ClientRequest:
-        """The request that these fields make; raises BadRequestError."""
-        cls = path.removeprefix(PATH)
-        if not path.startswith(PATH) or cls not in self._kinds:
+        """Return the request described by these fields; raise BadRequestError if it is invalid."""
+        cls = path.removeprefix(PATH_PREFIX)
+        if not path.startswith(PATH_PREFIX) or cls not in self._index_by_class:
             raise BadRequestError(404, "no such class")
-        item = _field(fields, "X-Row", _HEX)
-        part = _figure(fields, "X-Seg", _WHOLE, MOST_PART, "0")
-        ttl = _figure(fields, "X-Ttl-Ms", _NUMBER, LONGEST)
-        if ttl <= 0:
-            raise BadRequestError(400, "X-Ttl-Ms is 0")
+        item = _field(fields, "X-Row", _HEX_64)
+        chunk_number = _number(fields, "X-Seg", _INTEGER, MAX_CHUNK, "0")
+        ttl_ms = _number(fields, "X-Ttl-Ms", _DECIMAL, MAX_TTL_MS)
+        if ttl_ms <= 0:
+            raise BadRequestError(400, "X-Ttl-Ms must be above 0")
         return ClientRequest(
-            txn=_field(fields, "X-Txn", _HEX),
+            txn=_field(fields, "X-Txn", _HEX_64),
             cls=cls,
             item=item,
             chunk=fields.get("X-Seg", "0"),
-            class_index=self._kinds[cls],
+            class_index=self._index_by_class[cls],
             object_key=int(item, 16),
-            chunk_index=int(part),
-            group=int(_figure(fields, "X-Bucket", _WHOLE, MOST_GROUP, "0")),
-            size_kb=_figure(fields, "X-Working-Set-Kb", _NUMBER, MOST_KB, "0"),
-            timeout_ms=ttl,
-            client_tag=_bare(fields.get("X-Etag", "")),
+            chunk_index=int(chunk_number),
+            group=int(_number(fields, "X-Bucket", _INTEGER, MAX_GROUP, "0")),
+            size_kb=_number(fields, "X-Working-Set-Kb", _DECIMAL, MAX_SIZE_KB, "0"),
+            timeout_ms=ttl_ms,
+            client_tag=_opaque_tag(fields.get("X-Etag", "")),
             body=body,
             reply=reply,
-            # Guards against a repeat that nobody can know for one: without its key it is not taken.
-            idempotency_key=_field(fields, "X-Txn-Key", _TAG) if cls in self._keyed else "",
+            # Required where the class has one: without its key a repeat can't be recognized.
+            idempotency_key=_field(fields, "X-Txn-Key", _TAG) if cls in self._keyed_classes else "",
         )
--- a/stonecove/pipeline/relay.py
+++ b/stonecove/pipeline/relay.py
@@ -1,4 +1,4 @@
-"""Stage 5, relay: judges what a cache sent and gives the client its one final answer."""
+"""Stage 5, relaying: validates a cache's response and gives the client its one final answer."""
 
 from __future__ import annotations
 
@@ -6,16 +6,16 @@
 from typing import NamedTuple
 
 from stonecove.exchange import Answer, Verdict
-from stonecove.pipeline.book import Book
+from stonecove.pipeline.book import AttemptRecorder
 from stonecove.routing.events import CacheStatus, Outcome
 from stonecove.routing.settings import ClassSettings, Settings
-from stonecove.runtime.log import log_some
+from stonecove.runtime.log import log_limited
 from stonecove.runtime.log_events import LogEvent
 from stonecove.state.requests import Attempt, OpenRequest
 
-SLACK = 50.0  # ms by which a copy may seem older than was asked for
+AGE_TOLERANCE_MS = 50.0  # by which a copy may seem older than the requested maximum age
 
-MOST_BODY = 240_000  # bytes of the longest object
+MAX_BODY_BYTES = 240_000  # longest object
 
 OUTCOMES = {
     "200": Outcome.OK,
@@ -26,8 +26,8 @@
     "504": Outcome.EXPIRED_UNSENT,
 }
 _TAG = re.compile(r"[0-9A-Za-z._-]{1,64}")
-_FIGURE = re.compile(r"[0-9]{1,15}(\.[0-9]{1,12})?")
-_NOTES = {
+_DECIMAL = re.compile(r"[0-9]{1,15}(\.[0-9]{1,12})?")
+_CACHE_STATUSES = {
     "hit": CacheStatus.HIT,
     "filled": CacheStatus.FILLED,
     "via_origin": CacheStatus.FILLED_BY_ORIGIN,
@@ -42,110 +42,116 @@
 
 
 class Reply(NamedTuple):
-    """A cache's answer to one attempt."""
+    """A cache's response to one attempt."""
 
-    word: str
+    status: str
     fields: dict[str, str]
     body: bytes
 
 
-def _number(text: str) -> float | None:
-    """A figure as caches write it; None if it can't be read."""
-    return float(text) if _FIGURE.fullmatch(text) else None
+def _parse_number(text: str) -> float | None:
+    """Return a number as caches write it; None if it is malformed."""
+    return float(text) if _DECIMAL.fullmatch(text) else None
 
 
 class Relay:
-    """The way back to the client."""
+    """Passes responses on to clients."""
 
-    def __init__(self, settings: Settings, book: Book) -> None:
-        self._book = book
+    def __init__(self, settings: Settings, recorder: AttemptRecorder) -> None:
+        self._recorder = recorder
         self.reconfigure(settings)
 
     def reconfigure(self, settings: Settings) -> None:
-        """These settings hold from now on; each request keeps the class it came under."""
+        """Apply new settings; each request keeps the class settings under which it was admitted."""
         self._report_fields = settings.load_report_fields
 
     def answer(self, request: OpenRequest, answer: Answer) -> None:
-        """The final answer; only the first counts."""
+        """Give a request its final answer; a second one is ignored."""
         if request.answered:
             return
         request.answered = True
-        self._book.counts[answer.verdict.value] += 1
-        request.asked.reply(answer)
-        self._book.close_if_over(request)
+        self._recorder.counts[answer.verdict.value] += 1
+        request.client_request.reply(answer)
+        self._recorder.close_if_complete(request)
 
-    def left(self, request: OpenRequest) -> None:
-        """The client has gone: no answer is owed."""
+    def client_disconnected(self, request: OpenRequest) -> None:
+        """Note that no answer is due, as the client has disconnected."""
         request.answered = True
-        self._book.counts["left"] += 1
-        self._book.close_if_over(request)
+        self._recorder.counts["left"] += 1
+        self._recorder.close_if_complete(request)
 
-    def spoilt(self, attempt: Attempt, reply: Reply) -> str:
-        """Why an answer can't be what a cache says; empty if it may be.
+    def corruption_reason(self, attempt: Attempt, reply: Reply) -> str:
+        """Return why a response can't have been written by a working cache; empty if it is plausible.
 
-        Guards against passing on noise as served, or taking it for the word that nothing ran.
+        Corrupt data could otherwise be served, or be taken for a statement that nothing ran.
         """
-        if reply.word not in OUTCOMES:
-            return f"an answer of the word {reply.word[:20]!r}"
-        if OUTCOMES[reply.word] is not Outcome.OK:
-            return "an error with bytes" if reply.body else ""
-        if len(reply.body) > MOST_BODY:
+        if reply.status not in OUTCOMES:
+            return f"an answer of the word {reply.status[:20]!r}"
+        if OUTCOMES[reply.status] is not Outcome.OK:
+            return "an error response with a body" if reply.body else ""
+        if len(reply.body) > MAX_BODY_BYTES:
             return f"an answer of {len(reply.body)} bytes"
-        kept = not attempt.request.cls.never_cached
-        tag, born = (reply.fields.get(name, "") for name in ("ver", "born"))
-        if kept and not (_TAG.fullmatch(tag) and _number(born)):
+        cached = not attempt.request.class_settings.never_cached
+        tag, created_at = (reply.fields.get(name, "") for name in ("ver", "born"))
+        if cached and not (_TAG.fullmatch(tag) and _parse_number(created_at)):
             return "a copy without a tag or an age"
         return ""
 
-    def arrived(self, attempt: Attempt, reply: Reply) -> None:
-        """A cache has answered an attempt that is out."""
-        outcome = OUTCOMES[reply.word]
-        if outcome is Outcome.OK and (wrong := self._wrong(attempt, reply)):
-            log_some(LogEvent.COPY_REJECTED, node=f"s-{attempt.order.node_id:08x}", reason=wrong)
+    def handle_reply(self, attempt: Attempt, reply: Reply) -> None:
+        """Handle a cache's response to an attempt that is in flight."""
+        outcome = OUTCOMES[reply.status]
+        if outcome is Outcome.OK and (reason := self._rejection_reason(attempt, reply)):
+            log_limited(LogEvent.COPY_REJECTED, node=f"s-{attempt.action.node_id:08x}", reason=reason)
             outcome = Outcome.ERROR
         if outcome is Outcome.OK:
-            verdict = Verdict.UNCHANGED if reply.word == "304" else Verdict.SERVED
+            verdict = Verdict.UNCHANGED if reply.status == "304" else Verdict.SERVED
             self.answer(
                 attempt.request,
                 Answer(
                     verdict,
                     reply.body,
                     reply.fields.get("ver", ""),
-                    copy_made_at_ms=_number(reply.fields.get("born", "")) or 0.0,
+                    copy_made_at_ms=_parse_number(reply.fields.get("born", "")) or 0.0,
                 ),
             )
-        note = _NOTES.get(reply.fields.get("tell", ""), CacheStatus.NONE)
-        self._book.ended(
+        cache_status = _CACHE_STATUSES.get(reply.fields.get("tell", ""), CacheStatus.NONE)
+        self._recorder.attempt_ended(
             attempt,
             outcome,
-            int(note),
-            _number(reply.fields.get("waited", "")) or 0.0,
-            self._load(reply.fields.get("meter", "")),
+            int(cache_status),
+            _parse_number(reply.fields.get("waited", "")) or 0.0,
+            self._load_report(reply.fields.get("meter", "")),
         )
 
-    def _wrong(self, attempt: Attempt, reply: Reply) -> str:
-        """What is wrong with an answer that says ok. Guards against passing on a copy that won't do."""
-        asked, cls = attempt.request.asked, attempt.request.cls
-        if reply.word == "304" and (not asked.client_tag or reply.fields.get("ver") != asked.client_tag):
-            return "unchanged, but not the client's copy"
-        if reply.word == "304" and reply.body:
-            return "unchanged, but with bytes"
-        oldest = self._oldest(cls, attempt)
-        born = _number(reply.fields.get("born", "")) or 0.0
-        if not cls.never_cached and oldest and born < attempt.written_at - oldest - SLACK:
-            return f"{attempt.written_at - born:.0f} ms old, asked for {oldest:.0f}"
+    def _rejection_reason(self, attempt: Attempt, reply: Reply) -> str:
+        """Return why a successful response must not be passed on; empty if it may."""
+        client_request, cls = attempt.request.client_request, attempt.request.class_settings
+        if reply.status == "304" and (
+            not client_request.client_tag or reply.fields.get("ver") != client_request.client_tag
+        ):
+            return "a 304 for a copy that the client does not have"
+        if reply.status == "304" and reply.body:
+            return "a 304 with a body"
+        max_age_ms = self._max_age_ms(cls, attempt)
+        created_at_ms = _parse_number(reply.fields.get("born", "")) or 0.0
+        if (
+            not cls.never_cached
+            and max_age_ms
+            and created_at_ms < attempt.written_at_ms - max_age_ms - AGE_TOLERANCE_MS
+        ):
+            return f"{attempt.written_at_ms - created_at_ms:.0f} ms old, maximum {max_age_ms:.0f}"
         return ""
 
     @staticmethod
-    def _oldest(cls: ClassSettings, attempt: Attempt) -> float:
-        """The age that was asked for; 0: any."""
-        return attempt.order.max_age_ms or cls.fresh_ms
+    def _max_age_ms(cls: ClassSettings, attempt: Attempt) -> float:
+        """Return the maximum age that was requested; 0 for any age."""
+        return attempt.action.max_age_ms or cls.fresh_ms
 
-    def _load(self, meter: str) -> tuple[float, ...]:
-        """The load report, in the order of the settings; empty without a whole one.
+    def _load_report(self, meter: str) -> tuple[float, ...]:
+        """Return the load report, in the order of the settings; empty if a figure is missing or malformed.
 
-        Guards against a figure that can't be read passing for an idle cache.
+        An incomplete report would otherwise pass for that of an idle cache.
         """
-        told = dict(pair.split(":", 1) for pair in meter.split(";") if ":" in pair)
-        figures = [_number(told.get(name, "")) for name in self._report_fields]
-        return tuple(figure for figure in figures if figure is not None) if None not in figures else ()
+        values = dict(pair.split(":", 1) for pair in meter.split(";") if ":" in pair)
+        numbers = [_parse_number(values.get(name, "")) for name in self._report_fields]
+        return tuple(number for number in numbers if number is not None) if None not in numbers else ()
--- a/stonecove/pipeline/route.py
+++ b/stonecove/pipeline/route.py
@@ -1,4 +1,7 @@
-"""Stage 3, route: the one loop. Events go into the decision module, its actions are carried out."""
+"""Stage 3, routing: the event loop around the decision module.
+
+Events are passed to the decision module one at a time, and the actions that it returns are carried out.
+"""
 
 from __future__ import annotations
 
@@ -11,7 +14,7 @@
 from stonecove.discovery import MembersUpdate, PurgeUpdate, Told
 from stonecove.exchange import Answer, ClientRequest, Verdict
 from stonecove.pipeline.admit import Admit
-from stonecove.pipeline.book import Book
+from stonecove.pipeline.book import AttemptRecorder
 from stonecove.pipeline.relay import Relay
 from stonecove.pipeline.send import Connect, Send
 from stonecove.routing.actions import (
@@ -38,22 +41,21 @@
 from stonecove.runtime.clock import Clock
 from stonecove.runtime.log import log
 from stonecove.runtime.log_events import LogEvent
-from stonecove.runtime.timers import Timers, nobody
-from stonecove.state.budget import Budget
+from stonecove.runtime.timers import Timers, no_op
+from stonecove.state.budget import MemoryBudget
 from stonecove.state.nodes import NodeTable
 from stonecove.state.requests import Attempt, OpenRequest, OpenRequests
 
-Gate = Callable[
-    [ClientRequest], str
-]  # empty if a request may go in, else the name of the limit that refuses it
+# Returns the name of the limit that rejects a request; empty if it is admitted.
+SharedLimitCheck = Callable[[ClientRequest], str]
 
-BATCH = 8  # requests that are decided between two looks at the sockets
-SAID_FOR = 1000.0  # ms within which the module's words are not repeated
-BACKSTOP = 20.0  # ms after a request's deadline at which it is answered even if nobody decided
+DECISION_BATCH = 8  # requests decided before the sockets are read again
+NOTICE_INTERVAL_MS = 1000.0  # a notice of the decision module is not repeated within this time
+BACKSTOP_MS = 20.0  # a request that is undecided this long after its deadline is failed
 
 
 class Route:
-    """The core: it never waits, and nothing in here knows how a front speaks."""
+    """Connects the stages. It never blocks, and it is independent of the front end's protocol."""
 
     def __init__(
         self,
@@ -61,44 +63,49 @@
         seed: int,
         clock: Clock,
         timers: Timers,
-        budget: Budget,
-        pace: float,
+        budget: MemoryBudget,
+        transfer_bytes_per_s: float,
         connect: Connect,
-        wake: Callable[[], None] = nobody,
+        wake: Callable[[], None] = no_op,
     ) -> None:
-        """`connect` opens connections to caches; `wake` is called when a request waits to be decided."""
+        """Create the stages.
+
+        `transfer_bytes_per_s` is the rate of one transfer to a client, 0 if unknown. `connect` opens a
+        connection to a cache. `wake` is called when a request is queued for a decision.
+        """
         self._clock, self._timers = clock, timers
         self.director = Director(settings, seed)
         self._events: deque[Event] = deque()
-        self._busy = False
+        self._processing = False
         self.nodes = NodeTable()
         self.requests = OpenRequests()
-        self.admit = Admit(settings, self.requests, budget, pace, seed)
-        self._undecided: deque[tuple[float, OpenRequest]] = deque()  # with the time at which each came
+        self.admit = Admit(settings, self.requests, budget, transfer_bytes_per_s, seed)
+        self._undecided: deque[tuple[float, OpenRequest]] = deque()  # with arrival times in Unix ms
         self._wake = wake
-        self.book = Book(clock, self.admit, self.post)
-        self.relay = Relay(settings, self.book)
-        self.send = Send(clock, timers, self.nodes, settings, self.book, self.relay, connect)
-        self._carry: dict[type, Callable[[Any], None]] = {
-            SendAttempt: self._get,
-            CancelAttempt: self._cancel,
-            RejectRequest: self._refuse,
-            FailRequest: self._fail,
-            StartTimer: self._timer,
-            WriteLog: self._log,
+        self.recorder = AttemptRecorder(clock, self.admit, self.post)
+        self.relay = Relay(settings, self.recorder)
+        self.send = Send(clock, timers, self.nodes, settings, self.recorder, self.relay, connect)
+        self._action_handlers: dict[type, Callable[[Any], None]] = {
+            SendAttempt: self._send_attempt,
+            CancelAttempt: self._cancel_attempt,
+            RejectRequest: self._reject_request,
+            FailRequest: self._fail_request,
+            StartTimer: self._start_timer,
+            WriteLog: self._write_log,
         }
-        self._said: dict[str, float] = {}
-        self.gate: Gate | None = None  # limits that routers share, where the operator has set some
+        self._last_notice_ms: dict[str, float] = {}
+        # limits shared by all routers; None unless the operator has configured some
+        self.shared_limit_check: SharedLimitCheck | None = None
 
-    def carries(self, action: type, call: Callable[[Any], None]) -> None:
-        """What is done with actions of a kind that only some installations have."""
-        self._carry[action] = call
+    def set_action_handler(self, action: type, handler: Callable[[Any], None]) -> None:
+        """Set the handler of an action type that only some installations use."""
+        self._action_handlers[action] = handler
 
     def reconfigure(self, settings: Settings) -> None:
-        """These settings hold from now on, everywhere in one step; not to be called from within a decision.
+        """Apply new settings to all stages at once. Must not be called from within a decision.
 
-        What was taken in before is decided by the settings before: guards against a request that is decided
-        as of a class that it was not checked for.
+        Queued requests are decided under the old settings first. Otherwise a request could be decided as a
+        member of a class that it was not validated for.
         """
         while self.decide():
             pass
@@ -107,84 +114,93 @@
         self.relay.reconfigure(settings)
         self.send.reconfigure(settings)
 
-    # -- what comes in --
+    # -- events --
 
-    def asked(self, asked: ClientRequest) -> OpenRequest | None:
-        """A request was taken in; None if it was refused at the door."""
-        now = self._clock.now()
-        if self.gate is not None and (limit := self.gate(asked)):
-            self.book.counts[f"limit:{limit}"] += 1
-            asked.reply(Answer(Verdict.REFUSED, retry_after_ms=self.admit.pause()))
+    def submit(self, client_request: ClientRequest) -> OpenRequest | None:
+        """Admit a validated request and queue it for a decision; return None if it was rejected."""
+        now_ms = self._clock.now()
+        if self.shared_limit_check is not None and (limit := self.shared_limit_check(client_request)):
+            self.recorder.counts[f"limit:{limit}"] += 1
+            client_request.reply(Answer(Verdict.REFUSED, retry_after_ms=self.admit.retry_after_ms()))
             return None
-        request = self.admit.enter(now, asked)
+        request = self.admit.open_request(now_ms, client_request)
         if request is None:
-            self.book.counts["no_room"] += 1
-            asked.reply(Answer(Verdict.REFUSED, retry_after_ms=self.admit.pause()))
+            self.recorder.counts["no_room"] += 1
+            client_request.reply(Answer(Verdict.REFUSED, retry_after_ms=self.admit.retry_after_ms()))
             return None
-        request.backstop = self._timers.at(request.deadline + BACKSTOP, partial(self._backstop, request))
-        self._undecided.append((now, request))
+        request.backstop_timer = self._timers.call_at(
+            request.deadline_ms + BACKSTOP_MS, partial(self._backstop, request)
+        )
+        self._undecided.append((now_ms, request))
         self._wake()
         return request
 
     def decide(self) -> bool:
-        """Hands some requests to the module; says whether more are waiting. In between, sockets are read.
+        """Pass a batch of queued requests to the decision module; return whether more are waiting.
 
-        Guards against a burst that keeps answers from being passed on. How long a request has waited here
-        shows whether there is more to do than we can.
+        Sockets are read between two batches, so that a burst of requests does not delay the relaying of
+        responses. The time that a request has spent in this queue shows whether the router is overloaded.
         """
-        for _ in range(min(BATCH, len(self._undecided))):
-            came, request = self._undecided.popleft()
+        for _ in range(min(DECISION_BATCH, len(self._undecided))):
+            arrived_at_ms, request = self._undecided.popleft()
             if not request.answered:
-                self._decide(came, request)
+                self._decide(arrived_at_ms, request)
         return bool(self._undecided)
 
-    def _decide(self, came: float, request: OpenRequest) -> None:
-        now, asked = self._clock.now(), request.asked
-        if self.admit.too_much(now, came, asked.class_index):
-            self.book.counts["shed"] += 1
-            self.relay.answer(request, Answer(Verdict.REFUSED, retry_after_ms=self.admit.pause()))
+    def _decide(self, arrived_at_ms: float, request: OpenRequest) -> None:
+        now_ms, client_request = self._clock.now(), request.client_request
+        if self.admit.should_shed(now_ms, arrived_at_ms, client_request.class_index):
+            self.recorder.counts["shed"] += 1
+            self.relay.answer(request, Answer(Verdict.REFUSED, retry_after_ms=self.admit.retry_after_ms()))
         else:
             self.post(
                 RequestReceived(
-                    request.req,
-                    asked.class_index,
-                    asked.object_key,
-                    request.deadline - now,
-                    asked.size_kb,
-                    asked.group,
-                    asked.chunk_index,
+                    request.request_id,
+                    client_request.class_index,
+                    client_request.object_key,
+                    request.deadline_ms - now_ms,
+                    client_request.size_kb,
+                    client_request.group,
+                    client_request.chunk_index,
                 )
             )
 
-    def left(self, request: OpenRequest) -> None:
-        """The client of an open request has gone."""
+    def client_disconnected(self, request: OpenRequest) -> None:
+        """Handle the disconnection of an open request's client."""
         if not request.answered:
-            if request.asked.on_disconnect is not None:
-                request.asked.on_disconnect()
-            self.relay.left(request)
-            self.post(ClientDisconnected(request.req))
+            if request.client_request.on_disconnect is not None:
+                request.client_request.on_disconnect()
+            self.relay.client_disconnected(request)
+            self.post(ClientDisconnected(request.request_id))
 
     def told(self, event: Told) -> None:
-        """News of nodes or a purge. What waits to be written is looked at again, once the module knows."""
-        waiting = self.requests.waiting()
+        """Handle a change of the endpoint list, or a purge.
+
+        Attempts that are not written yet are checked again once the decision module has seen the event.
+        """
+        waiting = self.requests.unsent_attempts()
         if isinstance(event, PurgeUpdate):
             self.post(PurgeReceived(max(0.0, self._clock.now() - event.time), event.group, event.key))
             for attempt in waiting:
-                asked = attempt.request.asked
-                attempt.outdated |= asked.object_key == event.key if event.key else asked.group == event.group
+                client_request = attempt.request.client_request
+                attempt.purged |= (
+                    client_request.object_key == event.key
+                    if event.key
+                    else client_request.group == event.group
+                )
         else:
-            self._listed(event)
+            self._apply_members(event)
         for attempt in waiting:
-            self.send.may_go(attempt)
+            self.send.can_send(attempt)
 
-    def _listed(self, event: MembersUpdate) -> None:
+    def _apply_members(self, event: MembersUpdate) -> None:
         self.nodes.apply(event)
-        form = EndpointListKind.SNAPSHOT if event.whole else EndpointListKind.DELTA
-        self.post(EndpointListUpdate(form, tuple(member.node for member in event.members)))
+        update_kind = EndpointListKind.SNAPSHOT if event.whole else EndpointListKind.DELTA
+        self.post(EndpointListUpdate(update_kind, tuple(member.node for member in event.members)))
         for member in event.members:
             node = member.node
             if node.started_ms > 0:
-                self.send.started(node.node_id, node.started_ms)
+                self.send.handle_restart(node.node_id, node.started_ms)
             log(
                 LogEvent.ENDPOINT_UPDATED,
                 node=f"s-{node.node_id:08x}",
@@ -194,26 +210,30 @@
                 started_ms=f"{node.started_ms:.0f}",
                 address=f"{member.host}:{member.port}",
             )
-        self.send.gone()
+        self.send.close_unlisted()
 
     def post(self, event: Event) -> None:
-        """Queues an event and, unless that is going on already, works the queue off."""
+        """Queue an event, and process the queue unless that is already under way."""
         self._events.append(event)
-        if self._busy:
+        if self._processing:
             return
-        self._busy = True
+        self._processing = True
         try:
             while self._events:
-                self._one(self._events.popleft())
+                self._handle_event(self._events.popleft())
         finally:
-            self._busy = False
+            self._processing = False
+
+    def _handle_event(self, event: Event) -> None:
+        """Pass one event to the decision module and carry out the actions.
 
-    def _one(self, event: Event) -> None:
-        """Guards against a slip in one decision that ends the process or leaves a request unanswered."""
+        An exception in a decision is logged and fails the request concerned. It would otherwise end the
+        process or leave the request unanswered.
+        """
         try:
             for action in self.director.handle(self._clock.now(), event):
-                if carry := self._carry.get(type(action)):
-                    carry(action)
+                if handler := self._action_handlers.get(type(action)):
+                    handler(action)
         except Exception as error:
             where = traceback.extract_tb(error.__traceback__)[-1]
             log(
@@ -222,69 +242,88 @@
                 error=repr(error),
             )
             if isinstance(event, RequestReceived) and (request := self.requests.get(event.request_id)):
-                self._fail(FailRequest(request.req))
+                self._fail_request(FailRequest(request.request_id))
 
-    # -- what is to be done --
+    # -- actions --
 
-    def _get(self, act: SendAttempt) -> None:
-        request = self.requests.get(act.request_id)
+    def _send_attempt(self, action: SendAttempt) -> None:
+        request = self.requests.get(action.request_id)
         if request is None:
             return
-        cut_at = min(act.deadline_ms, request.deadline) if act.deadline_ms > 0 else request.deadline
-        attempt = Attempt(request, len(request.attempts), act._replace(deadline_ms=cut_at), self._clock.now())
+        attempt_deadline_ms = (
+            min(action.deadline_ms, request.deadline_ms) if action.deadline_ms > 0 else request.deadline_ms
+        )
+        attempt = Attempt(
+            request,
+            len(request.attempts),
+            action._replace(deadline_ms=attempt_deadline_ms),
+            self._clock.now(),
+        )
         request.attempts.append(attempt)
         if request.expired:
-            self.book.ended(attempt, Outcome.EXPIRED_UNSENT)
+            self.recorder.attempt_ended(attempt, Outcome.EXPIRED_UNSENT)
         else:
-            self.send.order(attempt)
+            self.send.start(attempt)
 
-    def _cancel(self, act: CancelAttempt) -> None:
-        request = self.requests.get(act.request_id)
-        if request is not None and act.attempt_index < len(request.attempts):
-            attempt = request.attempts[act.attempt_index]
+    def _cancel_attempt(self, action: CancelAttempt) -> None:
+        request = self.requests.get(action.request_id)
+        if request is not None and action.attempt_index < len(request.attempts):
+            attempt = request.attempts[action.attempt_index]
             if not attempt.ended:
                 self.send.cancel(attempt)
 
-    def _refuse(self, act: RejectRequest) -> None:
-        if request := self.requests.get(act.request_id):
-            self.relay.answer(request, Answer(Verdict.REFUSED, retry_after_ms=act.retry_after_ms))
+    def _reject_request(self, action: RejectRequest) -> None:
+        if request := self.requests.get(action.request_id):
+            self.relay.answer(request, Answer(Verdict.REFUSED, retry_after_ms=action.retry_after_ms))
 
-    def _fail(self, act: FailRequest) -> None:
-        if request := self.requests.get(act.request_id):
+    def _fail_request(self, action: FailRequest) -> None:
+        if request := self.requests.get(action.request_id):
             self.relay.answer(request, Answer(Verdict.FAILED))
 
-    def _timer(self, act: StartTimer) -> None:
-        self._timers.at(act.expires_at_ms, partial(self.post, TimerExpired(act.token)))
+    def _start_timer(self, action: StartTimer) -> None:
+        self._timers.call_at(action.expires_at_ms, partial(self.post, TimerExpired(action.token)))
+
+    def _write_log(self, action: WriteLog) -> None:
+        """Log a notice of the decision module.
 
-    def _log(self, act: WriteLog) -> None:
-        """Guards against a log full of one line: the same text comes once a second at most."""
-        now = self._clock.now()
-        self._said = {text: at for text, at in self._said.items() if 0 <= now - at < SAID_FOR}
-        if act.text not in self._said:
-            self._said[act.text] = now
-            log(LogEvent.ROUTING_NOTICE, text=act.text)
+        The same text is logged at most once per `NOTICE_INTERVAL_MS`, so that it does not fill the log.
+        """
+        now_ms = self._clock.now()
+        self._last_notice_ms = {
+            text: logged_at_ms
+            for text, logged_at_ms in self._last_notice_ms.items()
+            if 0 <= now_ms - logged_at_ms < NOTICE_INTERVAL_MS
+        }
+        if action.text not in self._last_notice_ms:
+            self._last_notice_ms[action.text] = now_ms
+            log(LogEvent.ROUTING_NOTICE, text=action.text)
 
-    # -- ends --
+    # -- backstop and shutdown --
 
     def _backstop(self, request: OpenRequest) -> None:
-        """Guards against a request that nobody answers."""
+        """Fail a request that is undecided after its deadline, and cancel its attempts."""
         if not request.answered:
-            log(LogEvent.REQUEST_UNDECIDED, request=request.asked.txn)
+            log(LogEvent.REQUEST_UNDECIDED, request=request.client_request.txn)
             self.relay.answer(request, Answer(Verdict.FAILED))
-            self.post(ClientDisconnected(request.req))
+            self.post(ClientDisconnected(request.request_id))
         for attempt in request.attempts:
             if not attempt.ended:
                 self.send.cancel(attempt)
 
     def expire(self) -> None:
-        """The router is about to stop: the time of all that is open is over, and the module is told so."""
+        """End all open requests and attempts, as the router is about to stop.
+
+        The decision module is notified of each attempt that ends.
+        """
         for request in self.requests:
             request.expired = True
             for attempt in list(request.attempts):
                 if not attempt.ended:
                     self.send.late(attempt)
             if not request.answered and not request.attempts:
-                # It came so late that it has not been decided: nothing ran, so the client may ask elsewhere.
-                self.relay.answer(request, Answer(Verdict.REFUSED, retry_after_ms=self.admit.pause()))
+                # It arrived too late to be decided. Nothing was sent, so the client may retry elsewhere.
+                self.relay.answer(
+                    request, Answer(Verdict.REFUSED, retry_after_ms=self.admit.retry_after_ms())
+                )
             elif not request.answered:
                 self._backstop(request)
--- a/stonecove/pipeline/send.py
+++ b/stonecove/pipeline/send.py
@@ -1,4 +1,4 @@
-"""Stage 4, send: takes an attempt to its cache, with the last look before its first byte."""
+"""Stage 4, sending: connections to caches, and the checks before an attempt's first byte is written."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 from collections.abc import Callable
 from functools import partial
 
-from stonecove.pipeline.book import Book
+from stonecove.pipeline.book import AttemptRecorder
 from stonecove.pipeline.relay import Relay, Reply
 from stonecove.protocols import resp
 from stonecove.protocols.upstream_channel import Channel, Owner
@@ -15,159 +15,179 @@
 from stonecove.routing.events import Outcome
 from stonecove.routing.settings import Idempotency, Settings
 from stonecove.runtime.clock import Clock
-from stonecove.runtime.log import log_some
+from stonecove.runtime.log import log_limited
 from stonecove.runtime.log_events import LogEvent
 from stonecove.runtime.timers import Timers
 from stonecove.state.nodes import NodeTable
 from stonecove.state.requests import Attempt
 
-IDLE_PART = 0.6  # a connection idle for this part of the allowed time is closed before the cache does it
-SILENT = 3.0  # connect time-outs without a byte, though some are owed, after which a connection gets no more
-MOST_LINKS = 16  # connections to one node; what breaks or is spoilt takes along all that is on its connection
-MOST_OUT = 256  # attempts out at one node for which there are connections, however few go on each
-MOST_RECENT = 256  # ids that a connection keeps, of what was answered and of what was given up
-SHARED = 4  # attempts on a connection before another is opened, where connections have a price
-SWEEP = 200.0
-SLOW = 0.25  # part of the connect time-out after which what waits goes by another connection
-STUCK = 400.0  # ms, or a connect time-out, without a byte of an answer begun, after which its connection goes
-MODES = (
+# Fraction of the idle time-out after which a connection is closed, before the cache does so.
+IDLE_FRACTION = 0.6
+# Connect time-outs without a byte received, though a response is outstanding, after which a connection gets
+# no more attempts.
+SILENCE_TIMEOUTS = 3.0
+# Connections to one node. A reset or a corrupt response ends all attempts on its connection.
+MAX_NODE_CONNECTIONS = 16
+# Attempts in flight to one node for which there are connections, however few a connection may carry.
+MAX_NODE_ATTEMPTS = 256
+MAX_RECENT_IDS = 256  # per connection, for answered and for cancelled attempts each
+# Attempts on a connection before another one is opened, where the platform charges for handshakes.
+MAX_SHARED_ATTEMPTS = 4
+SWEEP_INTERVAL_MS = 200.0
+# Attempts that wait for a connection move to another one after this fraction of the connect time-out.
+SLOW_CONNECT_FRACTION = 0.25
+# A connection is closed if an incomplete response gets no byte for this long, or for the connect time-out.
+STUCK_TIMEOUT_MS = 400.0
+FETCH_MODE_NAMES = (
     (FetchMode.JOIN_FILL, "wait-for"),
     (FetchMode.CACHED_ONLY, "no-fetch"),
     (FetchMode.NO_PARENT_COPY, "no-keep"),
     (FetchMode.REVALIDATE, "background"),
 )
 
-# Opens a connection for its owner, to that address, within so many seconds.
+# Opens a connection for an owner, to an address, with a connect time-out in seconds.
 Connect = Callable[[Owner, tuple[str, int], float], Channel]
 
 
-def command(attempt: Attempt, now: float) -> bytes:
-    """The words of a fetch."""
-    order, asked = attempt.order, attempt.request.asked
+def encode_fetch(attempt: Attempt, now_ms: float) -> bytes:
+    """Return the fetch command of an attempt as it is written to a cache."""
+    action, client_request = attempt.action, attempt.request.client_request
     fields = [
-        ("cls", asked.cls),
-        ("item", asked.item),
-        ("chunk", asked.chunk),
-        ("limit", str(max(1, int(order.deadline_ms - now)))),
+        ("cls", client_request.cls),
+        ("item", client_request.item),
+        ("chunk", client_request.chunk),
+        ("limit", str(max(1, int(action.deadline_ms - now_ms)))),
     ]
-    if order.source_id != order.node_id:
-        fields.append(("from", f"s-{order.source_id:08x}"))
-    if order.cache_rank:
-        fields.append(("rank", str(order.cache_rank)))
-    if order.max_age_ms > 0:
-        fields.append(("oldest", str(max(1, int(order.max_age_ms)))))
-    if mode := "+".join(word for bit, word in MODES if order.fetch_mode & bit):
+    if action.source_id != action.node_id:
+        fields.append(("from", f"s-{action.source_id:08x}"))
+    if action.cache_rank:
+        fields.append(("rank", str(action.cache_rank)))
+    if action.max_age_ms > 0:
+        fields.append(("oldest", str(max(1, int(action.max_age_ms)))))
+    if mode := "+".join(name for bit, name in FETCH_MODE_NAMES if action.fetch_mode & bit):
         fields.append(("mode", mode))
-    if asked.client_tag:
-        fields.append(("seen", asked.client_tag))
-    if asked.idempotency_key:
-        fields.append(("nonce", asked.idempotency_key))
-    return resp.encode(b"fetch", asked.txn.encode(), resp.words(fields), asked.body)
+    if client_request.client_tag:
+        fields.append(("seen", client_request.client_tag))
+    if client_request.idempotency_key:
+        fields.append(("nonce", client_request.idempotency_key))
+    return resp.encode(b"fetch", client_request.txn.encode(), resp.words(fields), client_request.body)
 
 
-class Recent(dict[str, None]):
-    """The latest ids, in order; a look costs the same however many there are."""
+class RecentIds(dict[str, None]):
+    """The most recent transaction ids, in insertion order.
+
+    It is a dictionary so that a lookup takes the same time for any number of ids.
+    """
 
     def add(self, txn: str) -> None:
-        """Notes one, and forgets the oldest of too many."""
+        """Add an id, and drop the oldest one beyond `MAX_RECENT_IDS`."""
         self[txn] = None
-        if len(self) > MOST_RECENT:
+        if len(self) > MAX_RECENT_IDS:
             del self[next(iter(self))]
 
 
-class Link:
-    """A connection to a node and the attempts that are on it."""
+class NodeConnection:
+    """A connection to a node and the attempts on it, by transaction id."""
 
-    def __init__(self, node: NodeId, send: Send, address: tuple[str, int], now: float) -> None:
-        self.node = node
+    def __init__(self, node_id: NodeId, send: Send, address: tuple[str, int], now_ms: float) -> None:
+        self.node_id = node_id
         self.address = address
-        self.opened_at = now
-        self.open: dict[str, Attempt] = {}
-        self.given_up = Recent()
-        self.answered = Recent()
-        self.doubtful = False  # an attempt was given up on it after a long silence
-        self.heard_at = now
-        self.used_at = now
+        self.opened_at_ms = now_ms
+        self.attempts: dict[str, Attempt] = {}
+        self.cancelled_ids = RecentIds()
+        self.answered_ids = RecentIds()
+        self.suspect = False  # an attempt was cancelled on it after a long silence
+        self.last_received_ms = now_ms
+        self.last_used_ms = now_ms
         self._send = send
-        self.connection: Channel
+        self.channel: Channel
 
-    def opened(self, connection: Channel) -> None:
-        """It is up."""
-        self._send.relieve(self)
+    def opened(self, channel: Channel) -> None:
+        """Take over attempts that wait for other connections, as this one is up."""
+        self._send.adopt_waiting(self)
 
-    def arrived(self, connection: Channel, array: list[bytes]) -> None:
-        """An answer came in."""
-        self._send.arrived(self, array)
+    def arrived(self, channel: Channel, array: list[bytes]) -> None:
+        """Handle a response; raise RespError if it is malformed."""
+        self._send.handle_response(self, array)
 
-    def closed(self, connection: Channel, why: str) -> None:
-        """The connection is over."""
-        self._send.down(self, why)
+    def closed(self, channel: Channel, reason: str) -> None:
+        """Handle the end of the connection."""
+        self._send.handle_closed(self, reason)
 
-    def takes(self, txn: str, now: float, streams: int, silence: float) -> bool:
-        """Whether another attempt may go on this connection.
+    def can_take(self, txn: str, now_ms: float, max_attempts: int, silence_ms: float) -> bool:
+        """Return whether another attempt may use this connection.
 
-        Guards against two answers under one id, against a connection to a machine that has vanished, and
-        against waiting behind an answer that nobody waits for and that may never end. An id goes on a
-        connection once: a late or second answer to its first attempt would be taken for the word on the next,
-        which may run although that word was `full`.
+        A connection is refused if it has received nothing for `silence_ms` though a response is outstanding,
+        as its machine may have vanished, and if the response of a cancelled attempt is incomplete, as it may
+        never end. An id is used once per connection: a late or second response to its first attempt would be
+        taken for that of the next one, which may run although the first response was a rejection.
         """
         if (
-            self.connection.over
-            or self.doubtful
-            or len(self.open) >= streams
-            or txn in self.open
-            or (txn in self.given_up or txn in self.answered)
+            self.channel.over
+            or self.suspect
+            or len(self.attempts) >= max_attempts
+            or txn in self.attempts
+            or (txn in self.cancelled_ids or txn in self.answered_ids)
         ):
             return False
-        if not self.open:
-            return not self.connection.halfway_at
-        oldest = min((a.written_at or a.ordered_at for a in self.open.values()), default=now)
-        return now - max(oldest, self.heard_at) < silence
+        if not self.attempts:
+            return not self.channel.halfway_at
+        oldest_ms = min(
+            (attempt.written_at_ms or attempt.decided_at_ms for attempt in self.attempts.values()),
+            default=now_ms,
+        )
+        return now_ms - max(oldest_ms, self.last_received_ms) < silence_ms
+
 
+def _load(connection: NodeConnection) -> tuple[bool, int]:
+    """Return a sort key that prefers connections that are up, then those with fewer attempts.
 
-def _load(link: Link) -> tuple[bool, int]:
-    """Those that are up come first: nobody knows when, or whether, another one comes up."""
-    return not link.connection.up, len(link.open)
+    Nothing is known about when, or whether, a connection that is not up will be.
+    """
+    return not connection.channel.up, len(connection.attempts)
 
 
-class Fetch:
-    """An attempt in a connection's queue."""
+class FetchCommand:
+    """An attempt in a connection's write queue."""
 
-    def __init__(self, send: Send, attempt: Attempt, link: Link) -> None:
+    def __init__(self, send: Send, attempt: Attempt, connection: NodeConnection) -> None:
         self._send = send
         self._attempt = attempt
-        self._link = link
+        self._connection = connection
 
-    def stale(self) -> bool:
-        """Whether the attempt has ended or is on another connection by now, or was written already."""
+    def is_superseded(self) -> bool:
+        """Return whether the attempt has ended, moved to another connection, or been written already."""
         attempt = self._attempt
-        return self._link.open.get(attempt.request.asked.txn) is not attempt or attempt.written_at > 0
+        return (
+            self._connection.attempts.get(attempt.request.client_request.txn) is not attempt
+            or attempt.written_at_ms > 0
+        )
 
     def begin(self) -> bytes | None:
-        """The last look; None if the attempt can't go any more. Guards against writing one twice."""
-        return None if self.stale() else self._send.begin(self._attempt)
+        """Return the command's bytes; None if the attempt may not be sent any more or was written already."""
+        return None if self.is_superseded() else self._send.begin(self._attempt)
 
     def unwritten(self) -> None:
-        """Not a byte went out."""
-        self._attempt.written_at = 0.0
+        """Note that not a byte of the attempt was written."""
+        self._attempt.written_at_ms = 0.0
 
 
-class Abort:
-    """Gives an attempt up that was written."""
+class AbortCommand:
+    """Cancels an attempt that was written."""
 
     def __init__(self, txn: str) -> None:
         self._txn = txn
 
     def begin(self) -> bytes | None:
-        """The words."""
+        """Return the command's bytes."""
         return resp.encode(b"abort", self._txn.encode())
 
     def unwritten(self) -> None:
-        """Then the connection is over, and with it the attempt."""
+        """Do nothing: the connection is ending, and the attempt with it."""
 
 
 class Send:
-    """All connections to caches."""
+    """All connections to caches, and the attempts on them."""
 
     def __init__(
         self,
@@ -175,220 +195,241 @@
         timers: Timers,
         nodes: NodeTable,
         settings: Settings,
-        book: Book,
+        recorder: AttemptRecorder,
         relay: Relay,
         connect: Connect,
     ) -> None:
         self._clock, self._timers, self._nodes = clock, timers, nodes
         self._settings = settings
-        self._book, self._relay, self._connect = book, relay, connect
-        self.most_links = 0
-        # whether what was decided of an attempt does not hold any more, where shares are leased
-        self.outlived: Callable[[Attempt], bool] | None = None
-        # told of each attempt that is about to be written
-        self.watcher: Callable[[Attempt], None] | None = None
-        self._links: dict[NodeId, list[Link]] = {}
-        self._where: dict[Attempt, Link] = {}
-        self._timers.at(clock.now() + SWEEP, self._sweep)
+        self._recorder, self._relay, self._connect = recorder, relay, connect
+        self.max_connections = 0
+        # whether an attempt was decided under a share that no longer holds, where shares are leased
+        self.is_decision_outdated: Callable[[Attempt], bool] | None = None
+        # called with each attempt that is about to be written
+        self.on_write: Callable[[Attempt], None] | None = None
+        self._connections: dict[NodeId, list[NodeConnection]] = {}
+        self._connection_by_attempt: dict[Attempt, NodeConnection] = {}
+        self._timers.call_at(clock.now() + SWEEP_INTERVAL_MS, self._sweep)
 
     def reconfigure(self, settings: Settings) -> None:
-        """These settings hold from now on, for connections that are open as well."""
+        """Apply new settings, to open connections as well."""
         self._settings = settings
 
-    def links(self) -> int:
-        """How many connections there are."""
-        return sum(map(len, self._links.values()))
+    def connection_count(self) -> int:
+        """Return the number of connections."""
+        return sum(map(len, self._connections.values()))
 
-    def order(self, attempt: Attempt) -> None:
-        """Sends an attempt on its way."""
-        attempt.alarm = self._timers.at(attempt.order.deadline_ms, partial(self.late, attempt))
-        self._place(attempt)
+    def start(self, attempt: Attempt) -> None:
+        """Start an attempt's deadline timer and assign it to a connection."""
+        attempt.deadline_timer = self._timers.call_at(attempt.action.deadline_ms, partial(self.late, attempt))
+        self._assign(attempt)
 
-    def _place(self, attempt: Attempt) -> None:
-        """Puts an attempt on a connection."""
-        order = attempt.order
-        if not self.may_go(attempt):
+    def _assign(self, attempt: Attempt) -> None:
+        """Assign an attempt to a connection; end it as unsent if the connection limit leaves none."""
+        action = attempt.action
+        if not self.can_send(attempt):
             return
-        link = self._link(attempt, self._clock.now())
-        if link is None:  # our own lack, which says nothing of the cache
-            log_some(
+        connection = self._choose_connection(attempt, self._clock.now())
+        if connection is None:  # the router's own limit, which is no failure of the cache
+            log_limited(
                 LogEvent.UPSTREAM_CONNECTION_LIMIT_REACHED,
-                node=f"s-{order.node_id:08x}",
-                connections=self.links(),
+                node=f"s-{action.node_id:08x}",
+                connections=self.connection_count(),
             )
-            self._book.ended(attempt, Outcome.EXPIRED_UNSENT)
+            self._recorder.attempt_ended(attempt, Outcome.EXPIRED_UNSENT)
             return
-        self._put(attempt, link)
+        self._enqueue(attempt, connection)
 
-    def _put(self, attempt: Attempt, link: Link) -> None:
-        link.open[attempt.request.asked.txn] = attempt
-        self._where[attempt] = link
-        link.connection.put(Fetch(self, attempt, link))
+    def _enqueue(self, attempt: Attempt, connection: NodeConnection) -> None:
+        connection.attempts[attempt.request.client_request.txn] = attempt
+        self._connection_by_attempt[attempt] = connection
+        connection.channel.put(FetchCommand(self, attempt, connection))
 
-    def relieve(self, link: Link) -> None:
-        """A connection that is up and free takes over what waits for another one to the same node.
+    def adopt_waiting(self, connection: NodeConnection) -> None:
+        """Move an attempt that waits for another connection to the node onto this one, which is up and free.
 
-        Guards against a request that waits for a connection that comes up late, or never, beside one that
-        is idle.
+        Otherwise a request could wait for a connection that opens late, or never, while this one is idle.
         """
-        for other in list(self._links.get(link.node, ())):
-            for attempt in [] if other.connection.up else list(other.open.values()):
+        for other in list(self._connections.get(connection.node_id, ())):
+            for attempt in [] if other.channel.up else list(other.attempts.values()):
                 if (
-                    not link.open
-                    and other.address == link.address
-                    and link.takes(attempt.request.asked.txn, self._clock.now(), 1, 0.0)
+                    not connection.attempts
+                    and other.address == connection.address
+                    and connection.can_take(attempt.request.client_request.txn, self._clock.now(), 1, 0.0)
                 ):
-                    self._unlink(attempt)
-                    link.used_at = self._clock.now()
-                    self._put(attempt, link)
+                    self._detach(attempt)
+                    connection.last_used_ms = self._clock.now()
+                    self._enqueue(attempt, connection)
 
-    def _link(self, attempt: Attempt, now: float) -> Link | None:
-        """A free connection, else a new one, else the one with the least on it.
+    def _choose_connection(self, attempt: Attempt, now_ms: float) -> NodeConnection | None:
+        """Return a free connection, else a new one, else the one with the fewest attempts.
 
-        Guards against one answer that is spoilt taking many others along. Where connections have a price,
-        what may be repeated shares a few: guards against all routers holding as many to a cache as they have
-        requests there.
+        A connection of its own for each attempt keeps a corrupt response from ending other attempts. Where
+        handshakes are charged for, idempotent attempts share connections. All routers would otherwise hold as
+        many connections to a cache as they have requests there.
         """
-        node, txn = attempt.order.node_id, attempt.request.asked.txn
-        shares = (
-            self._settings.handshakes_priced and attempt.request.cls.idempotency is Idempotency.IDEMPOTENT
+        node_id, txn = attempt.action.node_id, attempt.request.client_request.txn
+        shareable = (
+            self._settings.handshakes_priced
+            and attempt.request.class_settings.idempotency is Idempotency.IDEMPOTENT
         )
-        few = min(SHARED, self._settings.streams_per_connection) if shares else 1
-        silence = SILENT * max(self._settings.connect_timeout_ms, 100.0)
-        address, links = self._nodes.address(node), self._links.get(node, [])
-        prompt = [link for link in links if not (self._slow(link, now) or self._idle_too_long(link, now))]
-        for link in sorted((link for link in prompt if len(link.open) < few), key=_load):
-            if link.address == address and link.takes(txn, now, few, silence):
-                link.used_at = now
-                return link
-        fair = max(2, self.most_links // max(1, len(self._links)))
-        most = max(MOST_LINKS, MOST_OUT // self._settings.streams_per_connection)
-        if len(links) < min(most, fair) and (self.links() < self.most_links or self._make_room()):
-            link = Link(node, self, address, now)
-            # Guards against a node that is gone and is noticed later, as its connections are tried in a row.
-            left = self._settings.connect_timeout_ms - (now - attempt.ordered_at)
-            patience = left if left > 0 else self._settings.connect_timeout_ms
-            link.connection = self._connect(link, address, max(patience, 1.0) / 1000.0)
-            self._links.setdefault(node, []).append(link)
-            return link
-        for link in sorted(links, key=_load):
+        max_shared = min(MAX_SHARED_ATTEMPTS, self._settings.streams_per_connection) if shareable else 1
+        silence_ms = SILENCE_TIMEOUTS * max(self._settings.connect_timeout_ms, 100.0)
+        address, connections = self._nodes.address(node_id), self._connections.get(node_id, [])
+        usable = [
+            connection
+            for connection in connections
+            if not (self._is_slow_to_open(connection, now_ms) or self._is_idle_too_long(connection, now_ms))
+        ]
+        for connection in sorted(
+            (connection for connection in usable if len(connection.attempts) < max_shared), key=_load
+        ):
+            if connection.address == address and connection.can_take(txn, now_ms, max_shared, silence_ms):
+                connection.last_used_ms = now_ms
+                return connection
+        fair_share = max(2, self.max_connections // max(1, len(self._connections)))
+        max_node_connections = max(
+            MAX_NODE_CONNECTIONS, MAX_NODE_ATTEMPTS // self._settings.streams_per_connection
+        )
+        if len(connections) < min(max_node_connections, fair_share) and (
+            self.connection_count() < self.max_connections or self._close_idlest()
+        ):
+            connection = NodeConnection(node_id, self, address, now_ms)
+            # Connections tried in a row share one connect time-out; otherwise a node that has disappeared
+            # would be noticed later.
+            remaining_ms = self._settings.connect_timeout_ms - (now_ms - attempt.decided_at_ms)
+            timeout_ms = remaining_ms if remaining_ms > 0 else self._settings.connect_timeout_ms
+            connection.channel = self._connect(connection, address, max(timeout_ms, 1.0) / 1000.0)
+            self._connections.setdefault(node_id, []).append(connection)
+            return connection
+        for connection in sorted(connections, key=_load):
             if (
-                link.address == address
-                and not self._idle_too_long(link, now)
-                and link.takes(txn, now, self._settings.streams_per_connection, silence)
+                connection.address == address
+                and not self._is_idle_too_long(connection, now_ms)
+                and connection.can_take(txn, now_ms, self._settings.streams_per_connection, silence_ms)
             ):
-                link.used_at = now
-                return link
+                connection.last_used_ms = now_ms
+                return connection
         return None
 
-    def _idle_too_long(self, link: Link, now: float) -> bool:
-        """Return whether the cache may be closing a connection on which nothing has been open for a while."""
-        return not link.open and now - link.used_at > IDLE_PART * self._settings.connection_idle_ms
+    def _is_idle_too_long(self, connection: NodeConnection, now_ms: float) -> bool:
+        """Return whether a connection has been idle so long that the cache may be closing it."""
+        return (
+            not connection.attempts
+            and now_ms - connection.last_used_ms > IDLE_FRACTION * self._settings.connection_idle_ms
+        )
 
-    def _slow(self, link: Link, now: float) -> bool:
-        """Whether a connection has been coming up for long: nothing more is to wait for it."""
-        return not link.connection.up and now - link.opened_at >= SLOW * self._settings.connect_timeout_ms
+    def _is_slow_to_open(self, connection: NodeConnection, now_ms: float) -> bool:
+        """Return whether a connection has been opening for so long that nothing more should wait for it."""
+        return (
+            not connection.channel.up
+            and now_ms - connection.opened_at_ms >= SLOW_CONNECT_FRACTION * self._settings.connect_timeout_ms
+        )
 
-    def _hurry(self, link: Link, now: float) -> None:
-        """Puts what waits for a slow connection on another one, once; the first that is up has it.
+    def _move_waiting(self, connection: NodeConnection, now_ms: float) -> None:
+        """Move attempts that wait for a slow connection to another one, once each.
 
-        Guards against a cache that is given up for one connection that comes up late, or never.
+        Otherwise one connection that opens late, or never, would count as a failure of the cache.
         """
-        for attempt in list(link.open.values()):
-            if not attempt.moved and self.links() < self.most_links and (other := self._link(attempt, now)):
-                attempt.moved = True
-                self._unlink(attempt)
-                self._put(attempt, other)
-
-    def _make_room(self) -> bool:
-        """Closes the connection that has been idle for longest; says whether there was one."""
+        for attempt in list(connection.attempts.values()):
+            if (
+                not attempt.reassigned
+                and self.connection_count() < self.max_connections
+                and (other := self._choose_connection(attempt, now_ms))
+            ):
+                attempt.reassigned = True
+                self._detach(attempt)
+                self._enqueue(attempt, other)
+
+    def _close_idlest(self) -> bool:
+        """Close the connection that has been idle for longest; return whether there was one."""
         idle = [
-            link
-            for links in self._links.values()
-            for link in links
-            if not link.open and not link.connection.over
+            connection
+            for connections in self._connections.values()
+            for connection in connections
+            if not connection.attempts and not connection.channel.over
         ]
         if idle:
-            min(idle, key=lambda link: link.used_at).connection.close()
+            min(idle, key=lambda connection: connection.last_used_ms).channel.close()
         return bool(idle)
 
-    def may_go(self, attempt: Attempt) -> bool:
-        """Whether the attempt may still go; if not, it ends as never sent.
+    def can_send(self, attempt: Attempt) -> bool:
+        """Return whether an attempt may still be sent; if not, end it as unsent.
 
-        Guards against drains, ends and purges that were told after the order, against a request that has
-        its answer by now, and against a repeat whose window has passed while it waited.
+        Drains, removals and purges may have arrived since the decision. The request may have been answered,
+        or its deduplication window may have passed while the attempt waited.
         """
-        order: SendAttempt = attempt.order
+        action: SendAttempt = attempt.action
         if attempt.ended:
             return False
-        over = attempt.request.answered or attempt.outdated or self._window_over(attempt)
+        over = attempt.request.answered or attempt.purged or self._deduplication_window_passed(attempt)
         if (
             over
-            or not self._nodes.ready(order.node_id)
-            or (order.source_id != order.node_id and not self._nodes.ready(order.source_id))
+            or not self._nodes.is_ready(action.node_id)
+            or (action.source_id != action.node_id and not self._nodes.is_ready(action.source_id))
         ):
             self._finish(attempt, Outcome.EXPIRED_UNSENT)
             return False
         return True
 
-    def _window_over(self, attempt: Attempt) -> bool:
-        """Whether another attempt may have run, and began so long ago that the class allows no repeat now.
+    def _deduplication_window_passed(self, attempt: Attempt) -> bool:
+        """Return whether another attempt may have run so long ago that the class allows no repeat any more.
 
-        Whichever was ordered first: the other may have been written before it.
+        The order in which the attempts were decided does not matter: a later one may have been written first.
         """
-        cls = attempt.request.cls
+        cls = attempt.request.class_settings
         return cls.idempotency is Idempotency.IDEMPOTENCY_KEY and any(
-            other.written_at
-            and not other.not_run
-            and self._clock.now() - other.written_at >= cls.deduplication_window_ms
+            other.written_at_ms
+            and not other.not_executed
+            and self._clock.now() - other.written_at_ms >= cls.deduplication_window_ms
             for other in attempt.request.attempts
         )
 
     def begin(self, attempt: Attempt) -> bytes | None:
-        """The bytes of an attempt whose first byte is about to be written; None if it can't go."""
-        if attempt.request.asked.check_connection is not None:
-            attempt.request.asked.check_connection()
-        if not self.may_go(attempt):
+        """Return the command of an attempt that is about to be written; None if it may not be sent."""
+        if attempt.request.client_request.check_connection is not None:
+            attempt.request.client_request.check_connection()
+        if not self.can_send(attempt):
             return None
-        if self.outlived is not None and self.outlived(attempt):
-            # Guards against what was decided on a share of before we were stopped.
+        if self.is_decision_outdated is not None and self.is_decision_outdated(attempt):
+            # The process was suspended since the decision, so its share may have changed.
             self._finish(attempt, Outcome.EXPIRED_UNSENT)
             return None
-        now = self._clock.now()
-        attempt.written_at = now
-        if self.watcher is not None:
-            self.watcher(attempt)
-        return command(attempt, now)
+        now_ms = self._clock.now()
+        attempt.written_at_ms = now_ms
+        if self.on_write is not None:
+            self.on_write(attempt)
+        return encode_fetch(attempt, now_ms)
 
     def cancel(self, attempt: Attempt, outcome: Outcome = Outcome.CANCELLED) -> None:
-        """Gives an attempt up; what was written is aborted by its id."""
-        link = self._where.get(attempt)
-        if attempt.written_at and link is not None and not link.connection.over:
-            link.given_up.add(attempt.request.asked.txn)
-            link.connection.put(Abort(attempt.request.asked.txn))
-            silent_for = self._clock.now() - max(attempt.written_at, link.heard_at)
-            link.used_at = self._clock.now()
-            # Guards against a connection on which nothing comes back taking the next attempt, too.
-            link.doubtful |= silent_for > SILENT * max(self._settings.connect_timeout_ms, 100.0)
+        """End an attempt; if it was written, abort it by its transaction id."""
+        connection = self._connection_by_attempt.get(attempt)
+        if attempt.written_at_ms and connection is not None and not connection.channel.over:
+            connection.cancelled_ids.add(attempt.request.client_request.txn)
+            connection.channel.put(AbortCommand(attempt.request.client_request.txn))
+            silent_ms = self._clock.now() - max(attempt.written_at_ms, connection.last_received_ms)
+            connection.last_used_ms = self._clock.now()
+            # A connection without any response must not get the next attempt, too.
+            connection.suspect |= silent_ms > SILENCE_TIMEOUTS * max(self._settings.connect_timeout_ms, 100.0)
         self._finish(attempt, outcome)
 
     def late(self, attempt: Attempt) -> None:
-        """The time of an attempt has run out; one that was never written surely did not run."""
-        self.cancel(attempt, Outcome.TIMEOUT if attempt.written_at else Outcome.CONNECT_FAILED)
+        """End an attempt whose deadline has passed; one that was never written did not run."""
+        self.cancel(attempt, Outcome.TIMEOUT if attempt.written_at_ms else Outcome.CONNECT_FAILED)
 
     def _finish(self, attempt: Attempt, outcome: Outcome) -> None:
-        self._unlink(attempt)
-        self._book.ended(attempt, outcome)
+        self._detach(attempt)
+        self._recorder.attempt_ended(attempt, outcome)
 
-    def _unlink(self, attempt: Attempt) -> None:
-        link = self._where.pop(attempt, None)
-        if link is not None:
-            link.open.pop(attempt.request.asked.txn, None)
+    def _detach(self, attempt: Attempt) -> None:
+        connection = self._connection_by_attempt.pop(attempt, None)
+        if connection is not None:
+            connection.attempts.pop(attempt.request.client_request.txn, None)
 
-    def arrived(self, link: Link, array: list[bytes]) -> None:
-        """An answer on a connection; one under an id that is not open there is not owed, and dropped.
+    def handle_response(self, connection: NodeConnection, array: list[bytes]) -> None:
+        """Handle a response on a connection; ignore it if its transaction id is not in flight there.
 
-        Raises RespError if it can't be read: then nothing on this connection can be trusted any more.
+        Raises RespError if the response is malformed: nothing on this connection can be trusted then.
         """
         if len(array) != 4:
             raise resp.RespError(f"an answer of {len(array)} parts")
@@ -396,97 +437,105 @@
             array[0].decode("latin-1"),
             Reply(array[1].decode("latin-1"), resp.fields_of(array[2]), array[3]),
         )
-        attempt = link.open.get(txn)
-        if attempt is None or not attempt.written_at:
-            if txn in link.given_up:
-                link.heard_at = self._clock.now()
+        attempt = connection.attempts.get(txn)
+        if attempt is None or not attempt.written_at_ms:
+            if txn in connection.cancelled_ids:
+                connection.last_received_ms = self._clock.now()
             return
-        if why := self._relay.spoilt(attempt, reply):
-            raise resp.RespError(why)
-        link.heard_at = link.used_at = self._clock.now()
-        link.answered.add(txn)
-        self._unlink(attempt)
-        self._relay.arrived(attempt, reply)
-        self.relieve(link)
-
-    def down(self, link: Link, why: str) -> None:
-        """A connection is over: what was written may have run, the rest did not.
-
-        What was not written goes by another connection, once, if the end of this one says little of the
-        cache.
+        if reason := self._relay.corruption_reason(attempt, reply):
+            raise resp.RespError(reason)
+        connection.last_received_ms = connection.last_used_ms = self._clock.now()
+        connection.answered_ids.add(txn)
+        self._detach(attempt)
+        self._relay.handle_reply(attempt, reply)
+        self.adopt_waiting(connection)
+
+    def handle_closed(self, connection: NodeConnection, reason: str) -> None:
+        """Handle the end of a connection.
+
+        Attempts that were written may have run, the others did not. Those move to another connection, once,
+        if the end of this one is no sign of a failure of the cache.
         """
-        links = self._links.get(link.node, [])
-        if link in links:
-            links.remove(link)
-        if not links:
-            self._links.pop(link.node, None)
-        if link.open:
-            log_some(
+        connections = self._connections.get(connection.node_id, [])
+        if connection in connections:
+            connections.remove(connection)
+        if not connections:
+            self._connections.pop(connection.node_id, None)
+        if connection.attempts:
+            log_limited(
                 LogEvent.UPSTREAM_CONNECTION_CLOSED,
-                node=f"s-{link.node:08x}",
-                open=len(link.open),
-                reason=why,
+                node=f"s-{connection.node_id:08x}",
+                open=len(connection.attempts),
+                reason=reason,
             )
-        excused = self._excused(link)
-        for attempt in list(link.open.values()):
+        inconclusive = self._is_inconclusive(connection)
+        for attempt in list(connection.attempts.values()):
             if attempt.ended:
                 continue
-            if excused and not attempt.written_at and not attempt.moved:
-                attempt.moved = True
-                self._unlink(attempt)
-                self._place(attempt)
+            if inconclusive and not attempt.written_at_ms and not attempt.reassigned:
+                attempt.reassigned = True
+                self._detach(attempt)
+                self._assign(attempt)
             else:
-                ours = link.connection.lacking or (excused and not link.connection.up)
-                unseen = Outcome.EXPIRED_UNSENT if ours else Outcome.CONNECT_FAILED
-                self._finish(attempt, Outcome.RESET if attempt.written_at else unseen)
+                never_reached = connection.channel.lacking or (inconclusive and not connection.channel.up)
+                unsent_outcome = Outcome.EXPIRED_UNSENT if never_reached else Outcome.CONNECT_FAILED
+                self._finish(attempt, Outcome.RESET if attempt.written_at_ms else unsent_outcome)
 
-    def _excused(self, link: Link) -> bool:
-        """Whether the end of a connection says little of its cache.
+    def _is_inconclusive(self, connection: NodeConnection) -> bool:
+        """Return whether the end of a connection is no sign of a failure of its cache.
 
-        It had come up and was reset, or we closed it, or others to the same cache have worked since it was
-        begun: guards against a cache that is given up for one connection.
+        That is so if it was up and was reset, if the router closed it, or if another connection to the cache
+        has received data since it was opened. Otherwise one failed connection would eject a cache that works.
         """
-        if link.connection.late:
+        if connection.channel.late:
             return any(
-                other.connection.up and other.heard_at >= link.opened_at
-                for other in self._links.get(link.node, ())
+                other.channel.up and other.last_received_ms >= connection.opened_at_ms
+                for other in self._connections.get(connection.node_id, ())
             )
-        return not link.connection.refused
+        return not connection.channel.refused
 
-    def started(self, node: NodeId, moment: float) -> None:
-        """The node was started anew then. Guards against waiting on connections to what ran before;
+    def handle_restart(self, node_id: NodeId, started_ms: float) -> None:
+        """Close the connections to a node that were opened before it was restarted.
 
-        those opened since lead to the new process, and what is out on them goes on.
+        Nothing answers on them. Those opened since lead to the new process, and the attempts on them go on.
         """
-        for link in list(self._links.get(node, [])):
-            if link.opened_at < moment:
-                link.connection.close()
+        for connection in list(self._connections.get(node_id, [])):
+            if connection.opened_at_ms < started_ms:
+                connection.channel.close()
 
-    def gone(self) -> None:
-        """Closes the connections to nodes that are listed no more: nobody there answers what is out."""
-        for node in [node for node in self._links if not self._nodes.lists(node)]:
-            for link in list(self._links[node]):
-                link.connection.close()
+    def close_unlisted(self) -> None:
+        """Close the connections to nodes that are not listed any more, as they won't answer."""
+        for node_id in [node_id for node_id in self._connections if not self._nodes.is_listed(node_id)]:
+            for connection in list(self._connections[node_id]):
+                connection.channel.close()
 
     def _sweep(self) -> None:
-        """Closes connections that are idle, stuck or in doubt, and has nothing wait for slow ones.
+        """Close connections that are idle, stuck or suspect, and move attempts that wait for slow ones.
 
-        Guards against writing into one that the cache is closing, and against one that stays open in the
-        middle of an answer, or goes on for ever with one that was given up.
+        Otherwise an attempt could be written to a connection that the cache is closing. A connection could
+        stay open in the middle of a response, or receive the response of a cancelled attempt without end.
         """
-        now, stuck_after = self._clock.now(), max(STUCK, self._settings.connect_timeout_ms)
-        self._timers.at(now + SWEEP, self._sweep)
-        for links in list(self._links.values()):
-            for link in list(links):
-                if self._slow(link, now) and not link.connection.over:
-                    self._hurry(link, now)
-                halfway = link.connection.halfway_at
-                since = halfway if link.open else min(halfway, link.used_at)
-                stuck = halfway and now - since > stuck_after
-                if stuck or self._idle_too_long(link, now) or (not link.open and link.doubtful):
-                    link.connection.close()
-
-
-def connection_limit(sockets: int) -> int:
-    """Connections to caches that a limit on descriptors leaves room for."""
-    return max(4, math.floor(sockets / 3))
+        now_ms, stuck_timeout_ms = self._clock.now(), max(STUCK_TIMEOUT_MS, self._settings.connect_timeout_ms)
+        self._timers.call_at(now_ms + SWEEP_INTERVAL_MS, self._sweep)
+        for connections in list(self._connections.values()):
+            for connection in list(connections):
+                if self._is_slow_to_open(connection, now_ms) and not connection.channel.over:
+                    self._move_waiting(connection, now_ms)
+                incomplete_since_ms = connection.channel.halfway_at
+                since_ms = (
+                    incomplete_since_ms
+                    if connection.attempts
+                    else min(incomplete_since_ms, connection.last_used_ms)
+                )
+                stuck = incomplete_since_ms and now_ms - since_ms > stuck_timeout_ms
+                if (
+                    stuck
+                    or self._is_idle_too_long(connection, now_ms)
+                    or (not connection.attempts and connection.suspect)
+                ):
+                    connection.channel.close()
+
+
+def connection_limit(max_sockets: int) -> int:
+    """Return the number of connections to caches that a limit on sockets allows."""
+    return max(4, math.floor(max_sockets / 3))
--- a/stonecove/protocols/change_log.py
+++ b/stonecove/protocols/change_log.py
@@ -10,7 +10,7 @@
 from stonecove.protocols.buffer import Buffer
 from stonecove.routing.endpoints import Node, NodeState
 from stonecove.routing.settings import Settings
-from stonecove.runtime.log import log_some
+from stonecove.runtime.log import log_limited
 from stonecove.runtime.log_events import LogEvent
 
 MOST_FRAME = 4 << 20
@@ -153,7 +153,9 @@
                     self.last = frame.number
                 raise
         else:  # guards against asking for ever for an event that a newer log tells and we don't know
-            log_some(LogEvent.CHANGE_LOG_EVENT_SKIPPED, number=frame.number, reason=frame.wrong or "its kind")
+            log_limited(
+                LogEvent.CHANGE_LOG_EVENT_SKIPPED, number=frame.number, reason=frame.wrong or "its kind"
+            )
         self.last = frame.number
         return True
 
--- a/stonecove/protocols/fastcgi/codec.py
+++ b/stonecove/protocols/fastcgi/codec.py
@@ -9,7 +9,7 @@
 from typing import NamedTuple
 
 from stonecove.protocols.buffer import Buffer
-from stonecove.state.budget import Budget
+from stonecove.state.budget import MemoryBudget
 
 BEGIN, ABORT, END, PARAMS, STDIN, STDOUT, STDERR, DATA, GET_VALUES, GET_VALUES_RESULT, UNKNOWN = range(1, 12)
 COMPLETE, CANT_MPX, OVERLOADED, UNKNOWN_ROLE = range(4)
@@ -126,7 +126,7 @@
 class Decoder:
     """Requests out of records, however the bytes were split."""
 
-    def __init__(self, budget: Budget, clock: Callable[[], float]) -> None:
+    def __init__(self, budget: MemoryBudget, clock: Callable[[], float]) -> None:
         self._budget = budget
         self._clock = clock
         self._taking: dict[int, _Taking] = {}
@@ -196,7 +196,7 @@
             if (
                 kind in (PARAMS, STDIN)
                 and content
-                and (taking.no_room or not self._budget.lets_in(len(content), self))
+                and (taking.no_room or not self._budget.can_receive(len(content), self))
             ):
                 self._forget(taking)
             elif kind == PARAMS:
@@ -206,7 +206,7 @@
                     yield self._ill(ident, "the body is too long")
                 else:
                     taking.body += content
-                    self._budget.come(len(content), self)
+                    self._budget.add_incomplete(len(content), self)
             elif kind == STDIN:
                 self._taken(ident)
                 if taking.no_room:
@@ -218,9 +218,9 @@
     def _taken(self, ident: int) -> None:
         """The request comes in no more."""
         if size := self._taking.pop(ident).size():
-            self._budget.come(-size, self)
+            self._budget.add_incomplete(-size, self)
 
-    def give_way(self) -> None:
+    def discard_incomplete(self) -> None:
         """Keeps nothing of what is coming in: there is no room for it."""
         for taking in self._taking.values():
             self._forget(taking)
@@ -228,7 +228,7 @@
     def _forget(self, taking: _Taking) -> None:
         """What came in of a request is not kept until its end, with which it is refused."""
         if size := taking.size():
-            self._budget.come(-size, self)
+            self._budget.add_incomplete(-size, self)
         taking.params, taking.body, taking.no_room = bytearray(), bytearray(), True
 
     def _ill(self, ident: int, why: str) -> Arrived:
@@ -292,7 +292,7 @@
             yield self._ill(ident, "the parameters are too long")
         else:
             taking.params += content
-            self._budget.come(len(content), self)
+            self._budget.add_incomplete(len(content), self)
 
     @staticmethod
     def _whole(ident: int, taking: _Taking) -> Arrived:
--- a/stonecove/protocols/fastcgi/session.py
+++ b/stonecove/protocols/fastcgi/session.py
@@ -23,7 +23,7 @@
     end_record,
 )
 from stonecove.protocols.upstream_channel import Socket
-from stonecove.state.budget import Budget
+from stonecove.state.budget import MemoryBudget
 
 MOST_UNREAD = 2 * (65_536 + 256 + 8)
 MOST_OWED = 1000  # protocol records that wait to be written
@@ -49,7 +49,9 @@
 class Session:
     """One client connection: requests in, answers out by turns, record by record."""
 
-    def __init__(self, sock: Socket, handler: Handler, clock: Callable[[], float], budget: Budget) -> None:
+    def __init__(
+        self, sock: Socket, handler: Handler, clock: Callable[[], float], budget: MemoryBudget
+    ) -> None:
         self._sock = sock
         self._handler = handler
         self._clock = clock
@@ -147,7 +149,7 @@
     def ended(self) -> None:
         """The connection is over; to be called once, as the last."""
         self._decoder.close()
-        self._budget.give(self._unsent)
+        self._budget.release(self._unsent)
         self._unsent = 0
         self.left()
 
@@ -204,7 +206,7 @@
         records = answer_records(ident, head, body)
         size = sum(map(len, records))
         self._unsent += size
-        self._budget.take(size)
+        self._budget.reserve(size)
         self._answers.append((ident, records))
         self._pump()
 
@@ -239,7 +241,7 @@
                 ident, records = self._answers.popleft()
                 part = records.popleft()
                 self._unsent -= len(part)
-                self._budget.give(len(part))
+                self._budget.release(len(part))
                 if records:
                     self._answers.append((ident, records))
                 else:
--- a/stonecove/runtime/__init__.py
+++ b/stonecove/runtime/__init__.py
@@ -1,1 +1,1 @@
-"""What every layer uses: the clock, the timers and the log. Nothing here waits."""
+"""Services used by every layer: the clock, timers and the log. Nothing here blocks."""
--- a/stonecove/runtime/clock.py
+++ b/stonecove/runtime/clock.py
@@ -1,50 +1,58 @@
-"""The one clock, in Unix milliseconds, and what of our share of a core is left."""
+"""The clock, in Unix milliseconds, and the router's CPU credit."""
 
 from __future__ import annotations
 
 import time
 from collections.abc import Callable
 
-CPU_PART = 0.97  # part of our share that we use before we refuse
-CPU_SAVED = 0.1  # seconds of it that can be saved up
-LONGEST_SLIP = 2000.0  # ms by which the clock may be put back unnoticed
+USABLE_CPU_FRACTION = 0.97  # of the router's share, used before requests are rejected
+MAX_CPU_CREDIT_S = 0.1  # unused CPU time that can be accumulated, for a share of a whole core
+MAX_BACKWARD_STEP_MS = 2000.0  # smaller steps back of the system clock are hidden
 
 
 class Clock:
-    """Unix milliseconds that don't go back, unless the system's clock is set back by a lot."""
+    """Unix milliseconds that don't go back, unless the system clock is set back by a lot."""
 
-    def __init__(self, wall: Callable[[], float] = time.time) -> None:
-        """`wall` tells Unix seconds, and may be set at any time."""
-        self._wall = wall
-        self._last = 0.0
+    def __init__(self, wall_clock: Callable[[], float] = time.time) -> None:
+        """Create a clock over `wall_clock`, which returns Unix seconds and may be set at any time."""
+        self._wall_clock = wall_clock
+        self._last_ms = 0.0
 
     def now(self) -> float:
-        """The present moment."""
-        wall = self._wall() * 1000.0
-        # Guards against purges that seem old after a clock that ran ahead was put right.
-        if wall < self._last - LONGEST_SLIP:
-            self._last = wall
-        self._last = max(self._last, wall)
-        return self._last
+        """Return the current time in Unix ms."""
+        wall_ms = self._wall_clock() * 1000.0
+        # A clock that ran ahead and was corrected must be followed, or new purges would seem old.
+        if wall_ms < self._last_ms - MAX_BACKWARD_STEP_MS:
+            self._last_ms = wall_ms
+        self._last_ms = max(self._last_ms, wall_ms)
+        return self._last_ms
 
 
 class CpuCredit:
-    """What of our share of a core is left to use, against being stopped by the platform for using more."""
+    """CPU time that the router may still use of its share of a core.
+
+    A process that uses more than its share is suspended by the platform.
+    """
 
     def __init__(self) -> None:
-        self.share(1.0)
+        self.set_cores(1.0)
+
+    def set_cores(self, cores: float) -> None:
+        """Set the router's share, in cores, and reset the credit."""
+        self._cores, self._credit_s = cores, 0.0
+        self._measured_at_s, self._cpu_used_s = time.monotonic(), time.process_time()
 
-    def share(self, cores: float) -> None:
-        """So much of a core is ours from now on."""
-        self._cores, self._credit = cores, 0.0
-        self._wall, self._used = time.monotonic(), time.process_time()
+    def remaining_s(self) -> float:
+        """Return the remaining CPU time in seconds; negative if the share was exceeded.
 
-    def left(self) -> float:
-        """Seconds of CPU saved up; below 0, too many were used. Nothing is said of a whole core."""
+        It is always 0 for a share of a whole core.
+        """
         if self._cores >= 1.0:
             return 0.0
-        wall, used = time.monotonic(), time.process_time()
-        earned = (wall - self._wall) * self._cores * CPU_PART
-        self._credit = min(CPU_SAVED * self._cores, self._credit + earned - (used - self._used))
-        self._wall, self._used = wall, used
-        return self._credit
+        wall_s, used_s = time.monotonic(), time.process_time()
+        earned_s = (wall_s - self._measured_at_s) * self._cores * USABLE_CPU_FRACTION
+        self._credit_s = min(
+            MAX_CPU_CREDIT_S * self._cores, self._credit_s + earned_s - (used_s - self._cpu_used_s)
+        )
+        self._measured_at_s, self._cpu_used_s = wall_s, used_s
+        return self._credit_s
--- a/stonecove/runtime/log.py
+++ b/stonecove/runtime/log.py
@@ -1,4 +1,4 @@
-"""One greppable line per event, on standard error."""
+"""The log: one line per event on standard error, in a form that can be searched with grep."""
 
 from __future__ import annotations
 
@@ -8,47 +8,50 @@
 
 Sink = Callable[[str, dict[str, object]], None]
 
-MOST_A_SECOND = 5  # lines of one event that peers can bring about as often as they like
+MAX_LINES_PER_SECOND = 5  # of one event that peers can cause at any rate
 
 _sink: Sink | None = None
-_told: dict[str, tuple[int, int]] = {}  # by event: the second, and lines asked for in it
+_lines_by_event: dict[str, tuple[int, int]] = {}  # the current second, and the lines requested in it
 
 
-def divert(sink: Sink | None) -> None:
-    """Hands each line, as event and fields, to somebody else; None: to standard error again."""
+def set_log_sink(sink: Sink | None) -> None:
+    """Pass each event and its fields to `sink`; None restores standard error."""
     global _sink
     _sink = sink
 
 
-def log_some(event: str, **fields: object) -> None:
-    """A line of an event that a bad peer could fill the log with: a few a second, `more` tells how many."""
+def log_limited(event: str, **fields: object) -> None:
+    """Log an event that a faulty peer could fill the log with, at most `MAX_LINES_PER_SECOND` times a second.
+
+    The first line of a later second has the number of suppressed lines in its field `more`.
+    """
     second = int(time.time())
-    last, count = _told.get(event, (second, 0))
+    last, count = _lines_by_event.get(event, (second, 0))
     if last != second:
-        if count > MOST_A_SECOND:
-            fields["more"] = count - MOST_A_SECOND
+        if count > MAX_LINES_PER_SECOND:
+            fields["more"] = count - MAX_LINES_PER_SECOND
         count = 0
-    _told[event] = second, count + 1
-    if count < MOST_A_SECOND:
+    _lines_by_event[event] = second, count + 1
+    if count < MAX_LINES_PER_SECOND:
         log(event, **fields)
 
 
-def line(event: str, fields: dict[str, object]) -> str:
-    """`time event name=value ...`, values with spaces quoted."""
-    words = [f"{time.time():.3f}", event]
+def format_line(event: str, fields: dict[str, object]) -> str:
+    """Return `time event name=value ...`; values with spaces or unprintable characters are quoted."""
+    parts = [f"{time.time():.3f}", event]
     for name, value in fields.items():
         text = f"{value:.1f}" if isinstance(value, float) else str(value)
-        words.append(f"{name}={ascii(text) if ' ' in text or not text.isprintable() else text}")
-    return " ".join(words)
+        parts.append(f"{name}={ascii(text) if ' ' in text or not text.isprintable() else text}")
+    return " ".join(parts)
 
 
 def log(event: str, **fields: object) -> None:
-    """Writes a line. A log that is gone stops nothing."""
+    """Log an event; a log that can't be written is ignored."""
     if _sink is not None:
         _sink(event, fields)
         return
     try:
-        sys.stderr.write(line(event, fields) + "\n")
+        sys.stderr.write(format_line(event, fields) + "\n")
         sys.stderr.flush()
     except (OSError, ValueError):
         pass
--- a/stonecove/runtime/log_events.py
+++ b/stonecove/runtime/log_events.py
@@ -1,4 +1,4 @@
-"""All events of the log. ONCALL.md says what each means and what to do."""
+"""The events of the log. ONCALL.md describes each and how to respond to it."""
 
 from __future__ import annotations
 
@@ -6,9 +6,9 @@
 
 
 class LogEvent(StrEnum):
-    """The name of an event, the second word of its line."""
+    """The name of an event, which is the second word of its line."""
 
-    # The router's life
+    # Router process
     ROUTER_READY = "router_ready"
     ROUTER_STOPPING = "router_stopping"
     ROUTER_STOPPED = "router_stopped"
@@ -64,7 +64,7 @@
     OPERATOR_CONFIG_RELOADED = "operator_config_reloaded"
     OPERATOR_CONFIG_REJECTED = "operator_config_rejected"
 
-    # Presence and the size of the fleet
+    # Presence and fleet size
     PRESENCE_WITHDRAWN = "presence_withdrawn"
     PRESENCE_WRITE_REJECTED = "presence_write_rejected"
     PRESENCE_NAME_CONFLICT = "presence_name_conflict"
@@ -82,7 +82,7 @@
     GOSSIP_NAME_CONFLICT = "gossip_name_conflict"
     GOSSIP_SOCKET_FAILED = "gossip_socket_failed"
 
-    # Settings rolled out to a fleet
+    # Settings roll-outs
     SETTINGS_LOADED = "settings_loaded"
     SETTINGS_APPLIED = "settings_applied"
     SETTINGS_REJECTED = "settings_rejected"
@@ -97,7 +97,7 @@
     LEASE_MESSAGE_MALFORMED = "lease_message_malformed"
     LEASE_HOLDER_DISCONNECTED = "lease_holder_disconnected"
 
-    # The supervisor of a host
+    # Supervisor of a host
     SUPERVISOR_STARTED = "supervisor_started"
     SUPERVISOR_STOPPED = "supervisor_stopped"
     FLEET_READY = "fleet_ready"
--- a/stonecove/runtime/notify.py
+++ b/stonecove/runtime/notify.py
@@ -1,5 +1,6 @@
-"""The notify protocol of systemd (sd_notify(3)): states told by a datagram to the socket that
-NOTIFY_SOCKET names.
+"""The notification protocol of systemd, as in sd_notify(3).
+
+States are sent as datagrams to the socket named by NOTIFY_SOCKET.
 """
 
 from __future__ import annotations
@@ -11,8 +12,9 @@
 
 
 def notify(*lines: str, env: Mapping[str, str] = os.environ) -> bool:
-    """Tells states such as READY=1; False if nobody asked for it or nobody hears. Never waits, never
-    raises.
+    """Send states such as READY=1; return whether they were sent.
+
+    It returns False if NOTIFY_SOCKET is unset or nothing receives there; it never blocks or raises.
     """
     path = env.get("NOTIFY_SOCKET", "")
     if not path.startswith(("/", "@")):
@@ -27,14 +29,15 @@
     return True
 
 
-def reloading() -> bool:
-    """RELOADING=1 wants the steady clock beside it."""
+def notify_reloading() -> bool:
+    """Send RELOADING=1 with the monotonic time, which the protocol requires."""
     return notify("RELOADING=1", f"MONOTONIC_USEC={time.monotonic_ns() // 1000}")
 
 
-def watchdog_every(env: Mapping[str, str] = os.environ) -> float | None:
-    """Seconds between two signs of life that the manager wants: half of what it allows; None if it wants
-    none.
+def watchdog_interval_s(env: Mapping[str, str] = os.environ) -> float | None:
+    """Return the seconds between two watchdog notifications; None if no watchdog is configured.
+
+    That is half of the time-out that the service manager allows.
     """
     if env.get("WATCHDOG_PID", str(os.getpid())) != str(os.getpid()):
         return None
--- a/stonecove/runtime/timers.py
+++ b/stonecove/runtime/timers.py
@@ -1,4 +1,4 @@
-"""The alarms that run on the clock. Who waits for the next one is somebody else's concern."""
+"""Timers that run on the clock. Waiting for the next one is the caller's task."""
 
 from __future__ import annotations
 
@@ -10,75 +10,84 @@
 from stonecove.runtime.log import log
 from stonecove.runtime.log_events import LogEvent
 
-LEAST_TIDIED = 1024  # alarms, those called off among them, up to which nothing is thrown away
+MIN_COMPACTION_SIZE = 1024  # entries, cancelled ones included, below which the heap is not compacted
 
 
-def nobody() -> None:
-    """Nobody waits, so nobody is woken."""
+def no_op() -> None:
+    """Do nothing; the default of callbacks."""
 
 
-class Alarm:
-    """A call to be made at its time, unless called off."""
+class Timer:
+    """A callback that is due at some time, unless it is cancelled."""
 
-    __slots__ = ("call",)
+    __slots__ = ("callback",)
 
-    def __init__(self, call: Callable[[], None]) -> None:
-        self.call: Callable[[], None] | None = call
+    def __init__(self, callback: Callable[[], None]) -> None:
+        self.callback: Callable[[], None] | None = callback
 
-    def off(self) -> None:
-        """Calls it off."""
-        self.call = None
+    def cancel(self) -> None:
+        """Cancel the timer."""
+        self.callback = None
 
 
 class Timers:
-    """All alarms, in the order of their times; once set, they don't mind if the system's clock is set."""
+    """All timers, in the order of their due times.
 
-    def __init__(self, clock: Clock, steady: Callable[[], float], wake: Callable[[], None] = nobody) -> None:
-        """`steady` tells seconds that nobody sets; `wake` is called when an earlier alarm than all is set."""
+    Setting the system clock does not move timers that are already set.
+    """
+
+    def __init__(
+        self, clock: Clock, monotonic: Callable[[], float], wake: Callable[[], None] = no_op
+    ) -> None:
+        """Create an empty set of timers.
+
+        `monotonic` returns seconds of a clock that can't be set. `wake` is called when a timer is set that is
+        due before all others.
+        """
         self._clock = clock
-        self._steady = steady
+        self._monotonic = monotonic
         self._wake = wake
-        self._heap: list[tuple[float, int, Alarm]] = []
-        self._count = 0
-        self._tidy_at = LEAST_TIDIED
+        self._heap: list[tuple[float, int, Timer]] = []
+        self._sequence = 0
+        self._compact_at = MIN_COMPACTION_SIZE
 
-    def at(self, moment: float, call: Callable[[], None]) -> Alarm:
-        """Has the call made at that Unix millisecond, never before this turn is over.
+    def call_at(self, moment_ms: float, callback: Callable[[], None]) -> Timer:
+        """Schedule a callback for a Unix time in ms, never within the current turn.
 
-        Guards against alarms that are called off but due in a minute, as of clients that come, claim to wait
-        for long and go, by the thousand.
+        The heap is compacted as it grows. Otherwise cancelled timers that are due in a minute would pile up,
+        as with thousands of clients that claim to wait for long and disconnect.
         """
-        alarm = Alarm(call)
-        due = self._steady() + (moment - self._clock.now()) / 1000.0
-        self._count += 1
-        if len(self._heap) >= self._tidy_at:
-            self._heap = [entry for entry in self._heap if entry[2].call is not None]
+        timer = Timer(callback)
+        due_s = self._monotonic() + (moment_ms - self._clock.now()) / 1000.0
+        self._sequence += 1
+        if len(self._heap) >= self._compact_at:
+            self._heap = [entry for entry in self._heap if entry[2].callback is not None]
             heapq.heapify(self._heap)
-            self._tidy_at = max(LEAST_TIDIED, 2 * len(self._heap))
-        entry = (due, self._count, alarm)
+            self._compact_at = max(MIN_COMPACTION_SIZE, 2 * len(self._heap))
+        entry = (due_s, self._sequence, timer)
         heapq.heappush(self._heap, entry)
         if self._heap[0] is entry:
             self._wake()
-        return alarm
+        return timer
 
     def next_due(self) -> float:
-        """When the next alarm falls due, in seconds of the steady clock; infinite without one."""
-        while self._heap and self._heap[0][2].call is None:
+        """Return when the next timer is due, in seconds of the monotonic clock; infinite without one."""
+        while self._heap and self._heap[0][2].callback is None:
             heapq.heappop(self._heap)
         return self._heap[0][0] if self._heap else math.inf
 
     def run_due(self) -> None:
-        """Makes the calls that have fallen due by now."""
-        now = self._steady()
-        while self._heap and (self._heap[0][0] <= now or self._heap[0][2].call is None):
-            call = heapq.heappop(self._heap)[2].call
-            if call is not None:
-                self._make(call)
+        """Run the callbacks that are due by now."""
+        now_s = self._monotonic()
+        while self._heap and (self._heap[0][0] <= now_s or self._heap[0][2].callback is None):
+            callback = heapq.heappop(self._heap)[2].callback
+            if callback is not None:
+                self._run_callback(callback)
 
     @staticmethod
-    def _make(call: Callable[[], None]) -> None:
-        """Guards against one call that goes wrong ending all the others."""
+    def _run_callback(callback: Callable[[], None]) -> None:
+        """Run a callback; an exception is logged, so that the other timers still run."""
         try:
-            call()
+            callback()
         except Exception as error:
             log(LogEvent.INTERNAL_ERROR, where="timer", error=repr(error))
--- a/stonecove/runtime/unix.py
+++ b/stonecove/runtime/unix.py
@@ -1,4 +1,4 @@
-"""Listening Unix sockets that are ours alone, for whoever answers questions or lends on this host."""
+"""Private listening Unix sockets, for queries and leases on this host."""
 
 from __future__ import annotations
 
@@ -9,12 +9,13 @@
 
 import trio
 
-NO_ROOM_WAIT = 0.1  # seconds
+DESCRIPTOR_RETRY_S = 0.1
 
 
-def bound(path: str, backlog: int = 16) -> socket.socket:
-    """A non-blocking listener with rights 0600 from the start; raises OSError. What is at the path stays the
-    caller's matter.
+def bind_private(path: str, backlog: int = 16) -> socket.socket:
+    """Return a non-blocking listener whose socket has mode 0600 from the start; raise OSError if that fails.
+
+    The caller has to deal with whatever exists at the path.
     """
     listener = socket.socket(socket.AF_UNIX)
     try:
@@ -31,12 +32,12 @@
     return listener
 
 
-async def accept_all(
+async def serve_connections(
     listener: socket.socket, serve: Callable[[trio.socket.SocketType], Awaitable[None]]
 ) -> None:
-    """Serves each connection in a task of its own, until it is cancelled; then the listener is closed.
+    """Serve each connection in a task of its own until cancelled; then close the listener.
 
-    Guards against running out of descriptors: it waits, and goes on.
+    If descriptors are exhausted, it waits and tries again.
     """
     with trio.socket.from_stdlib_socket(listener) as sock:
         async with trio.open_nursery() as nursery:
@@ -46,6 +47,6 @@
                 except OSError as error:
                     if error.errno not in (errno.EMFILE, errno.ENFILE):
                         raise
-                    await trio.sleep(NO_ROOM_WAIT)
+                    await trio.sleep(DESCRIPTOR_RETRY_S)
                     continue
                 nursery.start_soon(serve, client)
--- a/stonecove/scale/hollow.py
+++ b/stonecove/scale/hollow.py
@@ -26,8 +26,8 @@
 from stonecove.runtime.timers import Timers
 from stonecove.scale.ledger import Ledger
 from stonecove.server.config import Config
-from stonecove.state.budget import Budget
-from stonecove.transport.change_log_follower import ChangeLog
+from stonecove.state.budget import MemoryBudget
+from stonecove.transport.change_log_follower import ChangeLogClient
 
 HEADER_BYTES = 52  # of a TCP segment: 20 for IP, 20 for TCP, 12 for its time stamps; also of a bare ACK
 DATAGRAM_HEADER_BYTES = 28  # 20 for IP, 8 for UDP
@@ -152,10 +152,16 @@
         self._alarm_set = trio.Event()
         self._timers = Timers(self.clock, trio.current_time, lambda: self._alarm_set.set())
         self.route = Route(
-            config.settings, config.seed, self.clock, self._timers, Budget(), config.pace, _no_connection
+            config.settings,
+            config.seed,
+            self.clock,
+            self._timers,
+            MemoryBudget(),
+            config.pace,
+            _no_connection,
         )
         follower = _NumberedFollower(config.last)
-        self._changelog = ChangeLog(*config.changelog, follower, self.sockets.new)
+        self._changelog = ChangeLogClient(*config.changelog, follower, self.sockets.new)
         self._sink = _BookedRoute(self.route, follower, self.ledger)
         self.ending = contextlib.ExitStack()  # what is closed once it has ended
         self._scope = trio.CancelScope()
@@ -189,7 +195,7 @@
     @property
     def heard(self) -> bool:
         """Whether the change log has said anything."""
-        return self._changelog.heard > 0
+        return self._changelog.last_frame_at_s > 0
 
     async def _run_timers(self) -> None:
         while True:
--- a/stonecove/scale/hollow_configuration.py
+++ b/stonecove/scale/hollow_configuration.py
@@ -14,7 +14,7 @@
 from stonecove.server.config import Config
 from stonecove.server.configuration import ConfigurationKeeper
 from stonecove.server.reconfigure import Reconfigure
-from stonecove.transport.zookeeper import Ensemble
+from stonecove.transport.zookeeper import ZooKeeperClient
 
 SESSION = Figures(timeout=10.0)
 
@@ -59,13 +59,13 @@
         self, config: Config, route: Route, clock: Clock, servers: tuple[Server, ...], path: str
     ) -> None:
         """Nothing runs yet."""
-        self._ensemble = Ensemble(servers, config.seed, SESSION, lambda: None)
+        self._ensemble = ZooKeeperClient(servers, config.seed, SESSION, lambda: None)
         self._session = _CountedSession(servers, config.seed, SESSION)
         self._ensemble.session = self._session
         self._reconfigure = _NotedReconfigure(config, route, clock)
         record = ConfigurationRecord(True, path)
         self._keeper = ConfigurationKeeper(
-            record, config, config.table, self._reconfigure, route.book.counts, clock
+            record, config, config.table, self._reconfigure, route.recorder.counts, clock
         )
 
     def start(self, spawn: Callable[[Callable[[], Awaitable[None]]], None]) -> None:
--- a/stonecove/scale/hollow_process.py
+++ b/stonecove/scale/hollow_process.py
@@ -16,7 +16,7 @@
 
 import trio
 
-from stonecove.runtime.log import divert
+from stonecove.runtime.log import set_log_sink
 from stonecove.runtime.log_events import LogEvent
 from stonecove.scale import child
 from stonecove.scale.hollow import CountedDatagrams, HollowRouter, Traffic
@@ -174,7 +174,7 @@
                 continue
             if order["do"] == "routers":
                 process = HollowProcess(order["shared"], order["routers"], nursery)
-                divert(process.log)
+                set_log_sink(process.log)
                 nursery.start_soon(process.sample_for_good)
                 await process.start([int(router) for router in order["routers"]], 0.0)
                 gc.collect()
--- a/stonecove/server/access.py
+++ b/stonecove/server/access.py
@@ -116,7 +116,7 @@
     @staticmethod
     def _counter(route: Route) -> Any:
         def count(name: str) -> None:
-            route.book.counts[name] += 1
+            route.recorder.counts[name] += 1
 
         return count
 
--- a/stonecove/server/configuration.py
+++ b/stonecove/server/configuration.py
@@ -33,11 +33,11 @@
 )
 from stonecove.routing.settings import Settings
 from stonecove.runtime.clock import Clock
-from stonecove.runtime.log import log, log_some
+from stonecove.runtime.log import log, log_limited
 from stonecove.runtime.log_events import LogEvent
 from stonecove.server.config import Config
 from stonecove.server.reconfigure import SettingsRefused
-from stonecove.transport.zookeeper import Ensemble
+from stonecove.transport.zookeeper import ZooKeeperClient
 
 HEALTH_PERIOD = 10.0  # seconds between two looks at the health while nothing is rolled out
 START_POLL = 0.005  # seconds between two looks at whether the target is in force, at the start
@@ -79,7 +79,7 @@
         self._changed = trio.Event()
         self.follower = Follower(config.name, ":".join(map(str, config.listen)), clock.now())
 
-    def attach(self, ensemble: Ensemble) -> None:
+    def attach(self, ensemble: ZooKeeperClient) -> None:
         """Follows the target by this session from now on, in place of an earlier one."""
         if self._session is not None:
             self._session.retire()
@@ -201,20 +201,20 @@
 class ConfigurationSession:
     """The nodes of a roll-out as one session with the coordination service sees them."""
 
-    def __init__(self, path: str, name: str, ensemble: Ensemble, keeper: ConfigurationKeeper) -> None:
+    def __init__(self, path: str, name: str, ensemble: ZooKeeperClient, keeper: ConfigurationKeeper) -> None:
         self._path = path
         self._ensemble = ensemble
         self._keeper = keeper
         self._fetching: int | None = None
         self._retired = False
         self._taken_at: float | None = None  # when our name was found to be taken, in trio's seconds
-        self._target = NodeWatch(target_path(path), ensemble.ask, self)
+        self._target = NodeWatch(target_path(path), ensemble.request, self)
         report = keeper.follower.report()
         self._registrar = Registrar(
             routers_path(path),
             name,
             report.encode(),
-            ensemble.ask,
+            ensemble.request,
             lambda: ensemble.session.session,
             lambda data: _same_process(data, report),
             log,
@@ -222,7 +222,7 @@
 
     def start(self) -> None:
         """Follows the session, which may be up already."""
-        self._ensemble.add(self._feed)
+        self._ensemble.add_listener(self._feed)
         if self._ensemble.session.connected:
             self._feed(Up(self._ensemble.session.session, False))
 
@@ -249,7 +249,7 @@
         """Reads a version's overlay, unless that is under way; one is read at a time."""
         if self._fetching is None:
             self._fetching = version
-            self._ensemble.ask(zk.GetData(version_path(self._path, version)), self._fetched)
+            self._ensemble.request(zk.GetData(version_path(self._path, version)), self._fetched)
 
     # -- the target's node --
 
@@ -260,7 +260,7 @@
         try:
             target = Target.decode(data)
         except MessageError as error:
-            log_some(LogEvent.SETTINGS_TARGET_INVALID, reason=str(error))
+            log_limited(LogEvent.SETTINGS_TARGET_INVALID, reason=str(error))
             return
         self._keeper.target_read(target, stat.mzxid)
 
@@ -271,7 +271,7 @@
 
     def unreadable(self, error: Err) -> None:
         """The servers refuse to tell the target."""
-        log_some(LogEvent.SETTINGS_TARGET_UNREADABLE, reason=error.name)
+        log_limited(LogEvent.SETTINGS_TARGET_UNREADABLE, reason=error.name)
 
     # -- within --
 
@@ -292,7 +292,7 @@
         elif reply.error is Err.NO_NODE:
             self._keeper.overlay_read(version, None)
         else:
-            log_some(LogEvent.SETTINGS_OVERLAY_UNREADABLE, version=version, reason=reply.error.name)
+            log_limited(LogEvent.SETTINGS_OVERLAY_UNREADABLE, version=version, reason=reply.error.name)
 
 
 def _same_process(data: bytes, mine: Report) -> bool:
--- a/stonecove/server/coordination.py
+++ b/stonecove/server/coordination.py
@@ -18,10 +18,10 @@
 from stonecove.protocols.zookeeper.tree_watch import Tree
 from stonecove.routing.endpoints import NodeId
 from stonecove.runtime.clock import Clock
-from stonecove.runtime.log import log, log_some
+from stonecove.runtime.log import log, log_limited
 from stonecove.runtime.log_events import LogEvent
 from stonecove.server.config import Config
-from stonecove.transport.zookeeper import Ensemble
+from stonecove.transport.zookeeper import ZooKeeperClient
 
 Spawn = Callable[[Callable[[], Awaitable[None]]], None]
 
@@ -105,7 +105,7 @@
 
     def absent(self, confirmed: bool) -> None:
         """There is no such path: an empty list."""
-        log_some(LogEvent.ENDPOINT_PATH_MISSING)
+        log_limited(LogEvent.ENDPOINT_PATH_MISSING)
         self.whole(frozenset(), confirmed)
 
 
@@ -123,7 +123,7 @@
         try:
             self._fleet.put(name, presence.peer_of(data, self._names), self._clock.now())
         except RecordError as error:
-            log_some(LogEvent.PRESENCE_RECORD_INVALID, node=name, reason=str(error))
+            log_limited(LogEvent.PRESENCE_RECORD_INVALID, node=name, reason=str(error))
             self._fleet.removed((name,), self._clock.now())
 
     def removed(self, names: Iterable[str]) -> None:
@@ -158,17 +158,17 @@
         self.own = own
         self._clock = owner.clock
         names = owner.names
-        self.ensemble = Ensemble(source.servers, owner.seed, figures_of(source), owner.settle)
+        self.ensemble = ZooKeeperClient(source.servers, owner.seed, figures_of(source), owner.settle)
         self.roster = Roster(names, rules_of(source), emit, self._confirm, log)
         self.tree = Tree(
             source.path,
-            self.ensemble.ask,
+            self.ensemble.request,
             CacheSink(self.roster, owner.clock, self._whole),
             source.watches == "recursive",
         )
         self.whole_once = trio.Event()
-        self.ensemble.add(self.tree.feed)
-        self.ensemble.add(self._feed)
+        self.ensemble.add_listener(self.tree.feed)
+        self.ensemble.add_listener(self._feed)
         self.registrar: Registrar | None = None
         self.fleet: presence.Fleet | None = None
         if own is not None:
@@ -182,20 +182,20 @@
                 own.path,
                 peer.name,
                 presence.record_of(peer, names),
-                self.ensemble.ask,
+                self.ensemble.request,
                 lambda: self.ensemble.session.session,
                 lambda data: _same_listen(data, names, peer),
                 log,
             )
             self.peers = Tree(
                 own.path,
-                self.ensemble.ask,
+                self.ensemble.request,
                 PeerSink(self.fleet, names, owner.clock, peer.name, self.registrar.vanished),
                 source.watches == "recursive",
             )
             # Our own node is asked for first: it stands before the list of all is read.
-            self.ensemble.add(self.registrar.feed)
-            self.ensemble.add(self.peers.feed)
+            self.ensemble.add_listener(self.registrar.feed)
+            self.ensemble.add_listener(self.peers.feed)
 
     def _confirm(self) -> None:
         self.tree.confirm()
--- a/stonecove/server/http.py
+++ b/stonecove/server/http.py
@@ -15,7 +15,7 @@
 from stonecove.frontends.http import Fields, HttpFront, told
 from stonecove.operator_config.records import Http
 from stonecove.protocols.http import HttpError, HttpRequest, HttpSession, State
-from stonecove.runtime.log import log, log_some
+from stonecove.runtime.log import log, log_limited
 from stonecove.runtime.log_events import LogEvent
 from stonecove.state.requests import OpenRequest
 
@@ -65,7 +65,7 @@
                 finally:
                     self._owner.busy -= 1
         except HttpError as error:
-            log_some(LogEvent.REQUEST_MALFORMED, status=error.status, reason=str(error), front="http")
+            log_limited(LogEvent.REQUEST_MALFORMED, status=error.status, reason=str(error), front="http")
             await self._send(session.refuse(error))
         finally:
             if self._open is not None:
@@ -251,7 +251,7 @@
                     with trio.fail_after(HANDSHAKE_WITHIN):
                         await stream.do_handshake()
                 except (trio.BrokenResourceError, trio.TooSlowError) as error:
-                    log_some(
+                    log_limited(
                         LogEvent.TLS_HANDSHAKE_FAILED, source=source, reason=str(error.__cause__ or error)
                     )
                     await trio.aclose_forcefully(stream)
--- a/stonecove/server/leases.py
+++ b/stonecove/server/leases.py
@@ -25,7 +25,7 @@
 from stonecove.routing.events import LeaseGranted, LeaseTerms
 from stonecove.routing.settings import Settings
 from stonecove.runtime.clock import Clock
-from stonecove.runtime.log import log, log_some
+from stonecove.runtime.log import log, log_limited
 from stonecove.runtime.log_events import LogEvent
 
 BACK_OFF = 0.05, 1.0  # seconds between two attempts to reach the lessor
@@ -113,11 +113,11 @@
         self._talking = trio.CancelScope()
         self._own = file.own
         self._scale = 1.0  # of it, as long as the routers among themselves say so
-        route.carries(RequestLease, self._want)
-        route.carries(ReturnLease, self._unspent)
+        route.set_action_handler(RequestLease, self._want)
+        route.set_action_handler(ReturnLease, self._unspent)
         self._post_terms()
         if self._quota is not None:
-            route.gate = self._gate
+            route.shared_limit_check = self._gate
 
     def start(self) -> None:
         """Begins to ask."""
@@ -162,7 +162,7 @@
         try:
             self._send.send_nowait(word)
         except trio.WouldBlock:
-            log_some(LogEvent.LEASE_MESSAGES_DROPPED)
+            log_limited(LogEvent.LEASE_MESSAGES_DROPPED)
             return False
         return True
 
@@ -173,7 +173,7 @@
         if not math.isfinite(want.fleet_limit_ms + want.growth_ms_per_s):
             self._holder.end_request(number)
             return
-        self._route.book.counts["lease_asked"] += 1
+        self._route.recorder.counts["lease_asked"] += 1
         pool = f"zone:{self._settings.zone}" if want.zonal else "fleet"
         said = self._say(
             {
@@ -299,7 +299,7 @@
             case "grant":
                 grant = Grant(int(word["number"]), int(word["node"]), float(word["work"]))
                 if self._holder.accept_grant(grant, now):
-                    self._route.book.counts["lease_granted"] += 1
+                    self._route.recorder.counts["lease_granted"] += 1
                     for number, left, until in self._holder.pop_leases(grant.node):
                         self._piece(number, grant.node, left, until, now)
             case "none":
--- a/stonecove/server/members.py
+++ b/stonecove/server/members.py
@@ -35,12 +35,12 @@
 from stonecove.runtime.clock import Clock
 from stonecove.runtime.log import log
 from stonecove.runtime.log_events import LogEvent
-from stonecove.runtime.unix import accept_all, bound
+from stonecove.runtime.unix import bind_private, serve_connections
 from stonecove.server.config import Config
 from stonecove.server.coordination import Coordination, Spawn, connection_of, rules_of
 from stonecove.state.requests import Attempt
-from stonecove.transport.change_log_follower import ChangeLog
-from stonecove.transport.zookeeper import Ensemble
+from stonecove.transport.change_log_follower import ChangeLogClient
+from stonecove.transport.zookeeper import ZooKeeperClient
 
 FIRST_LIST = 3.0  # seconds for which serving waits for the first list
 HOUSEKEEPING = 0.25  # seconds between two looks at what only time brings about
@@ -55,7 +55,7 @@
     """All sources of one router, merged. Takes the place of the router as the sink of the change log."""
 
     def __init__(
-        self, path: Path, config: Config, route: Route, clock: Clock, changelog: ChangeLog, spawn: Spawn
+        self, path: Path, config: Config, route: Route, clock: Clock, changelog: ChangeLogClient, spawn: Spawn
     ) -> None:
         """Raises OperatorError for a file that can't be used, OSError for a credential that can't be read."""
         self._path = path
@@ -91,10 +91,10 @@
         self.also: dict[str, Callable[[list[str]], dict[str, Any]]] = {}  # others who answer on the socket
         self._peers: FleetSizeChanged | None = None  # the fleet's size that was derived last
         self._taken_at = 0.0  # when our name was found to be taken, in trio's seconds
-        self._session_users: list[Callable[[Ensemble], None]] = []
+        self._session_users: list[Callable[[ZooKeeperClient], None]] = []
         if self.operator.zookeeper is not None:
             self._coordination = self._coordinate(self.operator)
-        route.send.watcher = self._written
+        route.send.on_write = self._written
 
     # -- what the router calls --
 
@@ -117,7 +117,7 @@
             log(LogEvent.ENDPOINT_LIST_DELAYED, nodes=len(self._route.nodes))
         self._tell_state("ready")
 
-    def use_session(self, user: Callable[[Ensemble], None]) -> None:
+    def use_session(self, user: Callable[[ZooKeeperClient], None]) -> None:
         """`user` is given the session of the coordination service, and each that takes its place later."""
         self._session_users.append(user)
         if self._coordination is not None:
@@ -374,11 +374,11 @@
         """What only time brings about."""
         while True:
             now = self.clock.now()
-            silent = (trio.current_time() - self._changelog.heard) * 1000.0
+            silent = (trio.current_time() - self._changelog.last_frame_at_s) * 1000.0
             self.merge.say(
                 self._log_source,
                 silent < self.operator.changelog.silent_for
-                or (not self._changelog.heard and bool(self._logged)),
+                or (not self._changelog.last_frame_at_s and bool(self._logged)),
                 now,
             )
             one = self._coordination
@@ -440,7 +440,7 @@
                 one.registrar.tell(presence.record_of(self._peer(self.operator), self.names), heard)
 
     def _written(self, attempt: Attempt) -> None:
-        self.trace.written(attempt.written_at, attempt.order.node_id, attempt.order.source_id)
+        self.trace.written(attempt.written_at_ms, attempt.action.node_id, attempt.action.source_id)
 
     # -- the socket for `stonecove members` --
 
@@ -459,7 +459,7 @@
     async def _serve_socket(self, path: str, listener: socket.socket, scope: trio.CancelScope) -> None:
         try:
             with scope:
-                await accept_all(listener, self._answer)
+                await serve_connections(listener, self._answer)
         finally:
             Path(path).unlink(missing_ok=True)
 
@@ -547,4 +547,4 @@
                     probe.connect(path)
                 except ConnectionRefusedError:
                     os.unlink(path)
-    return bound(path)
+    return bind_private(path)
--- a/stonecove/server/serve.py
+++ b/stonecove/server/serve.py
@@ -25,14 +25,14 @@
 from stonecove.routing.events import FleetSizeChanged
 from stonecove.routing.settings import Settings
 from stonecove.runtime.clock import Clock
-from stonecove.runtime.log import divert, log, log_some
+from stonecove.runtime.log import log, log_limited, set_log_sink
 from stonecove.runtime.log_events import LogEvent
 from stonecove.runtime.timers import Timers
 from stonecove.server.config import Config, ConfigError, read_config
-from stonecove.state.budget import Budget
-from stonecove.transport.change_log_follower import ChangeLog
-from stonecove.transport.client_connection import Connection as Client
-from stonecove.transport.upstream_connection import NO_DESCRIPTOR, Connection
+from stonecove.state.budget import MemoryBudget
+from stonecove.transport.change_log_follower import ChangeLogClient
+from stonecove.transport.client_connection import ClientConnection as Client
+from stonecove.transport.upstream_connection import RESOURCE_ERRNOS, UpstreamConnection
 
 if TYPE_CHECKING:
     from stonecove.operator_config.records import ConfigurationRecord, Operator
@@ -94,7 +94,7 @@
         self._stopping = trio.Event()
         self._stop: tuple[str, float] = "", 0.0  # the signal that ends us, and when it came in trio's seconds
         self._reload_wanted = False  # a new configuration was told of while we start
-        self._budget = Budget()
+        self._budget = MemoryBudget()
         self._route = Route(
             config.settings,
             config.seed,
@@ -108,8 +108,8 @@
         self._limit(config)
         self._front = Front(config.settings, self._route)
         self._operator = operator
-        self._changelog = ChangeLog(*config.changelog, Follower(config.last))
-        self._changelog.short = self._short_of_descriptors
+        self._changelog = ChangeLogClient(*config.changelog, Follower(config.last))
+        self._changelog.on_descriptor_shortage = self._short_of_descriptors
         self._members: Members | None = None
         self._leases: Leases | None = None
         if leases := os.environ.get("STONECOVE_LEASES"):
@@ -188,7 +188,7 @@
         from stonecove.server.configuration import ConfigurationKeeper
 
         keeper = ConfigurationKeeper(
-            record, self._config, self._config.table, reconfigure, self._route.book.counts, self._clock
+            record, self._config, self._config.table, reconfigure, self._route.recorder.counts, self._clock
         )
         members.use_session(keeper.attach)
         self._spawn(keeper.run)
@@ -231,8 +231,8 @@
             front = HttpFront(settings, self._route, self._clock, desk, scheme)
             self._http = HttpListener(operator.http, front, self._spawn)
 
-    def _connect(self, owner: Owner, address: tuple[str, int], patience: float) -> Connection:
-        connection = Connection(owner, address, patience, self._clock.now, self._short_of_descriptors)
+    def _connect(self, owner: Owner, address: tuple[str, int], patience: float) -> UpstreamConnection:
+        connection = UpstreamConnection(owner, address, patience, self._clock.now, self._short_of_descriptors)
         self._spawn(connection.run)
         return connection
 
@@ -311,7 +311,7 @@
             self._nursery.start_soon(task)
         self._nursery.start_soon(self._changelog.run, told)
         with trio.CancelScope() as self._starting:
-            await self._changelog.caught_up(self._config.settings.drain_grace_ms / 1000.0)
+            await self._changelog.wait_caught_up(self._config.settings.drain_grace_ms / 1000.0)
         self._nursery.start_soon(self._accept, listener)
         if self._leases is not None:
             self._leases.start()
@@ -396,7 +396,7 @@
             **taken,
         )
         self._limit(config)
-        self._changelog.move(*config.changelog)
+        self._changelog.change_address(*config.changelog)
         if self._members is not None:
             self._members.reload(replace(config, settings=self._config.settings))
             self._follow_settings()
@@ -434,9 +434,9 @@
     def _limit(self, config: Config) -> None:
         """Shares the limits out."""
         self._most_clients = self._granted_clients = max(LEAST_CLIENTS, config.sockets // 2)
-        self._budget.most = config.memory_mb * MEMORY_SHARE * 1e6
-        self._route.send.most_links = connection_limit(config.sockets)
-        self._route.admit.cpu.share(config.cores)
+        self._budget.limit_bytes = config.memory_mb * MEMORY_SHARE * 1e6
+        self._route.send.max_connections = connection_limit(config.sockets)
+        self._route.admit.cpu.set_cores(config.cores)
 
     def _short_of_descriptors(self) -> None:
         """The system gives us no descriptor more, whatever our limit says: clients get fewer places.
@@ -444,11 +444,13 @@
         Guards against idle clients that hold all descriptors, so that no connection to the change log or to
         a cache comes up again.
         """
-        log_some(
-            LogEvent.DESCRIPTORS_EXHAUSTED, clients=len(self._clients), connections=self._route.send.links()
+        log_limited(
+            LogEvent.DESCRIPTORS_EXHAUSTED,
+            clients=len(self._clients),
+            connections=self._route.send.connection_count(),
         )
         if len(self._clients) <= self._most_clients:
-            held = len(self._clients) + self._route.send.links()
+            held = len(self._clients) + self._route.send.connection_count()
             self._most_clients = max(LEAST_CLIENTS, min(self._most_clients, int(CLIENTS_PART * held)))
         self._make_room()
 
@@ -465,7 +467,7 @@
         end = since + self._last_answer
         if self._http is not None:
             self._http.drain()
-        self._route.admit.latest = self._clock.now() + (end - trio.current_time()) * 1000.0
+        self._route.admit.final_deadline_ms = self._clock.now() + (end - trio.current_time()) * 1000.0
         await trio.sleep_until(min(since + GRACE, end))
         # Guards against requests that are lost with their connections, as those wait to be accepted.
         while trio.current_time() < end and select.select([listener], [], [], 0)[0]:
@@ -484,7 +486,7 @@
         with trio.move_on_at(end + self._last_write):
             while self._clients or (self._http is not None and self._http.busy):
                 for client in list(self._clients):
-                    client.finish()
+                    client.close_if_idle()
                 await trio.sleep(0.01)
         log(LogEvent.ROUTER_STOPPED, open=len(self._route.requests))
 
@@ -512,14 +514,16 @@
             # Guards against what has grown old and then ended, as connections do: the oldest generation is
             # looked through so seldom by itself that a node of 64 MB is full before. It holds few objects.
             gc.collect()
-            self._route.book.line(
-                open=len(self._route.requests), clients=len(self._clients), links=self._route.send.links()
+            self._route.recorder.log_statistics(
+                open=len(self._route.requests),
+                clients=len(self._clients),
+                links=self._route.send.connection_count(),
             )
             self._try_more_clients()
             limit = self._clock.now() - CLIENT_IDLE
             for client in list(self._clients):
                 if client.idle() and client.last_used <= limit:
-                    client.finish()
+                    client.close_if_idle()
 
     async def _check(self) -> None:
         """Looks at what clients are sending, now and then; what lies in their sockets by then has come."""
@@ -556,9 +560,9 @@
             if client.leaving():
                 client.close()
             elif client.mute:
-                client.finish(0.0)
+                client.close_if_idle(0.0)
             elif client.resting():
-                client.finish(WAY_OUT)
+                client.close_if_idle(WAY_OUT)
                 if client.leaving():  # it may have begun to ask just then
                     self._making_room.add(client)
             elif not client.unread():
@@ -581,7 +585,7 @@
                 continue
             except OSError as error:
                 # Guards against running out of descriptors: wait, and let idle connections go.
-                if error.errno in NO_DESCRIPTOR:
+                if error.errno in RESOURCE_ERRNOS:
                     self._short_of_descriptors()
                     await trio.sleep(0.05)
 
@@ -599,7 +603,7 @@
                 sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
                 why = await client.run()
                 if why not in ("closed by the client", "closed by us"):
-                    log_some(LogEvent.CLIENT_CONNECTION_ABORTED, reason=why)
+                    log_limited(LogEvent.CLIENT_CONNECTION_ABORTED, reason=why)
             finally:
                 self._clients.discard(client)
 
@@ -703,10 +707,10 @@
     """Entry point of the edge router; STONECOVE_OPERATOR names an operator's file if no argument does."""
     signal.pthread_sigmask(signal.SIG_BLOCK, SIGNALS)  # until the router heeds them, and once it has ended
     if pipe := os.environ.get("STONECOVE_LOG"):
-        from stonecove.runtime.pipe import from_setting
+        from stonecove.runtime.pipe import open_pipe_sink
 
         try:
-            divert(from_setting(pipe))
+            set_log_sink(open_pipe_sink(pipe))
         except OSError as error:
             print(f"stonecove: {pipe}: {error.strerror}", file=sys.stderr)
     if operator is None and (named := os.environ.get("STONECOVE_OPERATOR")):
--- a/stonecove/server/swarm.py
+++ b/stonecove/server/swarm.py
@@ -28,7 +28,7 @@
 from stonecove.routing.events import FleetSizeChanged, LeaseTerms
 from stonecove.routing.settings import Settings
 from stonecove.runtime.clock import Clock
-from stonecove.runtime.log import log, log_some
+from stonecove.runtime.log import log, log_limited
 from stonecove.runtime.log_events import LogEvent
 from stonecove.server.config import Config, ConfigError, address_of
 from stonecove.server.leases import Leases
@@ -115,7 +115,7 @@
         self._second, self._read = 0, Counter[int]()
         self.swarm = Swarm(me, shares, figures, config.seed, now, unix)
         if record.counted:
-            route.send.outlived = self._outlived
+            route.send.is_decision_outdated = self._outlived
         self._apply(now)
 
     def start(self, spawn: Spawn) -> None:
@@ -200,7 +200,7 @@
         if time.monotonic() - self._ticked > GAP:
             self._tick()
             return True
-        return self._clock.now() - attempt.ordered_at > GAP * 1000.0
+        return self._clock.now() - attempt.decided_at_ms > GAP * 1000.0
 
     async def _receive(self) -> None:
         while True:
@@ -214,7 +214,7 @@
                     break
                 except OSError as error:  # an error of what was sent earlier, told once more
                     if error.errno not in (errno.ECONNREFUSED, errno.EHOSTUNREACH, errno.ENETUNREACH):
-                        log_some(LogEvent.GOSSIP_SOCKET_FAILED, reason=error.strerror or str(error))
+                        log_limited(LogEvent.GOSSIP_SOCKET_FAILED, reason=error.strerror or str(error))
                     continue
                 self._heard(data, address)
             self._after()
@@ -263,7 +263,7 @@
         notes, self.swarm.gossip.notes = self.swarm.gossip.notes, []
         for note in notes:
             # Guards against a log full of doubt and denial, while what is final is told each time.
-            say = log_some if note.fields.get("stands") in ("suspect", "alive") else log
+            say = log_limited if note.fields.get("stands") in ("suspect", "alive") else log
             say(note.event, **note.fields)
 
     def _flush(self) -> None:
--- a/stonecove/server/tracing.py
+++ b/stonecove/server/tracing.py
@@ -118,13 +118,13 @@
         self._tracer = provider.get_tracer("stonecove")
         self._requests: dict[int, Span] = {}  # by number, sampled ones alone
         self._attempts: dict[Attempt, Span] = {}
-        self._wrap(route, "asked", self._asked)
-        self._wrap(route.send, "order", self._ordered)
+        self._wrap(route, "submit", self._asked)
+        self._wrap(route.send, "start", self._ordered)
         self._wrap(route.send, "begin", self._begun)
-        self._wrap(route.relay, "arrived", self._arrived)
+        self._wrap(route.relay, "handle_reply", self._arrived)
         self._wrap(route.relay, "answer", self._answered)
-        self._wrap(route.relay, "left", self._left)
-        self._wrap(route.book, "ended", self._ended)
+        self._wrap(route.relay, "client_disconnected", self._left)
+        self._wrap(route.recorder, "attempt_ended", self._ended)
 
     @staticmethod
     def _wrap(owner: object, name: str, around: Callable[..., Any]) -> None:
@@ -158,13 +158,13 @@
             span.end()
             return None
         span.add_event("admitted", {"open": len(self._route.requests)})
-        self._requests[request.req] = span
+        self._requests[request.request_id] = span
         return request
 
     def _ordered(self, inner: Callable[[Attempt], None], attempt: Attempt) -> None:
-        parent = self._requests.get(attempt.request.req)
+        parent = self._requests.get(attempt.request.request_id)
         if parent is not None:
-            order = attempt.order
+            order = attempt.action
             self._attempts[attempt] = self._tracer.start_span(
                 "attempt",
                 context=set_span_in_context(parent),
@@ -181,7 +181,7 @@
     def _begun(self, inner: Callable[..., Any], *args: Any, **kwargs: Any) -> Any:
         found = inner(*args, **kwargs)
         for attempt in (one for one in args if isinstance(one, Attempt)):
-            if attempt in self._attempts and attempt.written_at:
+            if attempt in self._attempts and attempt.written_at_ms:
                 self._attempts[attempt].add_event("written")
         return found
 
@@ -189,12 +189,12 @@
         if (span := self._attempts.get(attempt)) is not None:
             span.add_event(
                 "arrived",
-                {"word": reply.word, "bytes": len(reply.body), "tell": reply.fields.get("tell", "")},
+                {"word": reply.status, "bytes": len(reply.body), "tell": reply.fields.get("tell", "")},
             )
         inner(attempt, reply)
 
     def _answered(self, inner: Callable[..., None], request: OpenRequest, answer: Answer) -> None:
-        if not request.answered and (span := self._requests.pop(request.req, None)) is not None:
+        if not request.answered and (span := self._requests.pop(request.request_id, None)) is not None:
             span.set_attributes(
                 {
                     "verdict": answer.verdict.value,
@@ -207,7 +207,7 @@
         inner(request, answer)
 
     def _left(self, inner: Callable[..., None], request: OpenRequest) -> None:
-        if (span := self._requests.pop(request.req, None)) is not None:
+        if (span := self._requests.pop(request.request_id, None)) is not None:
             span.set_attribute("verdict", "left")
             span.end()
         inner(request)
--- a/stonecove/state/__init__.py
+++ b/stonecove/state/__init__.py
@@ -1,1 +1,1 @@
-"""What the edge router keeps in memory: open requests and the table of nodes."""
+"""The router's state in memory: open requests, the memory budget and the table of nodes."""
