--- a/stonecove/state/budget.py
+++ b/stonecove/state/budget.py
@@ -1,62 +1,77 @@
-"""How many bytes of requests and answers are held, against how many may be."""
+"""The budget of memory for requests and responses."""
 
 from __future__ import annotations
 
 from typing import Protocol
 
-LARGEST = 240_000 + 65_536  # bytes of the longest answer and the longest body
-COMING_PART = 0.25  # part of all that is for requests which are not whole
+MAX_REQUEST_BYTES = 240_000 + 65_536  # longest response and longest request body
+INCOMPLETE_FRACTION = 0.25  # of the limit, for requests that have been received in part
 
 
-class Holder(Protocol):
-    """Where requests come in."""
+class IncompleteRequestHolder(Protocol):
+    """A connection that holds requests which have been received in part."""
 
-    def give_way(self) -> None:
-        """Keeps nothing of what has come in so far."""
+    def discard_incomplete(self) -> None:
+        """Drop all that has been received of incomplete requests."""
 
 
-class Budget:
-    """Two counts for the whole process. Guards against being killed for memory."""
+class MemoryBudget:
+    """Counts the memory of the whole process for open and for incomplete requests, each against a limit.
+
+    Without it the process would be killed for using too much memory.
+    """
 
     def __init__(self) -> None:
-        self.most = 0.0
-        self._used = 0
-        self._coming = 0
-        self._holders: dict[Holder, int] = {}  # what is coming in, by connection
+        self.limit_bytes = 0.0
+        self._reserved_bytes = 0
+        self._incomplete_bytes = 0
+        self._incomplete_by_holder: dict[IncompleteRequestHolder, int] = {}
 
-    def admits(self, count: int) -> bool:
-        """Whether one more request may be held that takes so many bytes with its answer.
+    def can_reserve(self, size_bytes: int) -> bool:
+        """Return whether another request may be opened that takes this much memory with its response.
 
-        Guards against large ones that find no room while small ones take all that comes free: while there is
-        room for the largest, size decides nothing, and then nobody is let in.
+        While there is room for the largest request, the size is not considered; below that none is admitted.
+        Otherwise small requests would take all memory as it is released, and large ones would never be
+        admitted.
         """
-        most = self.most * (1.0 - COMING_PART)
-        return self._used <= most - min(LARGEST, most / 2.0) and self._used + count <= most
+        available_bytes = self.limit_bytes * (1.0 - INCOMPLETE_FRACTION)
+        return (
+            self._reserved_bytes <= available_bytes - min(MAX_REQUEST_BYTES, available_bytes / 2.0)
+            and self._reserved_bytes + size_bytes <= available_bytes
+        )
 
-    def lets_in(self, count: int, holder: Holder) -> bool:
-        """Whether so many bytes more may come in there; who holds most gives way to who holds less.
+    def can_receive(self, size_bytes: int, holder: IncompleteRequestHolder) -> bool:
+        """Return whether a holder may receive this many more bytes of incomplete requests.
 
-        Guards against a few clients that send halves and so keep out all others.
+        If the limit is reached, the holder of the most bytes is made to discard them. Otherwise a few clients
+        that send parts of requests could keep out all others.
         """
-        room = max(self.most * COMING_PART, min(self.most, LARGEST))
-        while self._coming + count > room:
-            most = max(self._holders, key=self._holders.__getitem__, default=holder)
-            if self._holders.get(most, 0) <= self._holders.get(holder, 0) + count:
+        allowance_bytes = max(
+            self.limit_bytes * INCOMPLETE_FRACTION, min(self.limit_bytes, MAX_REQUEST_BYTES)
+        )
+        while self._incomplete_bytes + size_bytes > allowance_bytes:
+            largest_holder = max(
+                self._incomplete_by_holder, key=self._incomplete_by_holder.__getitem__, default=holder
+            )
+            if (
+                self._incomplete_by_holder.get(largest_holder, 0)
+                <= self._incomplete_by_holder.get(holder, 0) + size_bytes
+            ):
                 return False
-            most.give_way()
+            largest_holder.discard_incomplete()
         return True
 
-    def come(self, count: int, holder: Holder) -> None:
-        """So many bytes more (or less, below 0) are held there of requests that are not whole."""
-        self._coming += count
-        self._holders[holder] = self._holders.get(holder, 0) + count
-        if not self._holders[holder]:
-            del self._holders[holder]
+    def add_incomplete(self, size_bytes: int, holder: IncompleteRequestHolder) -> None:
+        """Add to the bytes of incomplete requests that a holder has; a negative size subtracts."""
+        self._incomplete_bytes += size_bytes
+        self._incomplete_by_holder[holder] = self._incomplete_by_holder.get(holder, 0) + size_bytes
+        if not self._incomplete_by_holder[holder]:
+            del self._incomplete_by_holder[holder]
 
-    def take(self, count: int) -> None:
-        """So many bytes more are held."""
-        self._used += count
+    def reserve(self, size_bytes: int) -> None:
+        """Reserve memory for an open request or for its response."""
+        self._reserved_bytes += size_bytes
 
-    def give(self, count: int) -> None:
-        """So many bytes are held no more."""
-        self._used -= count
+    def release(self, size_bytes: int) -> None:
+        """Release memory that was reserved."""
+        self._reserved_bytes -= size_bytes
--- a/stonecove/state/requests.py
+++ b/stonecove/state/requests.py
@@ -1,4 +1,4 @@
-"""The requests that are open, and their attempts."""
+"""Open requests and their attempts."""
 
 from __future__ import annotations
 
@@ -8,47 +8,47 @@
 from stonecove.exchange import ClientRequest
 from stonecove.routing.actions import SendAttempt
 from stonecove.routing.settings import ClassSettings
-from stonecove.runtime.timers import Alarm
+from stonecove.runtime.timers import Timer
 
 
 @dataclass(slots=True, eq=False)
 class Attempt:
-    """One attempt, from the order to its one end."""
+    """An attempt, from the decision to its one end."""
 
     request: OpenRequest
     number: int
-    order: SendAttempt
-    ordered_at: float
-    written_at: float = 0.0  # when its first byte was written; 0: never sent so far
-    outdated: bool = False  # a purge came after the order
+    action: SendAttempt
+    decided_at_ms: float
+    written_at_ms: float = 0.0  # when its first byte was written; 0 if it is unsent
+    purged: bool = False  # its object was purged after the decision
     ended: bool = False
-    not_run: bool = False  # its end proves that it never ran
-    moved: bool = False  # it has been put on another connection
-    alarm: Alarm | None = None
+    not_executed: bool = False  # its outcome proves that it did not run
+    reassigned: bool = False  # it was moved to another connection
+    deadline_timer: Timer | None = None
 
 
 @dataclass(slots=True, eq=False)
 class OpenRequest:
-    """A request that has been taken, until its last attempt has ended and it is answered."""
+    """A request from its admission until it is answered and its last attempt has ended."""
 
-    req: int
-    asked: ClientRequest
-    cls: ClassSettings  # as it was when the request was taken in
-    deadline: float
-    holds: int = 0  # bytes that are set aside for it and its answer
+    request_id: int
+    client_request: ClientRequest
+    class_settings: ClassSettings  # as of the request's admission
+    deadline_ms: float
+    reserved_bytes: int = 0  # for the request and its response
     answered: bool = False
-    backstop: Alarm | None = None
-    expired: bool = False  # nothing more goes out for it
+    backstop_timer: Timer | None = None
+    expired: bool = False  # no more attempts are sent for it
     attempts: list[Attempt] = field(default_factory=list)
 
 
 class OpenRequests:
-    """All open requests by their number."""
+    """All open requests, by id."""
 
     def __init__(self) -> None:
         self._open: dict[int, OpenRequest] = {}
-        self._txns: dict[str, OpenRequest] = {}
-        self._next = 0
+        self._by_txn: dict[str, OpenRequest] = {}
+        self._last_id = 0
 
     def __len__(self) -> int:
         return len(self._open)
@@ -56,34 +56,42 @@
     def __iter__(self) -> Iterator[OpenRequest]:
         return iter(list(self._open.values()))
 
-    def add(self, asked: ClientRequest, cls: ClassSettings, deadline: float, holds: int) -> OpenRequest:
-        """Takes a request in, under a new number below 2^32."""
-        self._next = self._next % 0xFFFFFFFF + 1
-        request = self._open[self._next] = OpenRequest(self._next, asked, cls, deadline, holds)
-        self._txns[asked.txn] = request
+    def add(
+        self,
+        client_request: ClientRequest,
+        class_settings: ClassSettings,
+        deadline_ms: float,
+        reserved_bytes: int,
+    ) -> OpenRequest:
+        """Open a request under a new id below 2^32."""
+        self._last_id = self._last_id % 0xFFFFFFFF + 1
+        request = self._open[self._last_id] = OpenRequest(
+            self._last_id, client_request, class_settings, deadline_ms, reserved_bytes
+        )
+        self._by_txn[client_request.txn] = request
         return request
 
-    def waits(self, txn: str) -> bool:
-        """Whether a request of that id is open and not answered."""
-        request = self._txns.get(txn)
+    def is_open(self, txn: str) -> bool:
+        """Return whether a request of that transaction id is open and unanswered."""
+        request = self._by_txn.get(txn)
         return request is not None and not request.answered
 
-    def get(self, req: int) -> OpenRequest | None:
-        """The request of that number, if it is open."""
-        return self._open.get(req)
+    def get(self, request_id: int) -> OpenRequest | None:
+        """Return the open request of that id, or None."""
+        return self._open.get(request_id)
 
-    def drop(self, req: int) -> bool:
-        """Forgets a request that is over; says whether it was known until now."""
-        request = self._open.pop(req, None)
-        if request is not None and self._txns.get(request.asked.txn) is request:
-            del self._txns[request.asked.txn]
+    def remove(self, request_id: int) -> bool:
+        """Remove a request; return whether it was open."""
+        request = self._open.pop(request_id, None)
+        if request is not None and self._by_txn.get(request.client_request.txn) is request:
+            del self._by_txn[request.client_request.txn]
         return request is not None
 
-    def waiting(self) -> list[Attempt]:
-        """Attempts of which nothing has been written yet."""
+    def unsent_attempts(self) -> list[Attempt]:
+        """Return the attempts of which nothing has been written."""
         return [
             attempt
             for request in self._open.values()
             for attempt in request.attempts
-            if not attempt.ended and not attempt.written_at
+            if not attempt.ended and not attempt.written_at_ms
         ]
--- a/stonecove/transport/change_log_follower.py
+++ b/stonecove/transport/change_log_follower.py
@@ -1,4 +1,4 @@
-"""Follows the change log over trio."""
+"""The client of the change log, over trio."""
 
 from __future__ import annotations
 
@@ -12,29 +12,33 @@
 from stonecove.discovery import MembershipSink
 from stonecove.protocols.buffer import Buffer, BufferFullError
 from stonecove.protocols.change_log import MOST_FRAME, ChangeLogError, Follower, frames
-from stonecove.runtime.log import log, log_some
+from stonecove.runtime.log import log, log_limited
 from stonecove.runtime.log_events import LogEvent
-from stonecove.runtime.timers import nobody
-from stonecove.transport.upstream_connection import NO_DESCRIPTOR
-
-# What is in the log counts as told 7 s later at the latest: all waits in a row must fit into that. The worst
-# chain that is borne: the log falls silent, the next connection comes up and says nothing, two more never
-# come up, with the longest back-off after each: 2.5 + 1.5 + 2 * 0.8 + 4 * 0.15 = 6.2 s. Or two say nothing:
-# 2.5 + 1.5 + 2.5 + 3 * 0.15 = 6.95 s. With one that never comes up it is 2.5 + 0.8 + 2 * 0.15 = 3.6 s after
-# the log stops, 0.8 + 2 * 0.15 = 1.1 s after a break.
-QUIET = 2.5  # a frame comes each second; after so many without a whole one the connection is given up
-FIRST = 1.5  # the same on a new connection, which is told at once; but QUIET if the one before was mute, too
-BACK_OFF = 0.05, 0.15  # seconds before the next connection, doubled up to the second; few graces are shorter
-CONNECT_WAIT = 0.8
-SETTLED = 0.03  # seconds after an event without another one: the log has told what it had
-# Seconds that a start waits at most, whatever grace the settings give: 6 are allowed on short days, and the
-# start itself took 3.4 on a crowded host. One mute connection and a second one that speaks fit in.
-READY_WITHIN = 2.5
-LATE = 0.02  # seconds after a turn of all tasks for which the next one is late
-
-
-class ChangeLog(trio.abc.Instrument):
-    """Follows the change log for good: resumes after the last number, however often it breaks."""
+from stonecove.runtime.timers import no_op
+from stonecove.transport.upstream_connection import RESOURCE_ERRNOS
+
+# An event of the log counts as known after 7 s at the latest, so consecutive time-outs must add up to less.
+# The worst sequence that is tolerated: the log falls silent, the next connection opens and receives nothing,
+# and two more don't open, with the longest back-off after each: 2.5 + 1.5 + 2 * 0.8 + 4 * 0.15 = 6.2 s.
+# Or two receive nothing: 2.5 + 1.5 + 2.5 + 3 * 0.15 = 6.95 s. If one does not open, the time is
+# 2.5 + 0.8 + 2 * 0.15 = 3.6 s after the log stops, and 0.8 + 2 * 0.15 = 1.1 s after a disconnection.
+SILENCE_TIMEOUT_S = 2.5  # without a complete frame, of which the log sends one each second
+# The same for a new connection, on which a frame is sent at once. If the connection before received nothing
+# either, SILENCE_TIMEOUT_S applies.
+FIRST_FRAME_TIMEOUT_S = 1.5
+# Delay before the next connection, doubled up to the second value; few drain periods are shorter.
+BACKOFF_S = 0.05, 0.15
+CONNECT_TIMEOUT_S = 0.8
+SETTLE_S = 0.03  # without a further event, after which the log is taken to be caught up
+# Longest wait for the log at a start, whatever drain period the settings give. A start may take 6 s on short
+# days, and took 3.4 s on a busy host without this wait. One silent connection and a second one that receives
+# data fit in.
+MAX_STARTUP_WAIT_S = 2.5
+LATE_TURN_S = 0.02  # between two turns of the event loop, beyond which the second one is late
+
+
+class ChangeLogClient(trio.abc.Instrument):
+    """Follows the change log, and resumes after the last event received whenever it is disconnected."""
 
     def __init__(
         self,
@@ -43,131 +47,136 @@
         follower: Follower,
         new_socket: Callable[[], socket.socket] = socket.socket,
     ) -> None:
-        """`new_socket` makes the one of each connection."""
+        """Create a client; `new_socket` creates the socket of each connection."""
         self._address = (host, port)
         self._follower = follower
         self._new_socket = new_socket
-        self._scope = trio.CancelScope()
-        self.heard = 0.0  # when the last whole frame came, in trio's seconds
-        self._nothing_new = trio.Event()  # the log has said so once
-        self._whole_at = math.inf  # when the last bytes of the present connection came, if they end a frame
-        self._speaks = False  # the last connection came up, and has not ended without a word
-        self._mute = False  # the last one that came up ended without a word
-        self._turn = 0.0  # when the tasks had their last turn
-        self._look: Callable[[], str] = str  # takes in what is there; says why it is over, if it is
-        self._quiet = trio.CancelScope()  # cancelled once the log is given up
-        self._why = ""  # why it was given up; or the error
+        self._connection_scope = trio.CancelScope()
+        self.last_frame_at_s = 0.0  # when the last complete frame was received, in trio's seconds
+        self._caught_up = trio.Event()  # the log has reported once that there is nothing new
+        # when the last bytes of this connection were received, if they complete a frame
+        self._complete_at_s = math.inf
+        self._is_responsive = False  # the last connection opened, and did not end without a frame
+        self._was_silent = False  # the last connection that opened ended without a frame
+        self._last_turn_s = 0.0  # when the event loop had its last turn
+        # receives what is available; returns why the connection must be closed, or an empty text
+        self._receive_available: Callable[[], str] = str
+        self._silence_scope = trio.CancelScope()  # cancelled once the connection is to be closed
+        self._close_reason = ""
         self._error: Exception | None = None
-        self.short: Callable[[], None] = nobody  # told when the system has no descriptor for a connection
+        # called when the system has no descriptor for a connection
+        self.on_descriptor_shortage: Callable[[], None] = no_op
 
-    def move(self, host: str, port: int) -> None:
-        """Follows the log at another address from now on, after the same last number.
+    def change_address(self, host: str, port: int) -> None:
+        """Follow the log at another address, after the same last event.
 
-        The connection to the old one is given up at once: it may stay open and tell nothing more.
+        The connection to the old address is closed at once, as it may stay open without sending anything.
         """
         if (host, port) != self._address:
-            self._address, self._mute = (host, port), False
-            self._scope.cancel()
+            self._address, self._was_silent = (host, port), False
+            self._connection_scope.cancel()
 
-    async def caught_up(self, within: float) -> None:
-        """Waits until the log has told what it has: `within` seconds where it can't be reached, and
-        `READY_WITHIN` at most.
+    async def wait_caught_up(self, timeout_s: float) -> None:
+        """Wait until all events that are in the log have been received.
 
-        Guards against the first requests after a start going to nodes that were drained since the
-        configuration was written: all that is in the log counts as told, connected or not.
+        The wait is `timeout_s` if the log can't be reached, and `MAX_STARTUP_WAIT_S` at most. All events in
+        the log count as known, connected or not. Without the wait, the first requests after a start could go
+        to nodes that were drained after the configuration was written.
         """
-        give_up = trio.current_time() + within
-        with trio.move_on_after(READY_WITHIN):
-            while self._speaks or trio.current_time() < give_up:
-                with trio.move_on_after(SETTLED):
-                    await self._nothing_new.wait()
-                if self._nothing_new.is_set() or trio.current_time() >= self._whole_at + SETTLED:
+        give_up_at_s = trio.current_time() + timeout_s
+        with trio.move_on_after(MAX_STARTUP_WAIT_S):
+            while self._is_responsive or trio.current_time() < give_up_at_s:
+                with trio.move_on_after(SETTLE_S):
+                    await self._caught_up.wait()
+                if self._caught_up.is_set() or trio.current_time() >= self._complete_at_s + SETTLE_S:
                     break
 
     def after_io_wait(self, timeout: float) -> None:
-        """Looks at the log ahead of all other tasks, in a turn that comes late.
+        """Receive from the log ahead of all other tasks, in a turn of the event loop that comes late.
 
-        Guards against answers and timers of that turn leading to repeats by an old list, though the drain
-        lies there: trio lets tasks run in any order. Fresh requests are decided a turn later anyway.
+        Trio runs tasks in any order. Responses and timers of that turn could otherwise lead to repeats by an
+        old endpoint list, although the drain has arrived. New requests are decided a turn later anyway.
         """
-        now = trio.current_time()
-        late, self._turn = now > self._turn + LATE, now
+        now_s = trio.current_time()
+        late, self._last_turn_s = now_s > self._last_turn_s + LATE_TURN_S, now_s
         if late:
-            self._take_in()
+            self._receive_now()
 
-    def _take_in(self) -> None:
-        if self._why or self._error:
-            return  # guards against reading on behind a gap, before the task has come to its end
+    def _receive_now(self) -> None:
+        """Receive what is available, and have the connection closed if it failed."""
+        if self._close_reason or self._error:
+            return  # nothing may be read beyond a gap before the task has ended
         try:
-            self._why = self._look()
+            self._close_reason = self._receive_available()
         except Exception as error:
             self._error = error
-        if self._why or self._error:
-            self._quiet.cancel()
+        if self._close_reason or self._error:
+            self._silence_scope.cancel()
 
     async def run(self, sink: MembershipSink) -> None:
-        """Follows the log for good, wherever it is."""
+        """Follow the log until cancelled, at its current address."""
         trio.lowlevel.add_instrument(self)
         while True:
-            with trio.CancelScope() as self._scope:
-                await self._keep(sink)
+            with trio.CancelScope() as self._connection_scope:
+                await self._reconnect(sink)
             log(
                 LogEvent.CHANGE_LOG_ADDRESS_CHANGED,
                 address=":".join(map(str, self._address)),
                 last=self._follower.last,
             )
 
-    async def _keep(self, sink: MembershipSink) -> None:
-        """Connects again and again, with a short back-off."""
-        wait = BACK_OFF[0]
+    async def _reconnect(self, sink: MembershipSink) -> None:
+        """Connect again and again, with a short back-off."""
+        wait_s = BACKOFF_S[0]
         while True:
-            last, heard = self._follower.last, self.heard
+            last, last_frame_at_s = self._follower.last, self.last_frame_at_s
             try:
-                why = await self._follow(sink)
+                reason = await self._follow_connection(sink)
             except (OSError, BufferFullError, ChangeLogError) as error:
-                why = str(error) or type(error).__name__
-                if isinstance(error, OSError) and error.errno in NO_DESCRIPTOR:
-                    self.short()
-            except Exception as error:  # guards against one event that can't be worked off ending the process
+                reason = str(error) or type(error).__name__
+                if isinstance(error, OSError) and error.errno in RESOURCE_ERRNOS:
+                    self.on_descriptor_shortage()
+            except Exception as error:  # an event that can't be processed must not end the process
                 log(LogEvent.INTERNAL_ERROR, where="change log", error=repr(error))
-                why = "an event can't be worked off"
-            self._whole_at, self._speaks = math.inf, self.heard != heard
-            log_some(LogEvent.CHANGE_LOG_DISCONNECTED, last=self._follower.last, reason=why)
-            wait = BACK_OFF[0] if self._follower.last != last else min(2 * wait, BACK_OFF[1])
-            await trio.sleep(wait)
-
-    async def _follow(self, sink: MembershipSink) -> str:
-        plain = self._new_socket()
-        with trio.socket.from_stdlib_socket(plain) as sock:
+                reason = "an event can't be processed"
+            self._complete_at_s, self._is_responsive = math.inf, self.last_frame_at_s != last_frame_at_s
+            log_limited(LogEvent.CHANGE_LOG_DISCONNECTED, last=self._follower.last, reason=reason)
+            wait_s = BACKOFF_S[0] if self._follower.last != last else min(2 * wait_s, BACKOFF_S[1])
+            await trio.sleep(wait_s)
+
+    async def _follow_connection(self, sink: MembershipSink) -> str:
+        """Follow the log over one connection; return why it ended."""
+        plain_sock = self._new_socket()
+        with trio.socket.from_stdlib_socket(plain_sock) as sock:
             sock.setsockopt(trio.socket.IPPROTO_TCP, trio.socket.TCP_NODELAY, 1)
-            with trio.move_on_after(CONNECT_WAIT) as waiting:
+            with trio.move_on_after(CONNECT_TIMEOUT_S) as connect_scope:
                 await sock.connect(self._address)
                 hello = self._follower.hello()
-                while hello:  # guards against one written in part: the log would wait for the rest
+                while hello:  # if written in part, the log would wait for the remainder
                     hello = hello[await sock.send(hello) :]
-            if waiting.cancelled_caught:
+            if connect_scope.cancelled_caught:
                 return "not up in time"
-            log_some(LogEvent.CHANGE_LOG_CONNECTED, last=self._follower.last)
-            patience = QUIET if self._mute else FIRST
-            self._speaks = self._mute = True
+            log_limited(LogEvent.CHANGE_LOG_CONNECTED, last=self._follower.last)
+            silence_s = SILENCE_TIMEOUT_S if self._was_silent else FIRST_FRAME_TIMEOUT_S
+            self._is_responsive = self._was_silent = True
             buffer = Buffer(MOST_FRAME + 4096)
-            # Guards against a log that was cut off or stops in the middle of a frame: the connection stays
-            # open, and bytes may still trickle in. Only whole frames count.
-            self._why, self._error = "", None
-            with trio.move_on_after(patience) as self._quiet:
-                self._look = partial(self._read, plain, buffer, sink)
+            # Only complete frames reset the time-out: a log that is partitioned, or stops in the middle of a
+            # frame, leaves the connection open, and bytes may still trickle in.
+            self._close_reason, self._error = "", None
+            with trio.move_on_after(silence_s) as self._silence_scope:
+                self._receive_available = partial(self._receive_frames, plain_sock, buffer, sink)
                 try:
                     while True:
-                        await trio.lowlevel.wait_readable(plain)
-                        self._take_in()
+                        await trio.lowlevel.wait_readable(plain_sock)
+                        self._receive_now()
                 finally:
-                    self._look = str
+                    self._receive_available = str
             if self._error is not None:
                 raise self._error
-            return self._why or "silent"
+            return self._close_reason or "silent"
 
-    def _read(self, sock: socket.socket, buffer: Buffer, sink: MembershipSink) -> str:
-        """Takes in all that is there; says why the connection has to be given up, or nothing."""
+    def _receive_frames(self, sock: socket.socket, buffer: Buffer, sink: MembershipSink) -> str:
+        """Process all that is available; return why the connection must be closed, or an empty text."""
         while True:
             with buffer.room(4096) as view:
                 try:
@@ -178,10 +187,10 @@
                 return "closed by the log"
             buffer.filled(count)
             for frame in frames(buffer):
-                self.heard, self._mute = trio.current_time(), False
-                self._quiet.deadline = self.heard + QUIET
+                self.last_frame_at_s, self._was_silent = trio.current_time(), False
+                self._silence_scope.deadline = self.last_frame_at_s + SILENCE_TIMEOUT_S
                 if not self._follower.take(frame, sink):
                     return frame.wrong or f"a gap before {frame.number}"
                 if not frame.event:
-                    self._nothing_new.set()
-            self._whole_at = math.inf if len(buffer) else self.heard
+                    self._caught_up.set()
+            self._complete_at_s = math.inf if len(buffer) else self.last_frame_at_s
--- a/stonecove/transport/client_connection.py
+++ b/stonecove/transport/client_connection.py
@@ -1,4 +1,4 @@
-"""A client connection over trio: the I/O of a `Session`."""
+"""The I/O of a `Session` with a client, over trio."""
 
 from __future__ import annotations
 
@@ -11,84 +11,89 @@
 from stonecove.protocols.buffer import BufferFullError
 from stonecove.protocols.fastcgi.codec import FastCgiError
 from stonecove.protocols.fastcgi.session import GULP, Handler, Session
-from stonecove.state.budget import Budget
+from stonecove.state.budget import MemoryBudget
 
-LINGER = 1.0, 1 << 20  # seconds and bytes for which a client that we leave may go on sending
-LOOKS = 32  # reads at most in one look; a client that sends faster than that is none at rest
-_SCRATCH = bytearray(GULP)  # for what nobody reads: hundreds may be left in one moment
-STALL = 10.0  # seconds for which a client may take in nothing
+# Seconds and bytes for which a client may go on sending while it is being disconnected.
+LINGER_LIMITS = 1.0, 1 << 20
+MAX_READS_PER_CHECK = 32  # a client that sends faster than that is not idle
+_DISCARDED = bytearray(GULP)  # shared by all connections, as hundreds may linger at once
+STALL_TIMEOUT_S = 10.0  # for a client that receives nothing
 
 
-class Connection(Session):
+class ClientConnection(Session):
     """A session on a plain non-blocking socket."""
 
     def __init__(
-        self, sock: socket.socket, handler: Handler, clock: Callable[[], float], budget: Budget
+        self, sock: socket.socket, handler: Handler, clock: Callable[[], float], budget: MemoryBudget
     ) -> None:
         super().__init__(sock, handler, clock, budget)
         self._sock: socket.socket = sock
-        self._room_wanted = trio.Event()
+        self._write_blocked = trio.Event()
         self._scope = trio.CancelScope()
-        self._reading = trio.CancelScope()
-        self._writing = trio.CancelScope()
-        self._patience = LINGER[0]
-        self._wrote = False  # whether the task that writes was started
-        self._nursery: trio.Nursery | None = None  # set once it is served
+        self._read_scope = trio.CancelScope()
+        self._write_scope = trio.CancelScope()
+        self._linger_s = LINGER_LIMITS[0]
+        self._writer_started = False
+        self._nursery: trio.Nursery | None = None  # set by `run`
 
     def close(self) -> None:
-        """Ends the connection at once, whatever is open on it or on its way."""
+        """Close the connection at once, whatever is open on it or still to be written."""
         self._scope.cancel()
 
-    def finish(self, linger: float = LINGER[0]) -> None:
-        """Ends the connection if it rests; the client gets so many seconds to end its side.
+    def close_if_idle(self, linger_s: float = LINGER_LIMITS[0]) -> None:
+        """Close the connection if it is idle; the client gets `linger_s` to close its side.
 
-        Guards against a request that has just come in and is not read yet: it is taken, and the connection
-        goes on.
+        Pending data is read first. A request that has just arrived is accepted, and the connection stays
+        open.
         """
         if not self._leaving and self._look() and self.resting():
-            self._patience = linger
+            self._linger_s = linger_s
             self._leave("closed by us")
 
     def _blocked(self) -> None:
-        self._room_wanted.set()
-        self._start_writing()
+        self._write_blocked.set()
+        self._start_writer()
 
     def _stop_reading(self) -> None:
-        self._reading.cancel()
+        self._read_scope.cancel()
 
     def _stop_writing(self) -> None:
-        self._writing.cancel()
+        self._write_scope.cancel()
         with contextlib.suppress(OSError):
             self._sock.shutdown(socket.SHUT_WR)
 
     def _look(self) -> bool:
-        """Says whether all was read. Guards against answers to write before there is a task for that."""
+        """Read what is pending; return whether all of it was read.
+
+        Nothing is read before `run` has started, as responses could not be written yet.
+        """
         if self._nursery is None:
             return False
-        for _ in range(LOOKS):
+        for _ in range(MAX_READS_PER_CHECK):
             try:
-                if self._leaving or not self._take():
+                if self._leaving or not self._receive():
                     return True
             except BlockingIOError:
                 return True
-            except OSError:  # the task that reads finds it, too
+            except OSError:  # the reading task will get it, too
                 return True
         return False
 
     def check(self, now: float) -> None:
-        """End what has been coming in for too long; not before its task has run, which can read it at all."""
+        """End what has been incomplete for too long; not before `run` has started, which alone can read."""
         if self._nursery is not None:
             super().check(now)
 
     def look_for_end(self) -> None:
-        """Guards against an attempt that begins for a client whose end has come, but is not read yet.
+        """Read pending data, and cancel the open requests if the client has closed the connection.
 
-        As after a standstill of ours, when what the client and what the cache did are found in one turn.
+        Otherwise an attempt could be started for a client whose close has arrived but is unread. That happens
+        after the process was suspended, when events of clients and caches are found in one turn.
         """
         try:
-            self._sock.recv(1, socket.MSG_PEEK)  # there is nothing most times, and this costs least
-            for _ in range(LOOKS):
-                if not self._take():
+            self._sock.recv(1, socket.MSG_PEEK)  # usually there is nothing, and this is the cheapest check
+            for _ in range(MAX_READS_PER_CHECK):
+                if not self._receive():
                     self.left()
                     break
         except BlockingIOError:
@@ -97,38 +102,44 @@
             self.left()
 
     async def run(self) -> str:
-        """Serves until either side ends it; returns why. No error of the peer's leaves here."""
-        why = "closed by us"
+        """Serve until either side closes the connection; return why it ended.
+
+        Errors of the peer are not raised.
+        """
+        reason = "closed by us"
         try:
             with self._scope:
                 async with trio.open_nursery() as self._nursery:
-                    with self._reading:
-                        why = await self._read()
-                        self._writing.cancel()
+                    with self._read_scope:
+                        reason = await self._read()
+                        self._write_scope.cancel()
                     if self._leaving:
-                        why = self._leaving
-                        self._start_writing()
+                        reason = self._leaving
+                        self._start_writer()
                 if self._leaving:
                     await self._linger()
         finally:
-            self._wrote = True  # it is too late to start it
+            self._writer_started = True  # no writing task may be started any more
             self.ended()
-        return "the client takes in nothing" if self._broken else why
+        return "the client takes in nothing" if self._broken else reason
 
     async def _linger(self) -> None:
-        """Guards against an answer lost to a reset, as when a socket is closed with bytes unread."""
-        left = LINGER[1]
-        with trio.move_on_after(self._patience), contextlib.suppress(OSError):
-            while left > 0:
+        """Read until the client closes its side, within limits.
+
+        Closing a socket with unread data would reset the connection, and the last response could be lost.
+        """
+        remaining_bytes = LINGER_LIMITS[1]
+        with trio.move_on_after(self._linger_s), contextlib.suppress(OSError):
+            while remaining_bytes > 0:
                 await trio.lowlevel.wait_readable(self._sock)
-                if not (count := self._sock.recv_into(_SCRATCH)):
+                if not (count := self._sock.recv_into(_DISCARDED)):
                     break
-                left -= count
+                remaining_bytes -= count
 
-    def _take(self) -> int:
-        """Reads once; how many bytes came in, 0 at the end. Raises OSError.
+    def _receive(self) -> int:
+        """Read once; return the number of bytes, 0 at the end; raise OSError.
 
-        What can't be read ends the connection, once what was whole before it is answered.
+        Malformed data ends the connection once the complete requests before it are answered.
         """
         try:
             with self._buffer.room() as view:
@@ -145,7 +156,7 @@
         while True:
             try:
                 await trio.lowlevel.wait_readable(self._sock)
-                if not self._take():
+                if not self._receive():
                     return "closed by the client"
             except BlockingIOError:
                 continue
@@ -154,23 +165,23 @@
             if self._leaving:
                 await trio.lowlevel.checkpoint()
 
-    def _start_writing(self) -> None:
-        """Most clients need no task that writes: they take all at once."""
-        if not self._wrote and self._nursery is not None:
-            self._wrote = True
+    def _start_writer(self) -> None:
+        """Start the writing task; most clients receive everything at once and need none."""
+        if not self._writer_started and self._nursery is not None:
+            self._writer_started = True
             self._nursery.start_soon(self._write)
 
     async def _write(self) -> None:
-        """Writes what the socket did not take at once, until all is over."""
-        with self._writing:
+        """Write what the socket did not accept at once, until the connection ends."""
+        with self._write_scope:
             while True:
-                await self._room_wanted.wait()
-                # Guards against a client that reads nothing and so holds answers in memory for good.
-                with trio.move_on_after(STALL) as waiting:
+                await self._write_blocked.wait()
+                # A client that reads nothing would hold responses in memory for good.
+                with trio.move_on_after(STALL_TIMEOUT_S) as stall_scope:
                     await trio.lowlevel.wait_writable(self._sock)
-                if waiting.cancelled_caught:
+                if stall_scope.cancelled_caught:
                     self._broken = True
                     break
-                self._room_wanted = trio.Event()
+                self._write_blocked = trio.Event()
                 self.writable()
-        self._reading.cancel()
+        self._read_scope.cancel()
--- a/stonecove/transport/upstream_connection.py
+++ b/stonecove/transport/upstream_connection.py
@@ -1,4 +1,4 @@
-"""A connection to a server over trio: the I/O of a `Channel`."""
+"""The I/O of a `Channel` to a server, over trio."""
 
 from __future__ import annotations
 
@@ -11,78 +11,81 @@
 from stonecove.protocols.buffer import BufferFullError
 from stonecove.protocols.resp import RespError
 from stonecove.protocols.upstream_channel import Channel, Owner
-from stonecove.runtime.timers import nobody
+from stonecove.runtime.timers import no_op
 
-NO_DESCRIPTOR = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM)  # what lacks is the system's
-ASK_AGAIN = 0.02  # seconds between two attempts to get a descriptor
+RESOURCE_ERRNOS = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM)  # the system lacks a resource
+SOCKET_RETRY_S = 0.02
 
 
-class Connection(Channel):
+class UpstreamConnection(Channel):
     """A channel on a plain non-blocking socket; a task writes what could not be written at once."""
 
     def __init__(
         self,
         owner: Owner,
         address: tuple[str, int],
-        patience: float,
+        timeout_s: float,
         clock: Callable[[], float],
-        short: Callable[[], None] = nobody,
+        on_shortage: Callable[[], None] = no_op,
     ) -> None:
-        """Patience is in seconds; `short` is called when the system has no descriptor for it."""
+        """Create a channel that connects within `timeout_s`.
+
+        `on_shortage` is called when the system has no descriptor for it.
+        """
         super().__init__(owner, clock)
         self._address = address
-        self._patience = patience
-        self._short = short
+        self._timeout_s = timeout_s
+        self._on_shortage = on_shortage
         self._sock: socket.socket
-        self._room_wanted = trio.Event()
+        self._write_blocked = trio.Event()
         self._scope = trio.CancelScope()
 
     def _stop(self) -> None:
         self._scope.cancel()
 
     def _blocked(self) -> None:
-        self._room_wanted.set()
+        self._write_blocked.set()
 
     async def run(self) -> None:
-        """Connects, then reads and writes until either side ends it. No error leaves here."""
-        why = ""
+        """Connect, then read and write until either side closes the connection. No error is raised."""
+        reason = ""
         try:
             self.lacking = True
             with self._scope:
-                limit = trio.current_time() + self._patience
-                self._sock = await self._descriptor(limit)
+                deadline_s = trio.current_time() + self._timeout_s
+                self._sock = await self._new_socket(deadline_s)
                 self.lacking = False
                 with trio.socket.from_stdlib_socket(self._sock) as sock:
-                    why = await self._live(sock, limit)
+                    reason = await self._serve(sock, deadline_s)
         except OSError as error:
             self.failed(error)
         finally:
-            self.ended(why)
+            self.ended(reason)
 
-    async def _descriptor(self, limit: float) -> socket.socket:
-        """A new socket; waits for room until that time, in trio's seconds. Raises OSError."""
+    async def _new_socket(self, deadline_s: float) -> socket.socket:
+        """Return a new socket, retrying until the deadline in trio's seconds; raise OSError at the end."""
         while True:
             try:
                 return socket.socket()
             except OSError as error:
-                if error.errno not in NO_DESCRIPTOR or trio.current_time() >= limit:
+                if error.errno not in RESOURCE_ERRNOS or trio.current_time() >= deadline_s:
                     raise
-            self._short()
-            await trio.sleep(ASK_AGAIN)
+            self._on_shortage()
+            await trio.sleep(SOCKET_RETRY_S)
 
-    async def _live(self, sock: trio.socket.SocketType, limit: float) -> str:
+    async def _serve(self, sock: trio.socket.SocketType, deadline_s: float) -> str:
         sock.setsockopt(trio.socket.IPPROTO_TCP, trio.socket.TCP_NODELAY, 1)
-        with trio.move_on_at(limit) as waiting:
+        with trio.move_on_at(deadline_s) as connect_scope:
             await sock.connect(self._address)
-        if waiting.cancelled_caught:
+        if connect_scope.cancelled_caught:
             self.late = True
             return "not up in time"
         self.opened(self._sock)
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self._write)
-            why = await self._read()
+            reason = await self._read()
             nursery.cancel_scope.cancel()
-        return why
+        return reason
 
     async def _read(self) -> str:
         buffer, decoder = self.buffer, self.decoder
@@ -103,7 +106,7 @@
 
     async def _write(self) -> None:
         while True:
-            await self._room_wanted.wait()
+            await self._write_blocked.wait()
             await trio.lowlevel.wait_writable(self._sock)
-            self._room_wanted = trio.Event()
+            self._write_blocked = trio.Event()
             self.writable()
--- a/stonecove/transport/zookeeper.py
+++ b/stonecove/transport/zookeeper.py
@@ -1,4 +1,4 @@
-"""A ZooKeeper session over trio: the I/O of a `zksession.Session`, and who gets which reply."""
+"""The I/O of a ZooKeeper `Session` over trio, and the delivery of its replies and events."""
 
 from __future__ import annotations
 
@@ -22,44 +22,44 @@
 from stonecove.runtime.log import log
 from stonecove.runtime.log_events import LogEvent
 
-GULP = 65_536
-Feed = Callable[[SessionEvent], None]
+READ_SIZE_BYTES = 65_536
+EventListener = Callable[[SessionEvent], None]
 
 
-class Ensemble:
-    """Keeps one session for as long as it runs. Replies and events are handed over in their order."""
+class ZooKeeperClient:
+    """Keeps one session open while it runs, and delivers replies and events in order."""
 
     def __init__(
-        self, servers: tuple[Server, ...], seed: int, figures: Figures, after: Callable[[], None]
+        self, servers: tuple[Server, ...], seed: int, figures: Figures, on_batch_end: Callable[[], None]
     ) -> None:
-        """`after` is called once all events of a moment have been handed over."""
+        """Create a client; `on_batch_end` is called after each batch of events was delivered."""
         self.session = Session(servers, seed, figures)
-        self._after = after
-        self._feeds: list[Feed] = []
-        self._calls: dict[int, Callable[[Reply], None]] = {}
-        self._token = 0
-        self._changed = trio.Event()  # there is something to write, or another plan
-        self._handing = False
-
-    def add(self, feed: Feed) -> None:
-        """Somebody who is told of all events of the session."""
-        self._feeds.append(feed)
-
-    def ask(self, what: zk.Request, call: Callable[[Reply], None]) -> None:
-        """Sends a request; `call` gets its one reply, which may say that the connection was lost."""
-        self._token += 1
-        self._calls[self._token] = call
-        self.session.ask(self._token, what, trio.current_time())
+        self._on_batch_end = on_batch_end
+        self._listeners: list[EventListener] = []
+        self._callbacks: dict[int, Callable[[Reply], None]] = {}
+        self._last_token = 0
+        self._changed = trio.Event()  # there is data to write, or the session's plan has changed
+        self._delivering = False
+
+    def add_listener(self, listener: EventListener) -> None:
+        """Add a listener that is called with all events of the session."""
+        self._listeners.append(listener)
+
+    def request(self, operation: zk.Request, callback: Callable[[Reply], None]) -> None:
+        """Send a request; `callback` gets its one reply, which may report that the connection was lost."""
+        self._last_token += 1
+        self._callbacks[self._last_token] = callback
+        self.session.ask(self._last_token, operation, trio.current_time())
         self._changed.set()
 
     def close(self) -> None:
-        """Ends the session, and with it `run`, once the server has been told."""
+        """Close the session, which ends `run` once the server has been notified."""
         if self.session.state is not State.CLOSED:
             self.session.close(trio.current_time())
             self._changed.set()
 
     async def run(self) -> None:
-        """Connects again and again, until it is closed. No error of the network leaves here."""
+        """Connect and reconnect until the session is closed. Network errors are not raised."""
         while self.session.state is not State.CLOSED:
             self._changed = trio.Event()
             plan = self.session.plan(trio.current_time())
@@ -68,7 +68,7 @@
             else:
                 with trio.move_on_at(plan.until):
                     await self._changed.wait()
-        self._hand_over()
+        self._deliver_events()
 
     async def _connect(self, server: Server) -> None:
         session = self.session
@@ -76,45 +76,45 @@
         try:
             with trio.socket.socket() as sock:
                 sock.setsockopt(trio.socket.IPPROTO_TCP, trio.socket.TCP_NODELAY, 1)
-                with trio.move_on_at(session.plan(trio.current_time()).until) as waiting:
+                with trio.move_on_at(session.plan(trio.current_time()).until) as connect_scope:
                     await sock.connect(server)
-                if waiting.cancelled_caught:
+                if connect_scope.cancelled_caught:
                     session.lost("not up in time", trio.current_time())
                 elif session.state is State.CONNECTING:
                     session.opened(trio.current_time())
-                    await self._live(sock)
+                    await self._exchange(sock)
         except OSError as error:
             session.lost(error.strerror or type(error).__name__, trio.current_time())
-        self._hand_over()
+        self._deliver_events()
 
-    async def _live(self, sock: trio.socket.SocketType) -> None:
+    async def _exchange(self, sock: trio.socket.SocketType) -> None:
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self._read, sock, nursery.cancel_scope)
             nursery.start_soon(self._write, sock, nursery.cancel_scope)
 
-    def _over(self) -> bool:
+    def _is_closed(self) -> bool:
         return self.session.state not in (State.GREETING, State.CONNECTED)
 
-    async def _read(self, sock: trio.socket.SocketType, scope: trio.CancelScope) -> None:
-        while not self._over():
+    async def _read(self, sock: trio.socket.SocketType, nursery_scope: trio.CancelScope) -> None:
+        while not self._is_closed():
             try:
-                data = await sock.recv(GULP)
+                data = await sock.recv(READ_SIZE_BYTES)
             except OSError as error:
                 self.session.lost(error.strerror or type(error).__name__, trio.current_time())
                 break
-            if self._over():
+            if self._is_closed():
                 break
             if data:
                 self.session.received(data, trio.current_time())
             else:
                 self.session.lost("closed by the server", trio.current_time())
-            self._hand_over()
+            self._deliver_events()
             self._changed.set()
-        scope.cancel()
+        nursery_scope.cancel()
 
-    async def _write(self, sock: trio.socket.SocketType, scope: trio.CancelScope) -> None:
-        """Writes what is to be sent, and looks at the time."""
-        while not self._over():
+    async def _write(self, sock: trio.socket.SocketType, nursery_scope: trio.CancelScope) -> None:
+        """Write pending data, and let the session check its time-outs."""
+        while not self._is_closed():
             data = self.session.data_to_send()
             while data:
                 try:
@@ -124,51 +124,51 @@
                     break
                 data = data[sent:] or self.session.data_to_send()
             self._changed = trio.Event()
-            if self._over():
+            if self._is_closed():
                 break
-            until = self.session.plan(trio.current_time()).until
-            with trio.move_on_at(until if until < math.inf else trio.current_time() + 60):
+            until_s = self.session.plan(trio.current_time()).until
+            with trio.move_on_at(until_s if until_s < math.inf else trio.current_time() + 60):
                 await self._changed.wait()
             self.session.tick(trio.current_time())
-        self._hand_over()
-        scope.cancel()
+        self._deliver_events()
+        nursery_scope.cancel()
 
-    def _hand_over(self) -> None:
-        """Works off what has happened; what that leads to comes after it."""
-        if self._handing:
+    def _deliver_events(self) -> None:
+        """Deliver pending replies and events; those that a delivery causes come after them."""
+        if self._delivering:
             return
-        self._handing = True
+        self._delivering = True
         try:
             for event in self.session.events():
                 if isinstance(event, Reply):
-                    self._guarded(self._calls.pop(event.token), event)
+                    self._call_safely(self._callbacks.pop(event.token), event)
                     continue
                 self._log(event)
-                for feed in self._feeds:
-                    self._guarded(feed, event)
+                for listener in self._listeners:
+                    self._call_safely(listener, event)
         finally:
-            self._handing = False
-        self._guarded(lambda _: self._after(), None)
+            self._delivering = False
+        self._call_safely(lambda _: self._on_batch_end(), None)
 
     @staticmethod
-    def _guarded(call: Callable[..., None], event: SessionEvent | None) -> None:
-        """Guards against one event that can't be worked off ending the process."""
+    def _call_safely(callback: Callable[..., None], event: SessionEvent | None) -> None:
+        """Call back; an exception is logged, as an event that can't be processed must not end the process."""
         try:
-            call(event)
+            callback(event)
         except Exception as error:
             log(LogEvent.INTERNAL_ERROR, where="coordination", error=repr(error))
 
     def _log(self, event: SessionEvent) -> None:
         if isinstance(event, Up):
-            where = self.session.server
+            server = self.session.server
             log(
                 LogEvent.COORDINATION_CONNECTED,
-                server=":".join(map(str, where or ())),
+                server=":".join(map(str, server or ())),
                 session=f"{event.session:#x}",
                 resumed=event.resumed,
             )
         elif isinstance(event, Down):
-            where = self.session.server
-            log(LogEvent.COORDINATION_DISCONNECTED, server=":".join(map(str, where or ())), reason=event.why)
+            server = self.session.server
+            log(LogEvent.COORDINATION_DISCONNECTED, server=":".join(map(str, server or ())), reason=event.why)
         elif isinstance(event, Expired):
             log(LogEvent.COORDINATION_SESSION_EXPIRED, session=f"{event.session:#x}")
--- a/tests/golden_fleet_control.py
+++ b/tests/golden_fleet_control.py
@@ -37,9 +37,9 @@
 from stonecove.server.swarm import SwarmKeeper, bound
 from stonecove.settings import settings_from
 from stonecove.standins import zookeeper as standin
-from stonecove.state.budget import Budget
-from stonecove.transport.change_log_follower import ChangeLog
-from stonecove.transport.zookeeper import Ensemble
+from stonecove.state.budget import MemoryBudget
+from stonecove.transport.change_log_follower import ChangeLogClient
+from stonecove.transport.zookeeper import ZooKeeperClient
 
 SETTINGS: dict[str, Any] = {
     "areas": ["hub", "edge-1"],
@@ -74,7 +74,7 @@
 
 def _route(config: Config, clock: Clock) -> Route:
     timers = Timers(clock, trio.current_time)
-    return Route(config.settings, 7, clock, timers, Budget(), 0.0, lambda *_: None)  # type: ignore[arg-type]
+    return Route(config.settings, 7, clock, timers, MemoryBudget(), 0.0, lambda *_: None)  # type: ignore[arg-type]
 
 
 # -- members, roll-outs and settings of a router --
@@ -114,7 +114,7 @@
         self.clock = Clock(lambda: UNIX)
         config = router_config()
         route = _route(config, self.clock)
-        changelog = ChangeLog("127.0.0.1", 1, Follower(0))
+        changelog = ChangeLogClient("127.0.0.1", 1, Follower(0))
         self.members = Members(
             place / "operator.cue", config, route, self.clock, changelog, nursery.start_soon
         )
@@ -125,7 +125,7 @@
         record = self.members.operator.configuration
         assert isinstance(record, ConfigurationRecord)
         keeper = ConfigurationKeeper(
-            record, config, config.table, self.settings, route.book.counts, self.clock
+            record, config, config.table, self.settings, route.recorder.counts, self.clock
         )
         self.members.use_session(keeper.attach)
         self.members.start()
@@ -151,14 +151,14 @@
 
     def __init__(self, server: str, nursery: trio.Nursery) -> None:
         host, _, port = server.rpartition(":")
-        self.ensemble = Ensemble(((host, int(port)),), 1, Figures(), lambda: None)
+        self.ensemble = ZooKeeperClient(((host, int(port)),), 1, Figures(), lambda: None)
         nursery.start_soon(self.ensemble.run)
 
     async def ask(self, what: zk.Request) -> Reply:
         """Return the reply to a request."""
         await _until(lambda: self.ensemble.session.connected)
         found: list[Reply] = []
-        self.ensemble.ask(what, found.append)
+        self.ensemble.request(what, found.append)
         await _until(lambda: bool(found))
         return found[0]
 
--- a/tests/golden_fleet_leases.py
+++ b/tests/golden_fleet_leases.py
@@ -25,7 +25,7 @@
 from stonecove.routing.actions import RequestLease, ReturnLease
 from stonecove.routing.events import LeaseGranted, LeaseTerms
 from stonecove.runtime.clock import Clock
-from stonecove.runtime.unix import accept_all, bound
+from stonecove.runtime.unix import bind_private, serve_connections
 from stonecove.server.leases import LeaseFile, Leases
 
 QUIET = 0.01  # seconds without anything to do, after which all that a step leads to has happened
@@ -254,11 +254,11 @@
 
     def __init__(self) -> None:
         self.told: list[Meaning] = []
-        self.book = SimpleNamespace(counts=Counter[str]())
-        self.gate: Callable[[ClientRequest], str] | None = None
+        self.recorder = SimpleNamespace(counts=Counter[str]())
+        self.shared_limit_check: Callable[[ClientRequest], str] | None = None
         self.actions: dict[type, Callable[[Any], None]] = {}
 
-    def carries(self, action: type, call: Callable[[Any], None]) -> None:
+    def set_action_handler(self, action: type, call: Callable[[Any], None]) -> None:
         self.actions[action] = call
 
     def post(self, event: object) -> None:
@@ -281,7 +281,7 @@
                     received.extend(data)
 
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(accept_all, bound(str(folder / "leases.sock")), lessor)
+            nursery.start_soon(serve_connections, bind_private(str(folder / "leases.sock")), lessor)
             router = _Router()
             settings = make_settings(zones=("hub", "edge-1", "edge-2"))
             file = LeaseFile(str(folder / "leases.sock"), 3.0, 0.25, 0.125, 0.5, PLAN, 0.25)
@@ -300,9 +300,9 @@
                     case "lease expired":
                         router.actions[ReturnLease](ReturnLease(step["number"], step["unspent"]))
                     case "requests":
-                        assert router.gate is not None
+                        assert router.shared_limit_check is not None
                         asked = cast(Any, SimpleNamespace(cls=step["of"], client=step["client"]))
-                        limits = [router.gate(asked) for _ in range(step["count"])]
+                        limits = [router.shared_limit_check(asked) for _ in range(step["count"])]
                     case "own quota":
                         leases.scale(step["scale"])
                     case "reconfigure":
@@ -316,7 +316,7 @@
                 received.clear()
                 told, router.told = router.told, []
                 outcome: Meaning = {"sent": [packed(line) for line in lines], "told": told, "limits": limits}
-                outcome["counts"] = dict(router.book.counts)
+                outcome["counts"] = dict(router.recorder.counts)
                 outputs.append({name: value for name, value in outcome.items() if value})
             nursery.cancel_scope.cancel()
         return outputs
--- a/tests/golden_fleet_logs.py
+++ b/tests/golden_fleet_logs.py
@@ -11,8 +11,8 @@
 from golden_folder import Meaning, Snapshot, packed
 
 from stonecove.fleet import logs
-from stonecove.runtime.notify import notify, reloading, watchdog_every
-from stonecove.runtime.pipe import from_setting
+from stonecove.runtime.notify import notify, notify_reloading, watchdog_interval_s
+from stonecove.runtime.pipe import open_pipe_sink
 
 LINES = [f"{1_764_576_000 + number}.000 served class=image number={number:02d}" for number in range(24)]
 
@@ -116,7 +116,7 @@
         assert logs.make_pipe(folder) == path
         for name, prefix in (("lines", ""), ("objects", "json:")):
             reader = logs.open_pipe(path)
-            sink = from_setting(f"{prefix}{path}")
+            sink = open_pipe_sink(f"{prefix}{path}")
             found[name] = []
             for event, fields in events:
                 sink(event, fields)
@@ -160,7 +160,7 @@
             notify("STATUS=\u00e9"),
             notify("STOPPING=1"),
             notify("WATCHDOG=1"),
-            reloading(),
+            notify_reloading(),
         ]
         messages = heard()
     abstract = f"stonecove-golden-{os.getpid()}"
@@ -185,7 +185,7 @@
         "no_path": notify("READY=1", env={"NOTIFY_SOCKET": "notify"}),
         "watchdog": [
             {"settings": {name: "<pid>" if text == pid else text for name, text in env.items()},
-             "every_s": watchdog_every(env)} for env in watchdogs
+             "every_s": watchdog_interval_s(env)} for env in watchdogs
         ],
     }  # fmt: skip
 
--- a/tests/golden_fleet_spans.py
+++ b/tests/golden_fleet_spans.py
@@ -25,15 +25,17 @@
     def __init__(self) -> None:
         self.requests = [None, None]
         self.next: OpenRequest | None = None
-        self.send = SimpleNamespace(order=lambda attempt: None, begin=lambda attempt: b"")
+        self.send = SimpleNamespace(start=lambda attempt: None, begin=lambda attempt: b"")
         self.relay = SimpleNamespace(
-            arrived=lambda attempt, reply: None,
+            handle_reply=lambda attempt, reply: None,
             answer=lambda request, answer: setattr(request, "answered", True),
-            left=lambda request: setattr(request, "answered", True),
+            client_disconnected=lambda request: setattr(request, "answered", True),
+        )
+        self.recorder = SimpleNamespace(
+            attempt_ended=lambda attempt, outcome: setattr(attempt, "ended", True)
         )
-        self.book = SimpleNamespace(ended=lambda attempt, outcome: setattr(attempt, "ended", True))
 
-    def asked(self, asked: ClientRequest) -> OpenRequest | None:
+    def submit(self, client_request: ClientRequest) -> OpenRequest | None:
         return self.next
 
 
@@ -46,14 +48,16 @@
 def _traced(stages: _Stages, number: int, txn: str) -> OpenRequest:
     asked = _client_request(txn)
     request = stages.next = OpenRequest(number, asked, make_class(), 5000.0)
-    stages.asked(asked)
+    stages.submit(asked)
     return request
 
 
 def _attempt(stages: _Stages, request: OpenRequest, number: int, node: int, source: int) -> Attempt:
-    attempt = Attempt(request, number, SendAttempt(request.req, node, 4000.0, source, 2, 0.0, 5), 1000.0)
+    attempt = Attempt(
+        request, number, SendAttempt(request.request_id, node, 4000.0, source, 2, 0.0, 5), 1000.0
+    )
     request.attempts.append(attempt)
-    stages.send.order(attempt)
+    stages.send.start(attempt)
     return attempt
 
 
@@ -77,21 +81,21 @@
         provider = trace_from(f"1:100000:2:{folder / 'trace'}", cast(Any, config), cast(Any, stages))
         served = _traced(stages, 1, "00000000000000aa")
         full = _attempt(stages, served, 0, 0xA1, 0xA1)
-        stages.book.ended(full, Outcome.REJECTED_OVERLOADED)
+        stages.recorder.attempt_ended(full, Outcome.REJECTED_OVERLOADED)
         good = _attempt(stages, served, 1, 0xA2, 0xB1)
-        good.written_at = 1001.0
+        good.written_at_ms = 1001.0
         stages.send.begin(good)
-        stages.relay.arrived(good, Reply("200", {"tell": "filled"}, b"body"))
-        stages.book.ended(good, Outcome.OK)
+        stages.relay.handle_reply(good, Reply("200", {"tell": "filled"}, b"body"))
+        stages.recorder.attempt_ended(good, Outcome.OK)
         stages.relay.answer(served, Answer(Verdict.SERVED, b"body"))
         refused = _traced(stages, 2, "00000000000000ab")
         stages.relay.answer(refused, Answer(Verdict.REFUSED, retry_after_ms=250.0))
         left = _traced(stages, 3, "00000000000000ac")
         given_up = _attempt(stages, left, 0, 0xA1, 0xA1)
-        stages.relay.left(left)
-        stages.book.ended(given_up, Outcome.CANCELLED)
+        stages.relay.client_disconnected(left)
+        stages.recorder.attempt_ended(given_up, Outcome.CANCELLED)
         stages.next = None
-        stages.asked(_client_request("00000000000000ad"))
+        stages.submit(_client_request("00000000000000ad"))
         provider.shutdown()
         return {"files": {path.name: _trace_file(path.read_bytes()) for path in sorted(folder.iterdir())}}
 
--- a/tests/golden_formats_depot.py
+++ b/tests/golden_formats_depot.py
@@ -16,10 +16,10 @@
 from stonecove.protocols.upstream_channel import Channel, Owner
 from stonecove.routing.settings import Settings
 from stonecove.runtime.clock import Clock
-from stonecove.runtime.log import divert
+from stonecove.runtime.log import set_log_sink
 from stonecove.runtime.timers import Timers
 from stonecove.settings import read_settings
-from stonecove.state.budget import Budget
+from stonecove.state.budget import MemoryBudget
 
 NOW_MS = 1764576000000.0
 SEED = 7
@@ -55,11 +55,11 @@
 def quiet_log() -> Iterator[None]:
     """Keep the log off standard error, and fail if it tells of a bug."""
     bugs: list[Mapping[str, object]] = []
-    divert(lambda event, fields: bugs.append(fields) if event == "internal_error" else None)
+    set_log_sink(lambda event, fields: bugs.append(fields) if event == "internal_error" else None)
     try:
         yield
     finally:
-        divert(None)
+        set_log_sink(None)
     assert not bugs
 
 
@@ -121,11 +121,11 @@
         self._links: list[CacheLink] = []
         self.clock = Clock(lambda: self._now / 1000.0)
         self._timers = Timers(self.clock, lambda: self._now / 1000.0)
-        self.budget = Budget()
-        self.budget.most = 1e9
+        self.budget = MemoryBudget()
+        self.budget.limit_bytes = 1e9
         self.route = Route(self.settings, SEED, self.clock, self._timers, self.budget, 4.3e6, self._connect)
-        self.route.send.most_links = 100
-        self.route.gate = self._note
+        self.route.send.max_connections = 100
+        self.route.shared_limit_check = self._note
         for update in known_events(known_list(endpoints), self.settings):
             self.route.told(update)
 
--- a/tests/soak_faults.py
+++ b/tests/soak_faults.py
@@ -80,8 +80,8 @@
             ),
             Edit(
                 "pipeline/send.py",
-                "over = attempt.request.answered or attempt.outdated or self._window_over(attempt)",
-                "over = attempt.request.answered or attempt.outdated",
+                "attempt.purged or self._deduplication_window_passed(attempt)",
+                "attempt.purged",
             ),
         ),
     ),
@@ -171,7 +171,8 @@
         (
             Edit(
                 "frontends/fastcgi.py",
-                "            self._route.left(request)\n            connection.end(ident, COMPLETE)\n",
+                "            self._route.client_disconnected(request)\n"
+                "            connection.end(ident, COMPLETE)\n",
                 "            connection.end(ident, COMPLETE)\n",
             ),
         ),
@@ -193,8 +194,8 @@
         (
             Edit(
                 "pipeline/admit.py",
-                "deadline = min(now + max(1.0, min(asked.timeout_ms, self._longest) - MARGIN), self.latest)",
-                "deadline = min(now + 1500.0 + min(asked.timeout_ms, self._longest), self.latest)",
+                "now_ms + max(1.0, min(client_request.timeout_ms, self._max_wait_ms) - RESPONSE_MARGIN_MS),",
+                "now_ms + 1500.0 + min(client_request.timeout_ms, self._max_wait_ms),",
             ),
         ),
     ),
@@ -216,8 +217,8 @@
         (
             Edit(
                 "pipeline/book.py",
-                "            self._admit.leave(request)\n",
-                "            if request.attempts:\n                self._admit.leave(request)\n",
+                "            self._admit.close_request(request)\n",
+                "            if request.attempts:\n                self._admit.close_request(request)\n",
             ),
         ),
     ),
--- a/tests/test_capacity_control.py
+++ b/tests/test_capacity_control.py
@@ -26,8 +26,8 @@
 from stonecove.discovery import Told
 from stonecove.protocols.change_log import Follower
 from stonecove.protocols.gossip import FIXED
-from stonecove.runtime.log import divert
-from stonecove.transport.change_log_follower import ChangeLog
+from stonecove.runtime.log import set_log_sink
+from stonecove.transport.change_log_follower import ChangeLogClient
 
 HOST = "127.0.0.1"
 
@@ -127,15 +127,15 @@
     async def play() -> None:
         with trio.fail_after(20.0):
             async with trio.open_nursery() as nursery:
-                nursery.start_soon(ChangeLog(HOST, server.port, Follower(1)).run, sink)
+                nursery.start_soon(ChangeLogClient(HOST, server.port, Follower(1)).run, sink)
                 await trio.to_thread.run_sync(serve)
                 nursery.cancel_scope.cancel()
 
-    divert(lambda event, fields: None)
+    set_log_sink(lambda event, fields: None)
     try:
         trio.run(play)
     finally:
-        divert(None)
+        set_log_sink(None)
         server.close()
     return carried[0]
 
@@ -174,7 +174,7 @@
 
     async def play() -> None:
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(ChangeLog(HOST, server.port, Follower(1)).run, sink)
+            nursery.start_soon(ChangeLogClient(HOST, server.port, Follower(1)).run, sink)
             with trio.fail_after(20.0):
                 while not server.followers:
                     await trio.sleep(0.005)
@@ -183,11 +183,11 @@
                     await trio.sleep(0.005)
             nursery.cancel_scope.cancel()
 
-    divert(lambda event, fields: None)
+    set_log_sink(lambda event, fields: None)
     try:
         trio.run(play)
     finally:
-        divert(None)
+        set_log_sink(None)
         server.close()
     assert len(sink.delays) == len(server.made)
     assert max(sink.delays) > 0.1 > min(sink.delays)  # gathered: the first of a window waits for its end
--- a/tests/test_clients_gone.py
+++ b/tests/test_clients_gone.py
@@ -1,7 +1,7 @@
-"""A client that closes or cancels has gone: no attempt, first or further, begins more than 0.1 s later.
+"""No attempt begins more than 0.1 s after its client has aborted the request or disconnected.
 
-The real program over loopback. Beside the clients that leave there is one that stays each time: what would
-begin for the others does begin for it.
+These tests run the real program over loopback. Beside the clients that disconnect there is one that stays: it
+shows that the attempt would otherwise have begun.
 """
 
 from __future__ import annotations
@@ -20,39 +20,39 @@
 import pytest
 from stand import PATIENCE, SETTINGS, Cache, Client, Fetch, Hanging, Stand, record
 
-WAYS = ("abort", "FIN", "half-close", "reset")
+DISCONNECTIONS = ("abort", "FIN", "half-close", "reset")
 STAYS = "stays"
-NOTICED = 0.2  # seconds after which a client that left surely has gone; 0.1 are allowed
-QUIET = 0.6  # seconds without a new fetch after which none comes any more
-OVERDUE = 1.2  # seconds after which a second copy is due, where a test is about that
-LONG: dict[str, Any] = {"X_TTL_MS": "60000"}
+NOTICED_WITHIN_S = 0.2  # after which a disconnection has been noticed; 0.1 s are allowed
+SILENCE_S = 0.6  # without a new fetch, after which no more are expected
+HEDGE_AFTER_S = 1.2  # in tests of hedged attempts
+LONG_TTL: dict[str, Any] = {"X_TTL_MS": "60000"}
 
 
-class Leaver(NamedTuple):
-    """A client with a request for an item of its own, and the way in which it leaves."""
+class DisconnectingClient(NamedTuple):
+    """A client with a request for an item of its own, and the way in which it disconnects."""
 
-    way: str
+    how: str
     item: str
     client: Client
 
-    def leave(self, ident: int = 1) -> None:
-        """Leaves request `ident`, or with it the connection."""
-        if self.way == "abort":
+    def disconnect(self, ident: int = 1) -> None:
+        """Abort request `ident`, or end the connection."""
+        if self.how == "abort":
             self.client.sock.sendall(record(2, ident))
-        elif self.way == "half-close":
+        elif self.how == "half-close":
             self.client.sock.shutdown(socket.SHUT_WR)
-        elif self.way != STAYS:
-            if self.way == "reset":
+        elif self.how != STAYS:
+            if self.how == "reset":
                 self.client.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
             self.client.close()
 
 
 @contextlib.contextmanager
 def running(
-    limits: dict[str, Any] | None = None, wanted: float = 30_000.0, memory_mb: float = 192
+    limits: dict[str, Any] | None = None, objective_ms: float = 30_000.0, memory_mb: float = 192
 ) -> Iterator[Stand]:
-    """A router with other limits; `wanted`: ms within which all answers are, or second copies go out."""
-    classes = [{**cls, "on_time": wanted, "deadline": 60_000.0} for cls in SETTINGS["classes"]]
+    """Run a router with other limits; `objective_ms` delays hedged attempts."""
+    classes = [{**cls, "on_time": objective_ms, "deadline": 60_000.0} for cls in SETTINGS["classes"]]
     stand = Stand(limits={**SETTINGS["limits"], **(limits or {})}, classes=classes, memory_mb=memory_mb)
     try:
         yield stand
@@ -61,9 +61,13 @@
         stand.close()
 
 
-def leavers(stand: Stand, items: Sequence[str], ways: Sequence[str] = (*WAYS, STAYS)) -> list[Leaver]:
-    """Clients with a way and an item each; the ways come round again."""
-    return [Leaver(ways[number % len(ways)], item, stand.client()) for number, item in enumerate(items)]
+def disconnecting_clients(
+    stand: Stand, items: Sequence[str], how: Sequence[str] = (*DISCONNECTIONS, STAYS)
+) -> list[DisconnectingClient]:
+    """Return a client for each item, with the ways of disconnecting in turn."""
+    return [
+        DisconnectingClient(how[number % len(how)], item, stand.client()) for number, item in enumerate(items)
+    ]
 
 
 def item_of(number: int) -> str:
@@ -75,7 +79,7 @@
 
 
 def fetches(stand: Stand, count: int) -> dict[str, Fetch]:
-    """So many fetches, by their item."""
+    """Return the next fetches, by item."""
     found: dict[str, Fetch] = {}
     while len(found) < count:
         fetch = stand.command()
@@ -83,17 +87,17 @@
     return found
 
 
-def begun_later(stand: Stand) -> list[str]:
-    """Items of all fetches that still come."""
+def remaining_fetches(stand: Stand) -> list[str]:
+    """Return the items of all fetches that still arrive."""
     found = []
-    while (command := stand.maybe_command(QUIET)) is not None:
+    while (command := stand.maybe_command(SILENCE_S)) is not None:
         if command.word == "fetch":
             found.append(command.fields["item"])
     return found
 
 
-def homes(stand: Stand, cache: Cache, count: int) -> list[str]:
-    """So many items whose home that cache is."""
+def items_of_cache(stand: Stand, cache: Cache, count: int) -> list[str]:
+    """Return items whose home is that cache."""
     found: list[str] = []
     client, number = stand.client(), 0
     while len(found) < count:
@@ -108,85 +112,86 @@
     return found
 
 
-def all_leave(clients: Sequence[Leaver]) -> None:
-    for leaver in clients:
-        leaver.leave()
+def disconnect_all(clients: Sequence[DisconnectingClient]) -> None:
+    for each in clients:
+        each.disconnect()
 
 
-def staying(clients: Sequence[Leaver]) -> list[str]:
-    return sorted(leaver.item for leaver in clients if leaver.way == STAYS)
+def items_of_staying(clients: Sequence[DisconnectingClient]) -> list[str]:
+    return sorted(each.item for each in clients if each.how == STAYS)
 
 
 @contextlib.contextmanager
-def standing_still(stand: Stand) -> Iterator[None]:
-    """What happens meanwhile is found by the router in one turn, in any order."""
+def suspended(stand: Stand) -> Iterator[None]:
+    """Suspend the router, so that it finds all that happens meanwhile in one turn, in any order."""
     stand.process.send_signal(signal.SIGSTOP)
     stat = Path(f"/proc/{stand.process.pid}/stat")
     stand.wait(lambda: stat.read_text().split()[2] == "T", "the stop")
     yield
-    time.sleep(NOTICED)
+    time.sleep(NOTICED_WITHIN_S)
     stand.process.send_signal(signal.SIGCONT)
 
 
-def move(stand: Stand, cache: Cache, port: int) -> None:
-    """The list tells that the cache is at that port now."""
+def move_cache(stand: Stand, cache: Cache, port: int) -> None:
+    """Announce that the cache listens at another port."""
     before = len(stand.lines("endpoint_updated"))
     stand.log.tell(before - 2, 2, stand.record(cache, 0, port=port))  # the first event of the log is number 2
     stand.wait(lambda: len(stand.lines("endpoint_updated")) == before + 1, "the move")
 
 
-# -- what waits --
+# -- attempts that wait --
 
 
-def received(hanging: Hanging, until: str) -> bytes:
-    """What comes on all connections that come up, until that has come and nothing follows any more.
+def received(listener: Hanging, until: str) -> bytes:
+    """Return what is received on all connections, until that text has arrived and nothing follows.
 
-    The kernel may take a connection for up that has no place yet with us: what waits may go by any of them.
+    The kernel may complete a handshake for a connection that is not accepted yet, so an attempt may arrive on
+    any.
     """
-    links, came, end = [hanging.open()], b"", time.monotonic() + PATIENCE
-    hanging.sock.setblocking(False)
+    connections, data, end = [listener.open()], b"", time.monotonic() + PATIENCE
+    listener.sock.setblocking(False)
     while time.monotonic() < end:
         with contextlib.suppress(BlockingIOError):
-            links.append(hanging.sock.accept()[0])
-        for link in links:
-            link.setblocking(False)
+            connections.append(listener.sock.accept()[0])
+        for connection in connections:
+            connection.setblocking(False)
             with contextlib.suppress(BlockingIOError):
-                before, came = came, came + link.recv(65_536)
-                if until.encode() in came and until.encode() not in before:
-                    end = time.monotonic() + QUIET
+                before, data = data, data + connection.recv(65_536)
+                if until.encode() in data and until.encode() not in before:
+                    end = time.monotonic() + SILENCE_S
         time.sleep(0.01)
-    return came
+    return data
 
 
 def test_no_first_attempt_on_a_connection_that_comes_up_late() -> None:
-    limits = {"cancel": False, "connect_timeout": 28_000.0}  # time for the kernel to try again
+    limits = {"cancel": False, "connect_timeout": 28_000.0}  # time for the kernel to retry the handshake
     with running(limits) as stand:
         hanging = Hanging()
-        move(stand, stand.caches[0], hanging.port)
-        stand.log.tell(3, 2, stand.record(stand.caches[1], 1))  # all go to one cache
+        move_cache(stand, stand.caches[0], hanging.port)
+        stand.log.tell(3, 2, stand.record(stand.caches[1], 1))  # so that all requests go to one cache
         stand.wait(lambda: len(stand.lines("endpoint_updated")) == 6, "the drain")
-        clients = leavers(stand, items_of(5))
-        for leaver in clients:
-            leaver.client.send(X_ROW=leaver.item, **LONG)
-            assert leaver.client.ask(ident=2, path="/svc/nothing").status == 404  # the first is decided
-        all_leave(clients)
-        time.sleep(NOTICED)
-        came = received(hanging, *staying(clients))
-        assert [leaver.item for leaver in clients if leaver.item.encode() in came] == staying(clients)
+        clients = disconnecting_clients(stand, items_of(5))
+        for each in clients:
+            each.client.send(X_ROW=each.item, **LONG_TTL)
+            assert each.client.ask(ident=2, path="/svc/nothing").status == 404  # the first is decided
+        disconnect_all(clients)
+        time.sleep(NOTICED_WITHIN_S)
+        data = received(hanging, *items_of_staying(clients))
+        assert [each.item for each in clients if each.item.encode() in data] == items_of_staying(clients)
         hanging.close()
 
 
 def test_no_attempt_elsewhere_once_a_connection_has_not_come_up() -> None:
-    """The cache never answers the handshake; the next one is asked for those alone who still wait."""
+    """The cache never completes the handshake; the next one gets the requests that still have a client."""
     with running({"connect_timeout": 500.0}) as stand:
-        clients = leavers(stand, homes(stand, stand.caches[0], 5))
+        clients = disconnecting_clients(stand, items_of_cache(stand, stand.caches[0], 5))
         hanging = Hanging()
-        move(stand, stand.caches[0], hanging.port)
-        for leaver in clients:
-            leaver.client.send(X_ROW=leaver.item, **LONG)
-            assert leaver.client.ask(ident=2, path="/svc/nothing").status == 404
-        all_leave(clients)
-        assert begun_later(stand) == staying(clients)
+        move_cache(stand, stand.caches[0], hanging.port)
+        for each in clients:
+            each.client.send(X_ROW=each.item, **LONG_TTL)
+            assert each.client.ask(ident=2, path="/svc/nothing").status == 404
+        disconnect_all(clients)
+        assert remaining_fetches(stand) == items_of_staying(clients)
         hanging.close()
 
 
@@ -194,145 +199,145 @@
 def test_no_further_attempt_after_a_failed_one(may_cancel: bool) -> None:
     ends = ("503", "500", "reset")
     with running({"cancel": may_cancel}) as stand:
-        clients = leavers(stand, items_of(15))
-        for leaver in clients:
-            leaver.client.send(X_ROW=leaver.item, **LONG)
-        out = fetches(stand, len(clients))
-        all_leave(clients)
-        time.sleep(NOTICED)
-        for number, leaver in enumerate(clients):
+        clients = disconnecting_clients(stand, items_of(15))
+        for each in clients:
+            each.client.send(X_ROW=each.item, **LONG_TTL)
+        in_flight = fetches(stand, len(clients))
+        disconnect_all(clients)
+        time.sleep(NOTICED_WITHIN_S)
+        for number, each in enumerate(clients):
             if ends[number // 5] == "reset":
-                out[leaver.item].sock.shutdown(socket.SHUT_RDWR)
+                in_flight[each.item].sock.shutdown(socket.SHUT_RDWR)
             else:
                 with contextlib.suppress(OSError):
-                    out[leaver.item].reply(ends[number // 5])
-        assert sorted(begun_later(stand)) == staying(clients)
+                    in_flight[each.item].reply(ends[number // 5])
+        assert sorted(remaining_fetches(stand)) == items_of_staying(clients)
 
 
 def test_no_second_copy_that_falls_due_later() -> None:
-    with running({"connect_timeout": 150.0}, OVERDUE / 0.6 * 1000.0) as stand:
-        clients = leavers(stand, items_of(5))
-        for leaver in clients:
-            leaver.client.send(X_ROW=leaver.item, **LONG)
+    with running({"connect_timeout": 150.0}, HEDGE_AFTER_S / 0.6 * 1000.0) as stand:
+        clients = disconnecting_clients(stand, items_of(5))
+        for each in clients:
+            each.client.send(X_ROW=each.item, **LONG_TTL)
         fetches(stand, len(clients))
-        all_leave(clients)
-        time.sleep(OVERDUE)
-        assert set(begun_later(stand)) == set(staying(clients))
+        disconnect_all(clients)
+        time.sleep(HEDGE_AFTER_S)
+        assert set(remaining_fetches(stand)) == set(items_of_staying(clients))
 
 
-# -- clients that are busy otherwise --
+# -- busy clients --
 
 
 def test_clients_that_read_nothing_of_what_fills_their_connections() -> None:
-    """32 requests each are open or unread, and our sockets to them are full."""
+    """Each has 32 requests open or unread, and the router's sockets to them are full."""
     with running({"cancel": False}) as stand:
-        clients = leavers(stand, items_of(len(WAYS) + 1))
-        for place, leaver in enumerate(clients):
-            leaver.client.sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
-            leaver.client.send(X_ROW=leaver.item, **LONG)
+        clients = disconnecting_clients(stand, items_of(len(DISCONNECTIONS) + 1))
+        for place, each in enumerate(clients):
+            each.client.sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
+            each.client.send(X_ROW=each.item, **LONG_TTL)
             for ident in range(2, 33):
-                leaver.client.send(ident, X_ROW=item_of(1000 * (place + 1) + ident), **LONG)
-        out = fetches(stand, 32 * len(clients))
-        for item, fetch in out.items():
+                each.client.send(ident, X_ROW=item_of(1000 * (place + 1) + ident), **LONG_TTL)
+        in_flight = fetches(stand, 32 * len(clients))
+        for item, fetch in in_flight.items():
             if int(item, 16) % 1000 > 16:
                 fetch.reply(body=bytes(100_000))
-        time.sleep(NOTICED)
-        all_leave(clients)
-        time.sleep(NOTICED)
-        for leaver in clients:
-            out[leaver.item].reply("503")
-        assert begun_later(stand) == staying(clients)
+        time.sleep(NOTICED_WITHIN_S)
+        disconnect_all(clients)
+        time.sleep(NOTICED_WITHIN_S)
+        for each in clients:
+            in_flight[each.item].reply("503")
+        assert remaining_fetches(stand) == items_of_staying(clients)
 
 
 def test_clients_that_leave_while_all_memory_is_held() -> None:
     with running({"cancel": False}, memory_mb=12) as stand:  # a quarter of it is 3 MB
-        clients = leavers(stand, items_of(len(WAYS) + 1))
-        for leaver in clients:
-            leaver.client.send(X_ROW=leaver.item, **LONG)
-        out, flood = fetches(stand, len(clients)), stand.client()
+        clients = disconnecting_clients(stand, items_of(len(DISCONNECTIONS) + 1))
+        for each in clients:
+            each.client.send(X_ROW=each.item, **LONG_TTL)
+        in_flight, flood = fetches(stand, len(clients)), stand.client()
         for ident in range(1, 33):
-            flood.send(ident, X_ROW=item_of(100 + ident), X_WORKING_SET_KB="240", **LONG)
-        assert flood.answer().status == 503  # there is room for no more
-        all_leave(clients)
-        time.sleep(NOTICED)
-        for fetch in out.values():
+            flood.send(ident, X_ROW=item_of(100 + ident), X_WORKING_SET_KB="240", **LONG_TTL)
+        assert flood.answer().status == 503  # the memory is exhausted
+        disconnect_all(clients)
+        time.sleep(NOTICED_WITHIN_S)
+        for fetch in in_flight.values():
             fetch.reply("503")
-        assert set(begun_later(stand)) & set(out) == set(staying(clients))
+        assert set(remaining_fetches(stand)) & set(in_flight) == set(items_of_staying(clients))
 
 
-# -- a router that stood still, and finds all at once --
+# -- a router that was suspended, and finds all events at once --
 
 
 def test_what_is_read_together_with_the_end_of_its_client_is_not_sent() -> None:
     with running() as stand:
-        with standing_still(stand):
-            clients = leavers(stand, items_of(50))
-            for leaver in clients:
-                leaver.client.send(X_ROW=leaver.item, **LONG)
-            all_leave(clients)
-        assert sorted(begun_later(stand)) == staying(clients)
+        with suspended(stand):
+            clients = disconnecting_clients(stand, items_of(50))
+            for each in clients:
+                each.client.send(X_ROW=each.item, **LONG_TTL)
+            disconnect_all(clients)
+        assert sorted(remaining_fetches(stand)) == items_of_staying(clients)
 
 
 def test_what_is_due_together_with_the_end_of_its_client_does_not_begin() -> None:
-    """Further attempts, after an answer that allows them."""
+    """No further attempt begins after a response that allows one."""
     with running({"cancel": False}) as stand:
-        clients = leavers(stand, items_of(40))
-        for leaver in clients:
-            leaver.client.send(X_ROW=leaver.item, **LONG)
-        out = fetches(stand, len(clients))
-        with standing_still(stand):
-            for fetch in out.values():
+        clients = disconnecting_clients(stand, items_of(40))
+        for each in clients:
+            each.client.send(X_ROW=each.item, **LONG_TTL)
+        in_flight = fetches(stand, len(clients))
+        with suspended(stand):
+            for fetch in in_flight.values():
                 fetch.reply("503")
-            all_leave(clients)
-        again = set(begun_later(stand))
-        assert again <= set(staying(clients)) and again  # retries are bounded
+            disconnect_all(clients)
+        retried = set(remaining_fetches(stand))
+        assert retried <= set(items_of_staying(clients)) and retried  # retries are bounded
 
 
 def test_a_second_copy_is_due_together_with_the_end_of_its_client() -> None:
-    with running({"connect_timeout": 150.0}, OVERDUE / 0.6 * 1000.0) as stand:
-        clients = leavers(stand, items_of(20))
-        for leaver in clients:
-            leaver.client.send(X_ROW=leaver.item, **LONG)
+    with running({"connect_timeout": 150.0}, HEDGE_AFTER_S / 0.6 * 1000.0) as stand:
+        clients = disconnecting_clients(stand, items_of(20))
+        for each in clients:
+            each.client.send(X_ROW=each.item, **LONG_TTL)
         fetches(stand, len(clients))
-        with standing_still(stand):
-            all_leave(clients)
-            time.sleep(OVERDUE)
-        again = set(begun_later(stand))
-        assert again <= set(staying(clients)) and again
+        with suspended(stand):
+            disconnect_all(clients)
+            time.sleep(HEDGE_AFTER_S)
+        retried = set(remaining_fetches(stand))
+        assert retried <= set(items_of_staying(clients)) and retried
 
 
-def opened(hanging: Sequence[Hanging]) -> list[socket.socket]:
-    """One connection of each that comes up soon; the kernel tries again after 1 s."""
+def opened(listeners: Sequence[Hanging]) -> list[socket.socket]:
+    """Return a connection of each listener that opens soon; the kernel retries a handshake after 1 s."""
 
-    def one(of: Hanging) -> socket.socket | None:
+    def open_soon(listener: Hanging) -> socket.socket | None:
         with contextlib.suppress(TimeoutError):
-            return of.open(2.0)
+            return listener.open(2.0)
         return None
 
-    with ThreadPoolExecutor(len(hanging)) as pool:
-        return [link for link in pool.map(one, hanging) if link is not None]
+    with ThreadPoolExecutor(len(listeners)) as pool:
+        return [connection for connection in pool.map(open_soon, listeners) if connection is not None]
 
 
 def test_connections_come_up_together_with_the_ends_of_their_clients() -> None:
     with running({"connect_timeout": 28_000.0}) as stand:
-        hanging = [Hanging() for _ in range(6)]  # as many caches, of which each is waited for
-        news = b"".join(stand.record(cache, 1) for cache in stand.caches)
+        hanging = [Hanging() for _ in range(6)]  # one per cache, each of which is waited for
+        updates = b"".join(stand.record(cache, 1) for cache in stand.caches)
         for number, one in enumerate(hanging):
-            news += stand.record(SimpleNamespace(ident=0x50 + number), 0, port=one.port)  # type: ignore[arg-type]
-        stand.log.tell(2, 2, news)
+            updates += stand.record(SimpleNamespace(ident=0x50 + number), 0, port=one.port)  # type: ignore[arg-type]
+        stand.log.tell(2, 2, updates)
         stand.wait(lambda: len(stand.lines("endpoint_updated")) == 4 + 2 + len(hanging), "the list")
-        clients = leavers(stand, items_of(24), WAYS)
-        for leaver in clients:
-            leaver.client.send(X_ROW=leaver.item, **LONG)
-            assert leaver.client.ask(ident=2, path="/svc/nothing").status == 404
-        with standing_still(stand):
-            links = opened(hanging)
-            all_leave(clients)
-        assert len(links) > len(hanging) / 2  # the others come up too late
-        time.sleep(QUIET)
-        for link in links:
-            link.setblocking(False)
+        clients = disconnecting_clients(stand, items_of(24), DISCONNECTIONS)
+        for each in clients:
+            each.client.send(X_ROW=each.item, **LONG_TTL)
+            assert each.client.ask(ident=2, path="/svc/nothing").status == 404
+        with suspended(stand):
+            connections = opened(hanging)
+            disconnect_all(clients)
+        assert len(connections) > len(hanging) / 2  # the others open too late
+        time.sleep(SILENCE_S)
+        for connection in connections:
+            connection.setblocking(False)
             with contextlib.suppress(BlockingIOError):
-                assert link.recv(4096) == b""
+                assert connection.recv(4096) == b""
         for one in hanging:
             one.close()
--- a/tests/test_configuration_processes.py
+++ b/tests/test_configuration_processes.py
@@ -24,7 +24,7 @@
 from stonecove.server.config import config_from
 from stonecove.server.configuration import ConfigurationKeeper
 from stonecove.server.reconfigure import SettingsRefused
-from stonecove.transport.zookeeper import Ensemble
+from stonecove.transport.zookeeper import ZooKeeperClient
 
 PATH = "/stonecove/configuration"
 FIGURES = Figures(timeout=1.0, connect_wait=0.5, back_off=(0.02, 0.1))
@@ -55,7 +55,7 @@
         table = {**Stand.plain_config(), "name": name}
         self.name = name
         self.router = FakeRouter()
-        self.ensemble = Ensemble(addresses, 1, FIGURES, lambda: None)
+        self.ensemble = ZooKeeperClient(addresses, 1, FIGURES, lambda: None)
         self.counts = {"served": 10}
         self.keeper = ConfigurationKeeper(
             ConfigurationRecord(True, PATH, start_wait),
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -19,8 +19,8 @@
 from stonecove.fleet.rolling import Roll, RollState
 from stonecove.quotas.buckets import Bucket, BucketHierarchy
 from stonecove.quotas.leases import Grant, LeaseHolder, Lessor, unleased_fraction_for
-from stonecove.runtime.notify import notify, watchdog_every
-from stonecove.runtime.pipe import Pipe, from_setting
+from stonecove.runtime.notify import notify, watchdog_interval_s
+from stonecove.runtime.pipe import PipeSink, open_pipe_sink
 
 # -- restarts --
 
@@ -468,7 +468,7 @@
 
 def test_a_pipe_nobody_empties_drops_with_a_count_and_never_waits(tmp_path: Path) -> None:
     path = logs.make_pipe(tmp_path)
-    pipe = Pipe(str(path))
+    pipe = PipeSink(str(path))
     for number in range(3000):
         pipe("event", {"number": number, "pad": "x" * 60})
     assert pipe.dropped > 1000
@@ -489,7 +489,7 @@
 
 def test_lines_as_json_keep_event_and_fields(tmp_path: Path) -> None:
     path = logs.make_pipe(tmp_path)
-    pipe = from_setting(f"json:{path}")
+    pipe = open_pipe_sink(f"json:{path}")
     pipe("node", {"id": "s-1", "time": 5})
     fd = logs.open_pipe(path)
     table = json.loads(os.read(fd, 4096))
@@ -549,8 +549,11 @@
         assert notify("READY=1", "STATUS=fine", env={"NOTIFY_SOCKET": path})
         assert manager.recv(100) == b"READY=1\nSTATUS=fine"
     assert not notify("READY=1", env={"NOTIFY_SOCKET": path}) and not notify("READY=1", env={})
-    assert watchdog_every({"WATCHDOG_USEC": "3000000"}) == 1.5 and watchdog_every({}) is None
-    assert watchdog_every({"WATCHDOG_USEC": "x"}) is None and watchdog_every({"WATCHDOG_PID": "1"}) is None
+    assert watchdog_interval_s({"WATCHDOG_USEC": "3000000"}) == 1.5 and watchdog_interval_s({}) is None
+    assert (
+        watchdog_interval_s({"WATCHDOG_USEC": "x"}) is None
+        and watchdog_interval_s({"WATCHDOG_PID": "1"}) is None
+    )
 
 
 @pytest.mark.parametrize(("status", "good"), [(b"200 OK", True), (b"503 Service Unavailable", False)])
--- a/tests/test_golden_exchanges.py
+++ b/tests/test_golden_exchanges.py
@@ -18,9 +18,9 @@
 from stonecove.frontends.fastcgi import Front, head_of
 from stonecove.frontends.http import HttpFront
 from stonecove.pipeline.admit import Admit
-from stonecove.pipeline.book import Book
+from stonecove.pipeline.book import AttemptRecorder
 from stonecove.pipeline.relay import Relay, Reply
-from stonecove.pipeline.send import Abort, command
+from stonecove.pipeline.send import AbortCommand, encode_fetch
 from stonecove.protocols import resp
 from stonecove.protocols.fastcgi.session import Session
 from stonecove.routing.actions import FetchMode, SendAttempt
@@ -28,12 +28,12 @@
 from stonecove.routing.settings import Settings
 from stonecove.runtime.clock import Clock
 from stonecove.server.http import HttpConnection
-from stonecove.state.budget import Budget
+from stonecove.state.budget import MemoryBudget
 from stonecove.state.requests import Attempt, OpenRequest, OpenRequests
 
 TXN = "0123456789abcdef"
-MADE_TXN = "fedcba9876543210"  # of a request that names none
-LONG = 1000  # bytes of an answer from which on its checksum stands for it
+GENERATED_TXN = "fedcba9876543210"  # of a request without one
+MAX_PRINTED_BYTES = 1000  # longer answers are recorded by their checksum
 OUTCOMES = {
     Outcome.OK: "ok",
     Outcome.CANCELLED: "cancelled",
@@ -46,7 +46,7 @@
     Outcome.CONNECT_FAILED: "connect-failed",
     Outcome.UNKNOWN: "unknown",
 }
-NOTES = {
+CACHE_STATUSES = {
     CacheStatus.NONE: "none",
     CacheStatus.HIT: "hit",
     CacheStatus.FILLED: "filled",
@@ -71,7 +71,7 @@
 
 def printed(data: bytes) -> object:
     """Return bytes as text, or long ones by length and checksum with their start and end."""
-    if len(data) < LONG:
+    if len(data) < MAX_PRINTED_BYTES:
         return shown(data)
     return {
         "bytes": len(data),
@@ -81,11 +81,11 @@
     }
 
 
-# -- what is asked of a cache --
+# -- commands to a cache --
 
 
 def client_request(settings: Settings, cls: str = "picture", **fields: Any) -> ClientRequest:
-    """Return a request of a client as a front hands it on, with these fields instead of the usual ones."""
+    """Return a request as a front end submits it, with these fields instead of the usual ones."""
     kinds = [each.name for each in settings.classes]
     usual: dict[str, Any] = {
         "txn": TXN,
@@ -105,8 +105,8 @@
     return ClientRequest(**{**usual, **fields})
 
 
-def make_attempt(asked: ClientRequest, settings: Settings, **order: Any) -> Attempt:
-    """Return an attempt at node 17 that has 900 ms left, with these fields of its order."""
+def make_attempt(incoming: ClientRequest, settings: Settings, **action: Any) -> Attempt:
+    """Return an attempt at node 17 that has 900 ms left, with these fields of its action."""
     usual = SendAttempt(
         request_id=1,
         node_id=17,
@@ -116,14 +116,14 @@
         max_age_ms=0.0,
         fetch_mode=0,
     )
-    request = OpenRequest(1, asked, settings.classes[asked.class_index], NOW_MS + 985.0)
-    return Attempt(request, 0, usual._replace(**order), NOW_MS)
+    request = OpenRequest(1, incoming, settings.classes[incoming.class_index], NOW_MS + 985.0)
+    return Attempt(request, 0, usual._replace(**action), NOW_MS)
 
 
 def cache_commands() -> bytes:
     """Return the commands of a fetch with each option, and of an abort."""
     settings = exchange_settings()
-    orders: dict[str, dict[str, Any]] = {
+    actions: dict[str, dict[str, Any]] = {
         "plain": {},
         "other-source": {"source_id": 0xA1},
         "large-source": {"source_id": 0xFFFFFFFE},
@@ -139,7 +139,7 @@
         "mode-all": {"fetch_mode": 15},
         "every-option": {"source_id": 0x21, "cache_rank": 2, "max_age_ms": 20000.0, "fetch_mode": 15},
     }
-    asked: dict[str, dict[str, Any]] = {
+    request_fields: dict[str, dict[str, Any]] = {
         "segment": {"chunk": "65535"},
         "client-tag": {"client_tag": "v1.a_b-c"},
         "idempotency-key": {"cls": "order", "idempotency_key": "key-1"},
@@ -153,61 +153,63 @@
         },
     }
     found = {
-        name: command(make_attempt(client_request(settings), settings, **order), NOW_MS)
-        for name, order in orders.items()
+        name: encode_fetch(make_attempt(client_request(settings), settings, **action), NOW_MS)
+        for name, action in actions.items()
     }
-    for name, fields in asked.items():
-        order = orders["every-option"] if name == "every-field" else {}
-        found[name] = command(make_attempt(client_request(settings, **fields), settings, **order), NOW_MS)
-    found["abort"] = Abort(TXN).begin() or b""
+    for name, fields in request_fields.items():
+        action = actions["every-option"] if name == "every-field" else {}
+        found[name] = encode_fetch(
+            make_attempt(client_request(settings, **fields), settings, **action), NOW_MS
+        )
+    found["abort"] = AbortCommand(TXN).begin() or b""
     return as_json({name: shown(data) for name, data in found.items()})
 
 
-# -- what a cache answers --
+# -- responses of a cache --
 
 
-def describe_answer(one: Answer) -> Meaning:
+def describe_answer(answer: Answer) -> Meaning:
     """Return the final answer to a client under neutral keys."""
     return {
-        "verdict": VERDICTS[one.verdict],
-        "body": shown(one.body),
-        "tag": one.tag,
-        "retry_after_ms": one.retry_after_ms,
-        "copy_made_unix_ms": one.copy_made_at_ms,
+        "verdict": VERDICTS[answer.verdict],
+        "body": shown(answer.body),
+        "tag": answer.tag,
+        "retry_after_ms": answer.retry_after_ms,
+        "copy_made_unix_ms": answer.copy_made_at_ms,
     }
 
 
-def describe_end(one: Event) -> Meaning:
+def describe_end(event: Event) -> Meaning:
     """Return the end of an attempt under neutral keys."""
-    assert isinstance(one, AttemptEnded)
+    assert isinstance(event, AttemptEnded)
     return {
-        "outcome": OUTCOMES[one.outcome],
-        "node": one.node_id,
-        "took_ms": one.duration_ms,
-        "request_answered": one.answered,
-        "note": NOTES[CacheStatus(one.cache_status)],
-        "queued_ms": one.fill_wait_ms,
-        "load_report": list(one.load_report),
+        "outcome": OUTCOMES[event.outcome],
+        "node": event.node_id,
+        "took_ms": event.duration_ms,
+        "request_answered": event.answered,
+        "note": CACHE_STATUSES[CacheStatus(event.cache_status)],
+        "queued_ms": event.fill_wait_ms,
+        "load_report": list(event.load_report),
     }
 
 
 def cache_answer(case: Mapping[str, Any], settings: Settings) -> Meaning:
-    """Return what an answer of a cache amounts to."""
+    """Return the effects of a cache's response."""
     clock, answers, ends = Clock(lambda: NOW_MS / 1000.0), [], []
     requests = OpenRequests()
-    admit = Admit(settings, requests, Budget(), 0.0, SEED)
-    relay = Relay(settings, Book(clock, admit, lambda event: ends.append(describe_end(event))))
-    asked = client_request(settings, case["class"], client_tag=case["client_tag"])
-    asked.reply = lambda answer: answers.append(describe_answer(answer))
-    request = requests.add(asked, settings.classes[asked.class_index], NOW_MS + 985.0, 0)
-    order = SendAttempt(request.req, 17, NOW_MS + 900.0, 17, 0, case["max_age_ms"], 0)
-    attempt = Attempt(request, 0, order, NOW_MS - 30.0, written_at=NOW_MS - 20.0)
+    admit = Admit(settings, requests, MemoryBudget(), 0.0, SEED)
+    relay = Relay(settings, AttemptRecorder(clock, admit, lambda event: ends.append(describe_end(event))))
+    incoming = client_request(settings, case["class"], client_tag=case["client_tag"])
+    incoming.reply = lambda answer: answers.append(describe_answer(answer))
+    request = requests.add(incoming, settings.classes[incoming.class_index], NOW_MS + 985.0, 0)
+    action = SendAttempt(request.request_id, 17, NOW_MS + 900.0, 17, 0, case["max_age_ms"], 0)
+    attempt = Attempt(request, 0, action, NOW_MS - 30.0, written_at_ms=NOW_MS - 20.0)
     request.attempts.append(attempt)
-    word, fields, body = case["answer"]
-    reply = Reply(word, resp.fields_of(fields.encode()), body.encode("latin-1"))
-    if relay.spoilt(attempt, reply):
+    status, fields, body = case["answer"]
+    reply = Reply(status, resp.fields_of(fields.encode()), body.encode("latin-1"))
+    if relay.corruption_reason(attempt, reply):
         return {"ends_connection": True, "answers": [], "ends": []}
-    relay.arrived(attempt, reply)
+    relay.handle_reply(attempt, reply)
     return {"ends_connection": False, "answers": answers, "ends": ends}
 
 
@@ -239,7 +241,7 @@
     """A FastCGI client's connection, without I/O."""
 
     def feed(self, data: bytes) -> None:
-        """Take in bytes of the client."""
+        """Receive bytes of the client."""
         self._buffer.feed(data)
         self.received()
 
@@ -260,7 +262,7 @@
 
 
 def exchanged(depot: Depot, to_client: bytearray) -> Meaning:
-    """Return what an exchange amounted to: requests taken in, bytes to caches, bytes to the client."""
+    """Return the effects of an exchange: requests submitted, bytes to caches, bytes to the client."""
     return {"requests": depot.taken, "to_caches": depot.sent, "to_client": printed(bytes(to_client))}
 
 
@@ -289,47 +291,47 @@
         return as_json({name: fastcgi_exchange(case) for name, case in cases.items()})
 
 
-def ample_budget() -> Budget:
+def ample_budget() -> MemoryBudget:
     """Return a budget that never runs short."""
-    budget = Budget()
-    budget.most = 1e9
+    budget = MemoryBudget()
+    budget.limit_bytes = 1e9
     return budget
 
 
 class SlowSocket(PlainSocket):
-    """A socket that takes so many bytes, and no more before it has room again."""
+    """A socket that accepts a limited number of bytes until its capacity is set again."""
 
-    def __init__(self, room: int) -> None:
+    def __init__(self, capacity: int) -> None:
         super().__init__()
-        self.room = room
+        self.capacity = capacity
 
     def send(self, data: bytes | memoryview, /) -> int:
-        """Take what there is room for."""
-        if not self.room:
+        """Accept as much as fits."""
+        if not self.capacity:
             raise BlockingIOError
-        taken = min(self.room, len(data))
-        self.room -= taken
+        taken = min(self.capacity, len(data))
+        self.capacity -= taken
         return super().send(data[:taken])
 
 
 class Collector:
-    """Takes the requests of a connection, and answers none by itself."""
+    """Records the requests of a connection, and answers none."""
 
     def __init__(self) -> None:
         self.taken: list[Meaning] = []
 
     def request(self, connection: Session, ident: int, params: dict[str, str], body: bytes, bad: str) -> bool:
-        """Note a request; it counts as rejected if something is wrong with it."""
+        """Record a request; reject it if something is wrong with it."""
         self.taken.append({"request": ident, "body": shown(body), "bad": bool(bad)})
         return not bad
 
     def aborted(self, connection: Session, ident: int) -> None:
-        """Note that a client does not wait any more."""
+        """Record that a client has aborted a request."""
         self.taken.append({"aborted": ident})
 
 
 def with_id(records: bytes, ident: int) -> bytes:
-    """Return records of request 1 as those of another one."""
+    """Return the records of request 1 under another id."""
     found, at = bytearray(records), 0
     while at < len(found):
         found[at + 2 : at + 4] = ident.to_bytes(2, "big")
@@ -338,7 +340,7 @@
 
 
 def session_turns() -> Meaning:
-    """Return the records of answers that wait together, through a socket that takes few bytes at once."""
+    """Return the records of concurrent answers through a socket that accepts few bytes at once."""
     sock, taken = SlowSocket(0), Collector()
     client = Client(sock, taken, lambda: NOW_MS, ample_budget())
     request = fastcgi_request({}, b"", False)
@@ -348,7 +350,7 @@
     client.answer(1, b"head of 1", bytes(40_000))
     client.end(3, 0)
     while not client.leaving():
-        sock.room = 9_999
+        sock.capacity = 9_999
         client.writable()
     records, at = [], 0
     while at < len(sock.written):
@@ -359,14 +361,14 @@
     return {"taken": taken.taken, "records": records, "sha256": sha256}
 
 
-def session_left(data: bytes, look_after_ms: float, leave: bool) -> Meaning:
-    """Return what becomes of a connection whose client sends this, and is then looked at or leaves."""
+def session_outcome(data: bytes, check_after_ms: float, disconnect: bool) -> Meaning:
+    """Return the outcome of a connection whose client sends this, and is then checked or disconnects."""
     sock, taken = PlainSocket(), Collector()
     client = Client(sock, taken, lambda: NOW_MS, ample_budget())
     if data:
         client.feed(data)
-    client.check(NOW_MS + look_after_ms)
-    if leave:
+    client.check(NOW_MS + check_after_ms)
+    if disconnect:
         client.ended()
     return {"taken": taken.taken, "ends": client.leaving(), "written": shown(bytes(sock.written))}
 
@@ -384,12 +386,12 @@
         "rejected-20-times": (rejected * 20, 0.0, False),
         "rejected-21-times": (rejected * 21, 0.0, False),
     }
-    found = {name: session_left(*case) for name, case in cases.items()}
+    found = {name: session_outcome(*case) for name, case in cases.items()}
     return as_json({"turns": session_turns(), **found})
 
 
 class Listener:
-    """What an HTTP connection knows of its listener."""
+    """The state of the listener that an HTTP connection uses."""
 
     def __init__(self, draining: bool) -> None:
         self.busy, self.draining = 0, draining
@@ -404,11 +406,11 @@
     listener = Listener(case.get("draining", False))
     connection = HttpConnection(cast(Any, server), "10.9.8.7", front, cast(Any, listener))
     received = bytearray()
-    over = trio.Event()
+    closed = trio.Event()
 
     async def serve() -> None:
         await connection.run()
-        over.set()
+        closed.set()
         await server.aclose()
 
     async def read() -> None:
@@ -428,16 +430,16 @@
             await trio.testing.wait_all_tasks_blocked()
         if case.get("stalls"):
             await trio.sleep(30.0)
-        ended = over.is_set()
+        ended = closed.is_set()
         await client.send_eof()
-        await over.wait()
+        await closed.wait()
         depot.settle()
     return {**exchanged(depot, received), "ends": ended}
 
 
 def http_exchanges() -> bytes:
     found = {}
-    with quiet_log(), patch("secrets.token_hex", return_value=MADE_TXN):
+    with quiet_log(), patch("secrets.token_hex", return_value=GENERATED_TXN):
         for name, case in input_json("http-exchanges.in.json").items():
             clock = trio.testing.MockClock(autojump_threshold=0)
             found[name] = trio.run(partial(http_exchange, case), clock=clock)
--- a/tests/test_golden_settings.py
+++ b/tests/test_golden_settings.py
@@ -30,7 +30,7 @@
 )
 
 from stonecove.routing.settings import ClassSettings, DeduplicationScope, Idempotency, Settings
-from stonecove.runtime.log import line, log, log_some
+from stonecove.runtime.log import format_line, log, log_limited
 from stonecove.server.config import Config, ConfigError, config_from, read_config, read_table
 from stonecove.settings import read_settings, settings_from
 
@@ -356,8 +356,8 @@
         "pair": ("a", 1),
     }
     with patch("time.time", return_value=1764576000.0625):
-        lines = [line("event-name", {}), line("all", fields)]
-        lines += [line("one", {name: value}) for name, value in fields.items()]
+        lines = [format_line("event-name", {}), format_line("all", fields)]
+        lines += [format_line("one", {name: value}) for name, value in fields.items()]
     return ("\n".join(lines) + "\n").encode()
 
 
@@ -369,7 +369,7 @@
             with patch("time.time", return_value=second):
                 log("plain", at=second, why="no reason")
                 for number in range(8 if second < 1764576101.0 else 2):
-                    log_some("golden-limited", number=number)
+                    log_limited("golden-limited", number=number)
     return written.getvalue().encode()
 
 
--- a/tests/test_golden_wire.py
+++ b/tests/test_golden_wire.py
@@ -27,8 +27,8 @@
 from stonecove.protocols.fastcgi import codec as fastcgi
 from stonecove.protocols.fastcgi.codec import FastCgiError
 from stonecove.protocols.http import HttpError, HttpRequest, HttpSession, State, byte_range
-from stonecove.runtime.log import divert
-from stonecove.state.budget import Budget
+from stonecove.runtime.log import set_log_sink
+from stonecove.state.budget import MemoryBudget
 
 NOW_MS = 1764576000000.0
 MAX_UNREAD = 1 << 23
@@ -144,7 +144,7 @@
 def changelog_followed() -> bytes:
     """Return what a follower does with duplicates, gaps, unreadable and unknown events, twice each."""
     streams = input_hex("changelog-frames.in.hex")
-    divert(lambda event, fields: None)
+    set_log_sink(lambda event, fields: None)
     try:
         found = {
             "all-in-order": follow(5, b"".join(streams.values())),
@@ -155,7 +155,7 @@
             "update-refused-by-sink": follow(5, streams["complete-list"] * 3, refused=0),
         }
     finally:
-        divert(None)
+        set_log_sink(None)
     return as_json(found)
 
 
@@ -175,8 +175,8 @@
 
 def fastcgi_decoder(memory: float = 1e9) -> fastcgi.Decoder:
     """Return a decoder with a fixed clock and so much memory for requests."""
-    budget = Budget()
-    budget.most = memory
+    budget = MemoryBudget()
+    budget.limit_bytes = memory
     return fastcgi.Decoder(budget, lambda: NOW_MS)
 
 
--- a/tests/test_log_events.py
+++ b/tests/test_log_events.py
@@ -15,9 +15,9 @@
 ROOT = Path(__file__).parents[1]
 ONCALL = (ROOT / "ONCALL.md").read_text(encoding="utf-8")
 RENAMES_TITLE = "Old and new names of log events"
-LOG_FUNCTIONS = {"log", "log_some"}
+LOG_FUNCTIONS = {"log", "log_limited"}
 EVENT_WRITERS = LOG_FUNCTIONS | {"_say", "say", "_alarm", "note"}
-KEPT_NAMES = {LogEvent.STATS}
+UNCHANGED_NAMES = {LogEvent.STATS}
 QUOTED = re.compile(r"`([^`]+)`")
 RENAMED_FIELD = re.compile(r"`(\w+)` → `(\w+)`")
 
@@ -102,7 +102,7 @@
 
 
 def literal_events(sources: Mapping[str, str]) -> list[str]:
-    """Return the places where log or log_some gets a string literal as its event."""
+    """Return the places where log or log_limited gets a string literal as its event."""
     return [
         f"{path}:{call.lineno}"
         for path, source in sources.items()
@@ -170,7 +170,7 @@
     rows = rename_rows(ONCALL)
     new = [event for row in rows for event in QUOTED.findall(row["new event"])]
     old = [event for row in rows for event in QUOTED.findall(row["old event"])]
-    assert sorted(new) == sorted(set(LogEvent) - KEPT_NAMES)
+    assert sorted(new) == sorted(set(LogEvent) - UNCHANGED_NAMES)
     assert len(old) == len(set(old)) == len(rows) == len(new)
     assert [name for name in old if not re.fullmatch(r"[a-z]+(-[a-z]+)*", name)] == []
 
--- a/tests/test_other_settings.py
+++ b/tests/test_other_settings.py
@@ -1,4 +1,4 @@
-"""The basic life of the real program under settings of unlike deployments."""
+"""Basic operation of the real program under the settings of different deployments."""
 
 from __future__ import annotations
 
@@ -19,25 +19,27 @@
 from stonecove.pipeline.admit import Admit
 from stonecove.pipeline.intake import Intake
 from stonecove.settings import settings_from
-from stonecove.state.budget import Budget
+from stonecove.state.budget import MemoryBudget
 from stonecove.state.requests import OpenRequests
 
 
-def cls(name: str, effect: str, deadline: float, on_time: float, **more: Any) -> dict[str, Any]:
-    return {"name": name, "effect": effect, "deadline": deadline, "on_time": on_time, **more}
+def class_record(
+    name: str, effect: str, deadline_ms: float, objective_ms: float, **more: Any
+) -> dict[str, Any]:
+    return {"name": name, "effect": effect, "deadline": deadline_ms, "on_time": objective_ms, **more}
 
 
-SHAPES: dict[str, dict[str, Any]] = {
-    # short deadlines, three zones, kinds in another order, keyed by cell, little allowed
+DEPLOYMENTS: dict[str, dict[str, Any]] = {
+    # short deadlines, three zones, kinds in another order, keys by cell, few options allowed
     "brisk": {
         "areas": ["north", "south", "west"],
         "models": ["source", "mid", "leaf"],
         "zone": 2,
         "fleet_size": 40,
         "classes": [
-            cls("tile", "pure", 900.0, 400.0, importance=4.0),
-            cls("vote", "token", 1000.0, 500.0, importance=5.0, group="cell", window=200.0),
-            cls("pay", "side_effect", 800.0, 400.0, importance=9.0),
+            class_record("tile", "pure", 900.0, 400.0, importance=4.0),
+            class_record("vote", "token", 1000.0, 500.0, importance=5.0, group="cell", window=200.0),
+            class_record("pay", "side_effect", 800.0, 400.0, importance=9.0),
         ],
         "domain": {
             "shield_kind": 1,
@@ -72,15 +74,15 @@
             "overload_for": 1000.0,
         },
     },
-    # long deadlines, one zone, no parents, nothing that may be repeated
+    # long deadlines, one zone, no parents, no class that may be repeated
     "slow": {
         "areas": ["site"],
         "models": ["store", "shelf"],
         "zone": 0,
         "fleet_size": 1,
         "classes": [
-            cls("film", "side_effect", 60_000.0, 20_000.0, aim_stretch=2.0),
-            cls("note", "side_effect", 30_000.0, 9000.0, importance=0.2),
+            class_record("film", "side_effect", 60_000.0, 20_000.0, aim_stretch=2.0),
+            class_record("note", "side_effect", 30_000.0, 9000.0, importance=0.2),
         ],
         "domain": {
             "shield_kind": -1,
@@ -121,29 +123,31 @@
 }
 
 
-class Shaped(Stand):
-    """A stand whose nodes are named and placed as the shape has them; each cache is a cell of its own."""
+class DeploymentStand(Stand):
+    """A test environment with the node kinds and zones of a deployment; each cache is a cell of its own."""
 
-    def __init__(self, shape: dict[str, Any], **more: Any) -> None:
-        self.shape = shape
-        super().__init__(**{**shape, **more})
+    def __init__(self, deployment: dict[str, Any], **more: Any) -> None:
+        self.deployment = deployment
+        super().__init__(**{**deployment, **more})
 
     def start(self) -> subprocess.Popen[bytes]:
         fleet = self.config["known"]["results"][0]["fleet"]
-        domain, models = self.shape["domain"], self.shape["models"]
-        box = next(n for n in range(len(models)) if n not in (domain["shield_kind"], domain["store_kind"]))
-        self.place = box, self.shape["zone"]
-        places = {"box": box, "parent": domain["shield_kind"], "origin": domain["store_kind"]}
+        domain, models = self.deployment["domain"], self.deployment["models"]
+        cache_kind = next(
+            n for n in range(len(models)) if n not in (domain["shield_kind"], domain["store_kind"])
+        )
+        self.cache_kind_and_zone = cache_kind, self.deployment["zone"]
+        kinds = {"box": cache_kind, "parent": domain["shield_kind"], "origin": domain["store_kind"]}
         for cell, node in enumerate(nodes := fleet["instances"]):
-            if node["machineType"] in places:
-                kind = places[node["machineType"]]
-                node["zone"] = self.shape["areas"][self.shape["zone"] if kind == box else 0]
+            if node["machineType"] in kinds:
+                kind = kinds[node["machineType"]]
+                node["zone"] = self.deployment["areas"][self.deployment["zone"] if kind == cache_kind else 0]
                 node["machineType"], node["cell"] = models[kind] if kind >= 0 else "", cell
         fleet["instances"] = [node for node in nodes if node["machineType"]]
         return super().start()
 
     def drain(self, cache: Cache) -> None:
-        kind, zone = self.place
+        kind, zone = self.cache_kind_and_zone
         self.log.tell(
             2,
             2,
@@ -155,9 +159,9 @@
             lambda: any("state=draining" in line for line in self.lines("endpoint_updated")), "the drain"
         )
 
-    def send(self, client: Client, place: int, ident: int = 1, ttl: float = 0.0) -> None:
-        """A request of a class, as its clients send it."""
-        kind = self.shape["classes"][place]
+    def send(self, client: Client, class_index: int, ident: int = 1, ttl: float = 0.0) -> None:
+        """Send a request of a class, as its clients do."""
+        kind = self.deployment["classes"][class_index]
         key = {"X_TXN_KEY": secrets.token_hex(8)} if kind["effect"] == "token" else {}
         client.send(
             ident,
@@ -167,10 +171,10 @@
             **key,
         )
 
-    def asked(self, client: Client, place: int, ident: int = 1, ttl: float = 0.0) -> Fetch:
-        """What a cache is asked for it. A router that was held up may refuse: then it is sent again."""
+    def request_fetch(self, client: Client, class_index: int, ident: int = 1, ttl: float = 0.0) -> Fetch:
+        """Send a request and return its fetch; if a busy router rejects it, send it again."""
         for _ in range(20):
-            self.send(client, place, ident, ttl)
+            self.send(client, class_index, ident, ttl)
             while (fetch := self.maybe_command(2.0)) is not None:
                 if fetch.word == "fetch":
                     return fetch
@@ -178,16 +182,16 @@
         raise AssertionError("refused 20 times in a row")
 
 
-@pytest.fixture(params=SHAPES)
-def stand(request: pytest.FixtureRequest) -> Iterator[Shaped]:
-    running = Shaped(SHAPES[request.param])
+@pytest.fixture(params=DEPLOYMENTS)
+def stand(request: pytest.FixtureRequest) -> Iterator[DeploymentStand]:
+    running = DeploymentStand(DEPLOYMENTS[request.param])
     yield running
     assert running.process.poll() in (None, 0) and not running.lines("internal_error")
     running.close()
 
 
-def each(stand: Shaped) -> Iterator[tuple[int, dict[str, Any]]]:
-    yield from enumerate(stand.shape["classes"])
+def classes_of(stand: DeploymentStand) -> Iterator[tuple[int, dict[str, Any]]]:
+    yield from enumerate(stand.deployment["classes"])
 
 
 def reset(fetch: Fetch) -> None:
@@ -196,29 +200,29 @@
     fetch.sock.close()
 
 
-def is_refusal(stand: Shaped, status: int, fields: dict[str, str]) -> bool:
-    """Refused, with a pause if clients heed one."""
-    heeded = stand.shape["limits"].get("retry_after", False)
-    return status == 503 and (int(fields["X-Throttle-Ms"]) > 0) == heeded
+def is_refusal(stand: DeploymentStand, status: int, fields: dict[str, str]) -> bool:
+    """Return whether a response is a rejection, with a Retry-After if clients respect one."""
+    is_announced = stand.deployment["limits"].get("retry_after", False)
+    return status == 503 and (int(fields["X-Throttle-Ms"]) > 0) == is_announced
 
 
-def test_each_class_is_served(stand: Shaped) -> None:
+def test_each_class_is_served(stand: DeploymentStand) -> None:
     client = stand.client()
-    for place, kind in each(stand):
-        fetch = stand.asked(client, place)
+    for class_index, kind in classes_of(stand):
+        fetch = stand.request_fetch(client, class_index)
         assert fetch.fields["cls"] == kind["name"] and 0 < int(fetch.fields["limit"]) <= kind["deadline"]
-        kept = not stand.shape["domain"]["never_kept"][place]
+        cached = not stand.deployment["domain"]["never_kept"][class_index]
         assert fetch.fields["from"] == (
-            "s-00000020" if kept and stand.shape["domain"]["shield_kind"] >= 0 else "s-00000030"
+            "s-00000020" if cached and stand.deployment["domain"]["shield_kind"] >= 0 else "s-00000030"
         )
-        fetch.reply(body=b"%d" % place)
-        assert client.answer()[1:4:2] == (200, b"%d" % place)
+        fetch.reply(body=b"%d" % class_index)
+        assert client.answer()[1:4:2] == (200, b"%d" % class_index)
 
 
-def test_what_never_ran_is_refused(stand: Shaped) -> None:
+def test_what_never_ran_is_refused(stand: DeploymentStand) -> None:
     client = stand.client()
-    for place, _ in each(stand):
-        stand.asked(client, place).reply("503", tell="")
+    for class_index, _ in classes_of(stand):
+        stand.request_fetch(client, class_index).reply("503", tell="")
         while (more := stand.maybe_command(0.2)) is not None:
             more.reply("503", tell="")
         answer = client.answer()
@@ -226,10 +230,12 @@
 
 
 @pytest.mark.parametrize("how", ["500", "reset"])
-def test_what_may_have_run_goes_out_again_only_where_its_class_allows_it(stand: Shaped, how: str) -> None:
+def test_what_may_have_run_goes_out_again_only_where_its_class_allows_it(
+    stand: DeploymentStand, how: str
+) -> None:
     client = stand.client()
-    for place, kind in each(stand):
-        first = stand.asked(client, place)
+    for class_index, kind in classes_of(stand):
+        first = stand.request_fetch(client, class_index)
         reset(first) if how == "reset" else first.reply("500", tell="")
         if kind["effect"] == "pure":
             second = stand.command()
@@ -237,18 +243,18 @@
             second.reply()
             assert client.answer().status == 200
             continue
-        while (again := stand.maybe_command(0.3)) is not None and again.word == "fetch":
-            # a key is known in its cell alone, and each cache is one
-            assert kind["effect"] == "token" and (again.txn, again.cache) == (first.txn, first.cache)
-            reset(again)
+        while (repeat := stand.maybe_command(0.3)) is not None and repeat.word == "fetch":
+            # a key is known within its cell only, and each cache is a cell
+            assert kind["effect"] == "token" and (repeat.txn, repeat.cache) == (first.txn, first.cache)
+            reset(repeat)
         assert client.answer().status == 502
     assert stand.commands.empty()
 
 
-def test_the_deadline_is_kept(stand: Shaped) -> None:
+def test_the_deadline_is_kept(stand: DeploymentStand) -> None:
     client = stand.client()
-    for place, kind in each(stand):
-        stand.asked(client, place, ttl=min(kind["deadline"], 1200.0))
+    for class_index, kind in classes_of(stand):
+        stand.request_fetch(client, class_index, ttl=min(kind["deadline"], 1200.0))
         answer = client.answer()
         assert (
             is_refusal(stand, answer.status, answer.fields)
@@ -257,23 +263,23 @@
         )
 
 
-def test_nothing_goes_to_a_cache_that_drains(stand: Shaped) -> None:
+def test_nothing_goes_to_a_cache_that_drains(stand: DeploymentStand) -> None:
     stand.drain(stand.caches[0])
     client = stand.client()
     for ident in range(1, 9):
-        fetch = stand.asked(client, 0, ident)
+        fetch = stand.request_fetch(client, 0, ident)
         assert fetch.cache is stand.caches[1]
         fetch.reply()
         assert client.answer().status == 200
 
 
-def test_a_stop_loses_nothing(stand: Shaped) -> None:
+def test_a_stop_loses_nothing(stand: DeploymentStand) -> None:
     early, late = stand.client(), stand.client()
-    held = stand.asked(early, 0)
+    first = stand.request_fetch(early, 0)
     stand.process.send_signal(signal.SIGTERM)
     stand.wait(lambda: stand.lines("router_stopping"), "the stop")
-    stand.asked(late, 0).reply(body=b"late")
-    held.reply(body=b"early")
+    stand.request_fetch(late, 0).reply(body=b"late")
+    first.reply(body=b"early")
     assert late.answer().body == b"late" and early.answer().body == b"early"
     assert stand.process.wait(PATIENCE) == 0
 
@@ -283,9 +289,9 @@
     [
         {"classes": []},
         {"classes": {}},
-        {"classes": [cls("a", "pure", 0.0, 0.0)]},
-        {"classes": [cls("a", "pure", float("nan"), 1.0)]},
-        {"classes": [cls("a", "pure", 5.0, float("nan"))]},
+        {"classes": [class_record("a", "pure", 0.0, 0.0)]},
+        {"classes": [class_record("a", "pure", float("nan"), 1.0)]},
+        {"classes": [class_record("a", "pure", 5.0, float("nan"))]},
     ],
 )
 def test_settings_that_cannot_be_used_are_one_line(tmp_path: Path, settings: dict[str, Any]) -> None:
@@ -303,7 +309,7 @@
 
 
 @pytest.mark.parametrize(
-    ("deadline", "ttl", "kept"),
+    ("deadline", "ttl", "expected_ms"),
     [
         (300.0, 300.0, 300.0),
         (60_000.0, 60_000.0, 60_000.0),
@@ -311,18 +317,22 @@
         (300.0, 3_600_000.0, 60_000.0),
     ],
 )
-def test_a_request_may_take_as_long_as_its_class_does(deadline: float, ttl: float, kept: float) -> None:
-    """Guards against long requests cut short, and against what claims to wait for ever."""
-    settings = settings_from({"zone": 0, "classes": [cls("a", "pure", deadline, deadline)]})
+def test_a_request_may_take_as_long_as_its_class_does(
+    deadline: float, ttl: float, expected_ms: float
+) -> None:
+    """Long requests must not be cut short, and a request can't claim to wait without end."""
+    settings = settings_from({"zone": 0, "classes": [class_record("a", "pure", deadline, deadline)]})
     fields = {"X-Row": "7f3a9c21e0b4d655", "X-Txn": "9b1f03aa5c7e2d41", "X-Ttl-Ms": f"{ttl:.0f}"}
-    asked = Intake(settings).take("/svc/a", fields, b"", lambda answer: None)
-    budget = Budget()
-    budget.most = 1e9
-    request = Admit(settings, OpenRequests(), budget, 0.0, 1).enter(1000.0, asked)
-    assert request is not None and kept - 20.0 <= request.deadline - 1000.0 <= kept
+    client_request = Intake(settings).parse("/svc/a", fields, b"", lambda answer: None)
+    budget = MemoryBudget()
+    budget.limit_bytes = 1e9
+    request = Admit(settings, OpenRequests(), budget, 0.0, 1).open_request(1000.0, client_request)
+    assert request is not None and expected_ms - 20.0 <= request.deadline_ms - 1000.0 <= expected_ms
 
 
 def test_connections_have_time_to_come_up_where_the_settings_name_none() -> None:
     for limits in ({}, {"connect_timeout": 0.0}):
-        settings = settings_from({"zone": 0, "classes": [cls("a", "pure", 5.0, 5.0)], "limits": limits})
+        settings = settings_from(
+            {"zone": 0, "classes": [class_record("a", "pure", 5.0, 5.0)], "limits": limits}
+        )
         assert settings.connect_timeout_ms >= 100.0
--- a/tests/test_router.py
+++ b/tests/test_router.py
@@ -33,7 +33,7 @@
 
 from stonecove.pipeline.admit import Admit
 from stonecove.settings import settings_from
-from stonecove.state.budget import Budget
+from stonecove.state.budget import MemoryBudget
 from stonecove.state.requests import OpenRequests
 
 WRITE: dict[str, Any] = {"path": "/svc/confirm"}
@@ -914,8 +914,8 @@
 def test_what_has_waited_too_long_is_refused_by_its_worth(waited: float, refused: list[int]) -> None:
     classes = [{"deadline": 5000.0, "on_time": 200.0, "importance": worth} for worth in (1.0, 2.0, 4.5)]
     settings = settings_from({"zone": 0, "classes": classes})
-    admit = Admit(settings, OpenRequests(), Budget(), 0.0, 1)
-    assert [kind for kind in range(3) if admit.too_much(1000.0 + waited, 1000.0, kind)] == refused
+    admit = Admit(settings, OpenRequests(), MemoryBudget(), 0.0, 1)
+    assert [kind for kind in range(3) if admit.should_shed(1000.0 + waited, 1000.0, kind)] == refused
 
 
 @pytest.mark.parametrize("deadline, within", [(100.0, 0.7), (300.0, 0.8), (600.0, 0.8), (9000.0, 3.2)])
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -9,7 +9,7 @@
 import pytest
 from conftest import CACHES, ORIGIN, DirectorHarness, make_nodes, make_settings, sent_attempts
 
-from stonecove.pipeline.send import Link
+from stonecove.pipeline.send import NodeConnection
 from stonecove.routing.actions import FailRequest, RejectRequest, SendAttempt
 from stonecove.routing.endpoints import EndpointListKind, Node, NodeState
 from stonecove.routing.events import AttemptEnded, CacheStatus, EndpointListUpdate, HealthCheckEnded, Outcome
@@ -112,15 +112,19 @@
 @pytest.mark.parametrize("busy", [False, True])
 def test_a_look_at_a_connections_earlier_ids_does_not_compare_them_all(busy: bool) -> None:
     """It is taken for each attempt at each connection to a cache: hundreds of ids cost CPU for nothing."""
-    link = Link(11, cast(Any, None), ("127.0.0.1", 1), 0.0)
-    link.connection = cast(Any, SimpleNamespace(over=False, halfway_at=0.0))
+    link = NodeConnection(11, cast(Any, None), ("127.0.0.1", 1), 0.0)
+    link.channel = cast(Any, SimpleNamespace(over=False, halfway_at=0.0))
     for number in range(300):
-        link.given_up.add(f"{number:016x}")
-        link.answered.add(f"{number + 1000:016x}")
+        link.cancelled_ids.add(f"{number:016x}")
+        link.answered_ids.add(f"{number + 1000:016x}")
     if busy:
-        link.open["ff"] = cast(Any, SimpleNamespace(written_at=0.0, ordered_at=0.0))
+        link.attempts["ff"] = cast(Any, SimpleNamespace(written_at_ms=0.0, decided_at_ms=0.0))
     Compared.compared = 0
-    assert link.takes(Compared("9b1f03aa5c7e2d41"), 1.0, 1, 100.0) is not busy
+    assert link.can_take(Compared("9b1f03aa5c7e2d41"), 1.0, 1, 100.0) is not busy
     assert Compared.compared <= 4
-    assert not link.takes(f"{299:016x}", 1.0, 2, 100.0) and not link.takes(f"{1299:016x}", 1.0, 2, 100.0)
-    assert link.takes(f"{0:016x}", 1.0, 2, 100.0) and len(link.given_up) == 256  # the oldest are forgotten
+    assert not link.can_take(f"{299:016x}", 1.0, 2, 100.0) and not link.can_take(
+        f"{1299:016x}", 1.0, 2, 100.0
+    )
+    assert (
+        link.can_take(f"{0:016x}", 1.0, 2, 100.0) and len(link.cancelled_ids) == 256
+    )  # the oldest are forgotten
--- a/tests/test_settings_change.py
+++ b/tests/test_settings_change.py
@@ -33,14 +33,14 @@
 from stonecove.routing.settings import Idempotency, Settings
 from stonecove.runtime.clock import Clock
 from stonecove.runtime.timers import Timers
-from stonecove.runtime.unix import accept_all, bound
+from stonecove.runtime.unix import bind_private, serve_connections
 from stonecove.server.config import config_from
 from stonecove.server.leases import LeaseFile, Leases
 from stonecove.server.members import Members
 from stonecove.server.reconfigure import Reconfigure, SettingsRefused
 from stonecove.server.swarm import SwarmKeeper
-from stonecove.state.budget import Budget
-from stonecove.transport.change_log_follower import ChangeLog as ChangeLogFollower
+from stonecove.state.budget import MemoryBudget
+from stonecove.transport.change_log_follower import ChangeLogClient as ChangeLogFollower
 
 FOLLOWS = "configuration: settings: true\n"
 
@@ -369,7 +369,7 @@
     """A route that opens no connection; inside trio."""
     clock = Clock()
     timers = Timers(clock, trio.current_time)
-    return Route(settings, 7, clock, timers, Budget(), 0.0, lambda *_: None)  # type: ignore[arg-type]
+    return Route(settings, 7, clock, timers, MemoryBudget(), 0.0, lambda *_: None)  # type: ignore[arg-type]
 
 
 def made(part: Part, counted: FleetSizeChanged | None = None) -> tuple[Route, Reconfigure]:
@@ -439,7 +439,7 @@
         path = str(tmp_path / "leases.sock")
         with trio.fail_after(PATIENCE):
             async with trio.open_nursery() as nursery:
-                nursery.start_soon(accept_all, bound(path), lessor)
+                nursery.start_soon(serve_connections, bind_private(path), lessor)
                 settings = make_settings()
                 file = LeaseFile(path, 3.0, 0.3, 0.1, 0.0, None, 0.1)
                 leases = Leases(file, "n0", settings, new_route(settings), Clock(), nursery.start_soon)
--- a/tests/test_stop_crossings.py
+++ b/tests/test_stop_crossings.py
@@ -21,12 +21,12 @@
 from stand import PATIENCE, SETTINGS, ChangeLog, Client, Hanging, Stand, resp
 
 from stonecove.protocols.fastcgi.session import TAKE_IN, Session
-from stonecove.state.budget import Budget
-from stonecove.transport.client_connection import Connection
+from stonecove.state.budget import MemoryBudget
+from stonecove.transport.client_connection import ClientConnection
 
 TERM, HUP = signal.SIGTERM, signal.SIGHUP
-ROOM = Budget()
-ROOM.most = 1e6
+ROOM = MemoryBudget()
+ROOM.limit_bytes = 1e6
 
 
 @pytest.fixture
@@ -320,10 +320,10 @@
     async def play() -> None:
         near, far = socket.socketpair()
         near.setblocking(False)
-        client = Connection(near, handler, lambda: 1.0, ROOM)
+        client = ClientConnection(near, handler, lambda: 1.0, ROOM)
 
         def end() -> None:
-            client.check(TAKE_IN + 2.0) if close == "check" else client.finish()
+            client.check(TAKE_IN + 2.0) if close == "check" else client.close_if_idle()
 
         with near, far:
             async with trio.open_nursery() as nursery:
--- a/tests/test_trial.py
+++ b/tests/test_trial.py
@@ -201,11 +201,11 @@
     simulation = run(simulation_start(scope.named(scope.SMALL, "links")), ("ask 0", "decide"))
     assert isinstance(simulation, Simulation)
     outlived = [True]
-    simulation.route.send.outlived = lambda attempt: bool(outlived) and outlived.pop()
+    simulation.route.send.is_decision_outdated = lambda attempt: bool(outlived) and outlived.pop()
     simulation.do("up c1.0")
     (request,) = simulation.route.requests
-    assert [(one.ended, one.written_at > 0) for one in request.attempts] == [(True, False), (False, False)]
-    assert simulation.route.book.counts["moot"] == 1
+    assert [(one.ended, one.written_at_ms > 0) for one in request.attempts] == [(True, False), (False, False)]
+    assert simulation.route.recorder.counts["moot"] == 1
 
 
 def test_a_router_that_was_stopped_says_so_and_one_that_ends_in_order_too(tmp_path: Path) -> None:
