--- a/benchmarks/capacity_days.py
+++ b/benchmarks/capacity_days.py
@@ -20,8 +20,8 @@
     line_fit,
     power_fit,
 )
-from stonecove.gossip.gossip import MAX_CLAIMS, URGENT_RATE
-from stonecove.gossip.swarm import JOIN_AT_ONCE, TICK
+from stonecove.gossip.gossip import MAX_CLAIMS, PUSH_RATE
+from stonecove.gossip.swarm import JOIN_PINGS_PER_TICK, TICK_S
 from stonecove.protocols.gossip import FIXED
 
 CUT_FIRST, CUT_ON = 25.0, 10.0  # seconds of the two phases of a cut: what it brings about, and what goes on
@@ -37,8 +37,8 @@
 
 def limit_of(phase: str) -> float:
     """Bytes a second that the program's own rates allow a router on average, sent and received."""
-    asked = JOIN_AT_ONCE / TICK * ASKING.get(phase, 0.0)  # each question is answered
-    return 2.0 * FULL * (2.0 * asked + URGENT_RATE + CALM_DATAGRAMS)
+    asked = JOIN_PINGS_PER_TICK / TICK_S * ASKING.get(phase, 0.0)  # each question is answered
+    return 2.0 * FULL * (2.0 * asked + PUSH_RATE + CALM_DATAGRAMS)
 
 
 def predicted(figures: Figures, name: str, linear: bool) -> float:
--- a/benchmarks/swarm.py
+++ b/benchmarks/swarm.py
@@ -105,13 +105,15 @@
 def mass(count: int) -> dict[str, float]:
     """Seven in ten killed at once, started again 10 s later, each within a second."""
     model = _calm(count, 11)
-    numbers = [router.swarm.gossip.views.now.number for router in model.routers if router.swarm is not None]
+    numbers = [
+        router.swarm.gossip.views.current.number for router in model.routers if router.swarm is not None
+    ]
     gone = range(count * 7 // 10)
     for place in gone:
         model.kill(place)
     known = model.until(lambda: all(map(model.known_over, gone)), 30.0)
     model.run(6.0 - min(known, 6.0))
-    after = [router.swarm.gossip.views.now.number for router in model.here() if router.swarm is not None]
+    after = [router.swarm.gossip.views.current.number for router in model.here() if router.swarm is not None]
     views = max(after) - max(numbers)
     model.run(4.0)
     used, steps = 0.0, 0
--- a/stonecove/commands/configuration.py
+++ b/stonecove/commands/configuration.py
@@ -41,10 +41,10 @@
 
 def _waves(context: click.Context, option: click.Parameter, value: str) -> tuple[float, ...]:
     """Shares of the fleet, rising to 1."""
-    from stonecove.rollout.messages import MessageError, checked_waves
+    from stonecove.rollout.messages import MessageError, validate_waves
 
     try:
-        return checked_waves(tuple(float(text) for text in value.split(",")))
+        return validate_waves(tuple(float(text) for text in value.split(",")))
     except MessageError as error:
         raise click.BadParameter(str(error).partition(": ")[2]) from None
     except ValueError:
--- a/stonecove/explore/swarm.py
+++ b/stonecove/explore/swarm.py
@@ -13,15 +13,16 @@
 from typing import NamedTuple
 
 from stonecove.explore.fleet import Machine
-from stonecove.gossip.claims import Claim, Datagram, MemberState, ident_of, over
-from stonecove.gossip.figures import Figures
+from stonecove.gossip.claims import Claim, Datagram, MemberState, has_ended, ident_of
+from stonecove.gossip.figures import GossipConfig
 from stonecove.gossip.shares import Shares
 from stonecove.gossip.swarm import Swarm
 from stonecove.protocols.gossip import decode, encode
 
 WINDOW, TICK, EPOCH = 1.0, 0.25, 1_700_000_000_000.0
-FIGURES = Figures(
-    period=0.75, answer=0.05, suspicion=0.5, longest=1.5, settle=0.5, most_settle=1.0, lease=1.5
+FIGURES = GossipConfig(
+    probe_interval_s=0.75, ping_timeout_s=0.05, suspicion_timeout_s=0.5, suspicion_max_multiple=1.5,
+    view_settle_s=0.5, view_settle_max_s=1.0, lease_min_s=1.5,
 )  # fmt: skip
 SETTLES = 30.0  # seconds within which all is well again, once nothing is wrong any more
 ROUNDS = 6  # of answers to answers within one tick
@@ -167,8 +168,8 @@
             for member in router.gossip.table:
                 if member.slot is not None and member.claim.state is not MemberState.ALIVE:
                     self.broken("swarm-denied", f"{member.claim} is held for what it is not")
-        if len({router.gossip.views.now[:2] for router in routers}) > 1:
-            self.broken("swarm-agree", f"views {[tuple(one.gossip.views.now[:2]) for one in routers]}")
+        if len({router.gossip.views.current[:2] for router in routers}) > 1:
+            self.broken("swarm-agree", f"views {[tuple(one.gossip.views.current[:2]) for one in routers]}")
         total = sum(router.share_state(self.now).share() for router in routers)
         if total < 1.0 - 1e-9:
             self.broken("share-back", f"shares add up to {total:.3f} for good")
@@ -176,7 +177,7 @@
     def _knows(self, by: int, dead: int) -> None:
         router = self.routers[by]
         member = router.gossip.table.get(ident_of(f"r{dead}")) if router is not None else None
-        if member is not None and not over(member.claim.state):
+        if member is not None and not has_ended(member.claim.state):
             self.broken(
                 "swarm-known",
                 f"router {by} holds {dead} for {member.claim.state.name.lower()}, "
@@ -191,7 +192,9 @@
     def _start(self, place: int, skew: float) -> None:
         self.starts += 1
         count = self.bounds.routers
-        shares = Shares(count - 1, 0, count, (count,), WINDOW, self.now, lease=FIGURES.lease_of(count))
+        shares = Shares(
+            count - 1, 0, count, (count,), WINDOW, self.now, lease_s=FIGURES.lease_duration_s(count)
+        )
         unix = self._unix(place) + skew * 1000.0
         me = Claim(ident_of(f"r{place}"), int(unix), 0, MemberState.ALIVE, 0)
         self.routers[place] = Swarm(me, shares, FIGURES, self.starts, self.now, self._unix(place))
@@ -220,11 +223,11 @@
             going = [
                 (place, slot if slot < place else slot + 1, datagram)
                 for place, router in enumerate(self.routers) if router is not None
-                for slot, datagram in router.gossip.out
+                for slot, datagram in router.gossip.outgoing
             ]  # fmt: skip
             for router in self.routers:
                 if router is not None:
-                    router.gossip.out, router.gossip.notes = [], []
+                    router.gossip.outgoing, router.gossip.notes = [], []
             for source, to, datagram in going:
                 if self.mood is not None and self.mood[1] == source:
                     if self.mood[0] == "hold":
@@ -238,12 +241,12 @@
         router, sender = self.routers[to], self.routers[source]
         if router is None:
             if sender is not None and (to, source) not in self.cuts and source not in self.stopped:
-                sender.refused(to if to < source else to - 1, datagram.number, self.now)
+                sender.receive_refusal(to if to < source else to - 1, datagram.number, self.now)
         elif to in self.stopped:
             self.stopped[to].append((source, datagram))
         else:
             slot = source if source < to else source - 1
-            router.heard(slot, decode(encode(datagram)), self.now, self._unix(to))
+            router.receive(slot, decode(encode(datagram)), self.now, self._unix(to))
 
     def _look(self) -> None:
         self.past = [kept for kept in self.past if kept and kept[-1][0] > self.now]
--- a/stonecove/fleet/rollout_controller.py
+++ b/stonecove/fleet/rollout_controller.py
@@ -24,11 +24,11 @@
     Finished,
     RolloutError,
     Write,
-    begun,
-    halted,
+    begin_rollout,
+    halt_rollout,
     next_step,
-    resumed,
-    rolled_back,
+    resume_rollout,
+    roll_back_to,
 )
 from stonecove.rollout.messages import (
     LOCAL_VERSION,
@@ -215,10 +215,14 @@
         if not self.reports.by_name:
             raise InputError(f"--path: no router reports below {routers_path(self.path)}")
         stored = await self._stored()
-        begun(stored.target, 0, {}, 0.0, "", waves, bounds)  # guards against a version that nobody may use
+        begin_rollout(
+            stored.target, 0, {}, 0.0, "", waves, bounds
+        )  # guards against a version that nobody may use
         await self._session.make(versions_path(self.path))
         version = await self._create_version(merge, stored.target)
-        target = begun(stored.target, version, self.reports.by_name, _now(), self._name, waves, bounds)
+        target = begin_rollout(
+            stored.target, version, self.reports.by_name, _now(), self._name, waves, bounds
+        )
         if not await self._write(target, stored.version):
             await self._session.ask(zk.Delete(version_path(self.path, version)))
             raise OvertakenError(f"version {version} is not published: another roll-out has just begun")
@@ -227,12 +231,12 @@
 
     async def halt(self) -> None:
         """All routers go back to the version before; raises RolloutError if nothing is rolled out."""
-        await self._command(lambda target: halted(target, "halted by command", _now(), self._name))
+        await self._command(lambda target: halt_rollout(target, "halted by command", _now(), self._name))
 
     async def resume(self) -> RolloutState:
         """Begins a halted roll-out again, or goes on with one whose controller is gone."""
         await self.ready()
-        await self._command(lambda target: resumed(target, self.reports.by_name, _now(), self._name))
+        await self._command(lambda target: resume_rollout(target, self.reports.by_name, _now(), self._name))
         return await self.drive()
 
     async def roll_back(self, version: int, waves: tuple[float, ...]) -> RolloutState:
@@ -243,7 +247,7 @@
             if reply.error is Err.NO_NODE:
                 raise InputError(f"VERSION: {version} is not kept")
         await self._command(
-            lambda target: rolled_back(target, version, self.reports.by_name, _now(), self._name, waves)
+            lambda target: roll_back_to(target, version, self.reports.by_name, _now(), self._name, waves)
         )
         return await self.drive()
 
--- a/stonecove/gossip/__init__.py
+++ b/stonecove/gossip/__init__.py
@@ -1,8 +1,10 @@
-"""Membership among the edge routers themselves, without a third system and without I/O.
+"""SWIM membership among the edge routers, without a third system and without I/O.
 
-Who is there, who is silent, whom others reach and we don't, who is gone for good; and from that the
-part of what cold nodes bear that this router may use. `claims` are what routers tell of each other,
-`table` is what is believed of each, `swarm` probes and joins all parts, `broadcasts` spreads, `view`
-numbers what all agree on, `shares` proves the sum. Times are seconds of the host's steady clock unless
-said otherwise.
+The package decides which routers are alive, silent, reachable only through others or ended, and from
+that the share of the limits of warming nodes that this router may use. `claims` holds what routers state
+about each other, `table` what this router believes of each, `gossip` the state that the failure detector and
+joining share, `swarm` the protocol itself. `broadcasts` disseminates claims, `probing` chooses probe targets,
+`health` is Lifeguard's local health, `view` numbers the agreed member sets, `shares` computes the share and
+proves that all shares add up to at most 1, and `status` answers operators. Times are seconds of the host's
+monotonic clock unless stated otherwise.
 """
--- a/stonecove/gossip/broadcasts.py
+++ b/stonecove/gossip/broadcasts.py
@@ -1,4 +1,4 @@
-"""Words on their way to all, by piggyback: each is sent a bounded number of times, the least sent first."""
+"""Claims that are piggybacked on datagrams until each was sent often enough, the least often sent first."""
 
 from __future__ import annotations
 
@@ -6,46 +6,46 @@
 
 from stonecove.gossip.claims import Claim
 
-REPEATS = 4.0  # times the logarithm of the number of routers: each word reaches all but surely
+RETRANSMIT_FACTOR = 4.0  # times log2 of the number of routers: a claim reaches all of them almost surely
 
 
 class BroadcastQueue:
-    """Updates still to be sent. Each is sent a bounded number of times, so that none displaces the others."""
+    """Claims still to be sent. Each is sent a bounded number of times, so that none displaces the others."""
 
     def __init__(self) -> None:
-        self._left: dict[int, tuple[int, Claim]] = {}  # by router: how often it was sent, and the word
+        self._pending: dict[int, tuple[int, Claim]] = {}  # by member: how often the claim was sent, the claim
 
     def __len__(self) -> int:
-        return len(self._left)
+        return len(self._pending)
 
     def add(self, claim: Claim) -> None:
-        """A word that is news; it takes the place of an older one of the same router."""
-        self._left[claim.ident] = 0, claim
+        """Queue a new claim; it replaces an older one about the same router."""
+        self._pending[claim.ident] = 0, claim
 
     @staticmethod
-    def most(routers: int) -> int:
-        """How often a word is sent among so many."""
-        return math.ceil(REPEATS * math.log2(routers + 1))
+    def max_transmits(routers: int) -> int:
+        """Return how often a claim is sent among this number of routers."""
+        return math.ceil(RETRANSMIT_FACTOR * math.log2(routers + 1))
 
-    def take(self, room: int, routers: int) -> tuple[Claim, ...]:
-        """Words for one datagram, the least sent first; each counts as sent."""
-        if not self._left or room <= 0:
+    def take(self, limit: int, routers: int) -> tuple[Claim, ...]:
+        """Return up to `limit` claims for one datagram, the least often sent first; they count as sent."""
+        if not self._pending or limit <= 0:
             return ()
-        most = self.most(routers)
-        chosen = sorted(self._left.items(), key=lambda item: item[1][0])[:room]
+        max_transmits = self.max_transmits(routers)
+        chosen = sorted(self._pending.items(), key=lambda item: item[1][0])[:limit]
         for ident, (sent, claim) in chosen:
-            if sent + 1 >= most:
-                del self._left[ident]
+            if sent + 1 >= max_transmits:
+                del self._pending[ident]
             else:
-                self._left[ident] = sent + 1, claim
+                self._pending[ident] = sent + 1, claim
         return tuple(claim for _, (_, claim) in chosen)
 
     def requeue(self, claims: tuple[Claim, ...], routers: int) -> None:
-        """They went to somebody who is not there: they count as not sent.
+        """Take back the count of claims whose datagram was refused.
 
-        Guards against a mass kill, of which the first words all go to those who are gone.
+        Without it, a mass failure uses up the transmissions of the first claims on routers that have ended.
         """
         for claim in claims:
-            sent, known = self._left.get(claim.ident, (self.most(routers), claim))
+            sent, known = self._pending.get(claim.ident, (self.max_transmits(routers), claim))
             if known == claim:
-                self._left[claim.ident] = max(0, sent - 1), claim
+                self._pending[claim.ident] = max(0, sent - 1), claim
--- a/stonecove/gossip/figures.py
+++ b/stonecove/gossip/figures.py
@@ -1,4 +1,4 @@
-"""The figures by which a swarm goes, in seconds, as the operator's file sets them."""
+"""The timing and limits of the gossip protocol, in seconds, as the operator's file sets them."""
 
 from __future__ import annotations
 
@@ -7,24 +7,24 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Figures:
-    """Defaults: four datagrams a second in calm, and no verdict on who is silent for 5 s alone."""
+class GossipConfig:
+    """Protocol parameters. Defaults: four datagrams a second when idle; a pause of 5 s alone fails nobody."""
 
-    period: float = 0.6  # one member is probed in each
-    answer: float = 0.2  # so long a probe waits before others are asked to try
-    helpers: int = 3
-    suspicion: float = 6.0  # the least time from suspect to failed; above any pause that is to be borne
-    longest: float = 2.0  # as a multiple of it, while nobody confirms
-    confirmations: int = 3  # that bring it down to the least
-    settle: float = 1.5  # nothing has changed for so long before a view moves
-    most_settle: float = 4.0  # though something goes on changing
-    refusals_prove: bool = True  # a refused datagram says that nobody has that address
-    lease: float = 20.0  # the least time for which an answer lets a router act on its share
+    probe_interval_s: float = 0.6  # one member is probed in each
+    ping_timeout_s: float = 0.2  # how long a probe waits before it requests indirect pings
+    indirect_ping_count: int = 3
+    suspicion_timeout_s: float = 6.0  # the shortest time from suspect to failed; above any tolerated pause
+    suspicion_max_multiple: float = 2.0  # the longest time, without confirmations, as a multiple of it
+    confirmations: int = 3  # independent suspicions that reduce the timeout to its minimum
+    view_settle_s: float = 1.5  # how long nothing changes before a view advances
+    view_settle_max_s: float = 4.0  # a view advances after this even if changes continue
+    trust_refusals: bool = True  # a refused datagram proves that no process has that address
+    lease_min_s: float = 20.0  # the shortest time for which an answer lets a router act on its share
 
-    def lease_of(self, routers: int) -> float:
-        """Long enough that each is probed three times within it, however many there are."""
-        return max(self.lease, 3.0 * routers * self.period)
+    def lease_duration_s(self, routers: int) -> float:
+        """Return a lease during which each of so many routers is probed three times."""
+        return max(self.lease_min_s, 3.0 * routers * self.probe_interval_s)
 
-    def suspicion_min(self, routers: int) -> float:
-        """Longer among many: doubt and denial both have to go round."""
-        return self.suspicion + self.period * math.log2(routers + 1) / 2.0
+    def suspicion_min_s(self, routers: int) -> float:
+        """Return the minimum suspicion timeout; it grows with dissemination of suspicion and refutation."""
+        return self.suspicion_timeout_s + self.probe_interval_s * math.log2(routers + 1) / 2.0
--- a/stonecove/gossip/table.py
+++ b/stonecove/gossip/table.py
@@ -1,4 +1,4 @@
-"""What this router believes of each other one, and on what evidence."""
+"""What this router believes of each other router, and on what evidence."""
 
 from __future__ import annotations
 
@@ -8,32 +8,32 @@
 from collections.abc import Iterable, Iterator
 from dataclasses import dataclass, field
 
-from stonecove.gossip.claims import Claim, MemberState, over
+from stonecove.gossip.claims import Claim, MemberState, has_ended
 
-MAX_EVIDENCE = 24  # lines kept of each
-MAX_MEMBERS = 20_000  # names that a table holds; who comes when it is full takes the place of one long over
-BUCKETS = 16  # parts of the table that are compared by digest
+MAX_EVIDENCE = 24  # entries that are retained for each member
+MAX_MEMBERS = 20_000  # a new member of a full table replaces one that has ended
+BUCKETS = 16  # partitions of the table that are compared by digest
 
 
 @dataclass(slots=True)
 class Suspicion:
-    """Doubt in a member: the more others doubt it of their own, the sooner it ends in a verdict."""
+    """Lifeguard's suspicion of a member: each independent suspicion shortens its timeout."""
 
-    began: float
-    least: float
-    most: float
-    enough: int
-    doubters: set[int] = field(default_factory=set)
+    started_at: float
+    min_s: float
+    max_s: float
+    expected_confirmations: int
+    confirmers: set[int] = field(default_factory=set)
 
-    def confirm(self, timeout: float) -> None:
-        """Shorten it to `timeout` seconds: another router's suspicion has already run its full time."""
-        self.least = min(self.least, timeout)
-        self.most = min(self.most, self.least)
+    def shorten(self, timeout_s: float) -> None:
+        """Shorten it to `timeout_s`: another router's suspicion has already run its full time."""
+        self.min_s = min(self.min_s, timeout_s)
+        self.max_s = min(self.max_s, self.min_s)
 
-    def until(self) -> float:
-        """When it ends."""
-        part = math.log(len(self.doubters) + 1) / math.log(self.enough + 1)
-        return self.began + max(self.least, self.most - (self.most - self.least) * part)
+    def expires_at(self) -> float:
+        """Return when the member becomes failed."""
+        fraction = math.log(len(self.confirmers) + 1) / math.log(self.expected_confirmations + 1)
+        return self.started_at + max(self.min_s, self.max_s - (self.max_s - self.min_s) * fraction)
 
 
 @dataclass(slots=True)
@@ -41,36 +41,36 @@
     """One other router."""
 
     claim: Claim
-    slot: int | None  # its place in our list of peers; None: others know it, we have not heard it
+    slot: int | None  # its index in the list of peers; None: known from others alone
     since: float
-    heard: float = -math.inf  # the last datagram of its own
-    reached: float = -math.inf  # the last answer to ours
-    missed: int = 0  # probes of ours in a row that it did not answer
-    via: float = -math.inf  # the last answer to others who asked for us
+    last_received: float = -math.inf  # its last datagram
+    last_reached: float = -math.inf  # its last answer to this router
+    missed_probes: int = 0  # consecutive probes of this router that it did not answer
+    last_reached_indirectly: float = -math.inf  # its last answer to an indirect ping for this router
     suspicion: Suspicion | None = None
-    failed_claim: Claim | None = None  # the word by which we did, in this life, until it has asked us anew
-    failure_witnesses: set[int] = field(default_factory=set)  # who holds it for failed, as we do
+    failed_claim: Claim | None = None  # FAILED as believed of this generation, until it joins anew
+    failure_confirmers: set[int] = field(default_factory=set)  # routers that also believe it failed
     view: tuple[int, int] = (0, 0)
-    paused: tuple[float, float] = (-math.inf, 0.0)  # when it told so, and for how long it was stopped
+    pause: tuple[float, float] = (-math.inf, 0.0)  # when it announced a pause, and the pause's length in s
     evidence: deque[tuple[float, str]] = field(default_factory=lambda: deque(maxlen=MAX_EVIDENCE))
 
     @property
     def unreachable(self) -> bool:
-        """Others reach it and we don't."""
-        return self.missed > 0 and self.via > self.reached
+        """Return whether other routers reach it and this one does not."""
+        return self.missed_probes > 0 and self.last_reached_indirectly > self.last_reached
 
-    def told(self, now: float) -> str:
-        """How it stands, as people are told it."""
+    def status_name(self, now: float) -> str:
+        """Return its state as operators see it."""
         state = self.claim.state
         if state in (MemberState.ALIVE, MemberState.LEAVING) and self.unreachable:
             return "unreachable"
-        if state is MemberState.ALIVE and now - self.paused[0] < 10.0 and self.paused[1]:
+        if state is MemberState.ALIVE and now - self.pause[0] < 10.0 and self.pause[1]:
             return "paused"
         return state.name.lower()
 
 
 class Table:
-    """All members by id. Words are merged by their order alone, so that all tables come to the same."""
+    """All members by id. Claims are merged by their order alone, so that all tables converge."""
 
     def __init__(self) -> None:
         self.members: dict[int, Member] = {}
@@ -82,24 +82,24 @@
         return iter(self.members.values())
 
     def get(self, ident: int) -> Member | None:
-        """Of that id."""
+        """Return the member with this id."""
         return self.members.get(ident)
 
-    def believe(self, claim: Claim, now: float, why: str) -> bool:
-        """Takes a word if it is greater than what is known; says whether it was."""
+    def merge(self, claim: Claim, now: float, why: str) -> bool:
+        """Merge a claim if it is greater than the known one; return whether it was."""
         known = self.members.get(claim.ident)
         if known is None:
-            if len(self.members) >= MAX_MEMBERS and not self._make_room():
+            if len(self.members) >= MAX_MEMBERS and not self._evict_ended():
                 return False
             known = self.members[claim.ident] = Member(claim, None, now)
         elif claim.order() <= known.claim.order():
             return False
         else:
             if claim.generation > known.claim.generation:
-                known.missed, known.suspicion, known.via = 0, None, -math.inf
+                known.missed_probes, known.suspicion, known.last_reached_indirectly = 0, None, -math.inf
                 known.failed_claim = None
             known.claim, known.since = claim, now
-            known.failure_witnesses.clear()
+            known.failure_confirmers.clear()
             if claim.state is not MemberState.SUSPECT:
                 known.suspicion = None
         if claim.state is MemberState.FAILED:
@@ -113,15 +113,20 @@
         self._digest = None
         return True
 
-    def _make_room(self) -> bool:
-        oldest = min((one for one in self if over(one.claim.state)), key=lambda one: one.since, default=None)
+    def _evict_ended(self) -> bool:
+        """Drop the member that ended first; return whether there was one."""
+        oldest = min(
+            (member for member in self if has_ended(member.claim.state)),
+            key=lambda member: member.since,
+            default=None,
+        )
         if oldest is not None:
             del self.members[oldest.claim.ident]
         return oldest is not None
 
-    def place(self, ident: int, slot: int) -> Member | None:
-        """That router speaks from there; returns who had that slot before, if it was another."""
-        before = next((one for one in self if one.slot == slot and one.claim.ident != ident), None)
+    def assign_slot(self, ident: int, slot: int) -> Member | None:
+        """Assign a slot to a member; return the other member that had it before, if any."""
+        before = next((other for other in self if other.slot == slot and other.claim.ident != ident), None)
         if before is not None:
             before.slot = None
         if (member := self.members.get(ident)) is not None:
@@ -129,26 +134,26 @@
         return before
 
     def in_view(self) -> list[Member]:
-        """Those who are taken for members: silent ones are until the verdict."""
-        return [one for one in self if one.claim.state <= MemberState.SUSPECT]
+        """Return the members that belong to the view; suspects do until they become failed."""
+        return [member for member in self if member.claim.state <= MemberState.SUSPECT]
 
-    def digests(self, mine: Claim) -> tuple[int, ...]:
-        """By bucket, of all words with our own; equal tables have equal digests."""
+    def digests(self, own_claim: Claim) -> tuple[int, ...]:
+        """Return a digest of each bucket, own claim included; equal tables have equal digests."""
         if self._digest is None:
-            parts: list[list[Claim]] = [[] for _ in range(BUCKETS)]
-            for one in self:
-                parts[one.claim.ident % BUCKETS].append(one.claim)
-            parts[mine.ident % BUCKETS].append(mine)
-            self._digest = tuple(_digest(part) for part in parts)
+            buckets: list[list[Claim]] = [[] for _ in range(BUCKETS)]
+            for member in self:
+                buckets[member.claim.ident % BUCKETS].append(member.claim)
+            buckets[own_claim.ident % BUCKETS].append(own_claim)
+            self._digest = tuple(_digest(bucket) for bucket in buckets)
         return self._digest
 
-    def changed(self) -> None:
-        """Our own word has changed."""
+    def invalidate_digests(self) -> None:
+        """Drop the cached digests after a change of the own claim."""
         self._digest = None
 
-    def digest(self, mine: Claim) -> int:
-        """Of the whole."""
-        return digest_of(self.digests(mine))
+    def digest(self, own_claim: Claim) -> int:
+        """Return a digest of the whole table."""
+        return digest_of(self.digests(own_claim))
 
 
 def _digest(claims: list[Claim]) -> int:
@@ -156,6 +161,6 @@
 
 
 def digest_of(numbers: Iterable[int]) -> int:
-    """32 bits of a hash of whole numbers."""
+    """Return 32 bits of a hash of integers."""
     text = ",".join(map(str, map(int, numbers)))
     return int.from_bytes(hashlib.blake2b(text.encode(), digest_size=4).digest(), "big")
--- a/stonecove/protocols/gossip.py
+++ b/stonecove/protocols/gossip.py
@@ -47,12 +47,12 @@
 
 def encode(datagram: Datagram) -> bytes:
     """The bytes; raises GossipError for one that is too long."""
-    paused = round(min(MOST_PAUSE, max(0.0, datagram.paused)) * 10)
+    paused = round(min(MOST_PAUSE, max(0.0, datagram.paused_s)) * 10)
     parts = [
         _HEAD.pack(_MAGIC, VERSION, datagram.kind, datagram.number),
         _word(datagram.sender),
         _REST.pack(
-            datagram.answers, datagram.about,
+            datagram.in_reply_to, datagram.target,
             paused << 48 | min(datagram.generation, MAX_GENERATION), datagram.view,
             datagram.view_digest, datagram.table_digest,
             len(datagram.claims) | _JOINED * datagram.joined, len(datagram.buckets),
--- a/stonecove/rollout/__init__.py
+++ b/stonecove/rollout/__init__.py
@@ -1,1 +1,1 @@
-"""Rolling a change of the settings out to a fleet of routers: messages and decisions, without I/O."""
+"""Roll-out of settings changes to a fleet of routers: records and decisions, without I/O."""
--- a/stonecove/rollout/controller.py
+++ b/stonecove/rollout/controller.py
@@ -1,6 +1,7 @@
-"""What a controller writes next. Knows no I/O, and keeps no state: all of it is in the target.
+"""What a roll-out controller writes next. It does no I/O and has no state: all state is in the target.
 
-So any controller can go on where another stopped. Each writes by compare-and-set; who loses stops.
+Any controller can therefore continue where another stopped. Each writes by compare-and-set, and one whose
+write loses stops. Times are Unix milliseconds.
 """
 
 from __future__ import annotations
@@ -15,35 +16,35 @@
     Report,
     RolloutState,
     Target,
-    checked_waves,
+    validate_waves,
 )
 from stonecove.rollout.progress import Wave, health_of
 from stonecove.rollout.selection import is_chosen, share_for
 
-LEAST_JUDGED = 100  # requests of a wave, below which its health says nothing
+MIN_JUDGED_REQUESTS = 100  # of a wave; its health is not significant with fewer
 
 
 class RolloutError(Exception):
-    """A command that the present target does not allow; the text is one line."""
+    """Raised for a command that the current target does not allow; the text is one line."""
 
 
 @dataclass(frozen=True, slots=True)
 class Finished:
-    """Nothing is left to be done."""
+    """The step of a roll-out that has ended."""
 
     state: RolloutState
 
 
 @dataclass(frozen=True, slots=True)
 class Write:
-    """The target is to be replaced by this one."""
+    """The step that replaces the target by this one."""
 
     target: Target
 
 
 @dataclass(frozen=True, slots=True)
 class Wait:
-    """For reports, but no longer than until that moment, in Unix ms."""
+    """The step that waits for reports, until `until_ms` at the latest."""
 
     until_ms: float
 
@@ -51,39 +52,39 @@
 Step = Finished | Write | Wait
 
 
-def next_step(target: Target, reports: Mapping[str, Report], now: float, writer: str) -> Step:
-    """The next step of a roll-out; `reports` are those of all live routers."""
+def next_step(target: Target, reports: Mapping[str, Report], now_ms: float, writer: str) -> Step:
+    """Return the next step of a roll-out; `reports` are those of all live routers."""
     if target.state is not RolloutState.ROLLING:
         return Finished(target.state)
     wave = Wave.of(target, reports)
-    if why := _halting(target, wave, now):
-        return Write(halted(target, why, now, writer))
-    deadline = target.since_ms + target.bounds.wave_timeout_ms
-    if _missing(target, wave) and now < deadline:
-        return Wait(deadline)
+    if why := _halt_reason(target, wave, now_ms):
+        return Write(halt_rollout(target, why, now_ms, writer))
+    deadline_ms = target.since_ms + target.bounds.wave_timeout_ms
+    if _missing_count(target, wave) and now_ms < deadline_ms:
+        return Wait(deadline_ms)
     if target.share < 1.0:
         larger = next(share for share in target.waves if share > target.share)
-        return Write(_wave(target, larger, reports, now, writer))
-    return Write(replace(target, state=RolloutState.COMPLETE, since_ms=now, writer=writer))
+        return Write(_start_wave(target, larger, reports, now_ms, writer))
+    return Write(replace(target, state=RolloutState.COMPLETE, since_ms=now_ms, writer=writer))
 
 
 def base_version(target: Target | None) -> int:
-    """The version that the fleet has, or goes back to: what the next roll-out starts from."""
+    """Return the version that the fleet has or returns to, from which the next roll-out starts."""
     if target is None:
         return LOCAL_VERSION
     return target.version if target.state is RolloutState.COMPLETE else target.previous
 
 
-def begun(
+def begin_rollout(
     before: Target | None,
     version: int,
     reports: Mapping[str, Report],
-    now: float,
+    now_ms: float,
     writer: str,
     waves: tuple[float, ...] = DEFAULT_WAVES,
     bounds: Bounds | None = None,
 ) -> Target:
-    """The first target of a new version; raises RolloutError while another one is rolled out."""
+    """Return the first target of a new version; raise RolloutError while another one is rolled out."""
     if before is not None and before.state is RolloutState.ROLLING:
         raise RolloutError(f"version {before.version} is being rolled out: halt or resume it first")
     target = Target(
@@ -92,91 +93,103 @@
         share=0.0,
         state=RolloutState.ROLLING,
         round=1 + (before.round if before is not None else 0),
-        waves=checked_waves(waves),
+        waves=validate_waves(waves),
         bounds=bounds or Bounds(),
-        baseline=health_of(reports).bad_share,
+        baseline=health_of(reports).unsuccessful_share,
     )
-    return _wave(target, target.waves[0], reports, now, writer)
+    return _start_wave(target, target.waves[0], reports, now_ms, writer)
 
 
-def halted(target: Target, why: str, now: float, writer: str) -> Target:
-    """All go back to the previous version; raises RolloutError if the roll-out is over already."""
+def halt_rollout(target: Target, why: str, now_ms: float, writer: str) -> Target:
+    """Return a target with which all return to the previous version; raise RolloutError if it has ended."""
     if target.state is not RolloutState.ROLLING:
         raise RolloutError(f"version {target.version} is {target.state.value}: nothing is rolled out")
     return replace(
-        target, share=0.0, state=RolloutState.HALTED, since_ms=now, expected=0, writer=writer, why=why
+        target, share=0.0, state=RolloutState.HALTED, since_ms=now_ms, expected=0, writer=writer, why=why
     )
 
 
-def resumed(target: Target, reports: Mapping[str, Report], now: float, writer: str) -> Target:
-    """A halted roll-out begins again; one that is rolling is taken over from the controller that had it."""
+def resume_rollout(target: Target, reports: Mapping[str, Report], now_ms: float, writer: str) -> Target:
+    """Return a target that restarts a halted roll-out, or takes over one that is rolling.
+
+    Raises RolloutError if the roll-out is complete.
+    """
     if target.state is RolloutState.COMPLETE:
         raise RolloutError(f"version {target.version} is complete: there is nothing to resume")
     if target.state is RolloutState.ROLLING:
-        expected = _chosen(target, reports)
-        return replace(target, since_ms=now, writer=writer, expected=max(expected, target.expected))
-    begins = replace(
+        expected = _chosen_count(target, reports)
+        return replace(target, since_ms=now_ms, writer=writer, expected=max(expected, target.expected))
+    restarted = replace(
         target,
         state=RolloutState.ROLLING,
         share=0.0,
         round=target.round + 1,
         why="",
-        baseline=health_of(reports).bad_share,
+        baseline=health_of(reports).unsuccessful_share,
     )
-    return _wave(begins, begins.waves[0], reports, now, writer)
+    return _start_wave(restarted, restarted.waves[0], reports, now_ms, writer)
 
 
-def rolled_back(
+def roll_back_to(
     target: Target,
     version: int,
     reports: Mapping[str, Report],
-    now: float,
+    now_ms: float,
     writer: str,
     waves: tuple[float, ...] = (1.0,),
 ) -> Target:
-    """To an earlier version, in any state; by default all routers at once."""
+    """Return a target with an earlier version, in any state; by default for all routers at once.
+
+    Raises RolloutError if the version is not earlier.
+    """
     if version >= target.version:
         raise RolloutError(f"version {version} is not earlier than {target.version}")
-    back = Target(
+    rollback = Target(
         version=version,
         previous=base_version(target),
         share=0.0,
         state=RolloutState.ROLLING,
         round=target.round + 1,
         rollback=True,
-        waves=checked_waves(waves),
-        bounds=replace(target.bounds, worse_by=1.0),  # the fleet may be in a bad state: that is why
-        baseline=health_of(reports).bad_share,
+        waves=validate_waves(waves),
+        bounds=replace(target.bounds, worse_by=1.0),  # poor health may be the reason for the rollback
+        baseline=health_of(reports).unsuccessful_share,
     )
-    return _wave(back, back.waves[0], reports, now, writer)
+    return _start_wave(rollback, rollback.waves[0], reports, now_ms, writer)
 
 
-def _wave(target: Target, wave: float, reports: Iterable[str], now: float, writer: str) -> Target:
-    """The target's next wave, by the routers that are there."""
+def _start_wave(target: Target, wave: float, reports: Iterable[str], now_ms: float, writer: str) -> Target:
+    """Return the target of the next wave, which expects the routers that are live now."""
     names = tuple(reports)
     share = share_for(wave, target.version, names)
-    begins = replace(target, share=share, since_ms=now, writer=writer)
-    return replace(begins, expected=_chosen(begins, names))
+    started = replace(target, share=share, since_ms=now_ms, writer=writer)
+    return replace(started, expected=_chosen_count(started, names))
 
 
-def _chosen(target: Target, names: Iterable[str]) -> int:
+def _chosen_count(target: Target, names: Iterable[str]) -> int:
     return sum(is_chosen(target, name) for name in names)
 
 
-def _missing(target: Target, wave: Wave) -> int:
-    """Chosen routers that have not told yet, with those that were there when the wave began and are gone."""
+def _missing_count(target: Target, wave: Wave) -> int:
+    """Return how many selected routers have not reported, with those that departed during the wave."""
     return max(0, max(wave.chosen, target.expected) - wave.settled - wave.refused)
 
 
-def _halting(target: Target, wave: Wave, now: float) -> str:
-    """Why the roll-out has to halt; empty if it need not."""
+def _halt_reason(target: Target, wave: Wave, now_ms: float) -> str:
+    """Return why the roll-out has to halt; empty if it need not."""
     bounds, chosen = target.bounds, max(wave.chosen, target.expected)
     if wave.refused > bounds.refused_share * chosen:
         return f"refused by {wave.refused} of {chosen}"
-    if wave.health.total >= LEAST_JUDGED and wave.health.bad_share > target.baseline + bounds.worse_by:
-        return f"{wave.health.bad_share:.3f} of requests refused or failed, {target.baseline:.3f} before"
-    missing = _missing(target, wave)
-    late = now >= target.since_ms + bounds.wave_timeout_ms
-    if late and missing > bounds.missing_share * chosen:
+    if (
+        wave.health.total >= MIN_JUDGED_REQUESTS
+        and wave.health.unsuccessful_share > target.baseline + bounds.worse_by
+    ):
+        return (
+            f"{wave.health.unsuccessful_share:.3f} of requests refused or failed, "
+            f"{target.baseline:.3f} before"
+        )
+    missing = _missing_count(target, wave)
+    is_late = now_ms >= target.since_ms + bounds.wave_timeout_ms
+    if is_late and missing > bounds.missing_share * chosen:
         return f"no word from {missing} of {chosen} in {bounds.wave_timeout_ms:.0f} ms"
     return ""
--- a/stonecove/rollout/follower.py
+++ b/stonecove/rollout/follower.py
@@ -1,8 +1,9 @@
-"""What one router takes and reports, given the targets and overlays it reads. Knows no I/O.
+"""What one router applies and reports, given the targets and overlays that it reads; without I/O.
 
-The owner tells each target that it reads (`follow`), asks which version is to be fetched (`next_version`),
-has the overlay read (`overlay`), checks and applies it, and tells how that ended (`took`, `refuse`). A
-version that is overtaken while it is being fetched is passed over: a router that was away takes one step.
+The owner passes each target that it reads to `receive_target`, fetches the version that `next_version`
+returns, decodes the overlay with `decode_overlay`, checks and applies it, and records the result with
+`record_applied` or `record_refusal`. A version that is superseded while it is fetched is skipped, so that a
+router which was disconnected takes one step.
 """
 
 from __future__ import annotations
@@ -10,7 +11,7 @@
 from stonecove.rollout.messages import (
     LOCAL_OVERLAY,
     LOCAL_VERSION,
-    MOST_WHY,
+    MAX_WHY_LENGTH,
     Health,
     MessageError,
     Overlay,
@@ -20,42 +21,42 @@
 )
 from stonecove.rollout.selection import is_chosen, wanted_version
 
-SETTLE_MS = 500.0  # from taking a version until its health is told
+SETTLE_MS = 500.0  # from applying a version until its health is reported
 
 
 class Follower:
-    """The state of one router."""
+    """The roll-out state of one router. Times are Unix milliseconds."""
 
-    def __init__(self, name: str, listen: str, started: float) -> None:
-        """Starts with the router's own file in force; `started` in Unix ms."""
+    def __init__(self, name: str, listen: str, started_ms: float) -> None:
+        """Start with the router's own file applied."""
         self.name = name
         self.target: Target | None = None
         self.in_force = LOCAL_VERSION
         self.health = Health()
-        self._listen, self._started = listen, started
-        self._since_ms = started
+        self._listen, self._started_ms = listen, started_ms
+        self._since_ms = started_ms
         self._revision = -1
         self._refused: Refusal | None = None
-        self._refused_round = 0  # the round in which it was refused: it is tried again in the next one
+        self._refused_round = 0  # the version is retried in the round after this one
         self._round = 0
-        self._round_since_ms = started
+        self._round_since_ms = started_ms
         self._settled = True
 
-    def forget_revision(self) -> None:
-        """Another ensemble: its revisions don't compare with those of the last one."""
+    def reset_revision(self) -> None:
+        """Accept any revision next: revisions of another ensemble cannot be compared with earlier ones."""
         self._revision = -1
 
-    def follow(self, target: Target, revision: int, now: float) -> None:
-        """A target was read; one that is older than the last is passed over."""
+    def receive_target(self, target: Target, revision: int, now_ms: float) -> None:
+        """Store a target that was read, unless it is older than the last one."""
         if revision <= self._revision:
             return
         self._revision = revision
         self.target = target
         if target.round != self._round and is_chosen(target, self.name) and self.in_force == target.version:
-            self._acknowledge(target.round, now)
+            self._acknowledge(target.round, now_ms)
 
     def next_version(self) -> int | None:
-        """The version to be taken now; None if there is none."""
+        """Return the version to apply now, or None."""
         if self.target is None:
             return None
         wanted = wanted_version(self.target, self.name)
@@ -63,50 +64,50 @@
             return None
         return wanted
 
-    def overlay(self, version: int, data: bytes | None, now: float) -> Overlay | None:
-        """The overlay that was fetched; None if it is wanted no more, or can't be used, which is reported."""
+    def decode_overlay(self, version: int, data: bytes | None, now_ms: float) -> Overlay | None:
+        """Return a fetched overlay; None if it is superseded or cannot be used, which is then reported."""
         if version != self.next_version():
             return None
         if version == LOCAL_VERSION:
             return LOCAL_OVERLAY
         if data is None:
-            self.refuse(version, f"version: {version} is not there", now)
+            self.record_refusal(version, f"version: {version} is not there", now_ms)
             return None
         try:
             return Overlay.decode(version, data)
         except MessageError as error:
-            self.refuse(version, str(error), now)
+            self.record_refusal(version, str(error), now_ms)
             return None
 
-    def took(self, version: int, now: float) -> None:
-        """The version is in force, as a whole."""
-        self.in_force, self._since_ms = version, now
+    def record_applied(self, version: int, now_ms: float) -> None:
+        """Record that a version was applied completely."""
+        self.in_force, self._since_ms = version, now_ms
         if self._refused is not None and self._refused.version == version:
             self._refused = None
         if self.target is not None and is_chosen(self.target, self.name):
-            self._acknowledge(self.target.round, now)
+            self._acknowledge(self.target.round, now_ms)
 
-    def refuse(self, version: int, why: str, now: float) -> None:
-        """The version can't be used; what was in force still is."""
-        self._refused = Refusal(version, why[:MOST_WHY])
+    def record_refusal(self, version: int, why: str, now_ms: float) -> None:
+        """Record that a version cannot be used; the applied one remains."""
+        self._refused = Refusal(version, why[:MAX_WHY_LENGTH])
         self._refused_round = self.target.round if self.target is not None else 0
         if self.target is not None and is_chosen(self.target, self.name):
-            self._acknowledge(self.target.round, now)
+            self._acknowledge(self.target.round, now_ms)
 
-    def try_again(self) -> None:
-        """The router's own file has changed: what was refused may be usable now."""
+    def retry_refused(self) -> None:
+        """Allow a refused version again: the router's own file has changed, so it may be usable now."""
         self._refused_round = -1
 
-    def settle_due(self) -> float | None:
-        """The moment in Unix ms at which the health since the last change is to be told; None: it was."""
+    def health_due_ms(self) -> float | None:
+        """Return when the health since the last change is to be reported; None if it has been."""
         return None if self._settled else self._round_since_ms + SETTLE_MS
 
-    def settle(self, health: Health) -> None:
-        """The health since the last change."""
+    def record_health(self, health: Health) -> None:
+        """Record the health since the last change."""
         self._settled, self.health = True, health
 
     def report(self) -> Report:
-        """What the router tells the controllers."""
+        """Return the report for the controllers."""
         return Report(
             self.in_force,
             self._since_ms,
@@ -115,7 +116,7 @@
             self._settled,
             self.health,
             self._listen,
-            self._started,
+            self._started_ms,
         )
 
     def _has_refused(self, version: int, round_number: int) -> bool:
@@ -125,5 +126,5 @@
             and self._refused_round == round_number
         )
 
-    def _acknowledge(self, round_number: int, now: float) -> None:
-        self._round, self._round_since_ms, self._settled = round_number, now, False
+    def _acknowledge(self, round_number: int, now_ms: float) -> None:
+        self._round, self._round_since_ms, self._settled = round_number, now_ms, False
--- a/stonecove/rollout/health.py
+++ b/stonecove/rollout/health.py
@@ -1,4 +1,4 @@
-"""A router's health within windows of time, from counters that may be set back to 0 at any time."""
+"""A router's health within time windows, from counters that may be reset at any time."""
 
 from __future__ import annotations
 
@@ -7,20 +7,20 @@
 from stonecove.rollout.messages import Health
 
 ANSWERED, REFUSED, FAILED = ("served", "unchanged"), ("refused",), ("failed",)
-REPORT_STEP = 0.01  # change of the bad share that is worth a report
-LEAST_REQUESTS = 20  # of a window, below which it says nothing
+REPORT_STEP = 0.01  # change of the unsuccessful share that is reported
+MIN_REPORTED_REQUESTS = 20  # in a window; its health is not significant with fewer
 
 
 class HealthWindow:
-    """Counts what came since the last sample."""
+    """Counts requests since the last sample."""
 
     def __init__(self, counts: Mapping[str, int]) -> None:
-        """`counts`: the counters of answers by verdict, read at each sample."""
+        """Start at the present values of `counts`, the live counters of answers by verdict."""
         self._counts = counts
         self._last = dict(counts)
 
     def sample(self) -> Health:
-        """What came since the last sample; what came before the counters were set back is lost."""
+        """Return the counts since the last sample; counts from before a reset of the counters are lost."""
         now = dict(self._counts)
         last, self._last = self._last, now
 
@@ -31,6 +31,9 @@
         return Health(since(ANSWERED), since(REFUSED), since(FAILED))
 
 
-def worth_reporting(told: Health, found: Health) -> bool:
-    """Whether another health than the one told last should be reported."""
-    return found.total >= LEAST_REQUESTS and abs(found.bad_share - told.bad_share) >= REPORT_STEP
+def should_report(reported: Health, current: Health) -> bool:
+    """Return whether the current health differs enough from the one reported last."""
+    return (
+        current.total >= MIN_REPORTED_REQUESTS
+        and abs(current.unsuccessful_share - reported.unsuccessful_share) >= REPORT_STEP
+    )
--- a/stonecove/rollout/merge.py
+++ b/stonecove/rollout/merge.py
@@ -1,4 +1,4 @@
-"""JSON merge patch (RFC 7396), and settings with an overlay."""
+"""JSON merge patch (RFC 7396) and its application to a router's settings."""
 
 from __future__ import annotations
 
@@ -9,13 +9,13 @@
 from stonecove.routing.settings import Settings
 from stonecove.settings import settings_from
 
-MOST_DEPTH = 32
+MAX_PATCH_DEPTH = 32
 
 
 def merge_patch(base: Any, patch: Any, depth: int = 0) -> Any:
-    """The patched value; `base` is left as it is. Raises MessageError for a patch nested too deeply."""
-    if depth > MOST_DEPTH:
-        raise MessageError(f"merge: nested more than {MOST_DEPTH} deep")
+    """Return the patched value; `base` is not modified. Raise MessageError for a patch nested too deeply."""
+    if depth > MAX_PATCH_DEPTH:
+        raise MessageError(f"merge: nested more than {MAX_PATCH_DEPTH} deep")
     if not isinstance(patch, Mapping):
         return patch
     merged = dict(base) if isinstance(base, Mapping) else {}
@@ -28,7 +28,7 @@
 
 
 def settings_with(base: Mapping[str, Any], overlay: Overlay) -> Settings:
-    """Typed settings of a router's own table under an overlay; raises MessageError if they can't be used."""
+    """Return the settings of a router's own table with an overlay; raise MessageError for unusable ones."""
     try:
         return settings_from(merge_patch(base, overlay.merge))
     except MessageError:
--- a/stonecove/rollout/messages.py
+++ b/stonecove/rollout/messages.py
@@ -1,7 +1,7 @@
-"""What is kept at the coordination service for a roll-out, as typed records, and their JSON.
+"""The records of a roll-out that are stored at the coordination service, and their JSON.
 
-Below the configured path: `versions/<10 digits>` holds an `Overlay`, `target` the `Target`, and
-`routers/<name>` each live router's `Report`. Times are Unix milliseconds, shares are parts of 1.
+Below the configured path, `versions/<10 digits>` holds an `Overlay`, `target` the `Target`, and
+`routers/<name>` each live router's `Report`. Times are Unix milliseconds; shares are fractions of 1.
 """
 
 from __future__ import annotations
@@ -15,102 +15,102 @@
 import ujson
 
 LOCAL_VERSION = 0  # the router's own configuration file, without any overlay
-MOST_OVERLAY_BYTES = 64 * 1024
-MOST_TARGET_BYTES = 4 * 1024
-MOST_REPORT_BYTES = 2 * 1024
-MOST_WHY = 200  # characters of a reason
-MOST_WAVES = 16
-MOST_VERSION = 9_999_999_999  # ten digits
+MAX_OVERLAY_BYTES = 64 * 1024
+MAX_TARGET_BYTES = 4 * 1024
+MAX_REPORT_BYTES = 2 * 1024
+MAX_WHY_LENGTH = 200  # characters
+MAX_WAVES = 16
+MAX_VERSION = 9_999_999_999  # ten digits
 PER_ROUTER_FIELDS = ("zone", "fleet_size")  # differ from router to router, so no overlay may set them
 
 
 class MessageError(ValueError):
-    """A record that can't be used; the text is one line and names the field."""
+    """Raised for a record that cannot be used; the text is one line and names the field."""
 
 
 def target_path(path: str) -> str:
-    """The node that holds the target."""
+    """Return the path of the target's node."""
     return f"{path}/target"
 
 
 def versions_path(path: str) -> str:
-    """The node below which the overlays are."""
+    """Return the path of the parent node of all overlays."""
     return f"{path}/versions"
 
 
 def version_path(path: str, version: int) -> str:
-    """The node of one overlay."""
+    """Return the path of one overlay's node."""
     return f"{versions_path(path)}/{version:010d}"
 
 
 def routers_path(path: str) -> str:
-    """The node below which the routers report."""
+    """Return the path of the parent node of the routers' reports."""
     return f"{path}/routers"
 
 
-def _table(data: bytes, most: int, what: str) -> dict[str, Any]:
-    if len(data) > most:
-        raise MessageError(f"{what}: {len(data)} bytes, {most} at most")
+def _decode_object(data: bytes, max_bytes: int, record: str) -> dict[str, Any]:
+    if len(data) > max_bytes:
+        raise MessageError(f"{record}: {len(data)} bytes, {max_bytes} at most")
     try:
         table = ujson.loads(data)
     except (ValueError, RecursionError) as error:
-        raise MessageError(f"{what}: not JSON: {error}") from None
+        raise MessageError(f"{record}: not JSON: {error}") from None
     if not isinstance(table, dict):
-        raise MessageError(f"{what}: not a JSON object")
+        raise MessageError(f"{record}: not a JSON object")
     return table
 
 
-def _whole(table: Mapping[str, Any], field: str, most: int = MOST_VERSION) -> int:
+def _integer_field(table: Mapping[str, Any], field: str, maximum: int = MAX_VERSION) -> int:
     value = table.get(field)
-    if isinstance(value, bool) or not isinstance(value, int) or not 0 <= value <= most:
-        raise MessageError(f"{field}: {value!r} is no whole number from 0 to {most}")
+    if isinstance(value, bool) or not isinstance(value, int) or not 0 <= value <= maximum:
+        raise MessageError(f"{field}: {value!r} is no whole number from 0 to {maximum}")
     return value
 
 
-def _number(table: Mapping[str, Any], field: str, most: float) -> float:
+def _number_field(table: Mapping[str, Any], field: str, maximum: float) -> float:
     value = table.get(field)
-    if isinstance(value, bool) or not isinstance(value, (int, float)) or not 0.0 <= value <= most:
-        raise MessageError(f"{field}: {value!r} is no number from 0 to {most:g}")
+    if isinstance(value, bool) or not isinstance(value, (int, float)) or not 0.0 <= value <= maximum:
+        raise MessageError(f"{field}: {value!r} is no number from 0 to {maximum:g}")
     return float(value)
 
 
-def _text(table: Mapping[str, Any], field: str) -> str:
+def _text_field(table: Mapping[str, Any], field: str) -> str:
     value = table.get(field)
     if not isinstance(value, str):
         raise MessageError(f"{field}: {value!r} is no text")
-    return value[:MOST_WHY]
+    return value[:MAX_WHY_LENGTH]
 
 
-def _part(table: Mapping[str, Any], field: str) -> dict[str, Any]:
+def _object_field(table: Mapping[str, Any], field: str) -> dict[str, Any]:
     value = table.get(field)
     if not isinstance(value, dict):
         raise MessageError(f"{field}: {value!r} is no JSON object")
     return value
 
 
-def _encoded(table: dict[str, Any]) -> bytes:
+def _encode_object(table: dict[str, Any]) -> bytes:
     return ujson.dumps(table, escape_forward_slashes=False).encode()
 
 
 class RolloutState(Enum):
-    """Where a roll-out stands."""
+    """The state of a roll-out."""
 
-    ROLLING = "rolling"  # the routers chosen by `share` take the version
-    HALTED = "halted"  # all take the previous version again
-    COMPLETE = "complete"  # all take the version
+    ROLLING = "rolling"  # the routers that `share` selects apply the version
+    HALTED = "halted"  # all return to the previous version
+    COMPLETE = "complete"  # all apply the version
 
 
 @dataclass(frozen=True, slots=True)
 class Bounds:
-    """What halts a roll-out, as parts of the routers that are chosen, and how long a wave may take."""
+    """Limits whose excess halts a roll-out, as fractions of the selected routers, and the wave timeout."""
 
     refused_share: float = 0.01
     missing_share: float = 0.05
-    worse_by: float = 0.05  # rise of the part of requests refused or failed
+    worse_by: float = 0.05  # increase of the fraction of requests refused or failed
     wave_timeout_ms: float = 2000.0
 
     def encode(self) -> dict[str, Any]:
-        """The JSON object."""
+        """Return the JSON object."""
         return {
             "refused_share": self.refused_share,
             "missing_share": self.missing_share,
@@ -120,22 +120,22 @@
 
     @classmethod
     def decode(cls, table: Mapping[str, Any]) -> Bounds:
-        """From its JSON object; raises MessageError."""
+        """Decode a JSON object; raise MessageError for one that cannot be used."""
         return cls(
-            _number(table, "refused_share", 1.0),
-            _number(table, "missing_share", 1.0),
-            _number(table, "worse_by", 1.0),
-            _number(table, "wave_timeout_ms", 3_600_000.0),
+            _number_field(table, "refused_share", 1.0),
+            _number_field(table, "missing_share", 1.0),
+            _number_field(table, "worse_by", 1.0),
+            _number_field(table, "wave_timeout_ms", 3_600_000.0),
         )
 
 
 DEFAULT_WAVES = (0.02, 0.2, 1.0)
 
 
-def checked_waves(waves: tuple[float, ...]) -> tuple[float, ...]:
-    """The waves, if they are usable: rising shares that end with 1. Raises MessageError."""
-    if not 1 <= len(waves) <= MOST_WAVES:
-        raise MessageError(f"waves: {len(waves)} of them, from 1 to {MOST_WAVES} are possible")
+def validate_waves(waves: tuple[float, ...]) -> tuple[float, ...]:
+    """Return the waves; raise MessageError unless they are rising shares that end with 1."""
+    if not 1 <= len(waves) <= MAX_WAVES:
+        raise MessageError(f"waves: {len(waves)} of them, from 1 to {MAX_WAVES} are possible")
     if not all(0.0 < wave <= 1.0 for wave in waves) or waves[-1] != 1.0:
         raise MessageError("waves: not shares above 0 that end with 1")
     if any(later <= earlier for earlier, later in zip(waves, waves[1:], strict=False)):
@@ -145,9 +145,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Target:
-    """What the fleet is to have in force. All state of a roll-out is in here, for any controller.
+    """The version that the fleet is to apply, with the whole state of a roll-out for any controller.
 
-    `round` counts roll-outs and resumptions: reports that bear another one are of an earlier attempt.
+    `round` counts roll-outs and resumptions: reports with another round belong to an earlier attempt.
     """
 
     version: int
@@ -158,15 +158,15 @@
     rollback: bool = False
     waves: tuple[float, ...] = DEFAULT_WAVES
     bounds: Bounds = Bounds()
-    since_ms: float = 0.0  # when the present wave began
-    expected: int = 0  # live routers that were chosen when the present wave began
-    baseline: float = 0.0  # part of requests refused or failed before the roll-out
+    since_ms: float = 0.0  # when the current wave began
+    expected: int = 0  # live routers that were selected when the current wave began
+    baseline: float = 0.0  # fraction of requests refused or failed before the roll-out
     writer: str = ""  # the controller that wrote this
     why: str = ""  # why it was halted
 
     def encode(self) -> bytes:
-        """The node's data."""
-        return _encoded(
+        """Return the node's data."""
+        return _encode_object(
             {
                 "version": self.version,
                 "previous": self.previous,
@@ -186,8 +186,8 @@
 
     @classmethod
     def decode(cls, data: bytes) -> Target:
-        """From the node's data; raises MessageError."""
-        table = _table(data, MOST_TARGET_BYTES, "target")
+        """Decode the node's data; raise MessageError for data that cannot be used."""
+        table = _decode_object(data, MAX_TARGET_BYTES, "target")
         try:
             state = RolloutState(table.get("state"))
         except ValueError:
@@ -198,44 +198,44 @@
         if not isinstance(waves, list) or not all(type(wave) in (int, float) for wave in waves):
             raise MessageError(f"waves: {waves!r} is no list of numbers")
         return cls(
-            version=_whole(table, "version"),
-            previous=_whole(table, "previous"),
-            share=_number(table, "share", 1.0),
+            version=_integer_field(table, "version"),
+            previous=_integer_field(table, "previous"),
+            share=_number_field(table, "share", 1.0),
             state=state,
-            round=_whole(table, "round"),
+            round=_integer_field(table, "round"),
             rollback=rollback,
-            waves=checked_waves(tuple(map(float, waves))),
-            bounds=Bounds.decode(_part(table, "bounds")),
-            since_ms=_number(table, "since_ms", math.inf),
-            expected=_whole(table, "expected"),
-            baseline=_number(table, "baseline", 1.0),
-            writer=_text(table, "writer"),
-            why=_text(table, "why"),
+            waves=validate_waves(tuple(map(float, waves))),
+            bounds=Bounds.decode(_object_field(table, "bounds")),
+            since_ms=_number_field(table, "since_ms", math.inf),
+            expected=_integer_field(table, "expected"),
+            baseline=_number_field(table, "baseline", 1.0),
+            writer=_text_field(table, "writer"),
+            why=_text_field(table, "why"),
         )
 
 
 @dataclass(frozen=True, slots=True)
 class Overlay:
-    """One version: a JSON merge patch (RFC 7396) over the settings of the router's own file."""
+    """One version of the settings: a JSON merge patch (RFC 7396) over the router's own file."""
 
     version: int
     merge: Mapping[str, Any]
 
     def encode(self) -> bytes:
-        """The node's data; raises MessageError where it is larger than allowed."""
-        data = _encoded({"version": self.version, "merge": dict(self.merge)})
-        if len(data) > MOST_OVERLAY_BYTES:
-            raise MessageError(f"merge: {len(data)} bytes with its version, {MOST_OVERLAY_BYTES} at most")
+        """Return the node's data; raise MessageError if it is too large."""
+        data = _encode_object({"version": self.version, "merge": dict(self.merge)})
+        if len(data) > MAX_OVERLAY_BYTES:
+            raise MessageError(f"merge: {len(data)} bytes with its version, {MAX_OVERLAY_BYTES} at most")
         return data
 
     @classmethod
     def decode(cls, version: int, data: bytes) -> Overlay:
-        """From the data of the node of that version; raises MessageError."""
-        table = _table(data, MOST_OVERLAY_BYTES, "overlay")
-        named = _whole(table, "version")
-        if named != version:
-            raise MessageError(f"version: {named} in the node of version {version}")
-        merge = _part(table, "merge")
+        """Decode the data of a version's node; raise MessageError for data that cannot be used."""
+        table = _decode_object(data, MAX_OVERLAY_BYTES, "overlay")
+        stored = _integer_field(table, "version")
+        if stored != version:
+            raise MessageError(f"version: {stored} in the node of version {version}")
+        merge = _object_field(table, "merge")
         check_overlay(merge)
         return cls(version, merge)
 
@@ -244,7 +244,7 @@
 
 
 def check_overlay(merge: Mapping[str, Any]) -> None:
-    """Raises MessageError for an overlay that sets what differs from router to router."""
+    """Raise MessageError for an overlay that sets a field which differs from router to router."""
     for field in PER_ROUTER_FIELDS:
         if field in merge:
             raise MessageError(f"merge.{field}: differs from router to router, so no overlay may set it")
@@ -252,7 +252,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Health:
-    """Requests that ended within some time, by how they ended."""
+    """Counts of the requests that ended within a window, by result."""
 
     answered: int = 0
     refused: int = 0
@@ -260,12 +260,12 @@
 
     @property
     def total(self) -> int:
-        """All of them."""
+        """Return the number of all requests."""
         return self.answered + self.refused + self.failed
 
     @property
-    def bad_share(self) -> float:
-        """The part that was refused or failed; 0 without requests."""
+    def unsuccessful_share(self) -> float:
+        """Return the fraction that was refused or failed; 0 without requests."""
         return (self.refused + self.failed) / self.total if self.total else 0.0
 
     def __add__(self, other: Health) -> Health:
@@ -276,7 +276,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Refusal:
-    """A version that could not be taken, and why."""
+    """A version that a router could not apply, and the reason."""
 
     version: int
     why: str
@@ -284,27 +284,27 @@
 
 @dataclass(frozen=True, slots=True)
 class Report:
-    """What one router has in force. `listen` and `started` tell its process from others of its name."""
+    """A router's applied version. `listen` and `started` identify its process among those of one name."""
 
     in_force: int = LOCAL_VERSION
     since_ms: float = 0.0
     refused: Refusal | None = None
-    round: int = 0  # of the target for which it was chosen last, and that it has followed
-    settled: bool = False  # `health` is of a whole window since then
+    round: int = 0  # of the last target that selected it and that it has processed
+    settled: bool = False  # `health` covers a complete window since then
     health: Health = Health()
     listen: str = ""
     started: float = 0.0
 
     def encode(self) -> bytes:
-        """The node's data."""
+        """Return the node's data."""
         refused = self.refused
-        return _encoded(
+        return _encode_object(
             {
                 "in_force": self.in_force,
                 "since_ms": self.since_ms,
                 "refused": None
                 if refused is None
-                else {"version": refused.version, "why": refused.why[:MOST_WHY]},
+                else {"version": refused.version, "why": refused.why[:MAX_WHY_LENGTH]},
                 "round": self.round,
                 "settled": self.settled,
                 "health": {
@@ -319,20 +319,24 @@
 
     @classmethod
     def decode(cls, data: bytes) -> Report:
-        """From the node's data; raises MessageError."""
-        table = _table(data, MOST_REPORT_BYTES, "report")
-        health = _part(table, "health")
+        """Decode the node's data; raise MessageError for data that cannot be used."""
+        table = _decode_object(data, MAX_REPORT_BYTES, "report")
+        health = _object_field(table, "health")
         refused = None
         if table.get("refused") is not None:
-            told = _part(table, "refused")
-            refused = Refusal(_whole(told, "version"), _text(told, "why"))
+            rejection = _object_field(table, "refused")
+            refused = Refusal(_integer_field(rejection, "version"), _text_field(rejection, "why"))
         return cls(
-            in_force=_whole(table, "in_force"),
-            since_ms=_number(table, "since_ms", math.inf),
+            in_force=_integer_field(table, "in_force"),
+            since_ms=_number_field(table, "since_ms", math.inf),
             refused=refused,
-            round=_whole(table, "round"),
+            round=_integer_field(table, "round"),
             settled=table.get("settled") is True,
-            health=Health(_whole(health, "answered"), _whole(health, "refused"), _whole(health, "failed")),
-            listen=_text(table, "listen"),
-            started=_number(table, "started", math.inf),
+            health=Health(
+                _integer_field(health, "answered"),
+                _integer_field(health, "refused"),
+                _integer_field(health, "failed"),
+            ),
+            listen=_text_field(table, "listen"),
+            started=_number_field(table, "started", math.inf),
         )
--- a/stonecove/rollout/progress.py
+++ b/stonecove/rollout/progress.py
@@ -1,4 +1,4 @@
-"""How far a fleet is, from the target and the live routers' reports."""
+"""The progress of a roll-out, from the target and the live routers' reports."""
 
 from __future__ import annotations
 
@@ -12,18 +12,18 @@
 
 @dataclass(frozen=True, slots=True)
 class Progress:
-    """Counts and names; names are sorted."""
+    """Counts and names of routers; names are sorted."""
 
     live: int
     by_version: Mapping[int, int]
-    in_force: int  # routers that have what they are to have
-    lagging: tuple[str, ...]  # have another version, and have not refused the one they are to have
-    refused: tuple[str, ...]  # refused a version that they are to have, or the target's version
+    in_force: int  # routers that have applied their wanted version
+    lagging: tuple[str, ...]  # have another version, and have not refused the wanted one
+    refused: tuple[str, ...]  # have refused their wanted version or the target's version
     in_force_everywhere: bool
 
 
 def progress_of(target: Target, reports: Mapping[str, Report]) -> Progress:
-    """How far the fleet is."""
+    """Return the progress of the fleet towards a target."""
     lagging, refused = [], []
     for name, report in sorted(reports.items()):
         wanted = wanted_version(target, name)
@@ -44,16 +44,16 @@
 
 @dataclass(frozen=True, slots=True)
 class Wave:
-    """What the routers that a rolling target chooses have told of its round."""
+    """The results that the routers selected by a rolling target have reported in its round."""
 
     chosen: int
-    settled: int  # in force for long enough that its health is told
+    settled: int  # applied, with the health of a complete window reported
     refused: int
-    health: Health  # of the settled
+    health: Health  # of the settled routers
 
     @classmethod
     def of(cls, target: Target, reports: Mapping[str, Report]) -> Wave:
-        """Counts the reports."""
+        """Return the counts over the reports."""
         chosen = settled = refused = 0
         health = Health()
         for name, report in reports.items():
@@ -71,5 +71,5 @@
 
 
 def health_of(reports: Mapping[str, Report]) -> Health:
-    """The health that all routers have told last."""
+    """Return the sum of the health that all routers reported last."""
     return sum((report.health for report in reports.values()), Health())
--- a/stonecove/server/configuration.py
+++ b/stonecove/server/configuration.py
@@ -18,7 +18,7 @@
 from stonecove.protocols.zookeeper.registration import Registrar
 from stonecove.protocols.zookeeper.session import Reply, SessionEvent, Up
 from stonecove.rollout.follower import Follower
-from stonecove.rollout.health import HealthWindow, worth_reporting
+from stonecove.rollout.health import HealthWindow, should_report
 from stonecove.rollout.merge import settings_with
 from stonecove.rollout.messages import (
     LOCAL_OVERLAY,
@@ -83,7 +83,7 @@
         """Follows the target by this session from now on, in place of an earlier one."""
         if self._session is not None:
             self._session.retire()
-        self.follower.forget_revision()
+        self.follower.reset_revision()
         self._session = ConfigurationSession(self._record.path, self._name, ensemble, self)
         self._session.start()
 
@@ -119,14 +119,14 @@
             raise SettingsRefused(str(error)) from error
         self._router.apply(settings, self._overlay.version)
         self._table = table
-        self.follower.try_again()
+        self.follower.retry_refused()
         self.go_on()
 
     # -- what the session tells --
 
     def target_read(self, target: Target, revision: int) -> None:
         """The target, as it stands at that transaction."""
-        self.follower.follow(target, revision, self._clock.now())
+        self.follower.receive_target(target, revision, self._clock.now())
         self.go_on()
         self._target_known.set()
 
@@ -137,7 +137,7 @@
     def overlay_read(self, version: int, data: bytes | None) -> None:
         """The data of a version's node; None: there is no such node."""
         wanted = version == self.follower.next_version()
-        overlay = self.follower.overlay(version, data, self._clock.now())
+        overlay = self.follower.decode_overlay(version, data, self._clock.now())
         refused = self.follower.report().refused
         if overlay is not None:
             self._take(overlay)
@@ -177,22 +177,22 @@
             self._refuse(overlay.version, str(error))
             return
         self._overlay = overlay
-        self.follower.took(overlay.version, now)
+        self.follower.record_applied(overlay.version, now)
         self._window.sample()  # what came before is of the version before
         log(LogEvent.SETTINGS_APPLIED, version=overlay.version, before=before)
 
     def _refuse(self, version: int, why: str) -> None:
-        self.follower.refuse(version, why, self._clock.now())
+        self.follower.record_refusal(version, why, self._clock.now())
         log(LogEvent.SETTINGS_REJECTED, version=version, in_force=self.follower.in_force, reason=why)
 
     def _sleep(self) -> float:
-        due = self.follower.settle_due()
+        due = self.follower.health_due_ms()
         return HEALTH_PERIOD if due is None else max(0.0, (due - self._clock.now()) / 1000.0)
 
     def _tick(self) -> None:
         found = self._window.sample()
-        if self.follower.settle_due() is not None or worth_reporting(self.follower.health, found):
-            self.follower.settle(found)
+        if self.follower.health_due_ms() is not None or should_report(self.follower.health, found):
+            self.follower.record_health(found)
         if self._session is not None:
             self._session.retry_name()
             self._session.tell(self.follower.report())
--- a/stonecove/server/swarm.py
+++ b/stonecove/server/swarm.py
@@ -17,8 +17,8 @@
 import trio
 
 from stonecove.gossip.claims import Claim, MemberState, ident_of
-from stonecove.gossip.figures import Figures
-from stonecove.gossip.health import GAP
+from stonecove.gossip.figures import GossipConfig
+from stonecove.gossip.health import PAUSE_THRESHOLD_S
 from stonecove.gossip.shares import Shares, ShareState
 from stonecove.gossip.status import answer
 from stonecove.gossip.swarm import Swarm
@@ -44,12 +44,12 @@
 Spawn = Callable[[Callable[[], Awaitable[None]]], None]
 
 
-def figures_of(record: SwarmRecord) -> Figures:
+def figures_of(record: SwarmRecord) -> GossipConfig:
     """The figures of an operator's file, in seconds."""
-    return Figures(
-        period=record.period / 1000.0, answer=record.answer / 1000.0, helpers=record.helpers,
-        suspicion=record.suspicion / 1000.0, refusals_prove=record.refusals_prove,
-        lease=record.lease / 1000.0,
+    return GossipConfig(
+        probe_interval_s=record.period / 1000.0, ping_timeout_s=record.answer / 1000.0,
+        indirect_ping_count=record.helpers, suspicion_timeout_s=record.suspicion / 1000.0,
+        trust_refusals=record.refusals_prove, lease_min_s=record.lease / 1000.0,
     )  # fmt: skip
 
 
@@ -104,7 +104,7 @@
         figures, routers = figures_of(record), max(settings.fleet_size, len(self._slots) + 1)
         shares = Shares(len(self._slots), settings.zone, settings.fleet_size, settings.routers_by_zone,
                         settings.overload_window_ms / 1000.0, now, record.own,
-                        figures.lease_of(routers))  # fmt: skip
+                        figures.lease_duration_s(routers))  # fmt: skip
         me = Claim(ident_of(record.name or config.name), int(unix), 0, MemberState.ALIVE, settings.zone)
         self._present = FleetSizeChanged(0, ())  # as a coordination service counts
         self._told: tuple[float, FleetSizeChanged] | None = None
@@ -126,12 +126,12 @@
 
     def leaving(self) -> None:
         """We take no more requests."""
-        self.swarm.leaving(time.monotonic())
+        self.swarm.announce_leaving(time.monotonic())
         self._flush()
 
     def close(self) -> None:
         """Our last word; nothing goes to caches any more."""
-        self.swarm.left(time.monotonic())
+        self.swarm.announce_left(time.monotonic())
         self._flush()
         self._socket.close()
 
@@ -189,7 +189,7 @@
 
     def _hasten(self) -> None:
         """The next look at the time comes as soon as there is something to do."""
-        due = trio.current_time() + self.swarm.rest(time.monotonic())
+        due = trio.current_time() + self.swarm.tick_delay_s(time.monotonic())
         self._rest.deadline = min(self._rest.deadline, due)
 
     def _outlived(self, attempt: Attempt) -> bool:
@@ -197,10 +197,10 @@
 
         We may not have looked at the clock since: the share is looked at first, and then it is decided anew.
         """
-        if time.monotonic() - self._ticked > GAP:
+        if time.monotonic() - self._ticked > PAUSE_THRESHOLD_S:
             self._tick()
             return True
-        return self._clock.now() - attempt.decided_at_ms > GAP * 1000.0
+        return self._clock.now() - attempt.decided_at_ms > PAUSE_THRESHOLD_S * 1000.0
 
     async def _receive(self) -> None:
         while True:
@@ -239,7 +239,7 @@
         except GossipError:
             self.counts["unreadable"] += 1
             return
-        self.swarm.heard(slot, datagram, now, self._clock.now())
+        self.swarm.receive(slot, datagram, now, self._clock.now())
 
     def _read_refusals(self) -> None:
         for _ in range(BATCH):
@@ -254,7 +254,7 @@
                 why, origin, what, code, *_ = _ERROR.unpack_from(note)
                 nobody = (why, origin, what, code) == (errno.ECONNREFUSED, _ICMP, _UNREACHABLE, _PORT)
                 if nobody and number is not None and slot is not None:
-                    self.swarm.refused(slot, number, time.monotonic())
+                    self.swarm.receive_refusal(slot, number, time.monotonic())
 
     def _after(self) -> None:
         """Shares first, then what tells others of them."""
@@ -267,7 +267,7 @@
             say(note.event, **note.fields)
 
     def _flush(self) -> None:
-        out, self.swarm.gossip.out = self.swarm.gossip.out, []
+        out, self.swarm.gossip.outgoing = self.swarm.gossip.outgoing, []
         for slot, datagram in out:
             try:
                 self._socket.sendto(encode(datagram), self._addresses[slot])
@@ -281,26 +281,28 @@
         if not self._counted:
             return
         stand = self.swarm.share_state(now)
-        told = stand.own, self._peers(stand)
+        told = stand.usable_fraction, self._peers(stand)
         if told == self._told:
             return
         before, self._told = self._told, told
         if before is None or before[1] != told[1]:
             self._route.post(told[1])
         if self._leases is not None:
-            self._leases.scale(stand.own)
+            self._leases.scale(stand.usable_fraction)
         else:
-            self._route.post(LeaseTerms(stand.own, 1.0))
+            self._route.post(LeaseTerms(stand.usable_fraction, 1.0))
         log(
             LogEvent.GOSSIP_SHARE_CHANGED,
             joined=stand.joined,
-            unleased_fraction=f"{stand.own:.3f}",
+            unleased_fraction=f"{stand.usable_fraction:.3f}",
             fleet_size=told[1].fleet_size,
             by_zone=",".join(map(str, told[1].routers_by_zone)),
-            view=self.swarm.gossip.views.now.number,
+            view=self.swarm.gossip.views.current.number,
         )
 
     def _peers(self, stand: ShareState) -> FleetSizeChanged:
         present = self._present
-        zones = [max(pair) for pair in zip(stand.by_zone, present.routers_by_zone, strict=False)]
-        return FleetSizeChanged(max(stand.fleet, present.fleet_size), (*zones, *stand.by_zone[len(zones) :]))
+        zones = [max(pair) for pair in zip(stand.counted_by_zone, present.routers_by_zone, strict=False)]
+        return FleetSizeChanged(
+            max(stand.counted_routers, present.fleet_size), (*zones, *stand.counted_by_zone[len(zones) :])
+        )
--- a/stonecove/trial/model.py
+++ b/stonecove/trial/model.py
@@ -15,10 +15,10 @@
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass, field
 
-from stonecove.gossip.claims import Claim, MemberState, ident_of, over
-from stonecove.gossip.figures import Figures
+from stonecove.gossip.claims import Claim, MemberState, has_ended, ident_of
+from stonecove.gossip.figures import GossipConfig
 from stonecove.gossip.shares import Shares
-from stonecove.gossip.swarm import TICK, Swarm
+from stonecove.gossip.swarm import TICK_S, Swarm
 from stonecove.protocols.gossip import decode, encode, number_of
 
 EPOCH = 1_700_000_000_000.0  # Unix ms at the start
@@ -52,7 +52,12 @@
     """A fleet. `cuts` holds the pairs whose datagrams are dropped; `network` applies to all others."""
 
     def __init__(
-        self, count: int, seed: int = 1, zones: int = 1, window: float = 3.0, figures: Figures | None = None
+        self,
+        count: int,
+        seed: int = 1,
+        zones: int = 1,
+        window: float = 3.0,
+        figures: GossipConfig | None = None,
     ) -> None:
         """Starts no router yet; routers are assigned to zones in turn."""
         self.now = 0.0
@@ -60,7 +65,7 @@
         self.network = NetworkConditions()
         self.cuts: set[tuple[int, int]] = set()
         self.random = random.Random(seed)
-        self.figures = figures or Figures()
+        self.figures = figures or GossipConfig()
         self.zones = zones
         self.routers = [SimulatedRouter(place) for place in range(count)]
         self.sent = 0
@@ -88,12 +93,12 @@
             tuple(by_zone),
             self.window,
             self.now,
-            lease=self.figures.lease_of(len(self.routers)),
+            lease_s=self.figures.lease_duration_s(len(self.routers)),
         )
         me = Claim(ident_of(name or f"router-{place}"), int(unix), 0, MemberState.ALIVE, place % self.zones)
         router.swarm = Swarm(me, shares, self.figures, self.random.getrandbits(32), self.now, unix)
         router.born, router.stopped_until, router.waiting, router.due = self.now, 0.0, [], math.inf
-        self._due(router, self.random.random() * TICK)
+        self._due(router, self.random.random() * TICK_S)
 
     def kill(self, place: int) -> None:
         """Ends the process without notice; its address refuses from now on."""
@@ -116,13 +121,13 @@
                     self.cuts.add((other, one))
 
     def run(self, seconds: float, each: Callable[[], None] | None = None) -> None:
-        """Lets time pass; calls `each` every TICK."""
+        """Lets time pass; calls `each` every TICK_S."""
         until = self.now + seconds
         while self._queue and self._queue[0][0] <= until:
             at, _, call = heapq.heappop(self._queue)
             self.now = max(self.now, at)
             call()
-            if self.now >= self._looked + TICK:
+            if self.now >= self._looked + TICK_S:
                 self._looked = self.now
                 self._look()
                 if each is not None:
@@ -135,7 +140,7 @@
         while self.now < began + most:
             if holds():
                 return self.now - began
-            self.run(TICK)
+            self.run(TICK_S)
         return math.inf
 
     # -- what there is to see --
@@ -150,14 +155,14 @@
         """The state of router `of` in the table of router `by`."""
         swarm = self.routers[by].swarm
         member = swarm.gossip.table.get(ident_of(f"router-{of}")) if swarm is not None else None
-        return "unknown" if member is None else member.told(self.now)
+        return "unknown" if member is None else member.status_name(self.now)
 
     def known_over(self, place: int) -> bool:
         """Whether all other running routers consider that router failed or gone."""
         ident = ident_of(f"router-{place}")
         return all(
             (member := router.swarm.gossip.table.get(ident)) is not None
-            and (member.claim.state is MemberState.FAILED or over(member.claim.state))
+            and (member.claim.state is MemberState.FAILED or has_ended(member.claim.state))
             for router in self.here()
             if router.swarm is not None and router.place != place
         )
@@ -200,18 +205,18 @@
         life.tick(self.now, self._unix(router))
         self._flush(router, life)
         router.due = math.inf
-        self._due(router, life.rest(self.now))
+        self._due(router, life.tick_delay_s(self.now))
 
     def _take(self, router: SimulatedRouter, life: Swarm, slot: int, data: bytes, refused: bool) -> None:
         if refused:
             number = number_of(data)
             if number is not None:
-                life.refused(slot, number, self.now)
+                life.receive_refusal(slot, number, self.now)
         else:
-            life.heard(slot, decode(data), self.now, self._unix(router))
+            life.receive(slot, decode(data), self.now, self._unix(router))
 
     def _flush(self, router: SimulatedRouter, life: Swarm) -> None:
-        out, life.gossip.out = life.gossip.out, []
+        out, life.gossip.outgoing = life.gossip.outgoing, []
         for slot, datagram in out:
             self._carry(router.place, slot if slot < router.place else slot + 1, encode(datagram))
         notes, life.gossip.notes = life.gossip.notes, []
@@ -240,7 +245,7 @@
             return
         self._take(router, router.swarm, slot, data, refused)
         self._flush(router, router.swarm)
-        self._due(router, router.swarm.rest(self.now))
+        self._due(router, router.swarm.tick_delay_s(self.now))
 
     def _look(self) -> None:
         """Sums the largest recent share of each address: what could be sent within one window."""
--- a/stonecove/trial/testbed.py
+++ b/stonecove/trial/testbed.py
@@ -10,7 +10,7 @@
 from pathlib import Path
 from typing import Any
 
-from stonecove.gossip.claims import ident_of, shown
+from stonecove.gossip.claims import format_member_id, ident_of
 from stonecove.standins.depot import HOST, Cache, Depot
 from stonecove.standins.loaded import LoadedDepot
 from stonecove.standins.webserver import settings
@@ -72,7 +72,7 @@
         self.names = [f"edge-{place}" for place in range(trial.routers)]
         for twin in trial.twins[1:]:
             self.names[twin] = self.names[trial.twins[0]]
-        self.ids = [shown(ident_of(name)) for name in self.names]
+        self.ids = [format_member_id(ident_of(name)) for name in self.names]
         self.listens = [free_address(f"127.41.0.{1 + place}") for place in range(trial.routers)]
         self.routers = [self._router(place, seed) for place in range(trial.routers)]
         self.troubled: list[tuple[float, float, int, str]] = []
--- a/tests/golden_coordination_gossip.py
+++ b/tests/golden_coordination_gossip.py
@@ -1,4 +1,4 @@
-"""Cases of the coordination area: swarm datagrams."""
+"""Golden cases of the coordination area: gossip datagrams."""
 
 from __future__ import annotations
 
@@ -39,14 +39,14 @@
 }
 
 
-def describe_update(word: Claim) -> Meaning:
-    """Return what is told of one member."""
+def describe_update(claim: Claim) -> Meaning:
+    """Return the meaning of a claim."""
     return {
-        "member": word.ident,
-        "generation": word.generation,
-        "incarnation": word.incarnation,
-        "state": key_of(STATES, word.state),
-        "zone": word.zone,
+        "member": claim.ident,
+        "generation": claim.generation,
+        "incarnation": claim.incarnation,
+        "state": key_of(STATES, claim.state),
+        "zone": claim.zone,
     }
 
 
@@ -67,15 +67,15 @@
         "kind": key_of(KINDS, datagram.kind),
         "number": datagram.number,
         "sender": describe_update(datagram.sender),
-        "in_reply_to": datagram.answers,
-        "target_member": datagram.about,
+        "in_reply_to": datagram.in_reply_to,
+        "target_member": datagram.target,
         "newest_generation": datagram.generation,
         "view": datagram.view,
         "view_digest": datagram.view_digest,
         "table_digest": datagram.table_digest,
-        "paused_s": datagram.paused,
+        "paused_s": datagram.paused_s,
         "joined": datagram.joined,
-        "updates": [describe_update(word) for word in datagram.claims],
+        "updates": [describe_update(claim) for claim in datagram.claims],
         "bucket_digests": list(datagram.buckets),
     }
 
@@ -86,13 +86,13 @@
         kind=KINDS[meaning["kind"]],
         number=meaning["number"],
         sender=build_update(meaning["sender"]),
-        answers=meaning["in_reply_to"],
-        about=meaning["target_member"],
+        in_reply_to=meaning["in_reply_to"],
+        target=meaning["target_member"],
         generation=meaning["newest_generation"],
         view=meaning["view"],
         view_digest=meaning["view_digest"],
         table_digest=meaning["table_digest"],
-        paused=meaning["paused_s"],
+        paused_s=meaning["paused_s"],
         joined=meaning["joined"],
         claims=tuple(map(build_update, meaning["updates"])),
         buckets=tuple(meaning["bucket_digests"]),
@@ -167,25 +167,25 @@
 
 
 def _summed(data: bytes) -> bytes:
-    """Return a datagram whose checksum is made anew."""
+    """Return a datagram with its checksum recomputed."""
     return data[:-4] + struct.pack(">I", zlib.crc32(data[:-4]))
 
 
 def _broken_datagrams() -> tuple[tuple[str, bytes], ...]:
-    good = encode(build_datagram(_datagram("update", updates=[_update(1), _update(2)])))
+    valid = encode(build_datagram(_datagram("update", updates=[_update(1), _update(2)])))
 
-    def changed(place: int, value: int) -> bytes:
-        return _summed(good[:place] + bytes([value]) + good[place + 1 :])
+    def changed(index: int, value: int) -> bytes:
+        return _summed(valid[:index] + bytes([value]) + valid[index + 1 :])
 
     return (
         ("empty", b""),
-        ("shorter than any datagram", good[:63]),
-        ("longer than any datagram", _summed(good + bytes(257 - len(good)))),
+        ("shorter than any datagram", valid[:63]),
+        ("longer than any datagram", _summed(valid + bytes(257 - len(valid)))),
         ("another format", changed(0, ord("x"))),
         ("another version", changed(2, 2)),
-        ("one bit changed", good[:20] + bytes([good[20] ^ 1]) + good[21:]),
-        ("checksum changed", good[:-1] + bytes([good[-1] ^ 0x80])),
-        ("cut off within its updates", good[:-10]),
+        ("one bit changed", valid[:20] + bytes([valid[20] ^ 1]) + valid[21:]),
+        ("checksum changed", valid[:-1] + bytes([valid[-1] ^ 0x80])),
+        ("cut off within its updates", valid[:-10]),
         ("kind 0", changed(3, 0)),
         ("kind 9", changed(3, 9)),
         ("sender's state 6", changed(24, 6)),
@@ -196,9 +196,9 @@
 
 
 def _gossip_reason(error: Exception) -> str:
-    words = str(error)
-    found = [reason for text, reason in GOSSIP_REASONS.items() if text in words]
-    return found[0] if len(found) == 1 else f"unexpected: {words}"
+    message = str(error)
+    found = [reason for text, reason in GOSSIP_REASONS.items() if text in message]
+    return found[0] if len(found) == 1 else f"unexpected: {message}"
 
 
 DATAGRAMS = Format(
--- a/tests/golden_coordination_rollouts.py
+++ b/tests/golden_coordination_rollouts.py
@@ -1,4 +1,4 @@
-"""Cases of the coordination area: roll-out records."""
+"""Golden cases of the coordination area: records of roll-outs."""
 
 from __future__ import annotations
 
@@ -8,9 +8,9 @@
 from golden_folder import NO_TABLES, Format, Meaning, json_with, key_of, reason_of
 
 from stonecove.rollout.messages import (
-    MOST_OVERLAY_BYTES,
-    MOST_REPORT_BYTES,
-    MOST_TARGET_BYTES,
+    MAX_OVERLAY_BYTES,
+    MAX_REPORT_BYTES,
+    MAX_TARGET_BYTES,
     Bounds,
     Health,
     MessageError,
@@ -98,30 +98,30 @@
 
 
 def _broken_targets() -> tuple[tuple[str, bytes], ...]:
-    good = build_target(_target()).encode()
-    bounds = json.loads(good)["bounds"]
+    valid = build_target(_target()).encode()
+    bounds = json.loads(valid)["bounds"]
     return (
         *NO_TABLES,
-        ("too long", b" " * (MOST_TARGET_BYTES + 1)),
-        *((f"without {name}", json_with(good, **{name: None})) for name in json.loads(good)),
-        *((f"{name} is a list", json_with(good, **{name: [-1]})) for name in json.loads(good)),
-        ("version below 0", json_with(good, version=-1)),
-        ("version of eleven digits", json_with(good, version=10_000_000_000)),
-        ("version is a fraction", json_with(good, version=1.5)),
-        ("version is true", json_with(good, version=True)),
-        ("state is none", json_with(good, state="paused")),
-        ("share above 1", json_with(good, share=1.01)),
-        ("no wave", json_with(good, waves=[])),
-        ("17 waves", json_with(good, waves=[(n + 1) / 17 for n in range(17)])),
-        ("waves that fall", json_with(good, waves=[0.5, 0.2, 1])),
-        ("waves that end below 1", json_with(good, waves=[0.5])),
-        ("a wave of 0", json_with(good, waves=[0, 1])),
-        ("a wave that is true", json_with(good, waves=[True])),
+        ("too long", b" " * (MAX_TARGET_BYTES + 1)),
+        *((f"without {name}", json_with(valid, **{name: None})) for name in json.loads(valid)),
+        *((f"{name} is a list", json_with(valid, **{name: [-1]})) for name in json.loads(valid)),
+        ("version below 0", json_with(valid, version=-1)),
+        ("version of eleven digits", json_with(valid, version=10_000_000_000)),
+        ("version is a fraction", json_with(valid, version=1.5)),
+        ("version is true", json_with(valid, version=True)),
+        ("state is none", json_with(valid, state="paused")),
+        ("share above 1", json_with(valid, share=1.01)),
+        ("no wave", json_with(valid, waves=[])),
+        ("17 waves", json_with(valid, waves=[(n + 1) / 17 for n in range(17)])),
+        ("waves that fall", json_with(valid, waves=[0.5, 0.2, 1])),
+        ("waves that end below 1", json_with(valid, waves=[0.5])),
+        ("a wave of 0", json_with(valid, waves=[0, 1])),
+        ("a wave that is true", json_with(valid, waves=[True])),
         *(
-            (f"bound {name} below 0", json_with(good, bounds={**bounds, name: -0.01}))
+            (f"bound {name} below 0", json_with(valid, bounds={**bounds, name: -0.01}))
             for name in sorted(bounds)
         ),
-        ("wave timeout above an hour", json_with(good, bounds={**bounds, "wave_timeout_ms": 3_600_001})),
+        ("wave timeout above an hour", json_with(valid, bounds={**bounds, "wave_timeout_ms": 3_600_001})),
     )
 
 
@@ -196,7 +196,7 @@
     inputs=(("unknown fields beside it", b'{"merge": {"a": 1}, "version": 12, "by": "x"}'),),
     broken=(
         *NO_TABLES,
-        ("too long", b" " * (MOST_OVERLAY_BYTES + 1)),
+        ("too long", b" " * (MAX_OVERLAY_BYTES + 1)),
         ("another version", b'{"version": 13, "merge": {}}'),
         ("no version", b'{"merge": {}}'),
         ("no patch", b'{"version": 12}'),
@@ -204,7 +204,7 @@
         ("patch sets the zone", b'{"version": 12, "merge": {"zone": 1}}'),
         ("patch removes the fleet size", b'{"version": 12, "merge": {"fleet_size": null}}'),
     ),
-    unwritable=(("too long", {"version": 12, "merge_patch": {}, "padding": MOST_OVERLAY_BYTES}),),
+    unwritable=(("too long", {"version": 12, "merge_patch": {}, "padding": MAX_OVERLAY_BYTES}),),
     error=MessageError,
     reason=reason_of,
 )
@@ -259,17 +259,17 @@
 
 
 def _broken_reports() -> tuple[tuple[str, bytes], ...]:
-    good = build_report(_report()).encode()
-    health = json.loads(good)["health"]
-    needed = [name for name in json.loads(good) if name not in ("refused", "settled")]
+    valid = build_report(_report()).encode()
+    health = json.loads(valid)["health"]
+    required = [name for name in json.loads(valid) if name not in ("refused", "settled")]
     return (
         *NO_TABLES,
-        ("too long", b" " * (MOST_REPORT_BYTES + 1)),
-        *((f"without {name}", json_with(good, **{name: None})) for name in needed),
-        *((f"{name} is a list", json_with(good, **{name: [1]})) for name in [*needed, "refused"]),
-        *((f"health with {name} below 0", json_with(good, health={**health, name: -1})) for name in health),
-        ("a rejection without a reason", json_with(good, refused={"version": 1})),
-        ("a rejection without a version", json_with(good, refused={"why": "x"})),
+        ("too long", b" " * (MAX_REPORT_BYTES + 1)),
+        *((f"without {name}", json_with(valid, **{name: None})) for name in required),
+        *((f"{name} is a list", json_with(valid, **{name: [1]})) for name in [*required, "refused"]),
+        *((f"health with {name} below 0", json_with(valid, health={**health, name: -1})) for name in health),
+        ("a rejection without a reason", json_with(valid, refused={"version": 1})),
+        ("a rejection without a version", json_with(valid, refused={"why": "x"})),
     )
 
 
--- a/tests/golden_fleet_control.py
+++ b/tests/golden_fleet_control.py
@@ -369,14 +369,14 @@
                     continue
                 case "hear":
                     datagram = build_datagram(step["datagram"])
-                    keeper.swarm.heard(step["from"], datagram, now, clock.now())
+                    keeper.swarm.receive(step["from"], datagram, now, clock.now())
                 case "counted by others":
                     keeper.present(FleetSizeChanged(step["fleet"], tuple(step["by_zone"])))
                 case "time passes":
                     keeper.swarm.tick(now, clock.now())
             counted = keeper.counted()
             assert counted is not None
-            out, keeper.swarm.gossip.out = keeper.swarm.gossip.out, []
+            out, keeper.swarm.gossip.outgoing = keeper.swarm.gossip.outgoing, []
             sent = [{"to": peer, "bytes": encode(datagram).hex()} for peer, datagram in out]
             by_zone = list(counted.routers_by_zone)
             outputs.append({"routers": counted.fleet_size, "routers_by_zone": by_zone, "sent": sent})
--- a/tests/golden_rollout_cases.py
+++ b/tests/golden_rollout_cases.py
@@ -1,6 +1,6 @@
 """Seeded runs of roll-outs: routers that follow and controllers that write one target.
 
-Targets and reports are recorded as they are stored; the functions named `describe_...` know the other types.
+Targets and reports are recorded as they are stored; the functions named `describe_...` map the other types.
 """
 
 from __future__ import annotations
@@ -16,13 +16,13 @@
 from stonecove.rollout.progress import Progress, progress_of
 
 EPOCH_MS = 1_700_000_000_000.0
-# What may be wrong with a version.
+# Possible faults of a version.
 FAULTS = ("", "", "unusable", "unusable", "harmful", "harmful", "unreadable", "missing", "other-version")
 ROUTERS = [f"edge-{number}" for number in range(24)]
 
 
 def describe_step(step: controller.Step) -> list[Any]:
-    """Return what a controller does next."""
+    """Return a controller's next step."""
     match step:
         case controller.Write():
             return ["write", step.target.encode().decode()]
@@ -33,7 +33,7 @@
 
 
 def describe_progress(progress: Progress) -> list[Any]:
-    """Return how far a fleet is."""
+    """Return a fleet's progress."""
     return [
         progress.live,
         [[version, count] for version, count in progress.by_version.items()],
@@ -49,11 +49,11 @@
 
     def __init__(self, seed: int) -> None:
         self._random = random.Random(seed)
-        self._now = EPOCH_MS
+        self._now_ms = EPOCH_MS
         self._target: bytes | None = None
         self._revision = 0
         self._versions: dict[int, bytes] = {}
-        self._bad: dict[int, str] = {}  # what is wrong with a version
+        self._faults: dict[int, str] = {}  # the fault of a version
         self._reports: dict[str, bytes] = {}
         self._followers: dict[str, Follower] = {}
         self._line: list[Any] = []
@@ -66,14 +66,14 @@
             self._join(name)
         for _ in range(steps):
             self._line = []
-            self._now += self._random.choice((20.0, 60.0, 120.0, 300.0))
+            self._now_ms += self._random.choice((20.0, 60.0, 120.0, 300.0))
             self._churn()
             for follower in list(self._followers.values()):
                 if self._random.random() < 0.7:
                     self._follow(follower)
             self._operate()
             self._control()
-            lines.append([self._now, *self._line])
+            lines.append([self._now_ms, *self._line])
             self.seen.update(entry[0] for entry in self._line)
         return lines
 
@@ -83,7 +83,7 @@
     # -- routers --
 
     def _join(self, name: str) -> None:
-        follower = Follower(name, f"10.1.0.{ROUTERS.index(name)}:80", self._now)
+        follower = Follower(name, f"10.1.0.{ROUTERS.index(name)}:80", self._now_ms)
         self._followers[name] = follower
         self._report(follower)
 
@@ -94,55 +94,55 @@
             self._note("report", follower.name, data.decode())
 
     def _churn(self) -> None:
-        chooser = self._random
-        name = chooser.choice(ROUTERS)
-        roll = chooser.random()
-        if roll < 0.05 and name in self._followers:
+        rng = self._random
+        name = rng.choice(ROUTERS)
+        draw = rng.random()
+        if draw < 0.05 and name in self._followers:
             del self._followers[name], self._reports[name]
-        elif roll < 0.15 and name not in self._followers:
+        elif draw < 0.15 and name not in self._followers:
             self._join(name)
-        elif roll < 0.35:
+        elif draw < 0.35:
             refused = [one for one, data in self._reports.items() if json.loads(data)["refused"]]
             for one in refused:
-                self._followers[one].try_again()
-        elif roll < 0.37 and name in self._followers:
-            self._followers[name].forget_revision()
+                self._followers[one].retry_refused()
+        elif draw < 0.37 and name in self._followers:
+            self._followers[name].reset_revision()
 
     def _follow(self, follower: Follower) -> None:
-        chooser = self._random
+        rng = self._random
         if self._target is not None:
-            follower.follow(Target.decode(self._target), self._revision, self._now)
+            follower.receive_target(Target.decode(self._target), self._revision, self._now_ms)
         version = follower.next_version()
-        if version is not None and chooser.random() < 0.8:
-            self._take(follower, version)
-        due = follower.settle_due()
-        if due is not None and self._now >= due:
-            follower.settle(self._health(follower.in_force))
+        if version is not None and rng.random() < 0.8:
+            self._fetch(follower, version)
+        due_ms = follower.health_due_ms()
+        if due_ms is not None and self._now_ms >= due_ms:
+            follower.record_health(self._health(follower.in_force))
         self._report(follower)
 
-    def _take(self, follower: Follower, version: int) -> None:
-        asked = version if self._random.random() < 0.95 else version + 1  # overtaken while it was fetched
-        overlay = follower.overlay(asked, self._versions.get(asked), self._now)
+    def _fetch(self, follower: Follower, version: int) -> None:
+        fetched = version if self._random.random() < 0.95 else version + 1  # superseded while it was fetched
+        overlay = follower.decode_overlay(fetched, self._versions.get(fetched), self._now_ms)
         if overlay is None:
-            self._note("not-taken", follower.name, asked)
+            self._note("not-taken", follower.name, fetched)
             return
         self._note("fetched", follower.name, overlay.version, json.dumps(dict(overlay.merge)))
-        if self._bad.get(version) == "unusable" and self._random.random() < 0.15:
-            follower.refuse(version, "classes: there are none" * 20, self._now)
+        if self._faults.get(version) == "unusable" and self._random.random() < 0.15:
+            follower.record_refusal(version, "classes: there are none" * 20, self._now_ms)
         elif self._random.random() < 0.998:
-            follower.took(version, self._now)
+            follower.record_applied(version, self._now_ms)
         else:
-            follower.refuse(version, "limits.most_tries: none", self._now)
+            follower.record_refusal(version, "limits.most_tries: none", self._now_ms)
 
     def _health(self, version: int) -> Health:
-        chooser = self._random
-        answered, share = chooser.randrange(5, 90), 0.3 if self._bad.get(version) == "harmful" else 0.004
-        failed = sum(chooser.random() < share for _ in range(answered))
+        rng = self._random
+        answered, share = rng.randrange(5, 90), 0.3 if self._faults.get(version) == "harmful" else 0.004
+        failed = sum(rng.random() < share for _ in range(answered))
         return Health(answered - failed, failed // 2, failed - failed // 2)
 
     # -- operators and controllers --
 
-    def _present(self) -> tuple[Target | None, dict[str, Report]]:
+    def _stored_state(self) -> tuple[Target | None, dict[str, Report]]:
         target = None if self._target is None else Target.decode(self._target)
         return target, {name: Report.decode(data) for name, data in sorted(self._reports.items())}
 
@@ -152,38 +152,40 @@
         self._note(kind, self._target.decode())
 
     def _operate(self) -> None:
-        """Give one of the operators' commands, now and then."""
-        chooser = self._random
-        target, reports = self._present()
-        if target is not None and chooser.random() > 0.1:
+        """Run one of the operators' commands now and then."""
+        rng = self._random
+        target, reports = self._stored_state()
+        if target is not None and rng.random() > 0.1:
             return
-        waves = chooser.choice(((0.1, 0.5, 1.0), (0.01, 0.2, 1.0), (1.0,)))
-        command = chooser.choice(("begin", "begin", "begin", "halt", "resume", "roll-back"))
+        waves = rng.choice(((0.1, 0.5, 1.0), (0.01, 0.2, 1.0), (1.0,)))
+        command = rng.choice(("begin", "begin", "begin", "halt", "resume", "roll-back"))
         try:
             if command == "begin":
-                bounds = chooser.choice((None, Bounds(0.2, 0.2, 0.1, 900.0)))
-                begun = controller.begun(
-                    target, self._publish(), reports, self._now, "operator", waves, bounds
+                bounds = rng.choice((None, Bounds(0.2, 0.2, 0.1, 900.0)))
+                rollout = controller.begin_rollout(
+                    target, self._publish(), reports, self._now_ms, "operator", waves, bounds
                 )
-                self._store(begun, command)
+                self._store(rollout, command)
             elif target is None:
                 return
             elif command == "halt":
-                self._store(controller.halted(target, "told to", self._now, "operator"), command)
+                self._store(controller.halt_rollout(target, "told to", self._now_ms, "operator"), command)
             elif command == "resume":
-                self._store(controller.resumed(target, reports, self._now, "other"), command)
+                self._store(controller.resume_rollout(target, reports, self._now_ms, "other"), command)
             else:
-                version = chooser.randrange(target.version + 1)
-                self._store(controller.rolled_back(target, version, reports, self._now, "operator"), command)
+                version = rng.randrange(target.version + 1)
+                self._store(
+                    controller.roll_back_to(target, version, reports, self._now_ms, "operator"), command
+                )
         except (controller.RolloutError, MessageError) as error:
             self._note("error", command, str(error))
 
     def _publish(self) -> int:
-        chooser, version = self._random, 1 + max(self._bad, default=0)
+        rng, version = self._random, 1 + max(self._faults, default=0)
         overlay = Overlay(version, {"rules": {"warm_up": version * 1.5}, "limits": {"most_tries": None}})
         self._versions[version] = overlay.encode()
-        fault = chooser.choice(FAULTS)
-        self._bad[version] = fault
+        fault = rng.choice(FAULTS)
+        self._faults[version] = fault
         if fault == "unreadable":
             self._versions[version] = b"{"
         elif fault == "missing":
@@ -193,14 +195,14 @@
         return version
 
     def _control(self) -> None:
-        target, reports = self._present()
+        target, reports = self._stored_state()
         if target is None:
             return
-        step = controller.next_step(target, reports, self._now, self._random.choice(("one", "two")))
-        found = describe_step(step)
-        self._note(*found)
+        step = controller.next_step(target, reports, self._now_ms, self._random.choice(("one", "two")))
+        entry = describe_step(step)
+        self._note(*entry)
         self.seen[f"state {target.state.value}"] += 1
-        if found[0] == "write":
-            self._target = found[1].encode()
+        if entry[0] == "write":
+            self._target = entry[1].encode()
             self._revision += 1
         self._note("progress", *describe_progress(progress_of(target, reports)))
--- a/tests/gossip_cuts.py
+++ b/tests/gossip_cuts.py
@@ -1,74 +1,76 @@
-"""A simulated fleet under partitions, and which verdicts of its routers fell within reach."""
+"""A simulated fleet under partitions, and which members its routers declared failed though reachable."""
 
 from __future__ import annotations
 
 from collections.abc import Iterable
 
-from golden_gossip_cases import BelievingGossip
+from golden_gossip_cases import UnconfirmedGossip
 
-from stonecove.gossip.claims import ident_of, shown
+from stonecove.gossip.claims import format_member_id, ident_of
 from stonecove.trial.model import SwarmModel
 
 
 class PartitionedFleet:
-    """A fleet that has joined, and all pairs that were ever cut off from each other, in any direction."""
+    """A joined fleet, and all pairs of routers that were ever partitioned, in any direction."""
 
     def __init__(self, count: int, seed: int, zones: int) -> None:
         """Start all routers and wait until they have joined."""
         self.model = SwarmModel(count, seed=seed, zones=zones)
         self.zones = zones
         self.severed: set[tuple[int, int]] = set()
-        for place in range(count):
-            self.model.start(place)
+        for index in range(count):
+            self.model.start(index)
         assert self.model.until(self.model.joined, 30.0) < 30.0
-        self.model.run(5.0 + seed / 100.0)  # cuts begin at different moments of a probe's period
+        self.model.run(5.0 + seed / 100.0)  # partitions begin at different moments of a probe interval
         self.model.notes.clear()
 
     def zone(self, number: int) -> list[int]:
         """Return the routers of a zone."""
-        return [place for place in range(len(self.model.routers)) if place % self.zones == number]
+        return [index for index in range(len(self.model.routers)) if index % self.zones == number]
 
-    def cut_zone(self, number: int, both: bool = True) -> None:
-        """Cut a zone off from all others; with `both` false, only what it sends is lost."""
+    def partition_zone(self, number: int, both: bool = True) -> None:
+        """Partition a zone from all others; with `both` false, only datagrams that it sends are dropped."""
         zone = self.zone(number)
-        others = [place for place in range(len(self.model.routers)) if place not in zone]
+        others = [index for index in range(len(self.model.routers)) if index not in zone]
         before = set(self.model.cuts)
         self.model.cut(zone, others, both)
         for one, other in self.model.cuts - before:
             self.severed |= {(one, other), (other, one)}
 
-    def heal(self, *still_cut: int) -> None:
-        """End all cuts but those of the zones named."""
+    def heal(self, *still_partitioned: int) -> None:
+        """End all partitions but those of the zones given."""
         self.model.cuts.clear()
-        for number in still_cut:
-            self.cut_zone(number)
+        for number in still_partitioned:
+            self.partition_zone(number)
 
-    def verdicts(self) -> list[tuple[int, int]]:
-        """Return who declared whom failed, in order."""
-        places = {shown(ident_of(f"router-{place}")): place for place in range(len(self.model.routers))}
+    def failures(self) -> list[tuple[int, int]]:
+        """Return the pairs (router, member it declared failed), in order."""
+        indices = {
+            format_member_id(ident_of(f"router-{index}")): index for index in range(len(self.model.routers))
+        }
         return [
-            (by, places[str(fields["member"])])
+            (by, indices[str(fields["member"])])
             for _, by, event, fields in self.model.notes
             if event == "gossip_member_changed" and fields["state"] == "failed"
         ]
 
-    def verdicts_within_reach(self) -> list[tuple[int, int]]:
-        """Return the verdicts between routers that were never cut off from each other."""
-        return [pair for pair in self.verdicts() if pair not in self.severed]
+    def failures_of_reachable(self) -> list[tuple[int, int]]:
+        """Return those of `failures` between routers that were never partitioned from each other."""
+        return [pair for pair in self.failures() if pair not in self.severed]
 
-    def run_as_before_the_mend(self, places: Iterable[int]) -> None:
-        """Have these routers believe each claim at once, as programs before this one did."""
-        for place in places:
-            swarm = self.model.routers[place].swarm
+    def run_older_program(self, indices: Iterable[int]) -> None:
+        """Let these routers accept each claim at once, as older programs did."""
+        for index in indices:
+            swarm = self.model.routers[index].swarm
             assert swarm is not None
-            swarm.gossip.__class__ = BelievingGossip
+            swarm.gossip.__class__ = UnconfirmedGossip
 
     def tables(self) -> set[frozenset[tuple[int, tuple[int, bool, int, int]]]]:
-        """Return the different tables of all running routers; each holds its own word, too."""
+        """Return the different tables of all running routers; each with the router's own claim."""
         return {
             frozenset(
                 [(one.claim.ident, one.claim.order()) for one in router.swarm.gossip.table]
-                + [(router.swarm.gossip.me.ident, router.swarm.gossip.me.order())]
+                + [(router.swarm.gossip.own_claim.ident, router.swarm.gossip.own_claim.order())]
             )
             for router in self.model.here()
             if router.swarm is not None
--- a/tests/test_golden_coordination.py
+++ b/tests/test_golden_coordination.py
@@ -1,4 +1,4 @@
-"""What routers agree on - endpoint lists, gossip, roll-outs - comes about as it was recorded."""
+"""What routers agree on - endpoint lists, gossip, roll-outs - matches what was recorded."""
 
 from __future__ import annotations
 
@@ -15,11 +15,12 @@
 from golden_merge_cases import ALARMS, EndpointSources
 from golden_rollout_cases import RolloutFleet
 
-from stonecove.rollout.health import HealthWindow, worth_reporting
+from stonecove.rollout.health import HealthWindow, should_report
 from stonecove.rollout.messages import Health
 
-KEEPS = {"merge-refuse": (21, False), "merge-keep": (22, True)}  # seed, and whether the last list stands
-# Seed, routers, zones, and whether verdicts of others are believed at once, as when the first two were made.
+# Seed, and whether the last list is retained.
+MERGES = {"merge-refuse": (21, False), "merge-keep": (22, True)}
+# Seed, routers, zones, and whether claims of FAILED are accepted at once, as in the first two recordings.
 FLEETS = {
     "gossip-5": (32, 5, 1, True),
     "gossip-8": (31, 8, 2, True),
@@ -30,17 +31,17 @@
 
 @cache
 def merge_found(name: str) -> dict[str, Any]:
-    """Return what is stored of a run of the endpoint sources."""
-    sources = EndpointSources(*KEEPS[name])
+    """Return what is recorded of a run of the endpoint sources."""
+    sources = EndpointSources(*MERGES[name])
     lines = sources.run(2000)
     return {"seen": dict(sorted(sources.seen.items())), **stored_lines(lines, full=100)}
 
 
 @cache
 def gossip_found(name: str) -> dict[str, Any]:
-    """Return what is stored of a run of routers that gossip."""
+    """Return what is recorded of a run of routers that gossip."""
     fleet = GossipFleet(*FLEETS[name])
-    fleet.run(trouble=22.0, calm=8.0)
+    fleet.run(fault_s=22.0, quiet_s=8.0)
     return {
         "datagrams": dict(sorted(fleet.kinds.items())),
         "log_events": dict(sorted(fleet.noted.items())),
@@ -51,36 +52,36 @@
 
 @cache
 def rollout_found(name: str) -> dict[str, Any]:
-    """Return what is stored of a run of roll-outs."""
+    """Return what is recorded of a run of roll-outs."""
     fleet = RolloutFleet(ROLLOUTS[name])
     lines = fleet.run(420)
     return {"seen": dict(sorted(fleet.seen.items())), **stored_lines(lines, full=30)}
 
 
 def health_found() -> dict[str, Any]:
-    """Return samples of a router's health from counters that grow and are set back."""
-    chooser, counts = random.Random(51), Counter[str]()
-    window, told, lines = HealthWindow(counts), Health(), []
+    """Return samples of a router's health from counters that grow and are reset."""
+    rng, counts = random.Random(51), Counter[str]()
+    window, reported, lines = HealthWindow(counts), Health(), []
     for _ in range(120):
         for verdict in ("served", "unchanged", "refused", "failed", "other"):
-            counts[verdict] += chooser.choice((0, 1, 40))
-        if chooser.random() < 0.1:
+            counts[verdict] += rng.choice((0, 1, 40))
+        if rng.random() < 0.1:
             counts.clear()
         found = window.sample()
-        worth = worth_reporting(told, found)
-        lines.append([found.answered, found.refused, found.failed, found.bad_share, worth])
-        told = found if worth else told
+        is_reported = should_report(reported, found)
+        lines.append([found.answered, found.refused, found.failed, found.unsuccessful_share, is_reported])
+        reported = found if is_reported else reported
     return {"samples": lines}
 
 
-def test_merge_tells_the_sink_what_was_recorded() -> None:
-    for name in KEEPS:
+def test_merge_notifies_the_sink_as_recorded() -> None:
+    for name in MERGES:
         assert not difference_from(f"{name}.json", merge_found(name))
 
 
 def test_merge_recordings_hold_every_kind_of_step() -> None:
     seen = Counter[str]()
-    for name in KEEPS:
+    for name in MERGES:
         seen.update(read_json(f"{name}.json")["seen"])
     own = {"claim", "claimed", "confirmation-wanted", "due", "explained", "told", "known", "error"}
     assert set(seen) == own | {name for name, _ in ALARMS.values()}
@@ -101,7 +102,7 @@
 
 
 @pytest.mark.parametrize("name", ROLLOUTS)
-def test_rollouts_go_as_recorded(name: str) -> None:
+def test_rollouts_run_as_recorded(name: str) -> None:
     assert not difference_from(f"{name}.json", rollout_found(name))
 
 
@@ -120,8 +121,8 @@
 
 
 def record() -> None:
-    """Write all golden files of this module anew."""
-    for name in KEEPS:
+    """Record all golden files of this module again."""
+    for name in MERGES:
         write_json(FOLDER / f"{name}.json", merge_found(name))
     for name in FLEETS:
         write_json(FOLDER / f"{name}.json", gossip_found(name))
--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -1,4 +1,4 @@
-"""Decisions of a roll-out: records, merge patch, who is chosen, the steps of router and controller."""
+"""Decisions of a roll-out: records, merge patch, selection, and the steps of router and controller."""
 
 from __future__ import annotations
 
@@ -15,17 +15,17 @@
     Wait,
     Write,
     base_version,
-    begun,
-    halted,
+    begin_rollout,
+    halt_rollout,
     next_step,
-    resumed,
-    rolled_back,
+    resume_rollout,
+    roll_back_to,
 )
 from stonecove.rollout.follower import SETTLE_MS, Follower
-from stonecove.rollout.health import HealthWindow, worth_reporting
+from stonecove.rollout.health import HealthWindow, should_report
 from stonecove.rollout.merge import merge_patch, settings_with
 from stonecove.rollout.messages import (
-    MOST_OVERLAY_BYTES,
+    MAX_OVERLAY_BYTES,
     Bounds,
     Health,
     MessageError,
@@ -34,11 +34,11 @@
     Report,
     RolloutState,
     Target,
-    checked_waves,
+    validate_waves,
     version_path,
 )
 from stonecove.rollout.progress import progress_of
-from stonecove.rollout.selection import is_chosen, place, share_for, wanted_version
+from stonecove.rollout.selection import is_chosen, rollout_position, share_for, wanted_version
 
 NAMES = [f"edge-{number}" for number in range(200)]
 NOW = 1_800_000_000_000.0
@@ -48,7 +48,7 @@
 # -- records --
 
 
-def test_records_read_back_the_same() -> None:
+def test_records_round_trip() -> None:
     target = Target(
         7,
         6,
@@ -112,7 +112,7 @@
         (b'{"version": 5, "merge": []}', "merge: "),
         (b'{"version": 5, "merge": {"zone": 2}}', "merge.zone"),
         (b'{"version": 5, "merge": {"fleet_size": 2}}', "merge.fleet_size"),
-        (b'{"version": 5, "merge": {}}' + b" " * MOST_OVERLAY_BYTES, f"{MOST_OVERLAY_BYTES} at most"),
+        (b'{"version": 5, "merge": {}}' + b" " * MAX_OVERLAY_BYTES, f"{MAX_OVERLAY_BYTES} at most"),
     ],
 )
 def test_an_overlay_that_cannot_be_used_is_refused(data: bytes, why: str) -> None:
@@ -123,13 +123,13 @@
 
 def test_an_overlay_that_is_too_large_is_not_written() -> None:
     with pytest.raises(MessageError, match="at most"):
-        Overlay(5, {"text": "x" * MOST_OVERLAY_BYTES}).encode()
+        Overlay(5, {"text": "x" * MAX_OVERLAY_BYTES}).encode()
 
 
 @pytest.mark.parametrize("waves", [(), (0.5,), (0.0, 1.0), (0.5, 0.2, 1.0), (0.5, 0.5, 1.0), (1.0, 1.5)])
 def test_waves_rise_to_the_whole_fleet(waves: tuple[float, ...]) -> None:
     with pytest.raises(MessageError, match="^waves: "):
-        checked_waves(waves)
+        validate_waves(waves)
 
 
 # -- merge patch --
@@ -169,7 +169,7 @@
         merge_patch({}, patch)
 
 
-def test_settings_under_an_overlay_keep_what_the_own_file_says() -> None:
+def test_settings_with_an_overlay_keep_other_fields_of_the_own_file() -> None:
     settings = settings_with(SETTINGS, Overlay(1, {"rules": {"warm_up": 123.0}}))
     assert settings.slow_start_ms == 123.0
     assert settings.zone == SETTINGS["zone"]
@@ -184,14 +184,14 @@
         settings_with(SETTINGS, Overlay(1, merge))
 
 
-# -- who is chosen --
+# -- selection --
 
 
 def rolling(share: float, version: int = 2, previous: int = 1, **more: Any) -> Target:
     return Target(version, previous, share, RolloutState.ROLLING, **more)
 
 
-def test_a_larger_share_keeps_those_that_a_smaller_one_chose() -> None:
+def test_a_larger_share_selects_all_that_a_smaller_one_selects() -> None:
     chosen = [{name for name in NAMES if is_chosen(rolling(share), name)} for share in (0.02, 0.2, 0.5, 1.0)]
     assert all(fewer < more for fewer, more in zip(chosen, chosen[1:], strict=False))
     assert len(chosen[-1]) == len(NAMES)
@@ -199,18 +199,18 @@
 
 
 def test_other_versions_begin_with_other_routers() -> None:
-    first = [min(NAMES, key=lambda name: place(name, version)) for version in range(20)]
+    first = [min(NAMES, key=lambda name: rollout_position(name, version)) for version in range(20)]
     assert len(set(first)) > 10
 
 
-def test_a_wave_of_a_small_fleet_chooses_somebody() -> None:
+def test_a_wave_of_a_small_fleet_selects_a_router() -> None:
     for version in range(50):
         share = share_for(0.02, version, NAMES[:3])
         assert sum(is_chosen(rolling(share, version), name) for name in NAMES[:3]) >= 1
     assert share_for(0.02, 1, ()) == 0.02
 
 
-def test_a_halted_target_chooses_nobody_and_a_complete_one_all() -> None:
+def test_a_halted_target_selects_no_router_and_a_complete_one_all() -> None:
     assert wanted_version(Target(2, 1, 1.0, RolloutState.HALTED), "a") == 1
     assert wanted_version(Target(2, 1, 0.0, RolloutState.COMPLETE), "a") == 2
 
@@ -222,98 +222,98 @@
     return Overlay(version, {"rules": {"warm_up": float(version)}}).encode()
 
 
-def follower(target: Target | None = None, revision: int = 1) -> Follower:
-    made = Follower("edge-0", "127.0.0.1:1", NOW)
+def make_follower(target: Target | None = None, revision: int = 1) -> Follower:
+    follower = Follower("edge-0", "127.0.0.1:1", NOW)
     if target is not None:
-        made.follow(target, revision, NOW)
-    return made
+        follower.receive_target(target, revision, NOW)
+    return follower
 
 
-def take(router: Follower, now: float = NOW) -> None:
+def apply_next(router: Follower, now: float = NOW) -> None:
     version = router.next_version()
     assert version is not None
-    overlay = router.overlay(version, overlay_of(version), now)
+    overlay = router.decode_overlay(version, overlay_of(version), now)
     assert overlay is not None
-    router.took(overlay.version, now)
+    router.record_applied(overlay.version, now)
 
 
-def test_a_router_takes_the_version_and_tells_its_health_later() -> None:
-    router = follower(rolling(1.0, round=4))
+def test_a_router_applies_the_version_and_reports_its_health_later() -> None:
+    router = make_follower(rolling(1.0, round=4))
     assert router.report().round == 0
-    take(router, NOW + 10)
+    apply_next(router, NOW + 10)
     report = router.report()
     assert (report.in_force, report.since_ms, report.round, report.settled) == (2, NOW + 10, 4, False)
-    assert router.settle_due() == NOW + 10 + SETTLE_MS
-    router.settle(Health(9, 1, 0))
+    assert router.health_due_ms() == NOW + 10 + SETTLE_MS
+    router.record_health(Health(9, 1, 0))
     assert router.report().settled and router.report().health == Health(9, 1, 0)
-    assert router.settle_due() is None
+    assert router.health_due_ms() is None
     assert router.next_version() is None
 
 
-def test_a_router_that_is_not_chosen_takes_the_previous_version() -> None:
-    router = follower(rolling(0.0))
+def test_a_router_that_is_not_selected_applies_the_previous_version() -> None:
+    router = make_follower(rolling(0.0))
     assert router.next_version() == 1
-    take(router)
+    apply_next(router)
     assert router.report().in_force == 1 and router.report().round == 0
 
 
-def test_an_older_target_is_passed_over() -> None:
-    router = follower(rolling(1.0, version=3), revision=9)
-    router.follow(rolling(1.0, version=2), 8, NOW)
+def test_an_older_target_is_ignored() -> None:
+    router = make_follower(rolling(1.0, version=3), revision=9)
+    router.receive_target(rolling(1.0, version=2), 8, NOW)
     assert router.next_version() == 3
-    router.forget_revision()
-    router.follow(rolling(1.0, version=2), 8, NOW)
+    router.reset_revision()
+    router.receive_target(rolling(1.0, version=2), 8, NOW)
     assert router.next_version() == 2
 
 
-def test_versions_that_are_overtaken_are_passed_over() -> None:
-    router = follower(rolling(1.0, version=2))
+def test_superseded_versions_are_skipped() -> None:
+    router = make_follower(rolling(1.0, version=2))
     assert router.next_version() == 2
-    router.follow(rolling(1.0, version=6, previous=5), 2, NOW)
-    assert router.overlay(2, overlay_of(2), NOW) is None
+    router.receive_target(rolling(1.0, version=6, previous=5), 2, NOW)
+    assert router.decode_overlay(2, overlay_of(2), NOW) is None
     assert router.report().refused is None
-    take(router)
+    apply_next(router)
     assert router.in_force == 6
 
 
 @pytest.mark.parametrize("data", [None, b"nonsense", overlay_of(3)])
-def test_what_cannot_be_used_is_reported_and_not_tried_again_in_its_round(data: bytes | None) -> None:
-    router = follower(Target(1, 0, 1.0, RolloutState.COMPLETE))
-    take(router)
-    router.follow(rolling(0.9999999, round=2), 2, NOW)
-    assert router.overlay(2, data, NOW) is None
+def test_an_unusable_version_is_reported_and_not_retried_in_its_round(data: bytes | None) -> None:
+    router = make_follower(Target(1, 0, 1.0, RolloutState.COMPLETE))
+    apply_next(router)
+    router.receive_target(rolling(0.9999999, round=2), 2, NOW)
+    assert router.decode_overlay(2, data, NOW) is None
     report = router.report()
     assert report.in_force == 1 and report.round == 2
     assert report.refused is not None and report.refused.version == 2 and report.refused.why
-    router.follow(rolling(1.0, round=2), 3, NOW)
+    router.receive_target(rolling(1.0, round=2), 3, NOW)
     assert router.next_version() is None
-    router.follow(rolling(1.0, round=3), 4, NOW)
-    take(router)
+    router.receive_target(rolling(1.0, round=3), 4, NOW)
+    apply_next(router)
     assert router.report().refused is None and router.in_force == 2
 
 
 def test_the_own_file_needs_no_overlay() -> None:
-    router = follower(Target(1, 0, 1.0, RolloutState.COMPLETE))
-    take(router)
-    router.follow(Target(2, 0, 0.0, RolloutState.HALTED), 2, NOW)
+    router = make_follower(Target(1, 0, 1.0, RolloutState.COMPLETE))
+    apply_next(router)
+    router.receive_target(Target(2, 0, 0.0, RolloutState.HALTED), 2, NOW)
     assert router.next_version() == 0
-    overlay = router.overlay(0, None, NOW)
+    overlay = router.decode_overlay(0, None, NOW)
     assert overlay is not None and overlay.merge == {}
 
 
-def test_a_changed_own_file_has_the_refused_version_tried_again() -> None:
-    router = follower(rolling(1.0))
-    router.refuse(2, "no room", NOW)
+def test_a_refused_version_is_retried_after_the_own_file_has_changed() -> None:
+    router = make_follower(rolling(1.0))
+    router.record_refusal(2, "no room", NOW)
     assert router.next_version() is None
-    router.try_again()
+    router.retry_refused()
     assert router.next_version() == 2
 
 
-def test_a_new_round_is_told_also_where_its_version_is_in_force_already() -> None:
-    router = follower(rolling(1.0, round=1))
-    take(router)
-    router.settle(Health())
-    router.follow(rolling(1.0, round=2), 2, NOW + 50)
+def test_a_new_round_is_acknowledged_where_its_version_is_in_force_already() -> None:
+    router = make_follower(rolling(1.0, round=1))
+    apply_next(router)
+    router.record_health(Health())
+    router.receive_target(rolling(1.0, round=2), 2, NOW + 50)
     assert router.report().round == 2 and not router.report().settled
     assert router.report().since_ms == NOW
 
@@ -321,7 +321,7 @@
 # -- health --
 
 
-def test_health_is_what_came_since_and_survives_counters_set_back() -> None:
+def test_health_counts_since_the_last_sample_and_survives_counter_resets() -> None:
     counts = {"served": 5, "ok": 99}
     window = HealthWindow(counts)
     counts.update(served=8, unchanged=2, refused=1, failed=4)
@@ -332,17 +332,17 @@
     assert window.sample() == Health(3, 0, 0)
 
 
-def test_only_another_share_of_many_requests_is_worth_a_report() -> None:
-    assert not worth_reporting(Health(100), Health(1000, 5, 0))
-    assert not worth_reporting(Health(100), Health(10, 5, 0))
-    assert worth_reporting(Health(100), Health(90, 5, 5))
+def test_only_a_changed_share_of_many_requests_is_reported() -> None:
+    assert not should_report(Health(100), Health(1000, 5, 0))
+    assert not should_report(Health(100), Health(10, 5, 0))
+    assert should_report(Health(100), Health(90, 5, 5))
 
 
 # -- the controller's steps --
 
 
 def reports_of(target: Target, count: int = 200, **changes: Any) -> dict[str, Report]:
-    """Reports of routers that all have what they are to have."""
+    """Return reports of routers that have all applied their wanted version."""
     return {
         name: replace(
             Report(
@@ -359,18 +359,18 @@
     }
 
 
-def started(count: int = 200, **more: Any) -> Target:
+def started_target(count: int = 200, **more: Any) -> Target:
     before = Target(1, 0, 1.0, RolloutState.COMPLETE)
-    return begun(before, 2, reports_of(before, count), NOW, WRITER, **more)
+    return begin_rollout(before, 2, reports_of(before, count), NOW, WRITER, **more)
 
 
-def written(step: object) -> Target:
+def written_target(step: object) -> Target:
     assert isinstance(step, Write)
     return step.target
 
 
 def test_waves_follow_each_other_to_the_end() -> None:
-    target = started()
+    target = started_target()
     shares: list[float] = []
     reports = reports_of(target, in_force=1, round=1)
     while target.state is RolloutState.ROLLING:
@@ -380,7 +380,7 @@
         assert target.expected == sum(is_chosen(target, name) for name in NAMES)
         step = next_step(target, reports, NOW, WRITER)
         if reports == reports_of(target):
-            target = written(step)
+            target = written_target(step)
         else:
             assert step == Wait(NOW + target.bounds.wave_timeout_ms)
             reports = reports_of(target)
@@ -394,105 +394,111 @@
 
 
 def test_a_refusal_beyond_the_bound_halts() -> None:
-    target = started(waves=(0.5, 1.0), bounds=Bounds(refused_share=0.05))
+    target = started_target(waves=(0.5, 1.0), bounds=Bounds(refused_share=0.05))
     reports, names = reports_of(target), chosen_names(target)
     allowed = int(0.05 * len(names))
     for name in names[:allowed]:
         reports[name] = replace(reports[name], in_force=1, refused=Refusal(2, "no"))
-    assert written(next_step(target, reports, NOW, WRITER)).state is RolloutState.ROLLING
+    assert written_target(next_step(target, reports, NOW, WRITER)).state is RolloutState.ROLLING
     reports[names[allowed]] = replace(reports[names[allowed]], in_force=1, refused=Refusal(2, "no"))
-    after = written(next_step(target, reports, NOW, WRITER))
+    after = written_target(next_step(target, reports, NOW, WRITER))
     assert after.state is RolloutState.HALTED and after.share == 0.0
     assert after.why == f"refused by {allowed + 1} of {len(names)}"
     assert all(wanted_version(after, name) == 1 for name in NAMES)
 
 
 def test_a_refusal_of_an_earlier_round_does_not_count() -> None:
-    target = started(waves=(1.0,))
+    target = started_target(waves=(1.0,))
     reports = reports_of(target, refused=Refusal(2, "no"), round=1, in_force=1)
     assert isinstance(next_step(target, reports, NOW, WRITER), Wait)
 
 
-def test_routers_that_tell_nothing_halt_after_the_time_out_alone() -> None:
-    target = started(waves=(0.5, 1.0), bounds=Bounds(missing_share=0.05, wave_timeout_ms=700.0))
+def test_routers_that_report_nothing_halt_after_the_timeout_alone() -> None:
+    target = started_target(waves=(0.5, 1.0), bounds=Bounds(missing_share=0.05, wave_timeout_ms=700.0))
     reports, names = reports_of(target), chosen_names(target)
     allowed = int(0.05 * len(names))
     for name in names[: allowed + 1]:
         reports[name] = replace(reports[name], in_force=1, round=1)
     assert next_step(target, reports, NOW + 699, WRITER) == Wait(NOW + 700)
-    after = written(next_step(target, reports, NOW + 700, WRITER))
+    after = written_target(next_step(target, reports, NOW + 700, WRITER))
     assert after.state is RolloutState.HALTED and after.why.startswith(f"no word from {allowed + 1} of")
     reports[names[0]] = reports_of(target)[names[0]]
-    assert written(next_step(target, reports, NOW + 700, WRITER)).share == 1.0
+    assert written_target(next_step(target, reports, NOW + 700, WRITER)).share == 1.0
 
 
 def test_routers_that_vanish_in_a_wave_count_as_missing() -> None:
-    target = started()
+    target = started_target()
     reports = reports_of(target)
     for name in chosen_names(target):
         del reports[name]
     assert isinstance(next_step(target, reports, NOW, WRITER), Wait)
-    after = written(next_step(target, reports, NOW + target.bounds.wave_timeout_ms, WRITER))
+    after = written_target(next_step(target, reports, NOW + target.bounds.wave_timeout_ms, WRITER))
     assert after.state is RolloutState.HALTED
 
 
 def test_a_worse_health_than_before_halts() -> None:
-    target = started(waves=(0.5, 1.0), bounds=Bounds(worse_by=0.05))
+    target = started_target(waves=(0.5, 1.0), bounds=Bounds(worse_by=0.05))
     reports = reports_of(target, health=Health(96, 2, 2))
-    assert written(next_step(target, reports, NOW, WRITER)).state is RolloutState.ROLLING
+    assert written_target(next_step(target, reports, NOW, WRITER)).state is RolloutState.ROLLING
     reports = reports_of(target, health=Health(94, 3, 3))
-    after = written(next_step(target, reports, NOW, WRITER))
+    after = written_target(next_step(target, reports, NOW, WRITER))
     assert after.state is RolloutState.HALTED and "0.060 of requests" in after.why
-    was_bad = replace(target, baseline=0.02)
-    assert written(next_step(was_bad, reports, NOW, WRITER)).state is RolloutState.ROLLING
+    poor_before = replace(target, baseline=0.02)
+    assert written_target(next_step(poor_before, reports, NOW, WRITER)).state is RolloutState.ROLLING
 
 
-def test_a_few_requests_say_nothing_of_health() -> None:
-    target = started(count=2, waves=(1.0,))
+def test_few_requests_are_not_significant_for_health() -> None:
+    target = started_target(count=2, waves=(1.0,))
     reports = reports_of(target, 2, health=Health(0, 20, 20))
-    assert written(next_step(target, reports, NOW, WRITER)).state is RolloutState.COMPLETE
+    assert written_target(next_step(target, reports, NOW, WRITER)).state is RolloutState.COMPLETE
 
 
-def test_what_a_target_allows() -> None:
-    target = started()
+def test_commands_that_a_target_allows() -> None:
+    target = started_target()
     with pytest.raises(RolloutError, match="being rolled out"):
-        begun(target, 3, {}, NOW, WRITER)
-    stopped = halted(target, "by hand", NOW, WRITER)
+        begin_rollout(target, 3, {}, NOW, WRITER)
+    stopped = halt_rollout(target, "by hand", NOW, WRITER)
     with pytest.raises(RolloutError, match="halted"):
-        halted(stopped, "again", NOW, WRITER)
+        halt_rollout(stopped, "again", NOW, WRITER)
     assert base_version(target) == base_version(stopped) == 1
-    assert begun(stopped, 3, {}, NOW, WRITER).previous == 1
+    assert begin_rollout(stopped, 3, {}, NOW, WRITER).previous == 1
     complete = replace(target, state=RolloutState.COMPLETE)
     assert base_version(complete) == 2 and base_version(None) == 0
     with pytest.raises(RolloutError, match="complete"):
-        resumed(complete, {}, NOW, WRITER)
+        resume_rollout(complete, {}, NOW, WRITER)
     with pytest.raises(RolloutError, match="not earlier"):
-        rolled_back(complete, 2, {}, NOW, WRITER)
+        roll_back_to(complete, 2, {}, NOW, WRITER)
 
 
 def test_a_resumed_roll_out_begins_again_in_another_round() -> None:
-    target = started()
-    again = resumed(halted(target, "by hand", NOW, WRITER), reports_of(target), NOW + 5, "other")
-    assert (again.state, again.round, again.share) == (RolloutState.ROLLING, 3, 0.02)
-    assert (again.writer, again.why, again.since_ms) == ("other", "", NOW + 5)
+    target = started_target()
+    restarted = resume_rollout(
+        halt_rollout(target, "by hand", NOW, WRITER), reports_of(target), NOW + 5, "other"
+    )
+    assert (restarted.state, restarted.round, restarted.share) == (RolloutState.ROLLING, 3, 0.02)
+    assert (restarted.writer, restarted.why, restarted.since_ms) == ("other", "", NOW + 5)
 
 
-def test_a_roll_out_that_is_taken_over_goes_on_where_it_was() -> None:
-    target = replace(started(), share=0.2, expected=40)
-    over = resumed(target, {}, NOW + 5000, "other")
-    assert (over.share, over.round, over.expected) == (0.2, 2, 40)
-    assert (over.writer, over.since_ms) == ("other", NOW + 5000)
+def test_a_roll_out_that_is_taken_over_continues() -> None:
+    target = replace(started_target(), share=0.2, expected=40)
+    taken_over = resume_rollout(target, {}, NOW + 5000, "other")
+    assert (taken_over.share, taken_over.round, taken_over.expected) == (0.2, 2, 40)
+    assert (taken_over.writer, taken_over.since_ms) == ("other", NOW + 5000)
 
 
 def test_a_rollback_goes_to_all_at_once_in_any_state() -> None:
-    target = replace(started(), version=5, previous=4)
-    for before in (target, halted(target, "", NOW, WRITER), replace(target, state=RolloutState.COMPLETE)):
-        back = rolled_back(before, 3, reports_of(before), NOW, WRITER)
-        assert back.rollback and back.share == 1.0 and back.version == 3
-        assert back.round == before.round + 1 and back.previous == base_version(before)
+    target = replace(started_target(), version=5, previous=4)
+    for before in (
+        target,
+        halt_rollout(target, "", NOW, WRITER),
+        replace(target, state=RolloutState.COMPLETE),
+    ):
+        rollback = roll_back_to(before, 3, reports_of(before), NOW, WRITER)
+        assert rollback.rollback and rollback.share == 1.0 and rollback.version == 3
+        assert rollback.round == before.round + 1 and rollback.previous == base_version(before)
 
 
-# -- how far the fleet is --
+# -- progress --
 
 
 def test_progress_counts_and_names() -> None:
@@ -501,11 +507,11 @@
     reports = reports_of(target)
     reports[names[0]] = replace(reports[names[0]], in_force=1)
     reports[names[1]] = replace(reports[names[1]], in_force=1, refused=Refusal(2, "no"))
-    found = progress_of(target, reports)
-    assert found.live == 200 and found.in_force == 198
-    assert found.by_version == {1: 200 - len(names) + 2, 2: len(names) - 2}
-    assert found.lagging == (names[0],) and found.refused == (names[1],)
-    assert not found.in_force_everywhere
+    progress = progress_of(target, reports)
+    assert progress.live == 200 and progress.in_force == 198
+    assert progress.by_version == {1: 200 - len(names) + 2, 2: len(names) - 2}
+    assert progress.lagging == (names[0],) and progress.refused == (names[1],)
+    assert not progress.in_force_everywhere
     complete = Target(2, 1, 1.0, RolloutState.COMPLETE)
     assert progress_of(complete, reports_of(complete)).in_force_everywhere
 
--- a/tests/test_rollout_orders.py
+++ b/tests/test_rollout_orders.py
@@ -1,4 +1,4 @@
-"""Roll-outs in seeded random orders: losses, reordered notices, restarts, controllers that die or compete."""
+"""Roll-outs in seeded random orders: losses, reordered notifications, restarts, competing controllers."""
 
 from __future__ import annotations
 
@@ -13,16 +13,16 @@
     Finished,
     RolloutError,
     Write,
-    begun,
-    halted,
+    begin_rollout,
+    halt_rollout,
     next_step,
-    resumed,
-    rolled_back,
+    resume_rollout,
+    roll_back_to,
 )
 from stonecove.rollout.follower import Follower
 from stonecove.rollout.merge import merge_patch
 from stonecove.rollout.messages import Bounds, Health, Overlay, Report, RolloutState, Target
-from stonecove.rollout.selection import place, wanted_version
+from stonecove.rollout.selection import rollout_position, wanted_version
 
 SEEDS = range(150)
 STEPS = 400
@@ -31,37 +31,37 @@
 
 
 def merge_of(version: int) -> dict[str, Any]:
-    """A change in several places: a mix of two versions would differ from each."""
+    """Return a change of several fields, so that a mix of two versions differs from both."""
     return {"a": version, "b": {"c": version}, f"only-{version}": True}
 
 
 @dataclass
 class Router:
-    """A router with what reaches it: revisions that it has yet to read, and an overlay on its way."""
+    """A router with its pending input: an overlay being fetched, and the revisions that it has read."""
 
     name: str
     follower: Follower
     settings: dict[str, Any] = field(default_factory=lambda: dict(BASE))
     fetching: int | None = None
-    cut_off: bool = False
-    followed: int = -1  # the newest revision that it has read
-    checked: int = -1  # the revision that was the newest when its version was checked last
+    disconnected: bool = False
+    last_read: int = -1  # the newest revision that it has read
+    last_checked: int = -1  # the newest revision when its version was last checked
 
 
-class World:
-    """The service's history, the routers and the controllers of one run."""
+class Simulation:
+    """The coordination service's history, the routers and the controllers of one run."""
 
     def __init__(self, seed: int) -> None:
         self.random = random.Random(seed)
         self.now = 1000.0
-        self.history: list[Target] = []  # the revision is the place
+        self.history: list[Target] = []  # the index is the revision
         self.versions: dict[int, bytes] = {}
         self.unusable: set[tuple[str, int]] = set()
         self.reports: dict[str, Report] = {}
         self.started = 0
-        self.controllers: list[str] = []  # that are alive, the newest last
+        self.controllers: list[str] = []  # running, the newest last
         self.routers = [self.start(f"r{number}") for number in range(self.random.randint(3, 14))]
-        self.halts = self.completions = self.takeovers = self.rollbacks = self.backwards = 0
+        self.halts = self.completions = self.takeovers = self.rollbacks = self.downgrades = 0
 
     def start(self, name: str) -> Router:
         follower = Follower(name, name, self.now)
@@ -74,7 +74,7 @@
         return self.history[-1] if self.history else None
 
     def write(self, target: Target, revision: int) -> bool:
-        """Compare-and-set."""
+        """Write the target by compare-and-set; return whether it was written."""
         if revision != len(self.history) - 1:
             return False
         self.history.append(target)
@@ -83,53 +83,53 @@
     # -- routers --
 
     def read(self, router: Router, revision: int) -> None:
-        """A notice, which may be of an older revision than the last."""
-        router.follower.follow(self.history[revision], revision, self.now)
-        router.followed = max(router.followed, revision)
-        self.go_on(router)
+        """Read a target, which may be of an older revision than the last."""
+        router.follower.receive_target(self.history[revision], revision, self.now)
+        router.last_read = max(router.last_read, revision)
+        self.advance(router)
 
-    def go_on(self, router: Router) -> None:
+    def advance(self, router: Router) -> None:
         version = router.follower.next_version()
         if version == 0:
-            self.take(router, router.follower.overlay(0, None, self.now))
+            self.apply(router, router.follower.decode_overlay(0, None, self.now))
         elif version is not None and router.fetching is None:
             router.fetching = version
-        self.tell(router)
+        self.report(router)
 
     def fetched(self, router: Router) -> None:
         version, router.fetching = router.fetching, None
         assert version is not None
-        self.take(router, router.follower.overlay(version, self.versions.get(version), self.now))
-        self.go_on(router)
+        self.apply(router, router.follower.decode_overlay(version, self.versions.get(version), self.now))
+        self.advance(router)
 
-    def take(self, router: Router, overlay: Overlay | None) -> None:
+    def apply(self, router: Router, overlay: Overlay | None) -> None:
         if overlay is None:
             return
         if (router.name, overlay.version) in self.unusable:
-            router.follower.refuse(overlay.version, "unusable", self.now)
+            router.follower.record_refusal(overlay.version, "unusable", self.now)
             return
         before, after = router.follower.in_force, overlay.version
         router.settings = merge_patch(BASE, overlay.merge)
-        router.follower.took(after, self.now)
+        router.follower.record_applied(after, self.now)
         self.check_chosen(router, after)
         if after < before:
-            self.backwards += 1
-            since = self.history[max(0, router.checked) : router.followed + 1]
+            self.downgrades += 1
+            since = self.history[max(0, router.last_checked) : router.last_read + 1]
             assert any(one.state is RolloutState.HALTED or one.rollback for one in since), (before, after)
-        router.checked = router.followed
+        router.last_checked = router.last_read
 
-    def tell(self, router: Router) -> None:
-        if not router.cut_off:
+    def report(self, router: Router) -> None:
+        if not router.disconnected:
             self.reports[router.name] = router.follower.report()
 
     def check_chosen(self, router: Router, version: int) -> None:
-        """The version is the one that the newest target that was read has for this router."""
-        target = self.history[router.followed]
-        mine = place(router.name, target.version) < target.share
-        chosen = target.state is RolloutState.COMPLETE or (target.state is RolloutState.ROLLING and mine)
+        """Check that the version is the one that the newest target read so far gives this router."""
+        target = self.history[router.last_read]
+        selected = rollout_position(router.name, target.version) < target.share
+        chosen = target.state is RolloutState.COMPLETE or (target.state is RolloutState.ROLLING and selected)
         assert version == (target.version if chosen else target.previous)
 
-    def check_whole(self) -> None:
+    def check_not_mixed(self) -> None:
         for router in self.routers:
             version = router.follower.in_force
             wanted = merge_patch(BASE, merge_of(version)) if version else BASE
@@ -138,9 +138,9 @@
     # -- controllers --
 
     def publish(self) -> None:
-        """Up to two operators publish in the same moment: one of them loses."""
+        """Let up to two operators publish at the same moment; only one succeeds."""
         before, revision = self.target(), len(self.history) - 1
-        won = 0
+        published = 0
         for number in range(self.random.choice((1, 1, 2))):
             version = max(self.versions, default=0) + 1
             self.versions[version] = Overlay(version, merge_of(version)).encode()
@@ -149,43 +149,43 @@
                 self.unusable |= {(router.name, version) for router in bad}
             writer = f"publish-{len(self.history)}-{number}"
             try:
-                target = begun(before, version, self.reports, self.now, writer, bounds=BOUNDS)
+                target = begin_rollout(before, version, self.reports, self.now, writer, bounds=BOUNDS)
             except RolloutError:
                 return
             if self.write(target, revision):
-                won += 1
+                published += 1
                 self.controllers.append(writer)
-        assert won == 1
+        assert published == 1
 
     def command(self, make: Callable[[Target], Target]) -> None:
-        """A command by its own controller; the one before sees at its next step that it has lost."""
+        """Run a command by its own controller; the earlier one finds itself superseded at its next step."""
         target, revision = self.target(), len(self.history) - 1
         if target is None:
             return
         try:
-            told = make(target)
+            changed = make(target)
         except RolloutError:
             return
-        assert self.write(told, revision)
-        if told.state is RolloutState.ROLLING:
-            self.controllers.append(told.writer)
+        assert self.write(changed, revision)
+        if changed.state is RolloutState.ROLLING:
+            self.controllers.append(changed.writer)
 
     def take_over(self) -> None:
         writer = f"resume-{len(self.history)}"
         self.takeovers += 1
-        self.command(lambda target: resumed(target, self.reports, self.now, writer))
+        self.command(lambda target: resume_rollout(target, self.reports, self.now, writer))
 
     def roll_back(self) -> None:
         version = self.random.choice([0, *self.versions])
         writer = f"rollback-{len(self.history)}"
         self.rollbacks += 1
-        self.command(lambda target: rolled_back(target, version, self.reports, self.now, writer))
+        self.command(lambda target: roll_back_to(target, version, self.reports, self.now, writer))
 
     def halt(self) -> None:
-        self.command(lambda target: halted(target, "by hand", self.now, "operator"))
+        self.command(lambda target: halt_rollout(target, "by hand", self.now, "operator"))
 
     def control(self, writer: str) -> None:
-        """One step of one controller, as its loop does: it looks, decides, and writes if it still may."""
+        """Run one step of a controller as its loop does: read, decide, and write if still allowed."""
         target, revision = self.target(), len(self.history) - 1
         assert target is not None
         if target.writer != writer:
@@ -195,7 +195,7 @@
         if isinstance(step, Finished):
             self.controllers.remove(writer)
         elif isinstance(step, Write):
-            if self.random.random() < 0.1:  # somebody else is faster
+            if self.random.random() < 0.1:  # another controller writes first
                 self.halt()
             if self.write(step.target, revision):
                 self.halts += step.target.state is RolloutState.HALTED
@@ -208,35 +208,35 @@
     def step(self) -> None:
         self.now += self.random.expovariate(1 / 3.0)
         router = self.random.choice(self.routers)
-        dice = self.random.random()
-        if dice < 0.45:
-            if not router.cut_off and self.history:
+        draw = self.random.random()
+        if draw < 0.45:
+            if not router.disconnected and self.history:
                 last = len(self.history) - 1
                 self.read(router, last if self.random.random() < 0.7 else self.random.randint(0, last))
-        elif dice < 0.65:
-            if router.fetching is not None and not router.cut_off:
+        elif draw < 0.65:
+            if router.fetching is not None and not router.disconnected:
                 if self.random.random() < 0.15:
                     router.fetching = None  # lost with its connection
                 else:
                     self.fetched(router)
-        elif dice < 0.80:
-            if router.follower.settle_due() is not None:
-                bad = self.random.random() < 0.05
-                router.follower.settle(Health(20, 80, 0) if bad else Health(100, 0, 0))
-                self.tell(router)
-        elif dice < 0.92:
+        elif draw < 0.80:
+            if router.follower.health_due_ms() is not None:
+                unhealthy = self.random.random() < 0.05
+                router.follower.record_health(Health(20, 80, 0) if unhealthy else Health(100, 0, 0))
+                self.report(router)
+        elif draw < 0.92:
             if self.controllers:
                 self.control(self.random.choice(self.controllers))
         else:
-            self.trouble(router)
+            self.inject_fault(router)
 
-    def trouble(self, router: Router) -> None:
+    def inject_fault(self, router: Router) -> None:
         match self.random.randrange(9):
             case 0:
                 self.publish()
             case 1:
                 if self.controllers:
-                    self.controllers.pop()  # it dies, between waves or within one
+                    self.controllers.pop()  # it ends, between waves or within one
             case 2:
                 self.take_over()
             case 3:
@@ -246,18 +246,18 @@
             case 5:
                 self.routers[self.routers.index(router)] = self.start(router.name)
             case 6:
-                router.cut_off = True
+                router.disconnected = True
                 self.reports.pop(router.name, None)  # its session has expired
             case _:
-                router.cut_off = False
-                self.tell(router)
+                router.disconnected = False
+                self.report(router)
 
-    def calm(self) -> None:
-        """All come back, notices arrive, and somebody finishes the roll-out."""
+    def settle(self) -> None:
+        """Reconnect all routers, deliver all targets, and let a controller finish the roll-out."""
         for router in self.routers:
-            router.cut_off = False
+            router.disconnected = False
             router.fetching = None
-            self.tell(router)
+            self.report(router)
         if self.target() is None:
             return
         self.controllers.clear()
@@ -269,64 +269,64 @@
                 self.read(router, len(self.history) - 1)
                 while router.fetching is not None:
                     self.fetched(router)
-                if router.follower.settle_due() is not None:
-                    router.follower.settle(Health(100, 0, 0))
-                    self.tell(router)
+                if router.follower.health_due_ms() is not None:
+                    router.follower.record_health(Health(100, 0, 0))
+                    self.report(router)
             for writer in list(self.controllers):
                 self.control(writer)
-            self.check_whole()
+            self.check_not_mixed()
 
 
-def check_calm(world: World) -> None:
-    """Each has the target's version or tells that it refuses it; after a halt all have the previous one."""
-    target = world.target()
+def check_settled(run: Simulation) -> None:
+    """Check that each has or refuses the target's version, and after a halt the previous one."""
+    target = run.target()
     if target is None:
-        assert all(router.follower.in_force == 0 for router in world.routers)
+        assert all(router.follower.in_force == 0 for router in run.routers)
         return
-    assert target.state is not RolloutState.ROLLING and not world.controllers
-    for router in world.routers:
-        report, wanted = world.reports[router.name], wanted_version(target, router.name)
+    assert target.state is not RolloutState.ROLLING and not run.controllers
+    for router in run.routers:
+        report, wanted = run.reports[router.name], wanted_version(target, router.name)
         assert report == router.follower.report()
         refuses = report.refused is not None and report.refused.version == wanted
-        assert report.in_force == wanted or (refuses and (router.name, wanted) in world.unusable)
+        assert report.in_force == wanted or (refuses and (router.name, wanted) in run.unusable)
         if target.state is RolloutState.HALTED and not refuses:
             assert report.in_force == target.previous
 
 
-def play(seed: int) -> World:
-    world = World(seed)
+def play(seed: int) -> Simulation:
+    run = Simulation(seed)
     for _ in range(STEPS):
-        world.step()
-        world.check_whole()
-    world.calm()
-    check_calm(world)
-    return world
+        run.step()
+        run.check_not_mixed()
+    run.settle()
+    check_settled(run)
+    return run
 
 
 @pytest.mark.parametrize("first", range(0, len(SEEDS), 30))
 def test_properties_hold_in_any_order(first: int) -> None:
-    worlds = [play(seed) for seed in SEEDS[first : first + 30]]
-    # What the properties speak of has to occur, or they say nothing.
-    assert sum(world.halts for world in worlds) > 5
-    assert sum(world.completions for world in worlds) > 5
-    assert sum(world.takeovers for world in worlds) > 30
-    assert sum(world.rollbacks for world in worlds) > 30
-    assert sum(world.backwards for world in worlds) > 30
+    runs = [play(seed) for seed in SEEDS[first : first + 30]]
+    # The events that the properties constrain have to occur, or the properties are vacuous.
+    assert sum(run.halts for run in runs) > 5
+    assert sum(run.completions for run in runs) > 5
+    assert sum(run.takeovers for run in runs) > 30
+    assert sum(run.rollbacks for run in runs) > 30
+    assert sum(run.downgrades for run in runs) > 30
 
 
-def test_the_properties_notice_a_router_that_heeds_old_notices(monkeypatch: pytest.MonkeyPatch) -> None:
-    def heedless(self: Follower, target: Target, revision: int, now: float) -> None:
+def test_the_properties_detect_a_router_that_follows_old_targets(monkeypatch: pytest.MonkeyPatch) -> None:
+    def follow_any_revision(self: Follower, target: Target, revision: int, now: float) -> None:
         self._revision = -1
-        follow(self, target, revision, now)
+        receive_target(self, target, revision, now)
 
-    follow = Follower.follow
-    monkeypatch.setattr(Follower, "follow", heedless)
+    receive_target = Follower.receive_target
+    monkeypatch.setattr(Follower, "receive_target", follow_any_revision)
     with pytest.raises(AssertionError):
         for seed in SEEDS:
             play(seed)
 
 
-def test_the_properties_notice_a_router_that_takes_what_it_was_not_chosen_for(
+def test_the_properties_detect_a_router_that_applies_a_version_it_was_not_selected_for(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr("stonecove.rollout.follower.wanted_version", lambda target, name: target.version)
