--- a/benchmarks/capacity_log.py
+++ b/benchmarks/capacity_log.py
@@ -17,7 +17,7 @@
 import trio
 
 from benchmarks.capacity_fits import BOUND_BYTES, PURGE_RATE, ROUTERS, Figures, line_fit
-from stonecove.discovery import PurgeUpdate, Told
+from stonecove.discovery import MembershipEvent, PurgeUpdate
 from stonecove.protocols.change_log import Follower
 from stonecove.runtime.log import set_log_sink
 from stonecove.standins.depot import HOST
@@ -147,7 +147,7 @@
         self._server = server
         self.delays: list[float] = []  # seconds
 
-    def told(self, event: Told) -> None:
+    def handle_membership_event(self, event: MembershipEvent) -> None:
         """An event of the log."""
         if isinstance(event, PurgeUpdate):
             self.delays.append(time.monotonic() - self._server.made[event.key])
--- a/benchmarks/capacity_router.py
+++ b/benchmarks/capacity_router.py
@@ -145,7 +145,7 @@
     budget.limit_bytes = 48e6
     route = Route(edge_settings(), 7, clock, Timers(clock, time.monotonic, _idle), budget, 0.0, _connect)
     members = tuple(Member(one, "127.0.0.1", 6565) for one in listed_nodes(parents))
-    route.told(MembersUpdate(True, members))
+    route.handle_membership_event(MembersUpdate(True, members))
     return route, members
 
 
@@ -215,13 +215,13 @@
 
             def change(place: int, route: Route = route, one: Member = one) -> None:
                 changed = one._replace(node=one.node._replace(state=TURNS[place % 2]))
-                route.told(MembersUpdate(False, (changed,)))
+                route.handle_membership_event(MembersUpdate(False, (changed,)))
 
             def whole(_: int, route: Route = route, members: tuple[Member, ...] = members) -> None:
-                route.told(MembersUpdate(True, members))
+                route.handle_membership_event(MembersUpdate(True, members))
 
             def purge(place: int, route: Route = route) -> None:
-                route.told(PurgeUpdate(time.time() * 1000.0, 0, 10**9 + place))
+                route.handle_membership_event(PurgeUpdate(time.time() * 1000.0, 0, 10**9 + place))
 
             figures |= {
                 f"purge_us_{parents}": cpu_each(purge, calls),
--- a/benchmarks/membership.py
+++ b/benchmarks/membership.py
@@ -27,8 +27,8 @@
 
 from stonecove.commands.demo import free_port, wait_ready
 from stonecove.discovery import Member
-from stonecove.discovery.merge import Merge, Source, Told, merged
-from stonecove.discovery.records import Names, member_of
+from stonecove.discovery.merge import EndpointMerger, EndpointSource, RecordedClaim, merge_all_claims
+from stonecove.discovery.records import TopologyNames, parse_member
 from stonecove.discovery.roster import Claim
 from stonecove.protocols.zookeeper.session import Figures
 from stonecove.routing.endpoints import NodeState
@@ -358,25 +358,25 @@
 
 def index(nodes: int, changes: int) -> dict[str, float]:
     """The index against a plain dict that is made anew with each change, over the same claims."""
-    names = Names(("central", "edge-1"), ("small-box", "parent", "origin"))
-    sources = (Source("changelog", 0), Source("zookeeper", 1))
+    names = TopologyNames(("central", "edge-1"), ("small-box", "parent", "origin"))
+    sources = (EndpointSource("changelog", 0), EndpointSource("zookeeper", 1))
     members: list[Member] = [
-        member_of(record(0x10000 + number, f"127.2.{number // 250}.{number % 250}:7").encode(), names)
+        parse_member(record(0x10000 + number, f"127.2.{number // 250}.{number % 250}:7").encode(), names)
         for number in range(nodes)
     ]
-    merge = Merge(sources)
-    claims: dict[int, dict[Source, Told]] = {}
+    merge = EndpointMerger(sources)
+    claims: dict[int, dict[EndpointSource, RecordedClaim]] = {}
     for source in sources:
-        merge.say(source, True, 0.0)
+        merge.set_current(source, True, 0.0)
     number = 0
     for member in members:
         claims[member.node.node_id] = {}
         for source in sources:
             number += 1
             claim = Claim(NodeState.READY, member, "up")
-            claims[member.node.node_id][source] = Told(claim, number, 0.0)
-            merge.claim(source, member.node.node_id, claim, 0.0)
-    merge.take()
+            claims[member.node.node_id][source] = RecordedClaim(claim, number, 0.0)
+            merge.apply_claim(source, member.node.node_id, claim, 0.0)
+    merge.take_changes()
     say = dict.fromkeys(sources, True)
     chooser = random.Random(1)
     picked = [
@@ -385,15 +385,15 @@
     ]
     began = time.perf_counter()
     for member, state in picked:
-        merge.claim(sources[1], member.node.node_id, Claim(state, member, "x"), 0.0)
-        merge.take()
+        merge.apply_claim(sources[1], member.node.node_id, Claim(state, member, "x"), 0.0)
+        merge.take_changes()
     mine = (time.perf_counter() - began) / changes * 1e6
     few = picked[:5]
     began = time.perf_counter()
     for member, state in few:
         number += 1
-        claims[member.node.node_id][sources[1]] = Told(Claim(state, member, "x"), number, 0.0)
-        merged(claims, say)
+        claims[member.node.node_id][sources[1]] = RecordedClaim(Claim(state, member, "x"), number, 0.0)
+        merge_all_claims(claims, say)
     plain = (time.perf_counter() - began) / len(few) * 1e6
     print(f"one change among {nodes} nodes: index {mine:.1f} us, plain dict made anew {plain:.0f} us")
     return {"index_us": mine, "plain_us": plain}
--- a/stonecove/commands/overload.py
+++ b/stonecove/commands/overload.py
@@ -13,7 +13,7 @@
 from stonecove.commands.members import print_table, table_of
 
 if TYPE_CHECKING:
-    from stonecove.overload.book import Book
+    from stonecove.overload.book import AmplificationStatistics
 
 UNUSABLE = 2
 BOOK = "book.json"
@@ -24,37 +24,38 @@
     """What came of what clients meant. Ends with 0, 2: the folder holds no book that can be read."""
 
 
-def _read(folder: Path) -> tuple[dict[str, Any], Book]:
+def _read(folder: Path) -> tuple[dict[str, Any], AmplificationStatistics]:
     """What a trial has left, and its book; ends the program where there is none."""
-    from stonecove.overload.book import Book, Event
+    from stonecove.overload.book import AmplificationStatistics, LoadEvent
 
     try:
         found = json.loads((folder / BOOK).read_text())
-        return found, Book(
-            Event(float(at), str(what), int(meaning), str(cls)) for at, what, meaning, cls in found["events"]
+        return found, AmplificationStatistics(
+            LoadEvent(float(at), str(what), int(meaning), str(cls))
+            for at, what, meaning, cls in found["events"]
         )
     except (OSError, ValueError, KeyError, TypeError) as error:
         click.echo(f"stonecove overload: {folder / BOOK}: {error}", err=True)
         sys.exit(UNUSABLE)
 
 
-def _figures(found: dict[str, Any], book: Book) -> dict[str, Any]:
-    from stonecove.overload.book import CAUSES, MEANT, OUTCOMES
+def _figures(found: dict[str, Any], book: AmplificationStatistics) -> dict[str, Any]:
+    from stonecove.overload.book import INTENDED, OUTCOMES, WORK_KINDS
 
     calm, ended = float(found["first"]), float(found["last"])
-    back = book.recovered(ended)
+    back = book.recovery_s(ended)
     return {
-        "meant": book.meant,
+        "meant": book.intended,
         "ends": {outcome: book.total(outcome) for outcome in OUTCOMES},
         "causes": {
             cause: {
-                "all": book.total(cause), "of_each_meant": book.total(cause) / max(1, book.meant),
-                "worst": book.worst(cause)[1], "worst_at": book.worst(cause)[0],
-                "most_of_one": book.most(cause)[1],
+                "all": book.total(cause), "of_each_meant": book.total(cause) / max(1, book.intended),
+                "worst": book.worst_second(cause)[1], "worst_at": book.worst_second(cause)[0],
+                "most_of_one": book.most_amplified(cause)[1],
             }
-            for cause in CAUSES
+            for cause in WORK_KINDS
         },
-        "classes": {name: dict(came) for name, came in sorted(book.by_class.items()) if came[MEANT]},
+        "classes": {name: dict(came) for name, came in sorted(book.by_class.items()) if came[INTENDED]},
         "recovery_s": None if math.isinf(back) else back,
         "sustained_by": [{"cause": cause, "times": times} for cause, times in
                          book.sustained_by(ended, calm)],
@@ -67,7 +68,7 @@
 @click.option("--seconds", is_flag=True, help="A line for each second as well.")
 def report_command(folder: Path, as_json: bool, seconds: bool) -> None:
     """Tell by cause what each meant request led to, from the --logs of a trial."""
-    from stonecove.overload.book import ATTEMPT, CAUSES, SERVED
+    from stonecove.overload.book import ATTEMPT, SERVED, WORK_KINDS
 
     found, book = _read(folder)
     figures = _figures(found, book)
@@ -100,14 +101,14 @@
     for one in figures["sustained_by"]:
         click.echo(f"  until then {one['cause']} were {one['times']:.1f} times those of the calm")
     if seconds:
-        table = table_of("second", "meant", "served", *CAUSES)
+        table = table_of("second", "meant", "served", *WORK_KINDS)
         for at in sorted(book.seconds):
             second = book.seconds[at]
             table.add_row(
                 str(at),
-                str(second.meant),
-                f"{second.served:.2f}",
-                *(f"{second.ratio(cause):.2f}" for cause in CAUSES),
+                str(second.intended),
+                f"{second.served_share:.2f}",
+                *(f"{second.ratio(cause):.2f}" for cause in WORK_KINDS),
             )
         print_table(table)
 
--- a/stonecove/discovery/__init__.py
+++ b/stonecove/discovery/__init__.py
@@ -1,4 +1,4 @@
-"""What the core is told of nodes and purges, whoever keeps the list."""
+"""Membership events, as every source of endpoints and purges reports them to the router's core."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class Member(NamedTuple):
-    """A node as listed, and where it listens for us."""
+    """A listed node and the address at which it accepts the router's connections."""
 
     node: Node
     host: str
@@ -16,32 +16,32 @@
 
 
 class MembersUpdate(NamedTuple):
-    """The whole list, or what has changed in it."""
+    """A complete list of members, or the members that have changed."""
 
-    whole: bool
+    is_snapshot: bool
     members: tuple[Member, ...]
 
 
 class PurgeUpdate(NamedTuple):
-    """An object (or with key 0 a group) was purged at that Unix millisecond."""
+    """The purge of an object, or of a group if the key is 0, in Unix milliseconds."""
 
-    time: float
+    purged_at_ms: float
     group: int
     key: int
 
 
-Told = MembersUpdate | PurgeUpdate
+MembershipEvent = MembersUpdate | PurgeUpdate
 
 
 class MembershipSink(Protocol):
-    """Who takes in what is told, in order."""
+    """A receiver of membership events, which are delivered in order."""
 
-    def told(self, event: Told) -> None:
-        """One event of the list's keeper."""
+    def handle_membership_event(self, event: MembershipEvent) -> None:
+        """Process one event of the membership source."""
 
 
 class Membership(Protocol):
-    """A keeper of the list: tells the sink of every change for as long as it runs."""
+    """A source of membership events that reports every change to a sink while it runs."""
 
     async def run(self, sink: MembershipSink) -> None:
-        """Follows the list; never ends by itself and lets no error of the network out."""
+        """Follow the list until cancelled; network errors are handled and never raised."""
--- a/stonecove/discovery/merge.py
+++ b/stonecove/discovery/merge.py
@@ -1,21 +1,23 @@
-"""Several sources, one list: which state and address a node has when they do not agree. Knows no I/O.
-
-The rule, for each node, by the claims of all sources (a claim has the number at which it was told):
-
-1. The strictest state wins at once: a claim of draining or gone holds from the moment it is told.
-2. Coming back is for the most trusted source that has a say and knows the node: a strict claim of another
-   source is over only if that source takes it back, or if the most trusted one has told `ready` after it.
-3. A source without a say (silent for too long, or never read) no longer keeps a node ready; a strict claim
-   of its stands until a source with a say tells `ready` after it.
-4. A node that no source with a say knows is draining; if no source has a say at all, `nobody` decides
-   whether the last list stands (`keep`) or nothing gets fresh work (`refuse`).
+"""Merges the claims of several endpoint sources into one list: the state and address of each node. No I/O.
+
+A source is current once it has been read, until it has been silent for too long; its claims then count. Each
+claim has the sequence number with which it was received. The rules, for each node over the claims of all
+sources:
+
+1. The strictest state wins at once: a claim of draining or removed holds from the moment it is received.
+2. Only the most trusted source that is current and knows the node can make it ready again: a strict claim of
+   another source ends if that source withdraws it, or if the most trusted one has claimed `ready` after it.
+3. A source that is not current no longer keeps a node ready; its strict claims stand until a current source
+   claims `ready` after them.
+4. A node that no current source knows is draining; if no source is current at all, the operator's setting
+   `nobody` decides whether the last list stands (`keep`) or nothing gets new work (`refuse`).
 5. Address, zone, kind and weight are those of the most trusted claim that has them; `started` is the latest
-   told, as a cold node must not be taken for a warm one.
-6. Of two ready ids at one address, the younger (by `started`, then by the claim's number) keeps it; the
-   other drains.
+   that any source claims, since a restarted node must not be taken for one that has warmed up.
+6. Of two ready ids at one address, the younger one (by `started`, then by the claim's sequence number) keeps
+   it; the other one drains.
 
-`Merge` is an index that is kept up with each claim; `merged` is the same rule over all claims at once, by
-which it is tested and measured.
+`EndpointMerger` is an index that is updated with each claim; `merge_all_claims` applies the same rules to all
+claims at once and serves as the reference in tests and benchmarks.
 """
 
 from __future__ import annotations
@@ -28,278 +30,313 @@
 from stonecove.routing.endpoints import NodeId, NodeState
 
 
-class Source(NamedTuple):
-    """A keeper of a list; the lower the rank, the more it is trusted."""
+class EndpointSource(NamedTuple):
+    """A source of an endpoint list; the lower its rank, the more it is trusted."""
 
     name: str
     rank: int
 
 
-class Told(NamedTuple):
-    """A claim as it is kept: with its number and the Unix millisecond at which it was told."""
+class RecordedClaim(NamedTuple):
+    """A claim with its sequence number and the Unix time in milliseconds at which it was received."""
 
     claim: Claim
-    number: int
-    at: float
+    sequence: int
+    received_at_ms: float
 
 
-class Verdict(NamedTuple):
-    """What a node is for us, and why."""
+class EndpointStatus(NamedTuple):
+    """The state of a node by the rules, and the reason for it."""
 
     state: NodeState
     member: Member | None
-    why: str
+    reason: str
 
 
 class Explanation(NamedTuple):
-    """Why a node is what it is."""
+    """The status of a node, since when it holds, and the claims behind it."""
+
+    status: EndpointStatus
+    since_ms: float
+    claims: tuple[tuple[EndpointSource, bool, RecordedClaim], ...]  # source, whether it is current, its claim
 
-    verdict: Verdict
-    since: float
-    claims: tuple[tuple[Source, bool, Told], ...]  # source, whether it has a say, and what it says
 
+UNKNOWN_ENDPOINT = EndpointStatus(NodeState.REMOVED, None, "no source knows it")
 
-UNKNOWN = Verdict(NodeState.REMOVED, None, "no source knows it")
 
+def resolve_claims(
+    claims: Iterable[tuple[EndpointSource, bool, RecordedClaim]], any_current: bool, retain_last_list: bool
+) -> EndpointStatus:
+    """Return the status of one node by rules 1 to 5.
 
-def decide(claims: Iterable[tuple[Source, bool, Told]], anybody: bool, keep: bool) -> Verdict:
-    """Rules 1 to 5 for one node. `anybody`: some source has a say; `keep`: the last list stands if none
-    has.
+    `any_current`: some source is current; `retain_last_list`: the last list stands if none is.
     """
-    known = sorted(claims, key=lambda one: one[0].rank)
-    members = [told.claim.member for _, _, told in known if told.claim.member is not None]
+    ranked = sorted(claims, key=lambda entry: entry[0].rank)
+    members = [recorded.claim.member for _, _, recorded in ranked if recorded.claim.member is not None]
     if not members:
-        return UNKNOWN
-    living = [
-        told.claim.member
-        for _, _, told in known
-        if told.claim.member is not None and told.claim.state is not NodeState.REMOVED
+        return UNKNOWN_ENDPOINT
+    listed = [
+        recorded.claim.member
+        for _, _, recorded in ranked
+        if recorded.claim.member is not None and recorded.claim.state is not NodeState.REMOVED
     ]
-    member = (living or members)[0]
-    latest = max(found.node.started_ms for found in (living or members))
-    if latest != member.node.started_ms:
-        member = member._replace(node=member.node._replace(started_ms=latest))
-    having = [one for one in known if one[1]] or ([] if anybody or not keep else known)
-    if not having:
-        if not living:
-            return Verdict(NodeState.REMOVED, member, f"{known[0][0].name}: {known[0][2].claim.why}")
-        why = "no source with a say knows it" if anybody else "no source has a say"
-        return Verdict(NodeState.DRAINING, member, why)
-    top, _, newest = having[0]
-    if newest.claim.state is not NodeState.READY:
-        # Gone here, but others still list it: draining, so that what is out may end.
-        state = NodeState.DRAINING if living else NodeState.REMOVED
-        return Verdict(state, member, f"{top.name}: {newest.claim.why}")
-    for source, _, told in known:
-        if told.claim.state is not NodeState.READY and told.number > newest.number:
-            return Verdict(NodeState.DRAINING, member, f"{source.name}: {told.claim.why}")
-    return Verdict(NodeState.READY, member, f"{top.name}: {newest.claim.why}")
-
-
-class _Node:
+    member = (listed or members)[0]
+    latest_start_ms = max(candidate.node.started_ms for candidate in (listed or members))
+    if latest_start_ms != member.node.started_ms:
+        member = member._replace(node=member.node._replace(started_ms=latest_start_ms))
+    counted = [entry for entry in ranked if entry[1]] or (
+        [] if any_current or not retain_last_list else ranked
+    )
+    if not counted:
+        if not listed:
+            return EndpointStatus(
+                NodeState.REMOVED, member, f"{ranked[0][0].name}: {ranked[0][2].claim.reason}"
+            )
+        reason = "no source with a say knows it" if any_current else "no source has a say"
+        return EndpointStatus(NodeState.DRAINING, member, reason)
+    most_trusted, _, decisive = counted[0]
+    if decisive.claim.state is not NodeState.READY:
+        # Removed here, but still listed by others: draining lets requests in flight complete.
+        state = NodeState.DRAINING if listed else NodeState.REMOVED
+        return EndpointStatus(state, member, f"{most_trusted.name}: {decisive.claim.reason}")
+    for source, _, recorded in ranked:
+        if recorded.claim.state is not NodeState.READY and recorded.sequence > decisive.sequence:
+            return EndpointStatus(NodeState.DRAINING, member, f"{source.name}: {recorded.claim.reason}")
+    return EndpointStatus(NodeState.READY, member, f"{most_trusted.name}: {decisive.claim.reason}")
+
+
+class _MergedNode:
     """One node of the index."""
 
-    __slots__ = ("claims", "verdict", "base", "since", "number")
+    __slots__ = ("claims", "status", "claimed_status", "since_ms", "ready_sequence")
 
     def __init__(self) -> None:
-        self.claims: dict[Source, Told] = {}
-        self.base = UNKNOWN  # before rule 6
-        self.verdict = UNKNOWN
-        self.since = 0.0
-        self.number = 0  # of its newest ready claim
+        self.claims: dict[EndpointSource, RecordedClaim] = {}
+        self.claimed_status = UNKNOWN_ENDPOINT  # by rules 1 to 5, before rule 6
+        self.status = UNKNOWN_ENDPOINT
+        self.since_ms = 0.0
+        self.ready_sequence = 0  # of its newest ready claim
 
 
-class Merge:
-    """The merged list, kept up claim by claim."""
+class EndpointMerger:
+    """The merged list, updated claim by claim."""
 
-    def __init__(self, sources: Iterable[Source], keep: bool = False) -> None:
-        """`keep`: the last list stands if no source has a say. Raises ValueError for two of one rank or
-        name.
+    def __init__(self, sources: Iterable[EndpointSource], retain_last_list: bool = False) -> None:
+        """Create an empty list; `retain_last_list`: the last list stands if no source is current.
+
+        Raises ValueError for two sources of one rank or name.
         """
         self.sources = tuple(sorted(sources, key=lambda source: source.rank))
         for field in ("rank", "name"):
             if len({getattr(source, field) for source in self.sources}) < len(self.sources):
                 raise ValueError(f"two sources of one {field}")
-        self._keep = keep
-        self._say = dict.fromkeys(self.sources, False)
-        self._nodes: dict[NodeId, _Node] = {}
-        self._known_by: dict[Source, set[NodeId]] = {source: set() for source in self.sources}
-        self._at: dict[tuple[str, int], set[NodeId]] = {}
+        self._retain_last_list = retain_last_list
+        self._current = dict.fromkeys(self.sources, False)
+        self._nodes: dict[NodeId, _MergedNode] = {}
+        self._ids_by_source: dict[EndpointSource, set[NodeId]] = {source: set() for source in self.sources}
+        self._ready_ids_by_address: dict[tuple[str, int], set[NodeId]] = {}
         self._changed: dict[NodeId, None] = {}  # in the order of their changes
-        self._number = 0
-        self.urgent = False  # among the changes is one that forbids fresh work
+        self._sequence = 0
+        self.urgent = False  # the pending changes include one that forbids new work
 
     def __len__(self) -> int:
         return len(self._nodes)
 
-    def claim(self, source: Source, ident: NodeId, claim: Claim, now: float) -> None:
-        """A source says something new of a node."""
-        self._number += 1
+    def apply_claim(self, source: EndpointSource, ident: NodeId, claim: Claim, now_ms: float) -> None:
+        """Replace a source's claim about a node."""
+        self._sequence += 1
         node = self._nodes.get(ident)
         if node is None:
             if claim.state is NodeState.REMOVED:
                 return
-            node = self._nodes[ident] = _Node()
-        before = node.claims.get(source)
-        if claim.member is None and before is not None:
-            claim = claim._replace(member=before.claim.member)
-        node.claims[source] = Told(claim, self._number, now)
-        self._known_by[source].add(ident)
-        self._judge(ident, now)
-
-    def say(self, source: Source, has: bool, now: float) -> None:
-        """A source gains or loses its say."""
-        if self._say[source] == has:
+            node = self._nodes[ident] = _MergedNode()
+        previous = node.claims.get(source)
+        if claim.member is None and previous is not None:
+            claim = claim._replace(member=previous.claim.member)
+        node.claims[source] = RecordedClaim(claim, self._sequence, now_ms)
+        self._ids_by_source[source].add(ident)
+        self._evaluate(ident, now_ms)
+
+    def set_current(self, source: EndpointSource, current: bool, now_ms: float) -> None:
+        """Set whether a source is current, that is, whether its claims count."""
+        if self._current[source] == current:
             return
-        anybody = any(self._say.values())
-        self._say[source] = has
-        # If nobody has a say any more, or somebody has again, all nodes are touched and not only those of
-        # the source.
-        whole = anybody != any(self._say.values())
-        for ident in list(self._nodes if whole else self._known_by[source]):
-            self._judge(ident, now)
-
-    def rank(self, sources: Iterable[Source], keep: bool, now: float) -> None:
-        """The same sources by name, trusted in another order; raises ValueError where a name is missing."""
+        any_current = any(self._current.values())
+        self._current[source] = current
+        # Where the last current source is lost, or the first one is back, rule 4 changes for all nodes and
+        # not only for those of the source.
+        affects_all = any_current != any(self._current.values())
+        for ident in list(self._nodes if affects_all else self._ids_by_source[source]):
+            self._evaluate(ident, now_ms)
+
+    def update_ranks(self, sources: Iterable[EndpointSource], retain_last_list: bool, now_ms: float) -> None:
+        """Replace the ranks of the sources, which are the same by name.
+
+        Raises ValueError where a name is missing or added, or two sources have one rank.
+        """
         ranked = tuple(sorted(sources, key=lambda source: source.rank))
         new = {source.name: source for source in ranked}
         if len({source.rank for source in ranked}) < len(ranked):
             raise ValueError("two sources of one rank")
         if set(new) != {source.name for source in self.sources}:
             raise ValueError("other sources than before")
-        self.sources, self._keep = ranked, keep
-        self._say = {new[source.name]: say for source, say in self._say.items()}
-        self._known_by = {new[source.name]: known for source, known in self._known_by.items()}
+        self.sources, self._retain_last_list = ranked, retain_last_list
+        self._current = {new[source.name]: current for source, current in self._current.items()}
+        self._ids_by_source = {new[source.name]: idents for source, idents in self._ids_by_source.items()}
         for node in self._nodes.values():
-            node.claims = {new[source.name]: told for source, told in node.claims.items()}
+            node.claims = {new[source.name]: recorded for source, recorded in node.claims.items()}
         for ident in list(self._nodes):
-            self._judge(ident, now)
+            self._evaluate(ident, now_ms)
 
-    def has_say(self, source: Source) -> bool:
-        """Whether the claims of a source count."""
-        return self._say[source]
+    def is_current(self, source: EndpointSource) -> bool:
+        """Return whether the claims of a source count."""
+        return self._current[source]
 
-    def take(self) -> list[Member]:
-        """What has changed since the last call, as the core is to be told of it; each node once."""
+    def take_changes(self) -> list[Member]:
+        """Return the members that have changed since the last call, each once, as the core is to see them."""
         changed, self._changed, self.urgent = self._changed, {}, False
-        found = []
+        members = []
         for ident in changed:
             node = self._nodes[ident]
-            member = node.verdict.member
+            member = node.status.member
             if member is not None:
-                found.append(member._replace(node=member.node._replace(state=node.verdict.state)))
-            if node.verdict.state is NodeState.REMOVED and all(
-                told.claim.state is NodeState.REMOVED for told in node.claims.values()
+                members.append(member._replace(node=member.node._replace(state=node.status.state)))
+            if node.status.state is NodeState.REMOVED and all(
+                recorded.claim.state is NodeState.REMOVED for recorded in node.claims.values()
             ):
-                self._drop(ident)
-        return found
+                self._delete(ident)
+        return members
 
-    def claimed(self, source: Source, ident: NodeId) -> Claim | None:
-        """What a source says of a node; None if nothing."""
+    def claim_of(self, source: EndpointSource, ident: NodeId) -> Claim | None:
+        """Return a source's claim about a node; None if it has made none."""
         node = self._nodes.get(ident)
-        told = node.claims.get(source) if node is not None else None
-        return None if told is None else told.claim
+        recorded = node.claims.get(source) if node is not None else None
+        return None if recorded is None else recorded.claim
 
-    def waiting(self) -> bool:
-        """Whether `take` has something to give."""
+    def has_changes(self) -> bool:
+        """Return whether changes are pending for `take_changes`."""
         return bool(self._changed)
 
-    def verdict(self, ident: NodeId) -> Verdict:
-        """What a node is now."""
+    def status(self, ident: NodeId) -> EndpointStatus:
+        """Return the present status of a node."""
         node = self._nodes.get(ident)
-        return UNKNOWN if node is None else node.verdict
+        return UNKNOWN_ENDPOINT if node is None else node.status
 
-    def ids(self) -> list[NodeId]:
-        """All nodes that any source knows, sorted."""
+    def node_ids(self) -> list[NodeId]:
+        """Return the ids of all nodes that any source knows, sorted."""
         return sorted(self._nodes)
 
     def explain(self, ident: NodeId) -> Explanation | None:
-        """Who says what of a node; None if nobody knows it."""
+        """Return the status of a node with the claims behind it; None if no source knows it."""
         node = self._nodes.get(ident)
         if node is None:
             return None
-        return Explanation(node.verdict, node.since, self._told(node))
+        return Explanation(node.status, node.since_ms, self._claims_of(node))
 
-    # -- within --
+    # -- internals --
 
-    def _told(self, node: _Node) -> tuple[tuple[Source, bool, Told], ...]:
-        return tuple((source, self._say[source], told) for source, told in node.claims.items())
+    def _claims_of(self, node: _MergedNode) -> tuple[tuple[EndpointSource, bool, RecordedClaim], ...]:
+        return tuple((source, self._current[source], recorded) for source, recorded in node.claims.items())
 
-    def _judge(self, ident: NodeId, now: float) -> None:
+    def _evaluate(self, ident: NodeId, now_ms: float) -> None:
         node = self._nodes[ident]
-        before, base = node.base, decide(self._told(node), any(self._say.values()), self._keep)
-        node.base = base
-        node.number = max(
-            (told.number for told in node.claims.values() if told.claim.state is NodeState.READY), default=0
+        previous, claimed = (
+            node.claimed_status,
+            resolve_claims(self._claims_of(node), any(self._current.values()), self._retain_last_list),
         )
-        touched = {ident}
-        for verdict, add in ((before, False), (base, True)):
-            if verdict.state is NodeState.READY and verdict.member is not None:
-                address = (verdict.member.host, verdict.member.port)
-                there = self._at.setdefault(address, set())
-                there.add(ident) if add else there.discard(ident)
-                touched |= there
-                if not there:
-                    del self._at[address]
-        for other in touched:
-            self._settle(other, now)
-
-    def _settle(self, ident: NodeId, now: float) -> None:
-        """Rule 6, and what has become of the node by it."""
+        node.claimed_status = claimed
+        node.ready_sequence = max(
+            (
+                recorded.sequence
+                for recorded in node.claims.values()
+                if recorded.claim.state is NodeState.READY
+            ),
+            default=0,
+        )
+        affected = {ident}
+        for status, add in ((previous, False), (claimed, True)):
+            if status.state is NodeState.READY and status.member is not None:
+                address = (status.member.host, status.member.port)
+                sharers = self._ready_ids_by_address.setdefault(address, set())
+                sharers.add(ident) if add else sharers.discard(ident)
+                affected |= sharers
+                if not sharers:
+                    del self._ready_ids_by_address[address]
+        for other in affected:
+            self._resolve_address(other, now_ms)
+
+    def _resolve_address(self, ident: NodeId, now_ms: float) -> None:
+        """Apply rule 6 to a node, and record a change of its status."""
         node = self._nodes[ident]
-        verdict, member = node.base, node.base.member
-        if verdict.state is NodeState.READY and member is not None:
-            rivals = self._at[member.host, member.port]
-            if len(rivals) > 1:
-                youngest = max(rivals, key=self._youth)
+        status, member = node.claimed_status, node.claimed_status.member
+        if status.state is NodeState.READY and member is not None:
+            sharers = self._ready_ids_by_address[member.host, member.port]
+            if len(sharers) > 1:
+                youngest = max(sharers, key=self._recency_key)
                 if youngest != ident:
-                    verdict = Verdict(NodeState.DRAINING, member, f"its address is that of s-{youngest:08x}")
-        if verdict == node.verdict:
+                    status = EndpointStatus(
+                        NodeState.DRAINING, member, f"its address is that of s-{youngest:08x}"
+                    )
+        if status == node.status:
             return
-        if verdict[:2] != node.verdict[:2]:
+        if status[:2] != node.status[:2]:
             self._changed[ident] = None
-            self.urgent |= node.verdict.state is NodeState.READY and verdict.state is not NodeState.READY
-        if verdict.state is not node.verdict.state:
-            node.since = now
-        node.verdict = verdict
+            self.urgent |= node.status.state is NodeState.READY and status.state is not NodeState.READY
+        if status.state is not node.status.state:
+            node.since_ms = now_ms
+        node.status = status
 
-    def _youth(self, ident: NodeId) -> tuple[float, int]:
+    def _recency_key(self, ident: NodeId) -> tuple[float, int]:
         node = self._nodes[ident]
-        return (node.base.member.node.started_ms if node.base.member else 0.0, node.number)
+        return (
+            node.claimed_status.member.node.started_ms if node.claimed_status.member else 0.0,
+            node.ready_sequence,
+        )
 
-    def _drop(self, ident: NodeId) -> None:
+    def _delete(self, ident: NodeId) -> None:
         for source in self._nodes.pop(ident).claims:
-            self._known_by[source].discard(ident)
+            self._ids_by_source[source].discard(ident)
+
 
+def merge_all_claims(
+    claims: Mapping[NodeId, Mapping[EndpointSource, RecordedClaim]],
+    current: Mapping[EndpointSource, bool],
+    retain_last_list: bool = False,
+) -> dict[NodeId, EndpointStatus]:
+    """Return the status of every node, computed from all claims at once by the rules of the index.
 
-def merged(
-    claims: Mapping[NodeId, Mapping[Source, Told]], say: Mapping[Source, bool], keep: bool = False
-) -> dict[NodeId, Verdict]:
-    """The whole list made anew from all claims, by the same rule: what `Merge` is tested and measured
-    against.
+    Serves as the reference by which `EndpointMerger` is tested and measured.
     """
-    anybody = any(say.values())
-    found = {
-        ident: decide([(source, say[source], told) for source, told in by.items()], anybody, keep)
-        for ident, by in claims.items()
+    any_current = any(current.values())
+    statuses = {
+        ident: resolve_claims(
+            [(source, current[source], recorded) for source, recorded in by_source.items()],
+            any_current,
+            retain_last_list,
+        )
+        for ident, by_source in claims.items()
     }
-    at: dict[tuple[str, int], list[NodeId]] = {}
-    for ident, verdict in found.items():
-        if verdict.state is NodeState.READY and verdict.member is not None:
-            at.setdefault((verdict.member.host, verdict.member.port), []).append(ident)
-    for rivals in at.values():
-        if len(rivals) < 2:
+    ready_ids_by_address: dict[tuple[str, int], list[NodeId]] = {}
+    for ident, status in statuses.items():
+        if status.state is NodeState.READY and status.member is not None:
+            ready_ids_by_address.setdefault((status.member.host, status.member.port), []).append(ident)
+    for sharers in ready_ids_by_address.values():
+        if len(sharers) < 2:
             continue
 
-        def youth(ident: NodeId) -> tuple[float, int]:
-            member = found[ident].member
-            numbers = [told.number for told in claims[ident].values() if told.claim.state is NodeState.READY]
-            return (member.node.started_ms if member else 0.0, max(numbers, default=0))
-
-        youngest = max(rivals, key=youth)
-        for ident in rivals:
+        def recency_key(ident: NodeId) -> tuple[float, int]:
+            member = statuses[ident].member
+            sequences = [
+                recorded.sequence
+                for recorded in claims[ident].values()
+                if recorded.claim.state is NodeState.READY
+            ]
+            return (member.node.started_ms if member else 0.0, max(sequences, default=0))
+
+        youngest = max(sharers, key=recency_key)
+        for ident in sharers:
             if ident != youngest:
-                found[ident] = Verdict(
-                    NodeState.DRAINING, found[ident].member, f"its address is that of s-{youngest:08x}"
+                statuses[ident] = EndpointStatus(
+                    NodeState.DRAINING, statuses[ident].member, f"its address is that of s-{youngest:08x}"
                 )
-    return found
+    return statuses
--- a/stonecove/discovery/pace.py
+++ b/stonecove/discovery/pace.py
@@ -1,36 +1,37 @@
-"""When changes of the merged list are handed to the decisions. Knows no I/O; times are seconds of a steady
-clock.
+"""Pacing of the updates that the merged list delivers to the decision module. No I/O; times are seconds of a
+monotonic clock.
 
-Each handing over makes the decisions sort their lists anew, which costs by the length of the list. What
-forbids fresh work is in the table of the last look at once; handing it on may wait for a little, and never
-for longer than `MOST_WAIT`, which leaves the rule of 250 ms its room.
+Each delivery makes the decision module sort its lists again, at a cost that grows with their length. Changes
+that forbid new work are applied to the node table at once, which is checked before each write; their delivery
+may be delayed, but never by more than `MAX_DELAY_S`, which leaves enough of the 250 ms within which a
+drain has to take effect.
 """
 
 from __future__ import annotations
 
-SHARE = 0.2  # part of the time that handing over may take
-MOST_WAIT = 0.1
+MAX_DUTY_CYCLE = 0.2  # share of the time that may be spent on deliveries
+MAX_DELAY_S = 0.1
 
 
-class Pace:
-    """Spreads handing over in time."""
+class UpdatePacer:
+    """Decides when pending changes are delivered, and limits the time spent on deliveries."""
 
-    def __init__(self, batch: float) -> None:
-        """`batch`: seconds for which changes that forbid nothing wait for others."""
-        self.batch = batch
-        self._allowed = 0.0  # not before then, for what the last one cost
-        self._due = float("inf")
+    def __init__(self, batch_delay_s: float) -> None:
+        """Create a pacer that collects changes which forbid no new work for `batch_delay_s` seconds."""
+        self.batch_delay_s = batch_delay_s
+        self._not_before_s = 0.0  # end of the pause that the cost of the last delivery calls for
+        self._deliver_at_s = float("inf")
 
-    def changed(self, now: float, urgent: bool) -> None:
-        """There is something to hand over."""
-        wanted = max(now if urgent else now + self.batch, self._allowed)
-        self._due = min(self._due, wanted)
+    def schedule(self, now_s: float, urgent: bool) -> None:
+        """Schedule a delivery because of a change; `urgent`: it forbids new work."""
+        requested_s = max(now_s if urgent else now_s + self.batch_delay_s, self._not_before_s)
+        self._deliver_at_s = min(self._deliver_at_s, requested_s)
 
-    def due(self) -> float:
-        """When to hand over; infinite if there is nothing."""
-        return self._due
+    def deliver_at_s(self) -> float:
+        """Return when to deliver; infinite if nothing is pending."""
+        return self._deliver_at_s
 
-    def done(self, began: float, ended: float) -> None:
-        """All was handed over, which took from then till then."""
-        self._due = float("inf")
-        self._allowed = ended + min((ended - began) * (1.0 / SHARE - 1.0), MOST_WAIT)
+    def delivered(self, started_s: float, ended_s: float) -> None:
+        """Record a delivery of all pending changes, and how long it took."""
+        self._deliver_at_s = float("inf")
+        self._not_before_s = ended_s + min((ended_s - started_s) * (1.0 / MAX_DUTY_CYCLE - 1.0), MAX_DELAY_S)
--- a/stonecove/discovery/presence.py
+++ b/stonecove/discovery/presence.py
@@ -1,8 +1,9 @@
-"""How many routers there are, by the ephemeral nodes that they keep for themselves. Knows no I/O.
+"""The number of routers, counted from the ephemeral nodes in which they announce themselves. No I/O.
 
-The decisions share what a cold node and a link bear by the size of the fleet: counting too few overloads,
-counting too many only wastes. So a larger count holds soon, a smaller one after a long calm, and none while
-the source is away. Times are Unix milliseconds.
+The decision module divides the capacity of a warming node and of a zone link by the size of the fleet:
+counting too few routers overloads them, counting too many only wastes capacity. Therefore a larger count
+takes effect soon, a smaller one only after it has been stable for long, and none while the source is
+unavailable. Times are Unix milliseconds.
 """
 
 from __future__ import annotations
@@ -12,13 +13,13 @@
 
 import ujson
 
-from stonecove.discovery.records import Names, RecordError, load
+from stonecove.discovery.records import RecordError, TopologyNames, load_record
 
-STATES = ("starting", "ready", "draining")
+PEER_STATES = ("starting", "ready", "draining")
 
 
 class Peer(NamedTuple):
-    """A router, as it describes itself."""
+    """A router, as its own record describes it."""
 
     name: str
     zone: int
@@ -28,41 +29,41 @@
 
 
 class FleetSize(NamedTuple):
-    """The routers that count, in all and by zone."""
+    """The number of routers that are counted, in total and by zone."""
 
-    fleet: int
+    total: int
     by_zone: tuple[int, ...]
 
 
-class Calm(NamedTuple):
-    """For how long a count must have stood before it holds, in milliseconds."""
+class Hysteresis(NamedTuple):
+    """For how long a count must have been stable before it takes effect, in milliseconds."""
 
-    grow: float = 1_000.0
-    shrink: float = 10_000.0
+    grow_after_ms: float = 1_000.0
+    shrink_after_ms: float = 10_000.0
 
 
-def peer_of(data: bytes, names: Names) -> Peer:
-    """From its record; raises RecordError."""
-    table: dict[str, Any] = load(data)
-    zone, state = table.get("zone"), table.get("state")
+def parse_peer(data: bytes, names: TopologyNames) -> Peer:
+    """Return the router that a record describes; raises RecordError."""
+    fields: dict[str, Any] = load_record(data)
+    zone, state = fields.get("zone"), fields.get("state")
     if zone not in names.zones:
         raise RecordError(f"zone {str(zone)[:40]!r} is none of {', '.join(names.zones)}")
-    if state not in STATES:
-        raise RecordError(f"state {str(state)[:20]!r} is none of {', '.join(STATES)}")
-    started = table.get("started", 0)
+    if state not in PEER_STATES:
+        raise RecordError(f"state {str(state)[:20]!r} is none of {', '.join(PEER_STATES)}")
+    started = fields.get("started", 0)
     if isinstance(started, bool) or not isinstance(started, (int, float)):
         raise RecordError("started is no number")
     return Peer(
-        str(table.get("name", ""))[:100],
+        str(fields.get("name", ""))[:100],
         names.zones.index(zone),
         state,
-        str(table.get("listen", ""))[:100],
+        str(fields.get("listen", ""))[:100],
         float(started),
     )
 
 
-def record_of(peer: Peer, names: Names) -> bytes:
-    """The record of a router."""
+def encode_peer(peer: Peer, names: TopologyNames) -> bytes:
+    """Return the record that describes a router."""
     return ujson.dumps(
         {
             "name": peer.name,
@@ -74,71 +75,85 @@
     ).encode()
 
 
-class Fleet:
+class FleetCounter:
     """Counts the routers, with hysteresis."""
 
-    def __init__(self, zones: int, zone: int, calm: Calm, least: FleetSize) -> None:
-        """Our own zone counts one at least; `least` is what holds until a list was read."""
+    def __init__(self, zones: int, zone: int, hysteresis: Hysteresis, initial: FleetSize) -> None:
+        """Create a counter for a number of zones, with `initial` in effect until a list has been read.
+
+        This router's own `zone` always counts at least one router.
+        """
         self._zone = zone
         self._zones = max(zones, zone + 1)
-        self._calm = calm
-        self.holds = least
+        self._hysteresis = hysteresis
+        self.effective = initial
         self._peers: dict[str, Peer] = {}
-        self._seen = least
-        self._since = 0.0
-        self._away = True
+        self._counted = initial
+        self._counted_since_ms = 0.0
+        self._source_lost = True
 
     @property
     def peers(self) -> dict[str, Peer]:
-        """The routers that are listed, by the name of their node."""
+        """The listed routers, by the name of their node."""
         return self._peers
 
-    def put(self, name: str, peer: Peer, now: float) -> None:
-        """A router is there, or tells another state."""
+    def put(self, name: str, peer: Peer, now_ms: float) -> None:
+        """Add a router, or replace its record."""
         self._peers[name] = peer
-        self._count(now)
+        self._recount(now_ms)
 
-    def removed(self, names: Iterable[str], now: float) -> None:
-        """Routers are gone."""
+    def discard(self, names: Iterable[str], now_ms: float) -> None:
+        """Remove routers that are no longer listed."""
         for name in names:
             self._peers.pop(name, None)
-        self._count(now)
+        self._recount(now_ms)
 
-    def away(self, now: float) -> None:
-        """The source is away: what holds goes on to hold."""
-        self._away = True
+    def source_lost(self, now_ms: float) -> None:
+        """Freeze the size in effect while the source is unavailable."""
+        self._source_lost = True
 
-    def here(self, now: float) -> None:
-        """The list was read whole."""
-        self._away = False
-        self._since = now
-        self._count(now)
+    def source_read(self, now_ms: float) -> None:
+        """Resume counting, after the complete list has been read."""
+        self._source_lost = False
+        self._counted_since_ms = now_ms
+        self._recount(now_ms)
 
-    def _count(self, now: float) -> None:
+    def _recount(self, now_ms: float) -> None:
         by_zone = [0] * self._zones
         for peer in self._peers.values():
             if peer.state != "draining" and peer.zone < self._zones:
                 by_zone[peer.zone] += 1
         by_zone[self._zone] = max(1, by_zone[self._zone])
-        seen = FleetSize(sum(by_zone), tuple(by_zone))
-        if seen != self._seen:
-            self._seen, self._since = seen, now
+        counted = FleetSize(sum(by_zone), tuple(by_zone))
+        if counted != self._counted:
+            self._counted, self._counted_since_ms = counted, now_ms
+
+    def effective_at_ms(self) -> float:
+        """Return when the counted size takes effect, in part or in full.
 
-    def due(self) -> float:
-        """When something of the count that is seen will hold; infinite if all does, or the source is away."""
-        if self._away or self._seen == self.holds:
+        Infinite if it already has, or while the source is unavailable.
+        """
+        if self._source_lost or self._counted == self.effective:
             return float("inf")
-        return self._since + (self._calm.grow if self._grown() != self.holds else self._calm.shrink)
+        return self._counted_since_ms + (
+            self._hysteresis.grow_after_ms
+            if self._grown() != self.effective
+            else self._hysteresis.shrink_after_ms
+        )
 
     def _grown(self) -> FleetSize:
-        """What holds, with what has grown only: the way that is never dangerous."""
-        held = self.holds.by_zone + (0,) * (self._zones - len(self.holds.by_zone))
-        by_zone = tuple(map(max, held, self._seen.by_zone))
-        return FleetSize(max(self.holds.fleet, self._seen.fleet), by_zone)
-
-    def tick(self, now: float) -> FleetSize | None:
-        """The new count, once it holds; None while nothing changes."""
-        if now < self.due():
+        """Return the size in effect with only the increases applied, which never overload anything."""
+        effective = self.effective.by_zone + (0,) * (self._zones - len(self.effective.by_zone))
+        by_zone = tuple(map(max, effective, self._counted.by_zone))
+        return FleetSize(max(self.effective.total, self._counted.total), by_zone)
+
+    def tick(self, now_ms: float) -> FleetSize | None:
+        """Return the size that takes effect now, or None if nothing changes."""
+        if now_ms < self.effective_at_ms():
             return None
-        self.holds = self._seen if now >= self._since + self._calm.shrink else self._grown()
-        return self.holds
+        self.effective = (
+            self._counted
+            if now_ms >= self._counted_since_ms + self._hysteresis.shrink_after_ms
+            else self._grown()
+        )
+        return self.effective
--- a/stonecove/discovery/roster.py
+++ b/stonecove/discovery/roster.py
@@ -1,19 +1,22 @@
-"""What one ZooKeeper-style source says of each node: the rules between its ephemeral nodes and a claim.
-
-Knows no I/O; times are Unix milliseconds. The claim of an id is a function of the nodes that name it now, of
-what it was before, and of the time, never of the order in which news of different ids came:
-
-1. One node names an id: its record is the claim. Draining by a change of data holds at once.
-2. No node names it any more: draining at once (nothing fresh, what is out goes on), gone after `linger`.
-3. It comes back: the same incarnation (the same `started`, or where none is told the same owner) is as warm
-   as it was; another one is cold from its `started`, or from the creation of its node where none is told.
-4. Two nodes name one id: the younger (by `started`, then by creation) is the claim; an alarm is told.
-5. Two ids name one address: the younger keeps it, the other one drains; an alarm is told.
-6. A record that can't be read, or is too long, leaves out that node alone, and what it said before with it.
-7. Many depart within `mass_window`: those beyond the bound are kept until a read after a sync says the same.
-8. An id that came back too often within `flap_window` drains for a while longer each time before it is ready
-   again.
-9. Without a connection, all claims stand for `stale_for`; then the source has no say (see `merge`).
+"""Turns the ephemeral nodes of one ZooKeeper-style source into a claim about each endpoint.
+
+No I/O; times are Unix milliseconds. The claim about an id depends on the nodes that name it now, on its
+previous claim and on the time, never on the order in which changes of different ids arrived:
+
+1. One node names an id: its record is the claim. A change of its data to draining takes effect at once.
+2. No node names it any more: draining at once (no new work, requests in flight continue), removed after
+   `linger_ms`.
+3. It returns: the same process (the same `started`, or the same owner session where none is given) has warmed
+   up as far as before; another one warms up from its `started`, or from the creation of its node where none
+   is given.
+4. Two nodes name one id: the younger (by `started`, then by creation) is the claim; an alarm is logged.
+5. Two ids name one address: the younger keeps it, the other one drains; an alarm is logged.
+6. A record that cannot be read, or is too long, excludes that node alone, and its earlier record is dropped.
+7. Many nodes depart within `mass_departure_window_ms`: those beyond the limit are kept until a read after a
+   sync confirms it.
+8. An id that returned too often within `flap_window_ms` drains for longer each time before it is ready again.
+9. Without a connection, all claims stand for `stale_after_ms`; then the source is no longer current (see
+   `merge`).
 """
 
 from __future__ import annotations
@@ -23,348 +26,380 @@
 from typing import NamedTuple
 
 from stonecove.discovery import Member
-from stonecove.discovery.records import Names, RecordError, member_of
+from stonecove.discovery.records import RecordError, TopologyNames, parse_member
 from stonecove.routing.endpoints import NodeId, NodeState
 from stonecove.runtime.log_events import LogEvent
 
-Say = Callable[..., None]
+LogAlarm = Callable[..., None]
 
 
-class Rules(NamedTuple):
-    """Figures of a roster, in milliseconds where not said otherwise."""
+class RosterRules(NamedTuple):
+    """Limits and delays of a roster."""
 
-    stale_for: float = 300_000.0  # for which claims stand without a connection
-    linger: float = 5_000.0  # from departed to gone; what is out may end
-    return_within: float = 1_000.0  # a node that comes back so soon was away for a blink, not for a restart
-    mass_share: float = 0.5  # part of the list that may depart within the window without being confirmed
-    mass_least: int = 4  # departures that never need to be confirmed
-    mass_window: float = 1_000.0
-    flap_most: int = 3  # returns within the window that are not damped
-    flap_window: float = 60_000.0
-    flap_hold: float = 2_000.0  # doubled with each further return
-    flap_longest: float = 60_000.0
-    most_bytes: int = 4_096  # of one record
+    stale_after_ms: float = 300_000.0  # for which claims stand without a connection
+    linger_ms: float = 5_000.0  # from departure to removal, so that requests in flight may complete
+    reconnect_within_ms: float = 1_000.0  # an absence this short is a lost connection, not a restart
+    mass_departure_share: float = 0.5  # share of the list that may depart within the window unconfirmed
+    mass_departure_min: int = 4  # number of departures that never need to be confirmed
+    mass_departure_window_ms: float = 1_000.0
+    max_returns: int = 3  # within the window, without being suppressed
+    flap_window_ms: float = 60_000.0
+    flap_hold_ms: float = 2_000.0  # doubled with each further return
+    max_flap_hold_ms: float = 60_000.0
+    max_record_bytes: int = 4_096
 
 
 class Claim(NamedTuple):
-    """What a source says of a node."""
+    """What a source reports about a node."""
 
     state: NodeState
     member: Member | None  # None only where the source has never known it
-    why: str
+    reason: str
 
 
-class Entry(NamedTuple):
-    """A node of the source, as it was read last."""
+class ListedNode(NamedTuple):
+    """An ephemeral node of the source, as it was last read."""
 
     name: str
-    member: Member | None  # None: its record can't be used
-    czxid: int  # the transaction that made the node
-    ctime: float
+    member: Member | None  # None: its record cannot be used
+    czxid: int  # the transaction that created the node
+    ctime_ms: float
     owner: int  # the session that keeps it alive
 
 
-class _Past(NamedTuple):
-    """What an id was when its last node departed."""
+class _Departure(NamedTuple):
+    """The last node of an id that has departed, and when it did."""
 
     member: Member
     owner: int
     czxid: int
-    at: float
+    departed_at_ms: float
 
 
 class Roster:
-    """All ids of one source."""
+    """The endpoints of one source, by id."""
 
     def __init__(
         self,
-        names: Names,
-        rules: Rules,
-        emit: Callable[[NodeId, Claim], None],
-        confirm: Callable[[], None],
-        say: Say,
+        names: TopologyNames,
+        rules: RosterRules,
+        emit_claim: Callable[[NodeId, Claim], None],
+        request_confirmation: Callable[[], None],
+        log_alarm: LogAlarm,
     ) -> None:
-        """`emit` takes each claim that changes; `confirm` asks for a read after a sync; `say` tells
-        alarms.
+        """Create an empty roster.
+
+        `emit_claim` receives each claim that changes, `request_confirmation` requests a read after a sync,
+        and `log_alarm` logs an event with its fields.
         """
         self._names = names
         self.rules = rules
-        self._emit = emit
-        self._confirm = confirm
-        self._say = say
-        self._entries: dict[str, Entry] = {}
-        self._by_id: dict[NodeId, dict[str, Entry]] = {}
-        self._by_address: dict[tuple[str, int], set[NodeId]] = {}
-        self._address_of: dict[NodeId, tuple[str, int]] = {}
-        self._past: dict[NodeId, _Past] = {}
-        self._started: dict[
-            NodeId, tuple[str, float]
-        ] = {}  # ids whose start we had to conclude, and from when
+        self._emit_claim = emit_claim
+        self._request_confirmation = request_confirmation
+        self._log_alarm = log_alarm
+        self._listed: dict[str, ListedNode] = {}
+        self._by_id: dict[NodeId, dict[str, ListedNode]] = {}
+        self._ids_by_address: dict[tuple[str, int], set[NodeId]] = {}
+        self._address_by_id: dict[NodeId, tuple[str, int]] = {}
+        self._departed: dict[NodeId, _Departure] = {}
+        # Node and start of ids whose record does not give the start.
+        self._inferred_starts: dict[NodeId, tuple[str, float]] = {}
         self._returns: dict[NodeId, deque[float]] = {}
-        self._held_back: dict[NodeId, float] = {}  # damped until then
-        self._kept: dict[str, float] = {}  # departed, not yet confirmed; since when
-        self._departures: deque[float] = deque()
+        self._suppressed_until_ms: dict[NodeId, float] = {}
+        self._unconfirmed_since_ms: dict[str, float] = {}  # nodes whose departure is not yet confirmed
+        self._recent_departures: deque[float] = deque()
         self._claims: dict[NodeId, Claim] = {}
-        self._alarmed: set[tuple[str, str]] = set()
-        self.whole_once = False  # a whole list has been read since the start
-        self.down_since: float | None = 0.0  # None: connected and read whole
-        self._aged = 0
+        self._active_alarms: set[tuple[str, str]] = set()
+        self.snapshot_received = False  # a complete list has been read since the start
+        self.disconnected_since_ms: float | None = 0.0  # None: connected, and the list read completely
+        self._stale_quarters_logged = 0
 
-    # -- what the source tells --
+    # -- events of the source --
 
-    def put(self, name: str, data: bytes, czxid: int, ctime: float, owner: int, now: float) -> None:
-        """A node is there with this record, made by that transaction, kept alive by that session."""
+    def put(self, name: str, data: bytes, czxid: int, ctime_ms: float, owner: int, now_ms: float) -> None:
+        """Add a node or replace its record; `czxid` created it, the session `owner` keeps it alive."""
         try:
-            member: Member | None = member_of(data, self._names, self.rules.most_bytes)
+            member: Member | None = parse_member(data, self._names, self.rules.max_record_bytes)
         except RecordError as error:
             member = None
-            self._say(LogEvent.ENDPOINT_RECORD_INVALID, node=name, reason=str(error))
-        entry = Entry(name, member, czxid, ctime, owner)
-        self._kept.pop(name, None)
-        self._replace(name, entry, now)
-
-    def removed(self, names: Iterable[str], now: float) -> None:
-        """Nodes are gone, all told at once."""
-        gone = [name for name in names if name in self._entries and name not in self._kept]
-        while self._departures and self._departures[0] <= now - self.rules.mass_window:
-            self._departures.popleft()
-        counted = [name for name in gone if self._entries[name].member is not None]
-        population = len(self._entries) - len(self._kept) + len(self._departures)
-        bound = max(self.rules.mass_least, self.rules.mass_share * population)
-        departed = len(self._departures) + len(counted)
-        none_left = departed > 1 and len({self._ident(name) for name in counted}) == len(self._by_id)
-        # Guards against losing all nodes at once to trouble of the source's own, as when it forgets all
-        # sessions.
-        if counted and (self._kept or none_left or departed > bound):
-            if not self._kept:
-                self._say(LogEvent.MASS_DEPARTURE_SUSPECTED, departed=departed, total=population)
-            for name in gone:
-                self._kept[name] = now
-            self._confirm()
+            self._log_alarm(LogEvent.ENDPOINT_RECORD_INVALID, node=name, reason=str(error))
+        listed = ListedNode(name, member, czxid, ctime_ms, owner)
+        self._unconfirmed_since_ms.pop(name, None)
+        self._replace(name, listed, now_ms)
+
+    def remove(self, names: Iterable[str], now_ms: float) -> None:
+        """Remove nodes that were reported as deleted together.
+
+        A mass departure is not applied until it is confirmed: a source that loses all sessions through a
+        fault of its own would otherwise drain every node at once.
+        """
+        departing = [
+            name for name in names if name in self._listed and name not in self._unconfirmed_since_ms
+        ]
+        while (
+            self._recent_departures
+            and self._recent_departures[0] <= now_ms - self.rules.mass_departure_window_ms
+        ):
+            self._recent_departures.popleft()
+        counted = [name for name in departing if self._listed[name].member is not None]
+        population = len(self._listed) - len(self._unconfirmed_since_ms) + len(self._recent_departures)
+        limit = max(self.rules.mass_departure_min, self.rules.mass_departure_share * population)
+        departed = len(self._recent_departures) + len(counted)
+        none_left = departed > 1 and len({self._node_id_of(name) for name in counted}) == len(self._by_id)
+        if counted and (self._unconfirmed_since_ms or none_left or departed > limit):
+            if not self._unconfirmed_since_ms:
+                self._log_alarm(LogEvent.MASS_DEPARTURE_SUSPECTED, departed=departed, total=population)
+            for name in departing:
+                self._unconfirmed_since_ms[name] = now_ms
+            self._request_confirmation()
             return
-        for name in gone:
-            if self._entries[name].member is not None:
-                self._departures.append(now)
-            self._replace(name, None, now)
+        for name in departing:
+            if self._listed[name].member is not None:
+                self._recent_departures.append(now_ms)
+            self._replace(name, None, now_ms)
 
-    def _ident(self, name: str) -> NodeId:
-        member = self._entries[name].member
+    def _node_id_of(self, name: str) -> NodeId:
+        member = self._listed[name].member
         return 0 if member is None else member.node.node_id
 
-    def whole(self, names: frozenset[str], confirmed: bool, now: float) -> None:
-        """The list was read with all its data."""
-        self.whole_once, self.down_since, self._aged = True, None, 0
-        missing = [name for name in self._entries if name not in names and name not in self._kept]
+    def apply_snapshot(self, names: frozenset[str], confirmed: bool, now_ms: float) -> None:
+        """Apply a complete list whose data has been read; `confirmed`: it was read after a sync."""
+        self.snapshot_received, self.disconnected_since_ms, self._stale_quarters_logged = True, None, 0
+        missing = [
+            name for name in self._listed if name not in names and name not in self._unconfirmed_since_ms
+        ]
         if missing:
-            self.removed(missing, now)
-        if not self._kept:
+            self.remove(missing, now_ms)
+        if not self._unconfirmed_since_ms:
             return
         if not confirmed:
-            self._confirm()
+            self._request_confirmation()
             return
-        kept, self._kept = self._kept, {}
-        left = [name for name in kept if name not in names]
-        self._say(LogEvent.MASS_DEPARTURE_CONFIRMED, departed=len(left), returned=len(kept) - len(left))
-        for name in left:
-            self._replace(name, None, now)
-
-    def down(self, now: float) -> None:
-        """No connection: what was told stands for a while."""
-        if self.down_since is None:
-            self.down_since = now
-
-    def tick(self, now: float) -> None:
-        """Time has passed: ends what lingers, lets back what was damped, tells of ageing."""
+        unconfirmed, self._unconfirmed_since_ms = self._unconfirmed_since_ms, {}
+        departed = [name for name in unconfirmed if name not in names]
+        self._log_alarm(
+            LogEvent.MASS_DEPARTURE_CONFIRMED,
+            departed=len(departed),
+            returned=len(unconfirmed) - len(departed),
+        )
+        for name in departed:
+            self._replace(name, None, now_ms)
+
+    def connection_lost(self, now_ms: float) -> None:
+        """Record the loss of the connection; claims stand for `stale_after_ms`."""
+        if self.disconnected_since_ms is None:
+            self.disconnected_since_ms = now_ms
+
+    def tick(self, now_ms: float) -> None:
+        """Apply what depends on time: removals, ends of suppression, and alarms about a stale list."""
         for ident in [
             ident
-            for ident, past in self._past.items()
-            if ident in self._claims and now >= past.at + self.rules.linger
+            for ident, departure in self._departed.items()
+            if ident in self._claims and now_ms >= departure.departed_at_ms + self.rules.linger_ms
         ]:
-            self._judge(ident, now)
-        for ident in [ident for ident, until in self._held_back.items() if now >= until]:
-            del self._held_back[ident]
-            self._judge(ident, now)
-        if self.down_since is not None and self.whole_once:
-            quarter = int(4.0 * (now - self.down_since) / max(self.rules.stale_for, 1.0))
-            if quarter > self._aged and quarter <= 4:
-                self._aged = quarter
-                self._say(
+            self._evaluate(ident, now_ms)
+        for ident in [ident for ident, until in self._suppressed_until_ms.items() if now_ms >= until]:
+            del self._suppressed_until_ms[ident]
+            self._evaluate(ident, now_ms)
+        if self.disconnected_since_ms is not None and self.snapshot_received:
+            quarters = int(4.0 * (now_ms - self.disconnected_since_ms) / max(self.rules.stale_after_ms, 1.0))
+            if quarters > self._stale_quarters_logged and quarters <= 4:
+                self._stale_quarters_logged = quarters
+                self._log_alarm(
                     LogEvent.ENDPOINT_SOURCE_STALE,
-                    silent_s=round((now - self.down_since) / 1000.0),
-                    unchanged_s=round(self.rules.stale_for / 1000.0),
+                    silent_s=round((now_ms - self.disconnected_since_ms) / 1000.0),
+                    unchanged_s=round(self.rules.stale_after_ms / 1000.0),
                     nodes=len(self._claims),
                 )
 
-    def next_due(self) -> float:
-        """When `tick` is to be called next; infinite if nothing waits."""
-        dues = [
-            past.at + self.rules.linger
-            for ident, past in self._past.items()
+    def next_tick_ms(self) -> float:
+        """Return when `tick` is to be called next; infinite if nothing depends on time."""
+        times = [
+            departure.departed_at_ms + self.rules.linger_ms
+            for ident, departure in self._departed.items()
             if ident in self._claims
             and self._claims[ident].state is not NodeState.REMOVED
             and ident not in self._by_id
         ]
-        dues += self._held_back.values()
-        if self.down_since is not None and self.whole_once and self._aged < 4:
-            dues.append(self.down_since + (self._aged + 1) * self.rules.stale_for / 4.0)
-        return min(dues, default=float("inf"))
+        times += self._suppressed_until_ms.values()
+        if (
+            self.disconnected_since_ms is not None
+            and self.snapshot_received
+            and self._stale_quarters_logged < 4
+        ):
+            times.append(
+                self.disconnected_since_ms
+                + (self._stale_quarters_logged + 1) * self.rules.stale_after_ms / 4.0
+            )
+        return min(times, default=float("inf"))
 
-    def has_say(self, now: float) -> bool:
-        """Whether the claims count: a whole list was read, and not too long ago."""
-        return self.whole_once and (self.down_since is None or now < self.down_since + self.rules.stale_for)
+    def is_current(self, now_ms: float) -> bool:
+        """Return whether the claims count: a complete list was read, and the connection not lost for long."""
+        return self.snapshot_received and (
+            self.disconnected_since_ms is None
+            or now_ms < self.disconnected_since_ms + self.rules.stale_after_ms
+        )
 
     @property
     def claims(self) -> dict[NodeId, Claim]:
-        """The present claim of each id that is not forgotten."""
+        """The present claim about each id that has not been removed."""
         return self._claims
 
     @property
     def unconfirmed(self) -> int:
-        """Nodes that are kept until their departure is confirmed."""
-        return len(self._kept)
+        """The number of nodes that are kept until their departure is confirmed."""
+        return len(self._unconfirmed_since_ms)
 
     # -- rules --
 
-    def _replace(self, name: str, entry: Entry | None, now: float) -> None:
-        """Puts a node in place of what its name held before, and judges all ids that this touches."""
-        before = self._entries.pop(name, None)
-        touched: set[NodeId] = set()
-        if before is not None and before.member is not None:
-            ident = before.member.node.node_id
+    def _replace(self, name: str, listed: ListedNode | None, now_ms: float) -> None:
+        """Replace or remove the node of a name, and evaluate all ids that this affects."""
+        previous = self._listed.pop(name, None)
+        affected: set[NodeId] = set()
+        if previous is not None and previous.member is not None:
+            ident = previous.member.node.node_id
             nodes = self._by_id[ident]
             del nodes[name]
-            touched.add(ident)
+            affected.add(ident)
             if not nodes:
                 del self._by_id[ident]
-                self._past[ident] = _Past(before.member, before.owner, before.czxid, now)
-        if entry is not None:
-            self._entries[name] = entry
-            if entry.member is not None:
-                ident = entry.member.node.node_id
-                self._by_id.setdefault(ident, {})[name] = entry
-                touched.add(ident)
-                self._came_back(ident, entry, now)
-        for ident in touched:
-            self._judge(ident, now)
-
-    def _came_back(self, ident: NodeId, entry: Entry, now: float) -> None:
-        """Rules 3 and 8, when an id that had departed is named again."""
-        past = self._past.get(ident)
-        if past is None or len(self._by_id[ident]) > 1 or entry.member is None:
+                self._departed[ident] = _Departure(previous.member, previous.owner, previous.czxid, now_ms)
+        if listed is not None:
+            self._listed[name] = listed
+            if listed.member is not None:
+                ident = listed.member.node.node_id
+                self._by_id.setdefault(ident, {})[name] = listed
+                affected.add(ident)
+                self._check_return(ident, listed, now_ms)
+        for ident in affected:
+            self._evaluate(ident, now_ms)
+
+    def _check_return(self, ident: NodeId, listed: ListedNode, now_ms: float) -> None:
+        """Apply rules 3 and 8 if the id had departed."""
+        departure = self._departed.get(ident)
+        if departure is None or len(self._by_id[ident]) > 1 or listed.member is None:
             return
-        del self._past[ident]
-        if entry.owner == past.owner and entry.czxid == past.czxid:
-            return  # it was there all the time: only its record has changed
-        told = entry.member.node.started_ms
-        same = told == past.member.node.started_ms if told > 0 else entry.owner == past.owner
-        if not same and told <= 0:
-            self._started[ident] = (entry.name, entry.ctime)
-        away = now - past.at
-        self._say(
+        del self._departed[ident]
+        if listed.owner == departure.owner and listed.czxid == departure.czxid:
+            return  # the node was never absent, only its record has changed
+        started_ms = listed.member.node.started_ms
+        same = (
+            started_ms == departure.member.node.started_ms
+            if started_ms > 0
+            else listed.owner == departure.owner
+        )
+        if not same and started_ms <= 0:
+            self._inferred_starts[ident] = (listed.name, listed.ctime_ms)
+        absent_ms = now_ms - departure.departed_at_ms
+        self._log_alarm(
             LogEvent.ENDPOINT_RETURNED,
             node=f"s-{ident:08x}",
-            absent_ms=round(away),
+            absent_ms=round(absent_ms),
             same_process=same,
-            reconnected=away <= self.rules.return_within,
+            reconnected=absent_ms <= self.rules.reconnect_within_ms,
         )
         returns = self._returns.setdefault(ident, deque())
-        returns.append(now)
-        while returns[0] <= now - self.rules.flap_window:
+        returns.append(now_ms)
+        while returns[0] <= now_ms - self.rules.flap_window_ms:
             returns.popleft()
-        over = len(returns) - self.rules.flap_most
-        if over > 0:
-            hold = min(self.rules.flap_hold * 2.0 ** (over - 1), self.rules.flap_longest)
-            self._held_back[ident] = now + hold
-            self._say(
+        excess = len(returns) - self.rules.max_returns
+        if excess > 0:
+            hold_ms = min(self.rules.flap_hold_ms * 2.0 ** (excess - 1), self.rules.max_flap_hold_ms)
+            self._suppressed_until_ms[ident] = now_ms + hold_ms
+            self._log_alarm(
                 LogEvent.ENDPOINT_FLAPPING,
                 node=f"s-{ident:08x}",
                 returns=len(returns),
-                suppressed_ms=round(hold),
+                suppressed_ms=round(hold_ms),
             )
 
-    def _key(self, ident: NodeId) -> tuple[float, int, NodeId]:
-        """How young the claim of an id is."""
-        best = self._best(ident)
-        return (self._begun(ident, best), best.czxid, ident)
+    def _recency_key(self, ident: NodeId) -> tuple[float, int, NodeId]:
+        """Return a key that is greater the younger the process behind an id is."""
+        youngest = self._youngest_node(ident)
+        return (self._start_ms(ident, youngest), youngest.czxid, ident)
 
-    def _best(self, ident: NodeId) -> Entry:
-        return max(self._by_id[ident].values(), key=lambda one: (self._begun(ident, one), one.czxid))
+    def _youngest_node(self, ident: NodeId) -> ListedNode:
+        return max(
+            self._by_id[ident].values(), key=lambda listed: (self._start_ms(ident, listed), listed.czxid)
+        )
 
-    def _begun(self, ident: NodeId, entry: Entry) -> float:
-        assert entry.member is not None
-        concluded = self._started.get(ident)
-        if entry.member.node.started_ms <= 0 and concluded is not None and concluded[0] == entry.name:
-            return concluded[1]
-        return entry.member.node.started_ms
+    def _start_ms(self, ident: NodeId, listed: ListedNode) -> float:
+        assert listed.member is not None
+        inferred = self._inferred_starts.get(ident)
+        if listed.member.node.started_ms <= 0 and inferred is not None and inferred[0] == listed.name:
+            return inferred[1]
+        return listed.member.node.started_ms
 
-    def _judge(self, ident: NodeId, now: float) -> None:
-        """Tells the claim of an id if it is another one now, and judges those that shared its address."""
+    def _evaluate(self, ident: NodeId, now_ms: float) -> None:
+        """Emit the claim about an id if it has changed, and those about ids that share its address."""
         nodes = self._by_id.get(ident)
         neighbours: set[NodeId] = set()
         address = None
         if nodes:
-            member = self._best(ident).member
+            member = self._youngest_node(ident).member
             assert member is not None
             address = (member.host, member.port)
-        before = self._address_of.get(ident)
-        if address != before:
-            if before is not None:
-                self._by_address[before].discard(ident)
-                neighbours |= self._by_address[before]
-                if not self._by_address[before]:
-                    del self._by_address[before]
-                del self._address_of[ident]
+        previous = self._address_by_id.get(ident)
+        if address != previous:
+            if previous is not None:
+                self._ids_by_address[previous].discard(ident)
+                neighbours |= self._ids_by_address[previous]
+                if not self._ids_by_address[previous]:
+                    del self._ids_by_address[previous]
+                del self._address_by_id[ident]
             if address is not None:
-                self._address_of[ident] = address
-                self._by_address.setdefault(address, set()).add(ident)
+                self._address_by_id[ident] = address
+                self._ids_by_address.setdefault(address, set()).add(ident)
         if address is not None:
-            neighbours |= self._by_address[address] - {ident}
-        self._tell(ident, self._claim(ident, now))
+            neighbours |= self._ids_by_address[address] - {ident}
+        self._update_claim(ident, self._build_claim(ident, now_ms))
         for other in neighbours:
-            self._tell(other, self._claim(other, now))
+            self._update_claim(other, self._build_claim(other, now_ms))
 
-    def _claim(self, ident: NodeId, now: float) -> Claim:
+    def _build_claim(self, ident: NodeId, now_ms: float) -> Claim:
         nodes = self._by_id.get(ident)
         if not nodes:
-            past = self._past[ident]
-            if now >= past.at + self.rules.linger:
-                return Claim(NodeState.REMOVED, past.member, "departed")
-            return Claim(NodeState.DRAINING, past.member, "departed, what is out may end")
-        best = self._best(ident)
-        assert best.member is not None
-        member = best.member._replace(
-            node=best.member.node._replace(started_ms=self._begun(ident, best), state=NodeState.READY)
+            departure = self._departed[ident]
+            if now_ms >= departure.departed_at_ms + self.rules.linger_ms:
+                return Claim(NodeState.REMOVED, departure.member, "departed")
+            return Claim(NodeState.DRAINING, departure.member, "departed, what is out may end")
+        youngest = self._youngest_node(ident)
+        assert youngest.member is not None
+        member = youngest.member._replace(
+            node=youngest.member.node._replace(
+                started_ms=self._start_ms(ident, youngest), state=NodeState.READY
+            )
         )
         if len(nodes) > 1:
-            self._alarm(
-                LogEvent.ENDPOINT_ID_DUPLICATED, ident, nodes=",".join(sorted(nodes)), chosen=best.name
+            self._log_alarm_once(
+                LogEvent.ENDPOINT_ID_DUPLICATED, ident, nodes=",".join(sorted(nodes)), chosen=youngest.name
             )
         else:
-            self._alarmed.discard((LogEvent.ENDPOINT_ID_DUPLICATED.value, str(ident)))
-        rivals = self._by_address.get((member.host, member.port), set()) - {ident}
-        younger = [rival for rival in rivals if self._key(rival) > self._key(ident)]
+            self._active_alarms.discard((LogEvent.ENDPOINT_ID_DUPLICATED.value, str(ident)))
+        rivals = self._ids_by_address.get((member.host, member.port), set()) - {ident}
+        younger = [rival for rival in rivals if self._recency_key(rival) > self._recency_key(ident)]
         if younger:
-            taken = f"s-{max(younger, key=self._key):08x}"
-            self._alarm(
+            chosen = f"s-{max(younger, key=self._recency_key):08x}"
+            self._log_alarm_once(
                 LogEvent.ENDPOINT_ADDRESS_DUPLICATED,
                 ident,
                 address=f"{member.host}:{member.port}",
-                chosen=taken,
+                chosen=chosen,
             )
-            return Claim(NodeState.DRAINING, member, f"its address is that of {taken}")
-        self._alarmed.discard((LogEvent.ENDPOINT_ADDRESS_DUPLICATED.value, str(ident)))
-        if best.member.node.state is not NodeState.READY:
+            return Claim(NodeState.DRAINING, member, f"its address is that of {chosen}")
+        self._active_alarms.discard((LogEvent.ENDPOINT_ADDRESS_DUPLICATED.value, str(ident)))
+        if youngest.member.node.state is not NodeState.READY:
             return Claim(NodeState.DRAINING, member, "its record says draining")
-        if ident in self._held_back:
+        if ident in self._suppressed_until_ms:
             return Claim(NodeState.DRAINING, member, "it came back too often")
         return Claim(NodeState.READY, member, "its record says up")
 
-    def _alarm(self, event: str, ident: NodeId, **fields: object) -> None:
-        if (str(event), str(ident)) not in self._alarmed:
-            self._alarmed.add((str(event), str(ident)))
-            self._say(event, node=f"s-{ident:08x}", **fields)
+    def _log_alarm_once(self, event: str, ident: NodeId, **fields: object) -> None:
+        if (str(event), str(ident)) not in self._active_alarms:
+            self._active_alarms.add((str(event), str(ident)))
+            self._log_alarm(event, node=f"s-{ident:08x}", **fields)
 
-    def _tell(self, ident: NodeId, claim: Claim) -> None:
+    def _update_claim(self, ident: NodeId, claim: Claim) -> None:
         if claim == self._claims.get(ident):
             return
         if claim.state is NodeState.REMOVED and ident not in self._claims:
@@ -373,19 +408,17 @@
             del self._claims[ident]
         else:
             self._claims[ident] = claim
-        self._emit(ident, claim)
+        self._emit_claim(ident, claim)
 
-    def forget(self, now: float) -> None:
-        """Drops what is known of ids that are long gone, so that tables do not grow with all that ever
-        were.
-        """
-        limit = now - max(self.rules.flap_window, self.rules.linger)
+    def prune(self, now_ms: float) -> None:
+        """Drop the history of ids that departed long ago, so that memory stays bounded."""
+        limit_ms = now_ms - max(self.rules.flap_window_ms, self.rules.linger_ms)
         for ident in [
             ident
-            for ident, past in self._past.items()
-            if past.at < limit and ident not in self._claims and ident not in self._by_id
+            for ident, departure in self._departed.items()
+            if departure.departed_at_ms < limit_ms and ident not in self._claims and ident not in self._by_id
         ]:
-            del self._past[ident]
+            del self._departed[ident]
             self._returns.pop(ident, None)
-            self._started.pop(ident, None)
-            self._held_back.pop(ident, None)
+            self._inferred_starts.pop(ident, None)
+            self._suppressed_until_ms.pop(ident, None)
--- a/stonecove/discovery/trace.py
+++ b/stonecove/discovery/trace.py
@@ -1,6 +1,4 @@
-"""What became of each node and when: told by which source, decided as what, last given fresh work. Knows
-no I/O.
-"""
+"""History of each node: which source claimed what, the resulting state, and the last new work. No I/O."""
 
 from __future__ import annotations
 
@@ -11,91 +9,103 @@
 from stonecove.routing.endpoints import NodeId, NodeState, reported_state
 
 
-class Life:
-    """What is known of one node; Unix milliseconds, 0 for never."""
+class NodeHistory:
+    """What is recorded of one node; times are Unix milliseconds, 0 for never."""
 
-    __slots__ = ("state", "told_at", "as_target", "as_source")
+    __slots__ = ("state", "not_ready_since_ms", "last_target_ms", "last_source_ms")
 
     def __init__(self) -> None:
         self.state = NodeState.REMOVED
-        self.told_at = 0.0  # when it last stopped being ready
-        self.as_target = 0.0  # when the first byte of the last request to it was written
-        self.as_source = 0.0  # the same for the last request that names it as source of a fill
+        self.not_ready_since_ms = 0.0  # when it last stopped being ready
+        self.last_target_ms = 0.0  # when the first byte of the last request to it was written
+        self.last_source_ms = 0.0  # the same for the last request that names it as source of a fill
 
 
-class Trace:
-    """The last lines, and a life of each node."""
+class MembershipTrace:
+    """The latest membership changes, and a history of each node."""
 
-    def __init__(self, most: int) -> None:
-        self.lines: deque[dict[str, Any]] = deque(maxlen=most)
-        self.lives: dict[NodeId, Life] = {}
+    def __init__(self, max_lines: int) -> None:
+        self.lines: deque[dict[str, Any]] = deque(maxlen=max_lines)
+        self.histories: dict[NodeId, NodeHistory] = {}
 
-    def claim(self, at: float, source: str, ident: NodeId, state: NodeState, why: str) -> None:
-        """A source has said something new."""
+    def record_claim(self, now_ms: float, source: str, ident: NodeId, state: NodeState, reason: str) -> None:
+        """Record a new claim of a source."""
         self.lines.append(
             {
-                "at": at,
+                "at": now_ms,
                 "what": "claim",
                 "source": source,
                 "id": f"s-{ident:08x}",
                 "state": reported_state(state),
-                "why": why,
+                "why": reason,
             }
         )
 
-    def decided(self, at: float, ident: NodeId, state: NodeState, why: str) -> None:
-        """A node is something else now."""
-        life = self.lives.setdefault(ident, Life())
-        if life.state is NodeState.READY and state is not NodeState.READY:
-            life.told_at = at
-        life.state = state
+    def record_state(self, now_ms: float, ident: NodeId, state: NodeState, reason: str) -> None:
+        """Record a change of a node's state."""
+        history = self.histories.setdefault(ident, NodeHistory())
+        if history.state is NodeState.READY and state is not NodeState.READY:
+            history.not_ready_since_ms = now_ms
+        history.state = state
         self.lines.append(
-            {"at": at, "what": "state", "id": f"s-{ident:08x}", "state": reported_state(state), "why": why}
+            {
+                "at": now_ms,
+                "what": "state",
+                "id": f"s-{ident:08x}",
+                "state": reported_state(state),
+                "why": reason,
+            }
         )
 
-    def written(self, at: float, node: NodeId, source: NodeId) -> None:
-        """The first byte of a request goes out."""
-        if (life := self.lives.get(node)) is not None:
-            life.as_target = at
-        if source != node and (life := self.lives.get(source)) is not None:
-            life.as_source = at
-
-    def told(self, ident: NodeId) -> dict[str, Any]:
-        """When a node was told to be no longer ready, and its last fresh work; empty if it is not known."""
-        life = self.lives.get(ident)
-        if life is None:
+    def record_write(self, now_ms: float, target: NodeId, source: NodeId) -> None:
+        """Record that the first byte of a request was written."""
+        if (history := self.histories.get(target)) is not None:
+            history.last_target_ms = now_ms
+        if source != target and (history := self.histories.get(source)) is not None:
+            history.last_source_ms = now_ms
+
+    def node_summary(self, ident: NodeId) -> dict[str, Any]:
+        """Return when a node stopped being ready, and its last new work; empty if it is not known."""
+        history = self.histories.get(ident)
+        if history is None:
             return {}
-        late = 0.0
-        if life.told_at and life.state is not NodeState.READY:
-            late = max(0.0, max(life.as_target, life.as_source) - life.told_at)
+        late_ms = 0.0
+        if history.not_ready_since_ms and history.state is not NodeState.READY:
+            late_ms = max(
+                0.0, max(history.last_target_ms, history.last_source_ms) - history.not_ready_since_ms
+            )
         return {
             "id": f"s-{ident:08x}",
-            "state": reported_state(life.state),
-            "told_at": life.told_at,
-            "last_as_target": life.as_target,
-            "last_as_source": life.as_source,
-            "late_ms": late,
+            "state": reported_state(history.state),
+            "told_at": history.not_ready_since_ms,
+            "last_as_target": history.last_target_ms,
+            "last_as_source": history.last_source_ms,
+            "late_ms": late_ms,
         }
 
     def summary(self) -> list[dict[str, Any]]:
-        """The same for all nodes, by their ids."""
-        return [self.told(ident) for ident in sorted(self.lives)]
-
-    def forget(self, known: set[NodeId], most: int) -> None:
-        """Keeps tables from growing with every node that ever was: the oldest of the gone are dropped."""
-        gone = sorted((life.told_at, ident) for ident, life in self.lives.items() if ident not in known)
-        for _, ident in gone[: max(0, len(gone) - most)]:
-            del self.lives[ident]
+        """Return the summaries of all nodes, in the order of their ids."""
+        return [self.node_summary(ident) for ident in sorted(self.histories)]
+
+    def prune(self, known: set[NodeId], max_unknown: int) -> None:
+        """Drop the oldest histories of nodes that are no longer known, so that memory stays bounded."""
+        unknown = sorted(
+            (history.not_ready_since_ms, ident)
+            for ident, history in self.histories.items()
+            if ident not in known
+        )
+        for _, ident in unknown[: max(0, len(unknown) - max_unknown)]:
+            del self.histories[ident]
 
 
-def explained(ident: NodeId, found: Explanation) -> dict[str, Any]:
-    """An explanation as a table for programs and people."""
-    member = found.verdict.member
+def explanation_to_dict(ident: NodeId, explanation: Explanation) -> dict[str, Any]:
+    """Return an explanation as the JSON object of the control socket."""
+    member = explanation.status.member
     return {
         "id": f"s-{ident:08x}",
-        "state": reported_state(found.verdict.state),
-        "why": found.verdict.why,
-        "since": found.since,
+        "state": reported_state(explanation.status.state),
+        "why": explanation.status.reason,
+        "since": explanation.since_ms,
         "address": f"{member.host}:{member.port}" if member else "",
         "zone": member.node.zone if member else -1,
         "kind": member.node.kind if member else -1,
@@ -104,13 +114,15 @@
             {
                 "source": source.name,
                 "rank": source.rank,
-                "has_say": say,
-                "number": told.number,
-                "state": reported_state(told.claim.state),
-                "why": told.claim.why,
-                "since": told.at,
-                "address": f"{told.claim.member.host}:{told.claim.member.port}" if told.claim.member else "",
+                "has_say": current,
+                "number": recorded.sequence,
+                "state": reported_state(recorded.claim.state),
+                "why": recorded.claim.reason,
+                "since": recorded.received_at_ms,
+                "address": f"{recorded.claim.member.host}:{recorded.claim.member.port}"
+                if recorded.claim.member
+                else "",
             }
-            for source, say, told in sorted(found.claims, key=lambda one: one[0].rank)
+            for source, current, recorded in sorted(explanation.claims, key=lambda entry: entry[0].rank)
         ],
     }
--- a/stonecove/explore/coordination.py
+++ b/stonecove/explore/coordination.py
@@ -1,5 +1,5 @@
-"""The machine of sessions, lists and the merge: the program's own `Session`, `Tree`, `Roster`, `Merge`,
-`Registrar`.
+"""The machine of sessions, lists and the merge: the program's own `Session`, `Tree`, `Roster`,
+`EndpointMerger`, `Registrar`.
 
 Made up are the servers (one that orders and answers, one that may lag), the caches and the change log. What a
 server has queued is heard at once or lost with the connection; between any two of these steps a cache may
@@ -16,9 +16,9 @@
 
 import ujson
 
-from stonecove.discovery.merge import Merge, Source, Told, merged
-from stonecove.discovery.records import Names, member_of
-from stonecove.discovery.roster import Claim, Roster, Rules
+from stonecove.discovery.merge import EndpointMerger, EndpointSource, RecordedClaim, merge_all_claims
+from stonecove.discovery.records import TopologyNames, parse_member
+from stonecove.discovery.roster import Claim, Roster, RosterRules
 from stonecove.explore.machine import Violation
 from stonecove.protocols.buffer import Buffer
 from stonecove.protocols.zookeeper import jute
@@ -32,19 +32,19 @@
 from stonecove.standins.zkdata import Leader, Replica, Wanted, ZkError, parent_of, watch_event
 
 CACHES, ROUTERS, ME = "/b", "/r", "me"
-NAMES = Names(("hub", "edge"), ("box", "parent", "origin"))
-RULES = Rules(
-    stale_for=4000.0,
-    linger=300.0,
-    mass_share=0.5,
-    mass_least=1,
-    mass_window=1000.0,
-    flap_most=1,
-    flap_window=60_000.0,
-    flap_hold=200.0,
-    flap_longest=200.0,
+NAMES = TopologyNames(("hub", "edge"), ("box", "parent", "origin"))
+RULES = RosterRules(
+    stale_after_ms=4000.0,
+    linger_ms=300.0,
+    mass_departure_share=0.5,
+    mass_departure_min=1,
+    mass_departure_window_ms=1000.0,
+    max_returns=1,
+    flap_window_ms=60_000.0,
+    flap_hold_ms=200.0,
+    max_flap_hold_ms=200.0,
 )
-LOG, ZK = Source("changelog", 0), Source("zookeeper", 1)
+LOG, ZK = EndpointSource("changelog", 0), EndpointSource("zookeeper", 1)
 BEGUN = 5.0  # `started` of the caches of the beginning
 IDS = {"a": 1, "b": 2, "c": 3}
 PORTS = {"a": 1, "b": 2, "c": 1}  # c takes a's address
@@ -288,8 +288,8 @@
         ]  # shuffled or not is the same here; fixed, so that names are
         self.calls: dict[int, Callable[[Reply], None]] = {}
         self.token = 0
-        self.merge = Merge((LOG, ZK))
-        self.claims: dict[NodeId, dict[Source, Told]] = {}
+        self.merge = EndpointMerger((LOG, ZK))
+        self.claims: dict[NodeId, dict[EndpointSource, RecordedClaim]] = {}
         self.number = 0
         self.log_says = True
         self.roster = Roster(NAMES, RULES, self._emit, self._confirm, self._say)
@@ -326,16 +326,16 @@
         """Alarms are not looked at here."""
 
     def _emit(self, ident: NodeId, claim: Claim) -> None:
-        if self.roster.whole_once:
+        if self.roster.snapshot_received:
             self._claim(ZK, ident, claim)
 
-    def _claim(self, source: Source, ident: NodeId, claim: Claim) -> None:
+    def _claim(self, source: EndpointSource, ident: NodeId, claim: Claim) -> None:
         self.number += 1
         by = self.claims.setdefault(ident, {})
         if claim.member is None and source in by:
             claim = claim._replace(member=by[source].claim.member)
-        by[source] = Told(claim, self.number, self.now)
-        self.merge.claim(source, ident, claim, self.now)
+        by[source] = RecordedClaim(claim, self.number, self.now)
+        self.merge.apply_claim(source, ident, claim, self.now)
 
     def put(self, name: str, data: bytes, stat: zk.Stat) -> None:
         """As `TreeSink`."""
@@ -343,12 +343,12 @@
 
     def removed(self, names: Iterable[str]) -> None:
         """As `TreeSink`."""
-        self.roster.removed(names, self.now)
+        self.roster.remove(names, self.now)
 
     def whole(self, names: frozenset[str], confirmed: bool) -> None:
         """As `TreeSink`; the first list tells all claims."""
-        first = not self.roster.whole_once
-        self.roster.whole(names, confirmed, self.now)
+        first = not self.roster.snapshot_received
+        self.roster.apply_snapshot(names, confirmed, self.now)
         if first:
             for ident, claim in self.roster.claims.items():
                 self._claim(ZK, ident, claim)
@@ -420,7 +420,7 @@
             steps += self._changes()
         if self.left["log"]:
             steps += ["log-drain", "log-up", "log-gone", "log-silent" if self.log_says else "log-heard"]
-        if self.roster.next_due() < float("inf"):
+        if self.roster.next_tick_ms() < float("inf"):
             steps.append("wait")
         return steps
 
@@ -548,7 +548,7 @@
         self.servers.write(Wanted("set", f"{CACHES}/{name}", b"{"), 0, self.now)
 
     def _log(self, state: NodeState) -> None:
-        member = member_of(record("a", BEGUN), NAMES)
+        member = parse_member(record("a", BEGUN), NAMES)
         self._claim(
             LOG, IDS["a"], Claim(state, member._replace(node=member.node._replace(state=state)), "log")
         )
@@ -573,7 +573,7 @@
         self.registrar.tell(b"ready")
 
     def _on_wait(self) -> None:
-        self.now = max(self.now, self.roster.next_due())
+        self.now = max(self.now, self.roster.next_tick_ms())
         self.roster.tick(self.now)
 
     def _flow(self) -> None:
@@ -592,8 +592,8 @@
             buffer = Buffer(1 << 21)
             buffer.feed(data)
             self.servers.link.requests.extend(zk.frames(buffer))
-        self.merge.say(ZK, self.roster.has_say(self.now), self.now)
-        self.merge.say(LOG, self.log_says and bool(self.claims), self.now)
+        self.merge.set_current(ZK, self.roster.is_current(self.now), self.now)
+        self.merge.set_current(LOG, self.log_says and bool(self.claims), self.now)
 
     def _event(self, event: SessionEvent) -> None:
         if isinstance(event, Expired):
@@ -602,7 +602,7 @@
                     "expired-by-word", f"session {event.session} is told as expired, no server ended it"
                 )
         elif not isinstance(event, Up) and type(event).__name__ == "Down":
-            self.roster.down(self.now)
+            self.roster.connection_lost(self.now)
         self.tree.feed(event)
         if self.bounds.own:
             self.registrar.feed(event)
@@ -645,7 +645,7 @@
             if self.told[name][0] != "bad":
                 self.departed.append(self.now)
             self.told[name] = ("gone", self.told[name][1])
-        within = [at for at in self.departed if at > self.now - RULES.mass_window]
+        within = [at for at in self.departed if at > self.now - RULES.mass_departure_window_ms]
         if fresh and len(within) > 1 and all(state == "gone" for state, _ in self.told.values()):
             self.unconfirmed = True
 
@@ -654,18 +654,18 @@
         if self.violations:
             return
         for name, (state, _) in self.told.items():
-            ready = self.merge.verdict(IDS[name]).state is NodeState.READY
+            ready = self.merge.status(IDS[name]).state is NodeState.READY
             kept = state == "gone" and self.roster.unconfirmed > 0
             by = self.claims.get(IDS[name], {})
-            if LOG in by and ZK in by and by[LOG].number > by[ZK].number:
+            if LOG in by and ZK in by and by[LOG].sequence > by[ZK].sequence:
                 continue  # the most trusted source has spoken since
-            if ready and state != "up" and not kept and self.roster.whole_once:
+            if ready and state != "up" and not kept and self.roster.snapshot_received:
                 self.broken("told-strict", f"{name} is told as {state}, and gets fresh work")
         claims = self.roster.claims.values()
         if (
             self.unconfirmed
             and not self.roster.unconfirmed
-            and self.roster.down_since is None
+            and self.roster.disconnected_since_ms is None
             and not any(claim.state is NodeState.READY for claim in claims)
         ):
             self.broken("mass-confirmed", "all departed at once, and none was kept until a sync")
@@ -676,16 +676,16 @@
         ready = [claim.member for claim in self.roster.claims.values() if claim.state is NodeState.READY]
         if len({(member.host, member.port) for member in ready if member}) < len(ready):
             self.broken("one-address", "two ids at one address are ready")
-        for ident, until in self.roster._held_back.items():
+        for ident, until in self.roster._suppressed_until_ms.items():
             claim = self.roster.claims.get(ident)
             if self.now < until and claim is not None and claim.state is NodeState.READY:
                 self.broken("damped", f"{ident} came back too often, and gets fresh work at once")
 
     def _look_at_merge(self) -> None:
-        say = {LOG: self.merge.has_say(LOG), ZK: self.merge.has_say(ZK)}
-        expected = merged(self.claims, say)
+        say = {LOG: self.merge.is_current(LOG), ZK: self.merge.is_current(ZK)}
+        expected = merge_all_claims(self.claims, say)
         for ident, by in self.claims.items():
-            mine, wanted = self.merge.verdict(ident), expected[ident]
+            mine, wanted = self.merge.status(ident), expected[ident]
             if mine.state is not wanted.state:
                 self.broken("merge-same", f"{ident} is {mine.state.name}, by all claims {wanted.state.name}")
             if mine.state is not NodeState.READY:
@@ -696,7 +696,7 @@
                 continue
             top = by[min(having, key=lambda source: source.rank)]
             strict = [told for told in by.values() if told.claim.state is not NodeState.READY]
-            if top in strict or any(told.number > top.number for told in strict):
+            if top in strict or any(told.sequence > top.sequence for told in strict):
                 self.broken(
                     "coming-back", f"{ident} is back, and the most trusted source has not said so since"
                 )
@@ -743,7 +743,7 @@
                     break
                 self._step(step)
                 self._look()
-            self.now += max(RULES.linger, RULES.flap_hold) + 1.0
+            self.now += max(RULES.linger_ms, RULES.flap_hold_ms) + 1.0
             self.roster.tick(self.now)
             self._flow()
         if self.violations:
@@ -787,11 +787,11 @@
             rivals = [other for other in up if other != name and PORTS[other] == PORTS[name]]
             alone = all(up[name] > up[other] for other in rivals) if name in up else False
             wanted = name in up and node is not None and b'"up"' in node.data and alone
-            if (self.merge.verdict(ident).state is NodeState.READY) != wanted:
+            if (self.merge.status(ident).state is NodeState.READY) != wanted:
                 self.broken(
                     "converges",
                     f"{name} should {'' if wanted else 'not '}be ready in the end, and is "
-                    f"{self.merge.verdict(ident).state.name}: {self.merge.verdict(ident).why}",
+                    f"{self.merge.status(ident).state.name}: {self.merge.status(ident).reason}",
                 )
 
     def _check_own(self) -> None:
@@ -820,11 +820,14 @@
             ],
             self._state_of(self.tree, ("_ask", "_sink", "path")),
             self._state_of(self.registrar, ("_ask", "_session", "_ours", "_say", "_heard")),
-            self._state_of(self.roster, ("_names", "rules", "_emit", "_confirm", "_say", "_claims")),
+            self._state_of(
+                self.roster,
+                ("_names", "rules", "_emit_claim", "_request_confirmation", "_log_alarm", "_claims"),
+            ),
             _canon(self.roster.claims),
             _canon(
                 {
-                    ident: {source.name: (told.claim, told.number) for source, told in by.items()}
+                    ident: {source.name: (told.claim, told.sequence) for source, told in by.items()}
                     for ident, by in self.claims.items()
                 }
             ),
@@ -832,7 +835,7 @@
             _canon(self.told),
             self.unconfirmed,
             self.synced,
-            sorted(at - self.now for at in self.departed if at > self.now - RULES.mass_window),
+            sorted(at - self.now for at in self.departed if at > self.now - RULES.mass_departure_window_ms),
             _canon(self.begun),
             servers.leader.zxid,
             servers.replicas[1].applied,
--- a/stonecove/explore/seeds.py
+++ b/stonecove/explore/seeds.py
@@ -202,7 +202,15 @@
         ("drain",),
         "gone-closed",
     ),
-    Seed("purge-not-marked", route.Route, "told", "attempt.purged |=", "_ =", ("purge",), "no-purged"),
+    Seed(
+        "purge-not-marked",
+        route.Route,
+        "handle_membership_event",
+        "attempt.purged |=",
+        "_ =",
+        ("purge",),
+        "no-purged",
+    ),
     Seed(
         "backstop-not-set",
         route.Route,
--- a/stonecove/explore/simulation.py
+++ b/stonecove/explore/simulation.py
@@ -10,14 +10,14 @@
 import struct
 from typing import Any
 
-from stonecove.discovery import MembersUpdate, PurgeUpdate, Told
+from stonecove.discovery import MembershipEvent, MembersUpdate, PurgeUpdate
 from stonecove.explore import scope as bounds
 from stonecove.explore.fingerprint import encode_state
 from stonecove.explore.machine import Violation
 from stonecove.explore.peers import ClientSession, ClientSocket, ServerChannel, request_bytes
 from stonecove.explore.properties import PropertyMonitor
 from stonecove.explore.scope import ANSWERS, CACHE, CLASSES, ORIGIN, PARENT, Scope
-from stonecove.frontends.fastcgi import Front
+from stonecove.frontends.fastcgi import FastCgiFrontend
 from stonecove.pipeline.admit import RESPONSE_MARGIN_MS
 from stonecove.pipeline.route import BACKSTOP_MS, Route
 from stonecove.pipeline.send import NodeConnection, connection_limit
@@ -112,7 +112,7 @@
         setattr(self.route.director.state, "random", FixedRandom())  # noqa: B010
         setattr(self.route.director, "handle", MonitoredHandle(self))  # noqa: B010
         self.route.send.max_connections = connection_limit(SOCKETS)
-        self.front = Front(settings, self.route)
+        self.front = FastCgiFrontend(settings, self.route)
         self.front.ready = True
         self.names: dict[str, int] = {}
         self.addresses: dict[str, int] = {}
@@ -226,14 +226,14 @@
         buffer.feed(data)
         return all(self.follower.take(frame, self) for frame in frames(buffer))
 
-    def told(self, event: Told) -> None:
+    def handle_membership_event(self, event: MembershipEvent) -> None:
         """Called by the follower with each event; reports it to the monitor, then to the router."""
         self.told_events += 1
         if isinstance(event, MembersUpdate):
-            self.monitor.listed(tuple(member.node for member in event.members), event.whole)
+            self.monitor.listed(tuple(member.node for member in event.members), event.is_snapshot)
         elif isinstance(event, PurgeUpdate):
-            self.monitor.purges.append((self.now, event.time, event.group, event.key))
-        self.route.told(event)
+            self.monitor.purges.append((self.now, event.purged_at_ms, event.group, event.key))
+        self.route.handle_membership_event(event)
 
     # -- clients --
 
--- a/stonecove/frontends/__init__.py
+++ b/stonecove/frontends/__init__.py
@@ -1,1 +1,1 @@
-"""Frontends: translate client protocols into requests of the pipeline and answers back."""
+"""Frontends: translate client protocols into requests of the pipeline, and its answers into responses."""
--- a/stonecove/frontends/fastcgi_tokens.py
+++ b/stonecove/frontends/fastcgi_tokens.py
@@ -1,4 +1,4 @@
-"""Tokens over FastCGI: maps the parameters of a web server to the request that the gate checks."""
+"""Token checks over FastCGI: maps the parameters of a web server to the request that the gate checks."""
 
 from __future__ import annotations
 
@@ -9,10 +9,10 @@
 from stonecove.protocols.http import cookies_of
 
 
-def presented(params: dict[str, str], asked: ClientRequest, depot: str) -> Request:
-    """The request under the path that a token covers, `/svc/CLASS/OBJECT/PART`."""
+def token_request(params: dict[str, str], client_request: ClientRequest, depot: str) -> Request:
+    """Return the request with the path that a token covers, `/svc/CLASS/OBJECT/CHUNK`."""
     query = params.get("QUERY_STRING", "")
-    path = f"/svc/{asked.cls}/{asked.item}/{asked.chunk}"
+    path = f"/svc/{client_request.cls}/{client_request.item}/{client_request.chunk}"
     return Request(
         params.get("REQUEST_METHOD", "GET"),
         "https" if params.get("HTTPS", "").lower() == "on" else "http",
@@ -25,8 +25,8 @@
     )
 
 
-def refusal(decision: Decision) -> tuple[int, dict[str, object]]:
-    """Status and CGI fields of a refusal."""
+def rejection_response(decision: Decision) -> tuple[int, dict[str, object]]:
+    """Return the status and CGI fields that answer a rejected request."""
     fields: dict[str, object] = {"Content_Length": 0}
     if decision.wait:
         fields["X_Throttle_Ms"] = round(decision.wait * 1000.0)
--- a/stonecove/frontends/http.py
+++ b/stonecove/frontends/http.py
@@ -1,8 +1,8 @@
-"""The HTTP front: turns requests into the stages' own and the stages' answers into HTTP.
+"""The HTTP frontend: maps HTTP requests to pipeline requests, and their answers to HTTP responses.
 
-GET and HEAD `/svc/CLASS/OBJECT/PART`, POST for classes with an effect. The fields of the platform's protocol
-are headers of the same names; without `X-Txn` one is made, without `X-Ttl-Ms` the class's deadline holds. A
-token is checked before anything is set aside for the request, and before its body is read.
+GET and HEAD `/svc/CLASS/OBJECT/CHUNK`, POST for classes with an effect. The fields of the platform's protocol
+are headers of the same names; a missing `X-Txn` is generated, a missing `X-Ttl-Ms` is the deadline of the
+class. A token is checked before anything is reserved for the request, and before its body is read.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 from functools import partial
 
 from stonecove.access.gate import Decision, cookie_path
-from stonecove.access.grants import Request as Presented
+from stonecove.access.grants import Request as TokenRequest
 from stonecove.exchange import Answer, BadRequestError, ClientRequest, Verdict
 from stonecove.frontends.fastcgi import READY_PATH
 from stonecove.frontends.token_check import TokenChecker
@@ -26,130 +26,133 @@
 from stonecove.runtime.log_events import LogEvent
 from stonecove.state.requests import OpenRequest
 
-Fields = list[tuple[str, str]]
-Reply = Callable[[int, Fields, bytes], None]
+HeaderFields = list[tuple[str, str]]
+ReplyCallback = Callable[[int, HeaderFields, bytes], None]
 
 
-def _parts(path: str) -> tuple[str, str, str]:
-    """Class, object and part; raises BadRequestError."""
-    found = path.split("/")
-    if len(found) not in (4, 5) or found[1] != "svc":
+def _split_path(path: str) -> tuple[str, str, str]:
+    """Return class, object and chunk; raises BadRequestError."""
+    segments = path.split("/")
+    if len(segments) not in (4, 5) or segments[1] != "svc":
         raise BadRequestError(404, "no such path")
-    return found[2], found[3], found[4] if len(found) == 5 else "0"
+    return segments[2], segments[3], segments[4] if len(segments) == 5 else "0"
 
 
-class HttpFront:
-    """Takes the requests of all HTTP connections."""
+class HttpFrontend:
+    """Handles the requests of all HTTP client connections."""
 
     def __init__(
-        self, settings: Settings, route: Route, clock: Clock, tokens: TokenChecker | None, scheme: str
+        self, settings: Settings, route: Route, clock: Clock, token_checker: TokenChecker | None, scheme: str
     ) -> None:
-        """`tokens`: checks each request; None admits all."""
+        """Create a frontend whose requests `token_checker` checks; None admits all."""
         self._route, self._clock = route, clock
-        self.tokens = tokens
+        self.token_checker = token_checker
         self._scheme = scheme
         self.ready = False
         self.reconfigure(settings)
 
     def reconfigure(self, settings: Settings) -> None:
-        """These settings hold for requests that are whole from now on."""
+        """Apply new settings to requests that are completely received from now on."""
         self._intake = Intake(settings)
-        self._kinds = {cls.name: cls for cls in settings.classes}
+        self._classes = {cls.name: cls for cls in settings.classes}
 
-    def door(self, request: HttpRequest, source: str) -> Decision | None:
-        """What the head alone decides; None if nothing is asked of it. Raises BadRequestError."""
-        if request.path == READY_PATH or self.tokens is None:
+    def check_token(self, request: HttpRequest, source: str) -> Decision | None:
+        """Decide on a request by its head alone; None if it needs no token. Raises BadRequestError."""
+        if request.path == READY_PATH or self.token_checker is None:
             return None
-        presented = Presented(
+        token_request = TokenRequest(
             request.method,
             self._scheme,
             request.fields.get("host", ""),
             request.target,
             source,
-            self.tokens.depot,
+            self.token_checker.depot,
             request.fields.get("authorization", ""),
             request.cookies,
         )
-        return self.tokens.check(presented)
+        return self.token_checker.check(token_request)
 
-    def turned_away(self, decision: Decision) -> tuple[int, Fields]:
-        """Status and fields of a refusal: the client learns little."""
+    def rejection_response(self, decision: Decision) -> tuple[int, HeaderFields]:
+        """Return status and fields of a rejection, which tell the client no more than needed."""
         from stonecove.access.reasons import status_of
 
-        status, fields = status_of(decision.reason), self._pause(decision.wait * 1000.0)
+        status, fields = status_of(decision.reason), self._retry_after(decision.wait * 1000.0)
         if status == 401:
             fields.append(("WWW-Authenticate", "Bearer"))
         return status, fields
 
-    def request(
-        self, request: HttpRequest, decision: Decision | None, source: str, reply: Reply
+    def handle_request(
+        self, request: HttpRequest, decision: Decision | None, source: str, reply: ReplyCallback
     ) -> OpenRequest | None:
-        """A whole request; `reply` is called once. None if it is answered already. Raises BadRequestError."""
+        """Handle a complete request, and return it; None if it is already answered.
+
+        `reply` is called once. Raises BadRequestError.
+        """
         if request.path == READY_PATH:
             reply(200 if self.ready else 503, [("Cache-Control", "no-store")], b"")
             return None
-        cls, item, part = _parts(request.path)
-        known = self._kinds.get(cls)
-        if known is None:
+        cls, item, chunk = _split_path(request.path)
+        settings = self._classes.get(cls)
+        if settings is None:
             raise BadRequestError(404, "no such class")
-        if (request.method == "POST") is not known.never_cached:
-            raise BadRequestError(405, f"{request.method} is not for {cls}")
-        seen = request.fields.get("if-none-match", "")
+        if (request.method == "POST") is not settings.never_cached:
+            raise BadRequestError(405, f"{request.method} is not allowed for class {cls}")
+        if_none_match = request.fields.get("if-none-match", "")
         fields = {
             "X-Txn": request.fields.get("x-txn") or secrets.token_hex(8),
             "X-Row": item,
-            "X-Seg": part,
+            "X-Seg": chunk,
             "X-Bucket": request.fields.get("x-bucket", "0"),
-            "X-Ttl-Ms": request.fields.get("x-ttl-ms") or f"{known.deadline_ms:.0f}",
+            "X-Ttl-Ms": request.fields.get("x-ttl-ms") or f"{settings.deadline_ms:.0f}",
             "X-Working-Set-Kb": request.fields.get("x-working-set-kb", "0"),
-            "X-Etag": "" if "," in seen or seen == "*" else seen,
+            "X-Etag": "" if "," in if_none_match or if_none_match == "*" else if_none_match,
         }
         if key := request.fields.get("x-txn-key"):
             fields["X-Txn-Key"] = key
-        answer = partial(self._answer, request, known, decision, reply)
-        asked: ClientRequest = self._intake.parse(f"/svc/{cls}", fields, request.body, answer)
-        asked.on_disconnect = partial(self.over, decision, ran=True)
-        asked.client = decision.subject if decision is not None and decision.subject else source
-        if self._route.requests.is_open(asked.txn):
-            raise BadRequestError(400, "X-Txn is that of an open request")
-        return self._route.submit(asked)
-
-    def over(self, decision: Decision | None, ran: bool) -> None:
-        """A request that was let in has its final answer, or its client has left."""
-        if decision is not None and self.tokens is not None:
-            self.tokens.over(decision, ran)
-
-    def _answer(
+        send_reply = partial(self._reply, request, settings, decision, reply)
+        client_request: ClientRequest = self._intake.parse(f"/svc/{cls}", fields, request.body, send_reply)
+        client_request.on_disconnect = partial(self.release, decision, ran=True)
+        client_request.client = decision.subject if decision is not None and decision.subject else source
+        if self._route.requests.is_open(client_request.txn):
+            raise BadRequestError(400, "X-Txn is in use by an open request")
+        return self._route.submit(client_request)
+
+    def release(self, decision: Decision | None, ran: bool) -> None:
+        """Release an admitted request after its final answer, or after its client has disconnected."""
+        if decision is not None and self.token_checker is not None:
+            self.token_checker.release(decision, ran)
+
+    def _reply(
         self,
         request: HttpRequest,
         cls: ClassSettings,
         decision: Decision | None,
-        reply: Reply,
+        reply: ReplyCallback,
         answer: Answer,
     ) -> None:
-        self.over(decision, ran=answer.verdict is not Verdict.REFUSED)
-        reply(*self._made(request, cls, decision, answer))
+        self.release(decision, ran=answer.verdict is not Verdict.REFUSED)
+        reply(*self._build_response(request, cls, decision, answer))
 
-    def _made(
+    def _build_response(
         self, request: HttpRequest, cls: ClassSettings, decision: Decision | None, answer: Answer
-    ) -> tuple[int, Fields, bytes]:
-        """Status, fields and body of an answer."""
+    ) -> tuple[int, HeaderFields, bytes]:
+        """Return status, fields and body of the response to an answer."""
         if answer.verdict is Verdict.REFUSED:
-            return 503, [("Cache-Control", "no-store"), *self._pause(answer.retry_after_ms)], b""
+            return 503, [("Cache-Control", "no-store"), *self._retry_after(answer.retry_after_ms)], b""
         if answer.verdict is Verdict.FAILED:
             return 502, [("Cache-Control", "no-store")], b""
-        fields: Fields = []
+        fields: HeaderFields = []
         if cls.never_cached:
             fields.append(("Cache-Control", "no-store"))
         else:
-            kind = "private" if decision is not None and decision.subject else "public"
+            scope = "private" if decision is not None and decision.subject else "public"
             age = (
                 max(0.0, self._clock.now() - answer.copy_made_at_ms) / 1000.0
                 if answer.copy_made_at_ms
                 else 0.0
             )
-            fresh = f"max-age={cls.fresh_ms / 1000.0:.0f}" if cls.fresh_ms else "no-cache"
-            fields += [("Cache-Control", f"{kind}, {fresh}"), ("Age", f"{age:.0f}")]
+            freshness = f"max-age={cls.fresh_ms / 1000.0:.0f}" if cls.fresh_ms else "no-cache"
+            fields += [("Cache-Control", f"{scope}, {freshness}"), ("Age", f"{age:.0f}")]
         if answer.tag:
             fields.append(("ETag", f'"{answer.tag}"'))
         if decision is not None and decision.cookie:
@@ -161,11 +164,11 @@
         if answer.verdict is Verdict.UNCHANGED:
             return 304, fields, b""
         fields += [("Content-Type", "application/octet-stream"), ("Accept-Ranges", "bytes")]
-        wanted = request.fields.get("range", "") if request.method == "GET" else ""
-        if not wanted or request.fields.get("if-range", f'"{answer.tag}"') != f'"{answer.tag}"':
+        range_header = request.fields.get("range", "") if request.method == "GET" else ""
+        if not range_header or request.fields.get("if-range", f'"{answer.tag}"') != f'"{answer.tag}"':
             return 200, fields, answer.body
         try:
-            found = byte_range(wanted, len(answer.body))
+            found = byte_range(range_header, len(answer.body))
         except HttpError:
             return 416, [*fields, ("Content-Range", f"bytes */{len(answer.body)}")], b""
         if found is None:
@@ -174,18 +177,21 @@
         fields.append(("Content-Range", f"bytes {first}-{last}/{len(answer.body)}"))
         return 206, fields, answer.body[first : last + 1]
 
-    def left(self, request: OpenRequest) -> None:
-        """The client of an open request has gone: what was sent may have run."""
+    def client_disconnected(self, request: OpenRequest) -> None:
+        """Abandon an open request whose client has disconnected; attempts already sent may have run."""
         self._route.client_disconnected(request)
 
-    def _pause(self, ms: float) -> Fields:
-        """For how long to stay away: whole seconds, rounded up, and exactly."""
-        if ms <= 0:
+    def _retry_after(self, delay_ms: float) -> HeaderFields:
+        """Return the fields that ask for a delay: in whole seconds, rounded up, and in milliseconds."""
+        if delay_ms <= 0:
             return []
-        return [("Retry-After", str(max(1, math.ceil(ms / 1000.0)))), ("X-Throttle-Ms", f"{ms:.0f}")]
+        return [
+            ("Retry-After", str(max(1, math.ceil(delay_ms / 1000.0)))),
+            ("X-Throttle-Ms", f"{delay_ms:.0f}"),
+        ]
 
 
-def told(error: BadRequestError) -> int:
-    """Logs a request that can't be taken; its status."""
+def log_malformed(error: BadRequestError) -> int:
+    """Log a malformed request, and return the status to answer it with."""
     log_limited(LogEvent.REQUEST_MALFORMED, status=error.status, reason=str(error), front="http")
     return error.status
--- a/stonecove/frontends/token_check.py
+++ b/stonecove/frontends/token_check.py
@@ -1,4 +1,4 @@
-"""Checks the tokens of requests for all fronts: the gate, joined to the clock, the counts and the log."""
+"""Token checks for all frontends: connects the gate to the clock, the counters and the log."""
 
 from __future__ import annotations
 
@@ -13,16 +13,19 @@
 
 
 class TokenChecker:
-    """Checks tokens with one gate for all fronts of a router."""
+    """Checks tokens with one gate for all frontends of a router."""
 
     def __init__(self, gate: Gate, clock: Clock, depot: str, count: Callable[[str], None]) -> None:
-        """`depot`: the zone of this router; `count` is called with the counter's name on each refusal."""
+        """Create a checker; `depot` is the zone of this router.
+
+        `count` is called with the name of a counter on each rejection.
+        """
         self.gate, self._clock, self.depot, self._count = gate, clock, depot, count
 
     def check(self, request: Request) -> Decision:
-        """Decides on a request; logs reason, key id and subject of a refusal, never the token."""
-        parts = request.path.split("/")
-        item = "/".join(parts[2:4])
+        """Decide on a request; a rejection is logged with reason, key id and subject, but no token."""
+        segments = request.path.split("/")
+        item = "/".join(segments[2:4])
         decision = self.gate.check(request, item, self._clock.now() / 1000.0, time.monotonic())
         if not decision.good:
             self._count(f"token_{decision.reason.value}")
@@ -37,6 +40,6 @@
             )
         return decision
 
-    def over(self, decision: Decision, ran: bool) -> None:
-        """Called once an admitted request has its final answer; `ran`: whether it may have had an effect."""
+    def release(self, decision: Decision, ran: bool) -> None:
+        """Release an admitted request after its final answer; `ran`: it may have had an effect."""
         self.gate.over(decision, ran)
--- a/stonecove/overload/__init__.py
+++ b/stonecove/overload/__init__.py
@@ -1,5 +1,5 @@
-"""Overload of a fleet: what requests lead to over all routers together, without I/O.
+"""Overload of a fleet: the work that requests cause, summed over all routers. No I/O.
 
-`book` counts, for what clients meant, the tries, attempts, second copies, fills, fetches from the origin,
-connections and probes that came of it, by cause and by second, and tells whether service came back.
+`book` counts, per second and kind, the tries, attempts, repeats, fills, fetches from the origin, connections
+and probes that the requests of clients cause, and determines whether service has recovered.
 """
--- a/stonecove/overload/book.py
+++ b/stonecove/overload/book.py
@@ -1,11 +1,12 @@
-"""The book of amplification: what came of each request that a client meant, over the whole fleet.
+"""Amplification statistics: the work that each request intended by a client causes in the whole fleet.
 
-A client means a request once, and may try it several times. A try leads to attempts at caches; one that goes
-out beside or after another of the same try is a repeat. Attempts lead to fills from parents and fetches from
-the origin. Each is harmless, and together they may keep an overload going after its cause has ended: so they
-are counted by second beside what was meant in that second, and by the meaning that they belong to.
+A client intends a request once, and may try it several times. A try leads to attempts at caches; an attempt
+that is sent beside or after another one of the same try is a repeat. Attempts lead to fills from parents and
+fetches from the origin. Each is harmless by itself, but together they may sustain an overload after its cause
+has ended. Therefore they are counted per second, relative to the requests intended in that second, and per
+intended request.
 
-Knows no I/O. Moments are seconds, from any beginning.
+No I/O. Times are seconds since any origin that all events share.
 """
 
 from __future__ import annotations
@@ -16,121 +17,133 @@
 from dataclasses import dataclass, field
 from typing import NamedTuple
 
-MEANT, TRY, ATTEMPT, REPEAT, FILL, ORIGIN, CONNECT, PROBE = (
+INTENDED, TRY, ATTEMPT, REPEAT, FILL, ORIGIN, CONNECT, PROBE = (
     "meant", "try", "attempt", "repeat", "fill", "origin", "connect", "probe")  # fmt: skip
-CAUSES = (TRY, ATTEMPT, REPEAT, FILL, ORIGIN, CONNECT, PROBE)  # in the order in which one leads to another
+# In the order in which one leads to another.
+WORK_KINDS = (TRY, ATTEMPT, REPEAT, FILL, ORIGIN, CONNECT, PROBE)
 SERVED, REFUSED, FAILED, LATE, LOST = "served", "refused", "failed", "late", "lost"
 OUTCOMES = (SERVED, REFUSED, FAILED, LATE, LOST)
-NOBODY = -1  # the meaning of what belongs to no request
-FEWEST = 10  # meant in a second, below which its ratios say nothing
-GOOD = 0.9  # the part of what was meant that is served in a good second
-STEADY = 3  # good seconds in a row that count as recovered
+NO_INTENT = -1  # the intent of work that belongs to no request
+MIN_INTENDED = 10  # requests in a second, below which its ratios are noise
+GOOD_SERVED_SHARE = 0.9  # share of the intended requests that are served in a good second
+RECOVERY_SECONDS = 3  # consecutive good seconds that count as recovery
 
 
-class Event(NamedTuple):
-    """Something that happened. `what`: one of CAUSES, or of OUTCOMES for the end of what was meant then."""
+class LoadEvent(NamedTuple):
+    """The beginning of an intended request, work of one of WORK_KINDS, or an end by one of OUTCOMES."""
 
-    at: float
-    what: str
-    meaning: int = NOBODY
+    at_s: float
+    kind: str
+    intent: int = NO_INTENT
     cls: str = ""
 
 
 @dataclass(slots=True)
-class Second:
-    """What happened within one second. `ends`: of what was meant in it, whenever that was."""
+class SecondStatistics:
+    """The counts of one second; `ended` has the outcomes of what was intended in it, whenever they came."""
 
-    meant: int = 0
-    came: Counter[str] = field(default_factory=Counter)
-    ends: Counter[str] = field(default_factory=Counter)
+    intended: int = 0
+    caused: Counter[str] = field(default_factory=Counter)
+    ended: Counter[str] = field(default_factory=Counter)
 
-    def ratio(self, cause: str) -> float:
-        """How many of these came for each that was meant."""
-        return self.came[cause] / self.meant if self.meant else math.nan
+    def ratio(self, kind: str) -> float:
+        """Return the amount of work of a kind per intended request."""
+        return self.caused[kind] / self.intended if self.intended else math.nan
 
     @property
-    def served(self) -> float:
-        """The part of what was meant that was served in the end."""
-        return self.ends[SERVED] / self.meant if self.meant else math.nan
+    def served_share(self) -> float:
+        """The share of the intended requests that were served in the end."""
+        return self.ended[SERVED] / self.intended if self.intended else math.nan
 
 
-class Book:
-    """All events of one play, by second, by cause and by meaning."""
+class AmplificationStatistics:
+    """The events of one run, counted by second, by kind and by intended request."""
 
-    def __init__(self, events: Iterable[Event]) -> None:
-        """Events in any order. What is meant is told by MEANT, its end by one of OUTCOMES."""
-        self.seconds: dict[int, Second] = defaultdict(Second)
+    def __init__(self, events: Iterable[LoadEvent]) -> None:
+        """Count events, which may come in any order.
+
+        INTENDED marks the beginning of a request, one of OUTCOMES its end.
+        """
+        self.seconds: dict[int, SecondStatistics] = defaultdict(SecondStatistics)
         self.by_class: dict[str, Counter[str]] = defaultdict(Counter)
-        self._of: dict[int, Counter[str]] = defaultdict(Counter)
-        meant: dict[int, Event] = {}
+        self._caused_by_intent: dict[int, Counter[str]] = defaultdict(Counter)
+        intended: dict[int, LoadEvent] = {}
         events = sorted(events)
         for event in events:
-            if event.what == MEANT:
-                meant[event.meaning] = event
-                self.seconds[int(event.at)].meant += 1
-                self.by_class[event.cls][MEANT] += 1
+            if event.kind == INTENDED:
+                intended[event.intent] = event
+                self.seconds[int(event.at_s)].intended += 1
+                self.by_class[event.cls][INTENDED] += 1
         for event in events:
-            began = meant.get(event.meaning)
-            if event.what in OUTCOMES and began is not None:
-                self.seconds[int(began.at)].ends[event.what] += 1
-                self.by_class[began.cls][event.what] += 1
-            elif event.what in CAUSES:
-                self.seconds[int(event.at)].came[event.what] += 1
-                self.by_class[began.cls if began is not None else ""][event.what] += 1
-                if began is not None:
-                    self._of[event.meaning][event.what] += 1
+            beginning = intended.get(event.intent)
+            if event.kind in OUTCOMES and beginning is not None:
+                self.seconds[int(beginning.at_s)].ended[event.kind] += 1
+                self.by_class[beginning.cls][event.kind] += 1
+            elif event.kind in WORK_KINDS:
+                self.seconds[int(event.at_s)].caused[event.kind] += 1
+                self.by_class[beginning.cls if beginning is not None else ""][event.kind] += 1
+                if beginning is not None:
+                    self._caused_by_intent[event.intent][event.kind] += 1
 
     @property
-    def meant(self) -> int:
-        """How many requests clients meant."""
-        return sum(second.meant for second in self.seconds.values())
-
-    def total(self, what: str) -> int:
-        """How many of a cause, or ends of an outcome."""
-        return sum(second.came[what] + second.ends[what] for second in self.seconds.values())
-
-    def worst(self, cause: str) -> tuple[int, float]:
-        """The second in which most of these came for each that was meant, and how many; (0, 0.0): none."""
-        told = [(second.ratio(cause), at) for at, second in self.seconds.items() if second.meant >= FEWEST]
-        ratio, at = max(told, default=(0.0, 0))
-        return at, ratio
-
-    def most(self, cause: str) -> tuple[int, int]:
-        """The meaning to which most of these belong, and how many."""
-        return max(((meaning, came[cause]) for meaning, came in self._of.items()),
-                   key=lambda pair: pair[1], default=(NOBODY, 0))  # fmt: skip
-
-    def recovered(self, cause_ended: float) -> float:
-        """Seconds from the end of the cause until service is good and stays so; infinite if it never is."""
+    def intended(self) -> int:
+        """The number of requests that clients intended."""
+        return sum(second.intended for second in self.seconds.values())
+
+    def total(self, kind: str) -> int:
+        """Return the number of events of a kind of work, or of ends by an outcome."""
+        return sum(second.caused[kind] + second.ended[kind] for second in self.seconds.values())
+
+    def worst_second(self, kind: str) -> tuple[int, float]:
+        """Return the second with the highest ratio of a kind of work, and the ratio; (0, 0.0) if none."""
+        ratios = [
+            (second.ratio(kind), at_s)
+            for at_s, second in self.seconds.items()
+            if second.intended >= MIN_INTENDED
+        ]
+        ratio, at_s = max(ratios, default=(0.0, 0))
+        return at_s, ratio
+
+    def most_amplified(self, kind: str) -> tuple[int, int]:
+        """Return the intended request that caused most work of a kind, and how much."""
+        return max(((intent, caused[kind]) for intent, caused in self._caused_by_intent.items()),
+                   key=lambda pair: pair[1], default=(NO_INTENT, 0))  # fmt: skip
+
+    def recovery_s(self, fault_ended_s: float) -> float:
+        """Return the seconds from the end of the fault until service stays good; infinite if never."""
         last = max(self.seconds, default=0)
         good = 0
-        for at in range(int(cause_ended), last):
-            second = self.seconds.get(at)
-            if second is None or second.meant < FEWEST:
+        for at_s in range(int(fault_ended_s), last):
+            second = self.seconds.get(at_s)
+            if second is None or second.intended < MIN_INTENDED:
                 continue
-            good = good + 1 if second.served >= GOOD else 0
-            if good == STEADY:
-                return max(0.0, at + 1 - STEADY - cause_ended)
+            good = good + 1 if second.served_share >= GOOD_SERVED_SHARE else 0
+            if good == RECOVERY_SECONDS:
+                return max(0.0, at_s + 1 - RECOVERY_SECONDS - fault_ended_s)
         return math.inf
 
-    def sustained_by(self, cause_ended: float, calm_until: float) -> list[tuple[str, float]]:
-        """What keeps service from coming back: causes whose ratio after the end of the cause is above that of
-        the calm before it, by how many times, the largest first.
+    def sustained_by(self, fault_ended_s: float, steady_until_s: float) -> list[tuple[str, float]]:
+        """Return the kinds of work that keep service from recovering, the largest increase first.
+
+        These are the kinds whose ratio in bad seconds after the end of the fault is above that of the steady
+        state before it, each with the factor.
         """
-        found = []
-        for cause in CAUSES:
-            calm = [
-                one.ratio(cause)
-                for at, one in self.seconds.items()
-                if at < calm_until and one.meant >= FEWEST
+        increases = []
+        for kind in WORK_KINDS:
+            before = [
+                second.ratio(kind)
+                for at_s, second in self.seconds.items()
+                if at_s < steady_until_s and second.intended >= MIN_INTENDED
             ]
             after = [
-                one.ratio(cause)
-                for at, one in self.seconds.items()
-                if at >= cause_ended and one.meant >= FEWEST and one.served < GOOD
+                second.ratio(kind)
+                for at_s, second in self.seconds.items()
+                if at_s >= fault_ended_s
+                and second.intended >= MIN_INTENDED
+                and second.served_share < GOOD_SERVED_SHARE
             ]
-            if calm and after and (usual := sum(calm) / len(calm)) > 0.0:
-                times = sum(after) / len(after) / usual
-                if times > 1.0:
-                    found.append((cause, times))
-        return sorted(found, key=lambda pair: -pair[1])
+            if before and after and (steady_ratio := sum(before) / len(before)) > 0.0:
+                factor = sum(after) / len(after) / steady_ratio
+                if factor > 1.0:
+                    increases.append((kind, factor))
+        return sorted(increases, key=lambda pair: -pair[1])
--- a/stonecove/pipeline/route.py
+++ b/stonecove/pipeline/route.py
@@ -11,7 +11,7 @@
 from functools import partial
 from typing import Any
 
-from stonecove.discovery import MembersUpdate, PurgeUpdate, Told
+from stonecove.discovery import MembershipEvent, MembersUpdate, PurgeUpdate
 from stonecove.exchange import Answer, ClientRequest, Verdict
 from stonecove.pipeline.admit import Admit
 from stonecove.pipeline.book import AttemptRecorder
@@ -173,14 +173,14 @@
             self.relay.client_disconnected(request)
             self.post(ClientDisconnected(request.request_id))
 
-    def told(self, event: Told) -> None:
+    def handle_membership_event(self, event: MembershipEvent) -> None:
         """Handle a change of the endpoint list, or a purge.
 
         Attempts that are not written yet are checked again once the decision module has seen the event.
         """
         waiting = self.requests.unsent_attempts()
         if isinstance(event, PurgeUpdate):
-            self.post(PurgeReceived(max(0.0, self._clock.now() - event.time), event.group, event.key))
+            self.post(PurgeReceived(max(0.0, self._clock.now() - event.purged_at_ms), event.group, event.key))
             for attempt in waiting:
                 client_request = attempt.request.client_request
                 attempt.purged |= (
@@ -195,7 +195,7 @@
 
     def _apply_members(self, event: MembersUpdate) -> None:
         self.nodes.apply(event)
-        update_kind = EndpointListKind.SNAPSHOT if event.whole else EndpointListKind.DELTA
+        update_kind = EndpointListKind.SNAPSHOT if event.is_snapshot else EndpointListKind.DELTA
         self.post(EndpointListUpdate(update_kind, tuple(member.node for member in event.members)))
         for member in event.members:
             node = member.node
--- a/stonecove/protocols/change_log.py
+++ b/stonecove/protocols/change_log.py
@@ -6,7 +6,7 @@
 from collections.abc import Iterator
 from typing import Any, NamedTuple
 
-from stonecove.discovery import Member, MembershipSink, MembersUpdate, PurgeUpdate, Told
+from stonecove.discovery import Member, MembershipEvent, MembershipSink, MembersUpdate, PurgeUpdate
 from stonecove.protocols.buffer import Buffer
 from stonecove.routing.endpoints import Node, NodeState
 from stonecove.routing.settings import Settings
@@ -33,7 +33,7 @@
 
     number: int
     event: bool
-    told: Told | None
+    told: MembershipEvent | None
     wrong: str = ""  # why the payload can't be read
 
 
@@ -51,7 +51,7 @@
 
 
 def _frame(number: int, kind: int, payload: bytes) -> Frame:
-    told: Told | None = None
+    told: MembershipEvent | None = None
     wrong = ""
     try:
         if kind in (_WHOLE, _CHANGES):
@@ -104,9 +104,9 @@
     return Member(node, host, int(port))
 
 
-def known_events(known: dict[str, Any], settings: Settings) -> list[Told]:
+def known_events(known: dict[str, Any], settings: Settings) -> list[MembershipEvent]:
     """The events of the start, given as JSON."""
-    told: list[Told] = []
+    told: list[MembershipEvent] = []
     try:
         for event in known.get("results", []):
             if fleet := event.get("fleet"):
@@ -147,7 +147,7 @@
             return False
         if frame.told is not None:
             try:
-                sink.told(frame.told)
+                sink.handle_membership_event(frame.told)
             except Exception:
                 if self._accept_gap():
                     self.last = frame.number
--- a/stonecove/scale/faults.py
+++ b/stonecove/scale/faults.py
@@ -15,7 +15,7 @@
 from dataclasses import dataclass
 from typing import Protocol
 
-from stonecove.discovery import Told
+from stonecove.discovery import MembershipEvent
 from stonecove.protocols.buffer import Buffer, BufferFullError
 from stonecove.protocols.change_log import MOST_FRAME, ChangeLogError, Follower, frames
 from stonecove.scale.control_machine import FIRST_NUMBER
@@ -234,7 +234,7 @@
         """Begins to read."""
         self._thread.start()
 
-    def told(self, event: Told) -> None:
+    def handle_membership_event(self, event: MembershipEvent) -> None:
         """Takes nothing in."""
 
     def _run(self) -> None:
--- a/stonecove/scale/hollow.py
+++ b/stonecove/scale/hollow.py
@@ -18,7 +18,7 @@
 
 import trio
 
-from stonecove.discovery import MembershipSink, Told
+from stonecove.discovery import MembershipEvent, MembershipSink
 from stonecove.pipeline.route import Route
 from stonecove.protocols.change_log import Follower, Frame
 from stonecove.protocols.upstream_channel import Channel, Owner
@@ -126,9 +126,9 @@
     def __init__(self, route: Route, follower: _NumberedFollower, ledger: Ledger) -> None:
         self._route, self._follower, self._ledger = route, follower, ledger
 
-    def told(self, event: Told) -> None:
+    def handle_membership_event(self, event: MembershipEvent) -> None:
         """One event of the change log."""
-        self._route.told(event)
+        self._route.handle_membership_event(event)
         self._ledger.took(self._follower.taking, time.time_ns())
 
 
@@ -175,7 +175,7 @@
     async def run(self, started: Callable[[HollowRouter], None] | None = None) -> None:
         """Until `end`; `started` may spawn more."""
         for event in self.config.known:
-            self.route.told(event)
+            self.route.handle_membership_event(event)
         try:
             with self._scope:
                 async with trio.open_nursery() as self._nursery:
--- a/stonecove/scale/real_routers.py
+++ b/stonecove/scale/real_routers.py
@@ -91,7 +91,7 @@
         """How requests have ended so far."""
         if self._clients is None:
             return Requests(0, 0)
-        ends = Counter(event.what for event in list(self._clients.events))
+        ends = Counter(event.kind for event in list(self._clients.events))
         return Requests(ends[SERVED], sum(ends[end] for end in OUTCOMES) - ends[SERVED])
 
     def spent(self) -> Spent:
--- a/stonecove/server/config.py
+++ b/stonecove/server/config.py
@@ -10,7 +10,7 @@
 
 import ujson
 
-from stonecove.discovery import Told
+from stonecove.discovery import MembershipEvent
 from stonecove.protocols.change_log import ChangeLogError, known_events
 from stonecove.routing.settings import Settings
 from stonecove.settings import settings_from
@@ -35,7 +35,7 @@
     pace: float  # bytes a second of one transfer; 0 if not told
     changelog: tuple[str, int]
     last: int  # number of the last event in `known`
-    known: tuple[Told, ...]
+    known: tuple[MembershipEvent, ...]
     settings: Settings
     table: Mapping[str, Any]  # the settings as decoded: what is rolled out changes them
     peers: tuple[str, ...] = ()  # addresses of the other routers, as they are told
--- a/stonecove/server/coordination.py
+++ b/stonecove/server/coordination.py
@@ -9,8 +9,8 @@
 import trio
 
 from stonecove.discovery import presence
-from stonecove.discovery.records import Names, RecordError
-from stonecove.discovery.roster import Claim, Roster, Rules
+from stonecove.discovery.records import RecordError, TopologyNames
+from stonecove.discovery.roster import Claim, Roster, RosterRules
 from stonecove.operator_config.records import Presence, ZooKeeperSource
 from stonecove.protocols.zookeeper.messages import Stat
 from stonecove.protocols.zookeeper.registration import Registrar
@@ -38,7 +38,7 @@
         """Seeds the order in which servers are tried, and the jitter of the pauses between."""
 
     @property
-    def names(self) -> Names:
+    def names(self) -> TopologyNames:
         """The names of zones and kinds that records may use."""
 
     @property
@@ -49,9 +49,9 @@
         """Called after each event of the session, once roster and tree have taken it in."""
 
 
-def rules_of(source: ZooKeeperSource) -> Rules:
+def rules_of(source: ZooKeeperSource) -> RosterRules:
     """The figures of a roster."""
-    return Rules(
+    return RosterRules(
         source.stale_for,
         source.linger,
         source.return_within,
@@ -96,11 +96,11 @@
 
     def removed(self, names: Iterable[str]) -> None:
         """Nodes were removed."""
-        self._roster.removed(names, self._clock.now())
+        self._roster.remove(names, self._clock.now())
 
     def whole(self, names: frozenset[str], confirmed: bool) -> None:
         """The whole list was read; `confirmed`: after a sync with the ordering server."""
-        self._roster.whole(names, confirmed, self._clock.now())
+        self._roster.apply_snapshot(names, confirmed, self._clock.now())
         self._whole()
 
     def absent(self, confirmed: bool) -> None:
@@ -113,7 +113,12 @@
     """The routers' nodes, handed to the count of the fleet; a record that can't be read counts as none."""
 
     def __init__(
-        self, fleet: presence.Fleet, names: Names, clock: Clock, mine: str, vanished: Callable[[], None]
+        self,
+        fleet: presence.FleetCounter,
+        names: TopologyNames,
+        clock: Clock,
+        mine: str,
+        vanished: Callable[[], None],
     ) -> None:
         self._fleet, self._names, self._clock = fleet, names, clock
         self._mine, self._vanished = mine, vanished
@@ -121,25 +126,25 @@
     def put(self, name: str, data: bytes, stat: Stat) -> None:
         """A router is there, or says something else."""
         try:
-            self._fleet.put(name, presence.peer_of(data, self._names), self._clock.now())
+            self._fleet.put(name, presence.parse_peer(data, self._names), self._clock.now())
         except RecordError as error:
             log_limited(LogEvent.PRESENCE_RECORD_INVALID, node=name, reason=str(error))
-            self._fleet.removed((name,), self._clock.now())
+            self._fleet.discard((name,), self._clock.now())
 
     def removed(self, names: Iterable[str]) -> None:
         """Routers are gone; were we told to be, our node is made again."""
         gone = list(names)
-        self._fleet.removed(gone, self._clock.now())
+        self._fleet.discard(gone, self._clock.now())
         if self._mine in gone:
             self._vanished()
 
     def whole(self, names: frozenset[str], confirmed: bool) -> None:
         """The list was read."""
-        self._fleet.here(self._clock.now())
+        self._fleet.source_read(self._clock.now())
 
     def absent(self, confirmed: bool) -> None:
         """Nobody has made the path yet."""
-        self._fleet.here(self._clock.now())
+        self._fleet.source_read(self._clock.now())
 
 
 class Coordination:
@@ -170,18 +175,18 @@
         self.ensemble.add_listener(self.tree.feed)
         self.ensemble.add_listener(self._feed)
         self.registrar: Registrar | None = None
-        self.fleet: presence.Fleet | None = None
+        self.fleet: presence.FleetCounter | None = None
         if own is not None:
             least = presence.FleetSize(
                 owner.config.settings.fleet_size, owner.config.settings.routers_by_zone
             )
-            self.fleet = presence.Fleet(
-                len(names.zones), peer.zone, presence.Calm(own.grow, own.shrink), least
+            self.fleet = presence.FleetCounter(
+                len(names.zones), peer.zone, presence.Hysteresis(own.grow, own.shrink), least
             )
             self.registrar = Registrar(
                 own.path,
                 peer.name,
-                presence.record_of(peer, names),
+                presence.encode_peer(peer, names),
                 self.ensemble.request,
                 lambda: self.ensemble.session.session,
                 lambda data: _same_listen(data, names, peer),
@@ -206,19 +211,19 @@
     def _feed(self, event: SessionEvent) -> None:
         if isinstance(event, (Down, Expired)):
             now = self._clock.now()
-            self.roster.down(now)
+            self.roster.connection_lost(now)
             if self.fleet is not None:
-                self.fleet.away(now)
+                self.fleet.source_lost(now)
 
     async def run(self) -> None:
         """Until it is closed."""
         await self.ensemble.run()
 
 
-def _same_listen(data: bytes, names: Names, peer: presence.Peer) -> bool:
+def _same_listen(data: bytes, names: TopologyNames, peer: presence.Peer) -> bool:
     """Whether a record is that of our own process before its restart: nobody else can listen there."""
     try:
-        found = presence.peer_of(data, names)
+        found = presence.parse_peer(data, names)
     except RecordError:
         return False
     return found.listen == peer.listen and found.started <= peer.started
--- a/stonecove/server/http.py
+++ b/stonecove/server/http.py
@@ -12,7 +12,7 @@
 
 from stonecove.access.gate import Decision
 from stonecove.exchange import BadRequestError
-from stonecove.frontends.http import Fields, HttpFront, told
+from stonecove.frontends.http import HeaderFields, HttpFrontend, log_malformed
 from stonecove.operator_config.records import Http
 from stonecove.protocols.http import HttpError, HttpRequest, HttpSession, State
 from stonecove.runtime.log import log, log_limited
@@ -46,7 +46,7 @@
 class HttpConnection:
     """One client connection: requests one after the other."""
 
-    def __init__(self, stream: Stream, source: str, front: HttpFront, owner: HttpListener) -> None:
+    def __init__(self, stream: Stream, source: str, front: HttpFrontend, owner: HttpListener) -> None:
         self._stream, self._source, self._front, self._owner = stream, source, front, owner
         self._session = HttpSession()
         self._open: OpenRequest | None = None
@@ -69,7 +69,7 @@
             await self._send(session.refuse(error))
         finally:
             if self._open is not None:
-                self._front.left(self._open)
+                self._front.client_disconnected(self._open)
 
     async def _request(self) -> HttpRequest | None:
         """The next request's head; None if the client has gone, or was idle for long."""
@@ -98,9 +98,9 @@
     async def _serve(self, request: HttpRequest) -> None:
         """One request, from its head to its answer."""
         session, front = self._session, self._front
-        decision = front.door(request, self._source)
+        decision = front.check_token(request, self._source)
         if decision is not None and not decision.good:
-            status, fields = front.turned_away(decision)
+            status, fields = front.rejection_response(decision)
             if not request.length:
                 session.next()
             await self._send(session.answer(status, fields, b"", self._owner.draining))
@@ -112,13 +112,13 @@
                 while session.state is State.BODY and session.next() is None:
                     data = await self._receive()
                     if not data:
-                        front.over(decision, ran=False)
+                        front.release(decision, ran=False)
                         return self._end()
                     session.feed(data)
             if scope.cancelled_caught:
                 raise HttpError(408, "a body that does not end")
         except HttpError:
-            front.over(decision, ran=False)
+            front.release(decision, ran=False)
             raise
         await self._ask(request, decision)
 
@@ -128,17 +128,17 @@
     async def _ask(self, request: HttpRequest, decision: Decision | None) -> None:
         """Hands a whole request on, and waits for its one answer or for the client's end."""
         answered = trio.Event()
-        made: list[tuple[int, Fields, bytes]] = []
+        made: list[tuple[int, HeaderFields, bytes]] = []
 
-        def reply(status: int, fields: Fields, body: bytes) -> None:
+        def reply(status: int, fields: HeaderFields, body: bytes) -> None:
             made.append((status, fields, body))
             answered.set()
 
         try:
-            opened = self._front.request(request, decision, self._source, reply)
+            opened = self._front.handle_request(request, decision, self._source, reply)
         except BadRequestError as error:
-            self._front.over(decision, ran=False)
-            await self._send(self._session.answer(told(error), [], b"", self._owner.draining))
+            self._front.release(decision, ran=False)
+            await self._send(self._session.answer(log_malformed(error), [], b"", self._owner.draining))
             return
         if opened is not None and not made:
             self._open = opened
@@ -180,7 +180,7 @@
     """Accepts HTTP clients, up to a number of places."""
 
     def __init__(
-        self, http: Http, front: HttpFront, spawn: Callable[[Callable[[], Awaitable[None]]], None]
+        self, http: Http, front: HttpFrontend, spawn: Callable[[Callable[[], Awaitable[None]]], None]
     ) -> None:
         """Binds; raises OSError for an address or certificate that can't be used."""
         self._http, self.front, self._spawn = http, front, spawn
--- a/stonecove/server/members.py
+++ b/stonecove/server/members.py
@@ -19,12 +19,12 @@
 
 import trio
 
-from stonecove.discovery import Member, MembersUpdate, PurgeUpdate, Told, presence
-from stonecove.discovery.merge import Merge, Source
-from stonecove.discovery.pace import Pace
-from stonecove.discovery.records import Names, RecordError, node_id
+from stonecove.discovery import Member, MembershipEvent, MembersUpdate, PurgeUpdate, presence
+from stonecove.discovery.merge import EndpointMerger, EndpointSource
+from stonecove.discovery.pace import UpdatePacer
+from stonecove.discovery.records import RecordError, TopologyNames, parse_node_id
 from stonecove.discovery.roster import Claim
-from stonecove.discovery.trace import Trace, explained
+from stonecove.discovery.trace import MembershipTrace, explanation_to_dict
 from stonecove.operator_config.grammar import OperatorError
 from stonecove.operator_config.reader import read
 from stonecove.operator_config.records import Operator
@@ -62,20 +62,20 @@
         self.config = config
         self.clock = clock
         self.seed = config.seed
-        self.names = Names(config.settings.zones, config.settings.kinds)
+        self.names = TopologyNames(config.settings.zones, config.settings.kinds)
         self._route = route
         self._changelog = changelog
         self._spawn = spawn
         self.operator = read(path).operator
         self._state = "starting"
         self._began = clock.now()
-        self._log_source = Source("changelog", self.operator.changelog.rank)
-        self._zk_source = Source(
+        self._log_source = EndpointSource("changelog", self.operator.changelog.rank)
+        self._zk_source = EndpointSource(
             "zookeeper", self.operator.zookeeper.rank if self.operator.zookeeper else 100
         )
-        self.merge = Merge(self._sources(), self.operator.members.keep)
-        self.trace = Trace(self.operator.members.trace)
-        self._pace = Pace(self.operator.members.batch / 1000.0)
+        self.merge = EndpointMerger(self._sources(), self.operator.members.keep)
+        self.trace = MembershipTrace(self.operator.members.trace)
+        self._pace = UpdatePacer(self.operator.members.batch / 1000.0)
         self._pending: dict[NodeId, Member] = {}
         self._pending_woken = trio.Event()
         self._logged: set[NodeId] = set()  # that the change log lists
@@ -144,14 +144,14 @@
             ):
                 await trio.sleep(0.005)
 
-    def told(self, event: Told) -> None:
+    def handle_membership_event(self, event: MembershipEvent) -> None:
         """The change log's word: purges pass, nodes are one source's claims."""
         if isinstance(event, PurgeUpdate):
-            self._route.told(event)
+            self._route.handle_membership_event(event)
             return
         now = self.clock.now()
         listed = {member.node.node_id for member in event.members}
-        if event.whole:
+        if event.is_snapshot:
             for ident in self._logged - listed:
                 self._claim(
                     self._log_source, ident, Claim(NodeState.REMOVED, None, "no longer in the whole list")
@@ -159,7 +159,7 @@
             self._logged.clear()
         for member in event.members:
             ident, state = member.node.node_id, member.node.state
-            if event.whole and self._no_news(self._log_source, ident, state, member):
+            if event.is_snapshot and self._no_news(self._log_source, ident, state, member):
                 self._logged.add(ident)
                 continue
             self._claim(
@@ -169,12 +169,12 @@
                 self._logged.discard(ident)
             else:
                 self._logged.add(ident)
-        self.merge.say(self._log_source, True, now)
+        self.merge.set_current(self._log_source, True, now)
         self.settle()
 
     def objection(self, settings: Settings) -> str:
         """Why these settings can't be taken over: records in ZooKeeper are read by the names of the start."""
-        names = Names(settings.zones, settings.kinds)
+        names = TopologyNames(settings.zones, settings.kinds)
         if self.operator.zookeeper is None or names == self.names:
             return ""
         field = "zones" if names.zones != self.names.zones else "kinds"
@@ -182,7 +182,7 @@
 
     def reconfigure(self, settings: Settings) -> None:
         """These settings hold from now on."""
-        self.names = Names(settings.zones, settings.kinds)
+        self.names = TopologyNames(settings.zones, settings.kinds)
         self.config = replace(self.config, settings=settings)
 
     def counted(self) -> FleetSizeChanged | None:
@@ -204,11 +204,11 @@
             log(LogEvent.OPERATOR_CONFIG_REJECTED, reason=f"{error.filename}: {error.strerror}")
             return
         before, self.operator = self.operator, operator
-        self._log_source = Source("changelog", operator.changelog.rank)
-        self._zk_source = Source("zookeeper", operator.zookeeper.rank if operator.zookeeper else 100)
+        self._log_source = EndpointSource("changelog", operator.changelog.rank)
+        self._zk_source = EndpointSource("zookeeper", operator.zookeeper.rank if operator.zookeeper else 100)
         now = self.clock.now()
-        self.merge.rank(self._sources(), operator.members.keep, now)
-        self._pace.batch = operator.members.batch / 1000.0
+        self.merge.update_ranks(self._sources(), operator.members.keep, now)
+        self._pace.batch_delay_s = operator.members.batch / 1000.0
         self.trace.lines = type(self.trace.lines)(self.trace.lines, maxlen=operator.members.trace)
         if operator.zookeeper is None:
             self._drop_coordination(now)
@@ -232,7 +232,7 @@
 
     # -- within --
 
-    def _sources(self) -> tuple[Source, ...]:
+    def _sources(self) -> tuple[EndpointSource, ...]:
         return (self._log_source, self._zk_source)
 
     def _peer(self, operator: Operator) -> presence.Peer:
@@ -254,21 +254,23 @@
 
     def _emitted(self, one: Coordination, ident: NodeId, claim: Claim) -> None:
         """A roster's claim; one that has not taken over yet keeps its claims to itself."""
-        if one is self._coordination and one.roster.whole_once:
+        if one is self._coordination and one.roster.snapshot_received:
             self._claim(self._zk_source, ident, claim)
 
-    def _no_news(self, source: Source, ident: NodeId, state: NodeState, member: Member | None) -> bool:
+    def _no_news(
+        self, source: EndpointSource, ident: NodeId, state: NodeState, member: Member | None
+    ) -> bool:
         """Whether a list that is told whole only says again what its source says already.
 
         Guards against a list that is merely read again taking back what another source has drained since.
         """
-        before = self.merge.claimed(source, ident)
+        before = self.merge.claim_of(source, ident)
         return before is not None and before.state is state and before.member == member
 
-    def _claim(self, source: Source, ident: NodeId, claim: Claim) -> None:
+    def _claim(self, source: EndpointSource, ident: NodeId, claim: Claim) -> None:
         now = self.clock.now()
-        self.trace.claim(now, source.name, ident, claim.state, claim.why)
-        self.merge.claim(source, ident, claim, now)
+        self.trace.record_claim(now, source.name, ident, claim.state, claim.reason)
+        self.merge.apply_claim(source, ident, claim, now)
 
     def _replacement(self, operator: Operator) -> Coordination | None:
         """A new coordination where the file asks for another one; None where the present one will do."""
@@ -328,37 +330,37 @@
                     self._zk_source, ident, Claim(NodeState.REMOVED, None, "its source is configured no more")
                 )
         self._coordination = self._next = None
-        self.merge.say(self._zk_source, False, now)
+        self.merge.set_current(self._zk_source, False, now)
 
     def settle(self) -> None:
         """Works off what claims have led to: the table of the last look at once, the decisions soon."""
         now = self.clock.now()
         one = self._coordination
         if one is not None:
-            if one.roster.whole_once and not self._told_once:
+            if one.roster.snapshot_received and not self._told_once:
                 self._tell_claims(one, set())
-            self.merge.say(self._zk_source, one.roster.has_say(now), now)
-        if not self.merge.waiting():
+            self.merge.set_current(self._zk_source, one.roster.is_current(now), now)
+        if not self.merge.has_changes():
             return
         urgent = self.merge.urgent
         strict = []
-        for member in self.merge.take():
+        for member in self.merge.take_changes():
             ident = member.node.node_id
             self._pending[ident] = member
-            verdict = self.merge.verdict(ident)
-            self.trace.decided(now, ident, member.node.state, verdict.why)
+            verdict = self.merge.status(ident)
+            self.trace.record_state(now, ident, member.node.state, verdict.reason)
             if member.node.state is NodeState.DRAINING:
                 strict.append(member)
         if strict:
             self._route.nodes.apply(MembersUpdate(False, tuple(strict)))
-        self._pace.changed(trio.current_time(), urgent)
+        self._pace.schedule(trio.current_time(), urgent)
         self._pending_woken.set()
 
     async def _flush(self) -> None:
         """Hands changes to the router."""
         while True:
             self._pending_woken = trio.Event()
-            due = self._pace.due()
+            due = self._pace.deliver_at_s()
             if trio.current_time() < due:
                 with trio.move_on_at(due):
                     await self._pending_woken.wait()
@@ -366,8 +368,8 @@
             began = trio.current_time()
             told = MembersUpdate(False, tuple(self._pending.values()))
             self._pending = {}
-            self._route.told(told)
-            self._pace.done(began, trio.current_time())
+            self._route.handle_membership_event(told)
+            self._pace.delivered(began, trio.current_time())
             await trio.lowlevel.checkpoint()
 
     async def _keep_house(self) -> None:
@@ -375,7 +377,7 @@
         while True:
             now = self.clock.now()
             silent = (trio.current_time() - self._changelog.last_frame_at_s) * 1000.0
-            self.merge.say(
+            self.merge.set_current(
                 self._log_source,
                 silent < self.operator.changelog.silent_for
                 or (not self._changelog.last_frame_at_s and bool(self._logged)),
@@ -388,13 +390,13 @@
                 self._retry_name(one)
                 if now - self._forgot_at > 10_000.0:
                     self._forgot_at = now
-                    one.roster.forget(now)
-                    self.trace.forget(set(self.merge.ids()), MOST_GONE)
+                    one.roster.prune(now)
+                    self.trace.prune(set(self.merge.node_ids()), MOST_GONE)
             self.settle()
             self._warn()
             due = HOUSEKEEPING
             if one is not None:
-                due = min(due, max(0.005, (one.roster.next_due() - self.clock.now()) / 1000.0))
+                due = min(due, max(0.005, (one.roster.next_tick_ms() - self.clock.now()) / 1000.0))
             await trio.sleep(due)
 
     def _count(self, one: Coordination, now: float) -> None:
@@ -405,12 +407,12 @@
         if size is not None:
             log(
                 LogEvent.FLEET_SIZE_CHANGED,
-                fleet_size=size.fleet,
+                fleet_size=size.total,
                 by_zone=",".join(map(str, size.by_zone)),
                 used=one.own.derived,
             )
             if one.own.derived:
-                self._peers = FleetSizeChanged(size.fleet, size.by_zone)
+                self._peers = FleetSizeChanged(size.total, size.by_zone)
                 self.sized(self._peers)
 
     def _retry_name(self, one: Coordination) -> None:
@@ -424,7 +426,7 @@
 
     def _warn(self) -> None:
         """Tells once when no source has a say any more, and when one has again."""
-        nobody = not any(self.merge.has_say(source) for source in self._sources()) and len(self.merge) > 0
+        nobody = not any(self.merge.is_current(source) for source in self._sources()) and len(self.merge) > 0
         if nobody != self._warned:
             self._warned = nobody
             log(
@@ -437,10 +439,10 @@
         self._state = state
         for one in (self._coordination, self._next):
             if one is not None and one.registrar is not None:
-                one.registrar.tell(presence.record_of(self._peer(self.operator), self.names), heard)
+                one.registrar.tell(presence.encode_peer(self._peer(self.operator), self.names), heard)
 
     def _written(self, attempt: Attempt) -> None:
-        self.trace.written(attempt.written_at_ms, attempt.action.node_id, attempt.action.source_id)
+        self.trace.record_write(attempt.written_at_ms, attempt.action.node_id, attempt.action.source_id)
 
     # -- the socket for `stonecove members` --
 
@@ -484,18 +486,18 @@
         match words:
             case ["explain", text]:
                 try:
-                    ident = node_id(int(text) if text.isdecimal() else text)
+                    ident = parse_node_id(int(text) if text.isdecimal() else text)
                 except RecordError as error:
                     return {"error": str(error)}
                 found = self.merge.explain(ident)
                 if found is None:
                     return {"error": f"no source knows s-{ident:08x}"}
-                return {"node": explained(ident, found), "life": self.trace.told(ident)}
+                return {"node": explanation_to_dict(ident, found), "life": self.trace.node_summary(ident)}
             case ["list"]:
                 return {
                     "nodes": [
-                        explained(ident, found)
-                        for ident in self.merge.ids()
+                        explanation_to_dict(ident, found)
+                        for ident in self.merge.node_ids()
                         if (found := self.merge.explain(ident)) is not None
                     ]
                 }
@@ -504,7 +506,7 @@
             case ["sources"]:
                 return {
                     "sources": [
-                        {"source": source.name, "rank": source.rank, "has_say": self.merge.has_say(source)}
+                        {"source": source.name, "rank": source.rank, "has_say": self.merge.is_current(source)}
                         for source in self._sources()
                     ],
                     "coordination": self._coordination_told(),
@@ -514,7 +516,10 @@
                 if one is None or one.fleet is None:
                     return {"error": "no presence is configured"}
                 return {
-                    "holds": {"fleet": one.fleet.holds.fleet, "by_zone": list(one.fleet.holds.by_zone)},
+                    "holds": {
+                        "fleet": one.fleet.effective.total,
+                        "by_zone": list(one.fleet.effective.by_zone),
+                    },
                     "peers": [
                         {"node": name, **peer._asdict()} for name, peer in sorted(one.fleet.peers.items())
                     ],
@@ -525,7 +530,7 @@
         one = self._coordination
         if one is None:
             return {}
-        session, down = one.ensemble.session, one.roster.down_since
+        session, down = one.ensemble.session, one.roster.disconnected_since_ms
         return {
             "state": session.state.value,
             "server": ":".join(map(str, session.server or ())),
--- a/stonecove/server/serve.py
+++ b/stonecove/server/serve.py
@@ -17,7 +17,7 @@
 
 import trio
 
-from stonecove.frontends.fastcgi import Front
+from stonecove.frontends.fastcgi import FastCgiFrontend
 from stonecove.pipeline.route import Route
 from stonecove.pipeline.send import connection_limit
 from stonecove.protocols.change_log import Follower
@@ -106,7 +106,7 @@
             self._wake_decide,
         )
         self._limit(config)
-        self._front = Front(config.settings, self._route)
+        self._front = FastCgiFrontend(config.settings, self._route)
         self._operator = operator
         self._changelog = ChangeLogClient(*config.changelog, Follower(config.last))
         self._changelog.on_descriptor_shortage = self._short_of_descriptors
@@ -221,14 +221,14 @@
 
             self._access = AccessKeeper(operator.access, depot, self._clock, self._route)
             if operator.access.fastcgi:
-                self._front.desk = self._access.desk
+                self._front.token_checker = self._access.desk
         if operator.http is not None:
-            from stonecove.frontends.http import HttpFront
+            from stonecove.frontends.http import HttpFrontend
             from stonecove.server.http import HttpListener
 
             desk = self._access.desk if self._access is not None else None
             scheme = "https" if operator.http.certificate else "http"
-            front = HttpFront(settings, self._route, self._clock, desk, scheme)
+            front = HttpFrontend(settings, self._route, self._clock, desk, scheme)
             self._http = HttpListener(operator.http, front, self._spawn)
 
     def _connect(self, owner: Owner, address: tuple[str, int], patience: float) -> UpstreamConnection:
@@ -306,7 +306,7 @@
         """From the start to the end of the drain."""
         told = self._route if self._members is None else self._members
         for event in self._config.known:
-            told.told(event)
+            told.handle_membership_event(event)
         for task in (self._run_timers, self._decide, self._stats, self._check):
             self._nursery.start_soon(task)
         self._nursery.start_soon(self._changelog.run, told)
--- a/stonecove/state/nodes.py
+++ b/stonecove/state/nodes.py
@@ -20,7 +20,7 @@
 
     def apply(self, update: MembersUpdate) -> None:
         """Apply a complete endpoint list, or the changes to it."""
-        if update.whole:
+        if update.is_snapshot:
             self._members = {}
         for member in update.members:
             if member.node.state is NodeState.REMOVED:
--- a/stonecove/trial/judge.py
+++ b/stonecove/trial/judge.py
@@ -7,7 +7,17 @@
 from pathlib import Path
 from typing import Any
 
-from stonecove.overload.book import ATTEMPT, CONNECT, FILL, MEANT, ORIGIN, REPEAT, SERVED, Book, Event
+from stonecove.overload.book import (
+    ATTEMPT,
+    CONNECT,
+    FILL,
+    INTENDED,
+    ORIGIN,
+    REPEAT,
+    SERVED,
+    AmplificationStatistics,
+    LoadEvent,
+)
 from stonecove.standins.depot import WRITE
 from stonecove.standins.loaded import LoadedDepot
 from stonecove.standins.webserver import settings
@@ -208,36 +218,37 @@
             )
 
 
-def events_of(played: TrialRecord) -> list[Event]:
+def events_of(played: TrialRecord) -> list[LoadEvent]:
     """All events that requests caused, as recorded by clients and servers; seconds since the load began."""
-    depot, found, seen = played.depot, list[Event](), set[str]()
+    depot, found, seen = played.depot, list[LoadEvent](), set[str]()
     if isinstance(played.clients, OpenLoopClients):
-        found += [event._replace(at=event.at - played.began) for event in played.clients.events]
+        found += [event._replace(at_s=event.at_s - played.began) for event in played.clients.events]
     for one in depot.seen:
         at, meaning = one.at / 1000.0 - played.began, meaning_of(one.txn)
-        found.append(Event(at, ATTEMPT, meaning, one.cls))
+        found.append(LoadEvent(at, ATTEMPT, meaning, one.cls))
         if one.txn in seen:
-            found.append(Event(at, REPEAT, meaning, one.cls))
+            found.append(LoadEvent(at, REPEAT, meaning, one.cls))
         seen.add(one.txn)
     if isinstance(depot, LoadedDepot):
-        found += [Event(one.at / 1000.0 - played.began, FILL if one.what == "fill" else ORIGIN,
+        found += [LoadEvent(one.at / 1000.0 - played.began, FILL if one.what == "fill" else ORIGIN,
                         meaning_of(one.txn)) for one in depot.fetches]  # fmt: skip
-    found += [Event(at / 1000.0 - played.began, CONNECT) for at in depot.connects]
-    return [event for event in found if event.at >= 0]
+    found += [LoadEvent(at / 1000.0 - played.began, CONNECT) for at in depot.connects]
+    return [event for event in found if event.at_s >= 0]
 
 
 def _open_loop(played: TrialRecord, clients: OpenLoopClients, verdict: Verdict) -> None:
     """How many intended requests were served, and whether service recovered."""
-    expects, book = played.trial.expects, Book(events_of(played))
+    expects, book = played.trial.expects, AmplificationStatistics(events_of(played))
     first, last = played.trial.span
-    at, attempts = book.worst(ATTEMPT)
-    back = book.recovered(last)
+    at, attempts = book.worst_second(ATTEMPT)
+    back = book.recovery_s(last)
     writes = book.by_class[WRITE]
-    valued = writes[SERVED] / max(1, writes[MEANT])
+    valued = writes[SERVED] / max(1, writes[INTENDED])
     verdict.figures |= {
-        "meant": book.meant, "served_of_meant": book.total(SERVED) / max(1, book.meant), "valued": valued,
-        "amplification_worst": attempts, "origin_worst": book.worst(ORIGIN)[1],
-        "repeats_worst": book.worst(REPEAT)[1], "recovery_s": back,
+        "meant": book.intended, "served_of_meant": book.total(SERVED) / max(1, book.intended),
+        "valued": valued,
+        "amplification_worst": attempts, "origin_worst": book.worst_second(ORIGIN)[1],
+        "repeats_worst": book.worst_second(REPEAT)[1], "recovery_s": back,
         "origin_stops": len(played.depot.stops) if isinstance(played.depot, LoadedDepot) else 0,
     }  # fmt: skip
     if expects.amplification is not None and attempts > expects.amplification:
--- a/stonecove/trial/open_loop.py
+++ b/stonecove/trial/open_loop.py
@@ -18,7 +18,7 @@
 import trio
 from hdrh.histogram import HdrHistogram
 
-from stonecove.overload.book import FAILED, LATE, LOST, MEANT, REFUSED, SERVED, TRY, Event
+from stonecove.overload.book import FAILED, INTENDED, LATE, LOST, REFUSED, SERVED, TRY, LoadEvent
 from stonecove.protocols.fastcgi import codec as fastcgi
 from stonecove.trial.relay import Address
 from stonecove.trial.thread import TrioThread
@@ -141,7 +141,7 @@
     ) -> None:
         """Starts sending at once."""
         self.rate, self.behaviour = rate, behaviour
-        self.events: list[Event] = []
+        self.events: list[LoadEvent] = []
         self.answers: Counter[str] = Counter()
         self.lost: list[tuple[float, int]] = []  # when, and at which router, a taken request had no answer
         self.took = HdrHistogram(1, 60_000_000, 3)
@@ -195,15 +195,15 @@
         chooser, behaviour = self._random, self.behaviour
         cls = "pick-confirm" if chooser.random() < behaviour.writes else "item-image"
         item = chooser.randrange(1, behaviour.items + 1)
-        self.events.append(Event(time.time(), MEANT, meaning, cls))
+        self.events.append(LoadEvent(time.time(), INTENDED, meaning, cls))
         outcome = FAILED
         for number in range(behaviour.tries):
-            self.events.append(Event(time.time(), TRY, meaning, cls))
+            self.events.append(LoadEvent(time.time(), TRY, meaning, cls))
             outcome, pause = await self._try(meaning * TRIES + number, item, cls, number > 0)
             if outcome in (SERVED, LOST) or number + 1 == behaviour.tries or self._over:
                 break
             await trio.sleep(max(chooser.uniform(*AGAIN), pause if behaviour.heeds else 0.0))
-        self.events.append(Event(time.time(), outcome, meaning, cls))
+        self.events.append(LoadEvent(time.time(), outcome, meaning, cls))
         self.took.record_value(max(1, round((time.monotonic() - due) * 1e6)))
         self._open -= 1
 
--- a/stonecove/trial/plot.py
+++ b/stonecove/trial/plot.py
@@ -14,7 +14,7 @@
 from matplotlib.axes import Axes  # noqa: E402
 from matplotlib.patches import Patch  # noqa: E402
 
-from stonecove.overload.book import ATTEMPT, CAUSES, SERVED, Book  # noqa: E402
+from stonecove.overload.book import ATTEMPT, SERVED, WORK_KINDS, AmplificationStatistics  # noqa: E402
 
 COLOURS = {
     "alive": "#d8ead3", "paused": "#c9daf8", "suspect": "#ffe599", "unreachable": "#f9cb9c",
@@ -74,14 +74,14 @@
             axes.text(float(moment[1]), height, text, rotation=30, fontsize=7, va="bottom")
 
 
-def draw_book(folder: Path, title: str, faults: list[str], book: Book) -> Path:
+def draw_book(folder: Path, title: str, faults: list[str], book: AmplificationStatistics) -> Path:
     """Draws `overload.png` there: what was meant and served, and what came of each, by second."""
     figure, (demand, ratios) = plt.subplots(2, 1, figsize=(12, 7), sharex=True)
     seconds = sorted(book.seconds)
-    demand.plot(seconds, [book.seconds[at].meant for at in seconds], label="meant", color="black")
-    demand.plot(seconds, [book.seconds[at].ends[SERVED] for at in seconds], label="served", color="#38761d")
+    demand.plot(seconds, [book.seconds[at].intended for at in seconds], label="meant", color="black")
+    demand.plot(seconds, [book.seconds[at].ended[SERVED] for at in seconds], label="served", color="#38761d")
     demand.set_ylabel("requests a second")
-    for cause in CAUSES:
+    for cause in WORK_KINDS:
         ratios.plot(
             seconds,
             [book.seconds[at].ratio(cause) for at in seconds],
--- a/tests/golden_coordination_records.py
+++ b/tests/golden_coordination_records.py
@@ -1,4 +1,4 @@
-"""Cases of the coordination area: records of caches and routers in the coordination service."""
+"""Golden cases of the records that caches and routers write into the coordination service."""
 
 from __future__ import annotations
 
@@ -7,15 +7,15 @@
 from golden_folder import NO_TABLES, Format, Meaning, json_with, key_of, reason_of
 
 from stonecove.discovery import Member, presence
-from stonecove.discovery.records import Names, RecordError, member_of, record_of
+from stonecove.discovery.records import RecordError, TopologyNames, encode_member, parse_member
 from stonecove.routing.endpoints import Node, NodeState
 
-NAMES = Names(("hub", "edge-1"), ("box", "parent", "origin"))
+NAMES = TopologyNames(("hub", "edge-1"), ("box", "parent", "origin"))
 NODE_STATES = {"ready": NodeState.READY, "draining": NodeState.DRAINING}
 
 
 def describe_member(member: Member) -> Meaning:
-    """Return the meaning of an upstream node's record."""
+    """Return the meaning of a member's record."""
     node = member.node
     return {
         "node": node.node_id,
@@ -31,7 +31,7 @@
 
 
 def build_member(meaning: Meaning) -> Member:
-    """Return the program's value for an upstream node."""
+    """Return the member that a meaning describes."""
     node = Node(
         node_id=meaning["node"],
         kind=meaning["kind_index"],
@@ -59,8 +59,8 @@
     }
 
 
-MEMBER_TABLE = record_of(build_member(_member()), NAMES)
-_BAD_MEMBER_FIELDS: tuple[tuple[str, Any], ...] = (
+MEMBER_RECORD = encode_member(build_member(_member()), NAMES)
+_INVALID_MEMBER_FIELDS: tuple[tuple[str, Any], ...] = (
     ("id", 0),
     ("id", "s-zz"),
     ("id", True),
@@ -86,8 +86,8 @@
 
 MEMBERS = Format(
     "member-records",
-    lambda meaning: record_of(build_member(meaning), NAMES),
-    lambda data: describe_member(member_of(data, NAMES)),
+    lambda meaning: encode_member(build_member(meaning), NAMES),
+    lambda data: describe_member(parse_member(data, NAMES)),
     samples=(
         ("ready", _member()),
         ("draining", _member(state="draining")),
@@ -108,18 +108,18 @@
     ),  # fmt: skip
     inputs=(
         ("needed fields alone", b'{"id": 7, "address": "10.0.0.7:1", "zone": 0, "kind": 2}'),
-        ("unknown fields", json_with(MEMBER_TABLE, rack="r1", more={"a": []})),
+        ("unknown fields", json_with(MEMBER_RECORD, rack="r1", more={"a": []})),
     ),
     broken=(
         *NO_TABLES,
         ("too long", b" " * 4097),
         *(
-            (f"without {name}", json_with(MEMBER_TABLE, **{name: None}))
+            (f"without {name}", json_with(MEMBER_RECORD, **{name: None}))
             for name in ("id", "address", "zone", "kind")
         ),
         *(
-            (f"{name} {value!r}", json_with(MEMBER_TABLE, **{name: value}))
-            for name, value in _BAD_MEMBER_FIELDS
+            (f"{name} {value!r}", json_with(MEMBER_RECORD, **{name: value}))
+            for name, value in _INVALID_MEMBER_FIELDS
         ),
     ),  # fmt: skip
     error=RecordError,
@@ -139,7 +139,7 @@
 
 
 def build_peer(meaning: Meaning) -> presence.Peer:
-    """Return the program's value for a router's presence record."""
+    """Return the router that a meaning describes."""
     return presence.Peer(
         name=meaning["name"],
         zone=meaning["zone_index"],
@@ -160,27 +160,27 @@
     }
 
 
-PEER_TABLE = presence.record_of(build_peer(_peer()), NAMES)
+PEER_RECORD = presence.encode_peer(build_peer(_peer()), NAMES)
 
 PRESENCE = Format(
     "presence-records",
-    lambda meaning: presence.record_of(build_peer(meaning), NAMES),
-    lambda data: describe_peer(presence.peer_of(data, NAMES)),
+    lambda meaning: presence.encode_peer(build_peer(meaning), NAMES),
+    lambda data: describe_peer(presence.parse_peer(data, NAMES)),
     samples=tuple((state, _peer(state=state)) for state in ("starting", "ready", "draining")),
     inputs=(
         ("needed fields alone", b'{"zone": "hub", "state": "ready"}'),
-        ("long texts are cut, unknown fields", json_with(PEER_TABLE, name="n" * 150, listen="l" * 150, x=1)),
+        ("long texts are cut, unknown fields", json_with(PEER_RECORD, name="n" * 150, listen="l" * 150, x=1)),
     ),
     broken=(
         *NO_TABLES,
         ("too long", b" " * 4097),
-        ("without zone", json_with(PEER_TABLE, zone=None)),
-        ("zone by place", json_with(PEER_TABLE, zone=1)),
-        ("unknown zone", json_with(PEER_TABLE, zone="elsewhere")),
-        ("without state", json_with(PEER_TABLE, state=None)),
-        ("unknown state", json_with(PEER_TABLE, state="up")),
-        ("started is a text", json_with(PEER_TABLE, started="now")),
-        ("started is true", json_with(PEER_TABLE, started=True)),
+        ("without zone", json_with(PEER_RECORD, zone=None)),
+        ("zone by place", json_with(PEER_RECORD, zone=1)),
+        ("unknown zone", json_with(PEER_RECORD, zone="elsewhere")),
+        ("without state", json_with(PEER_RECORD, state=None)),
+        ("unknown state", json_with(PEER_RECORD, state="up")),
+        ("started is a text", json_with(PEER_RECORD, started="now")),
+        ("started is true", json_with(PEER_RECORD, started=True)),
     ),
     error=RecordError,
     reason=reason_of,
--- a/tests/golden_fleet_control.py
+++ b/tests/golden_fleet_control.py
@@ -17,7 +17,7 @@
 from golden_folder import Meaning, Replay, Snapshot
 
 from stonecove.discovery import MembersUpdate
-from stonecove.discovery.records import record_of
+from stonecove.discovery.records import encode_member
 from stonecove.operator_config.reader import read_text
 from stonecove.operator_config.records import ConfigurationRecord
 from stonecove.pipeline.route import Route
@@ -201,7 +201,7 @@
             ):
                 await writer.ask(zk.Create(path))
             for ident in (0xA1, 0xA2):
-                record = record_of(build_member(_node(ident, 6500 + ident)), NAMES)
+                record = encode_member(build_member(_node(ident, 6500 + ident)), NAMES)
                 await writer.ask(zk.Create(f"/caches/n{ident:x}", record))
             await writer.ask(zk.Create("/caches/bad", b"{}"))
             await writer.ask(zk.Create("/routers/r-1", b'{"name": "r-1", "zone": "hub", "state": "ready"}'))
@@ -213,9 +213,9 @@
             await _until(lambda: members.asked(["fleet"]).get("holds", {}).get("fleet") == 2)
             told = build_member(_node(0xA1, 6661, state="draining"))
             other = build_member(_node(0xA3, 6663, kind_index=1, started_ms=0.0))
-            members.told(MembersUpdate(True, (told, other)))
+            members.handle_membership_event(MembersUpdate(True, (told, other)))
             gone = other._replace(node=other.node._replace(state=NodeState.REMOVED))
-            members.told(MembersUpdate(False, (gone,)))
+            members.handle_membership_event(MembersUpdate(False, (gone,)))
             await trio.testing.wait_all_tasks_blocked(0.01)
             found["answers"] = {
                 question: _fields(await _asked_by_socket(place, question)) for question in QUESTIONS
--- a/tests/golden_formats_cases.py
+++ b/tests/golden_formats_cases.py
@@ -1,4 +1,4 @@
-"""What the golden tests of the published formats share: reading, comparing and recording their files."""
+"""Helpers of the golden tests of published formats: read, compare and record their files."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from pathlib import Path
 from typing import Any
 
-from stonecove.discovery import Member, PurgeUpdate, Told
+from stonecove.discovery import Member, MembershipEvent, PurgeUpdate
 from stonecove.routing.endpoints import Node, NodeState
 
 ROOT = Path(__file__).parent.parent
@@ -57,7 +57,7 @@
 
 
 def plain_numbers(meaning: object) -> object:
-    """Return a meaning with each whole float as an integer: 5 and 5.0 mean the same."""
+    """Return a meaning with each integral float as an integer, since 5 and 5.0 mean the same."""
     if isinstance(meaning, float) and meaning.is_integer():
         return int(meaning)
     if isinstance(meaning, Mapping):
@@ -73,17 +73,17 @@
 
 
 def shown(data: bytes) -> str:
-    """Return bytes as text of one character each, so that JSON can hold and a reader can read them."""
+    """Return bytes as text of one character per byte, which is legible in JSON."""
     return data.decode("latin-1")
 
 
 def check(cases: Cases, name: str) -> None:
-    """Compare what the program makes now with the golden file of that name."""
+    """Check that the program produces the golden file of that name."""
     assert cases[name]().decode() == (FOLDER / name).read_text()
 
 
 def record(cases: Cases) -> None:
-    """Write the golden files anew, if the command line asks for it."""
+    """Write all golden files if the command line requests it."""
     if sys.argv[1:] != ["--record"]:
         sys.exit("usage: --record")
     for name, make in cases.items():
@@ -102,27 +102,27 @@
         yield path, full != default
 
 
-def describe_node(one: Node) -> dict[str, object]:
+def describe_node(node: Node) -> dict[str, object]:
     """Return a node of the endpoint list under neutral keys."""
     return {
-        "id": one.node_id,
-        "kind": one.kind,
-        "started_unix_ms": one.started_ms,
-        "state": NODE_STATES[one.state],
-        "cell": one.cell,
-        "zone": one.zone,
-        "weight": one.weight,
+        "id": node.node_id,
+        "kind": node.kind,
+        "started_unix_ms": node.started_ms,
+        "state": NODE_STATES[node.state],
+        "cell": node.cell,
+        "zone": node.zone,
+        "weight": node.weight,
     }
 
 
-def describe_member(one: Member) -> dict[str, object]:
+def describe_member(member: Member) -> dict[str, object]:
     """Return an endpoint, its node and its address, under neutral keys."""
-    return {"node": describe_node(one.node), "host": one.host, "port": one.port}
+    return {"node": describe_node(member.node), "host": member.host, "port": member.port}
 
 
-def describe_update(one: Told) -> dict[str, object]:
+def describe_update(event: MembershipEvent) -> dict[str, object]:
     """Return an endpoint list update or a purge under neutral keys."""
-    if isinstance(one, PurgeUpdate):
-        return {"update": "purge", "unix_ms": one.time, "group": one.group, "object": one.key}
-    endpoints = [describe_member(member) for member in one.members]
-    return {"update": "endpoints", "complete": one.whole, "endpoints": endpoints}
+    if isinstance(event, PurgeUpdate):
+        return {"update": "purge", "unix_ms": event.purged_at_ms, "group": event.group, "object": event.key}
+    endpoints = [describe_member(member) for member in event.members]
+    return {"update": "endpoints", "complete": event.is_snapshot, "endpoints": endpoints}
--- a/tests/golden_formats_depot.py
+++ b/tests/golden_formats_depot.py
@@ -127,7 +127,7 @@
         self.route.send.max_connections = 100
         self.route.shared_limit_check = self._note
         for update in known_events(known_list(endpoints), self.settings):
-            self.route.told(update)
+            self.route.handle_membership_event(update)
 
     def _note(self, asked: ClientRequest) -> str:
         """Note a request, and have no limit refuse it."""
