--- a/tests/golden_merge_cases.py
+++ b/tests/golden_merge_cases.py
@@ -1,6 +1,6 @@
-"""Seeded reports of three endpoint sources, and what their merge tells.
+"""Seeded reports of three endpoint sources, and the results of their merge.
 
-The functions named `describe_...` and the table of alarms alone know the program's fields.
+Only the `describe_...` functions and the table of alarms refer to the program's fields.
 """
 
 from __future__ import annotations
@@ -13,28 +13,28 @@
 from typing import Any
 
 from stonecove.discovery import Member
-from stonecove.discovery.merge import Explanation, Merge, Source
-from stonecove.discovery.records import Names, member_of
-from stonecove.discovery.roster import Claim, Roster, Rules
+from stonecove.discovery.merge import EndpointMerger, EndpointSource, Explanation
+from stonecove.discovery.records import TopologyNames, parse_member
+from stonecove.discovery.roster import Claim, Roster, RosterRules
 from stonecove.routing.endpoints import NodeState
 
 EPOCH_MS = 1_700_000_000_000.0
 GONE, DRAINING, READY = NodeState.REMOVED, NodeState.DRAINING, NodeState.READY
-NAMES = Names(("hub", "edge-1", "edge-2"), ("small", "large", "parent", "origin"))
-RULES = Rules(
-    stale_for=6000.0,
-    linger=900.0,
-    return_within=300.0,
-    mass_share=0.5,
-    mass_least=3,
-    mass_window=500.0,
-    flap_most=2,
-    flap_window=5000.0,
-    flap_hold=400.0,
-    flap_longest=3000.0,
-    most_bytes=400,
+NAMES = TopologyNames(("hub", "edge-1", "edge-2"), ("small", "large", "parent", "origin"))
+RULES = RosterRules(
+    stale_after_ms=6000.0,
+    linger_ms=900.0,
+    reconnect_within_ms=300.0,
+    mass_departure_share=0.5,
+    mass_departure_min=3,
+    mass_departure_window_ms=500.0,
+    max_returns=2,
+    flap_window_ms=5000.0,
+    flap_hold_ms=400.0,
+    max_flap_hold_ms=3000.0,
+    max_record_bytes=400,
 )
-ALARMS = {  # by the program's name of a log event: its neutral name, and its fields in order
+ALARMS = {  # by the name of a log event: its neutral name, and its fields in order
     "endpoint_record_invalid": ("unreadable-record", ("node", "reason")),
     "mass_departure_suspected": ("mass-departure", ("departed", "total")),
     "mass_departure_confirmed": ("departure-confirmed", ("departed", "returned")),
@@ -59,164 +59,177 @@
 
 
 def describe_claim(claim: Claim) -> list[Any]:
-    """Return what a source says of an endpoint."""
-    return [int(claim.state), describe_member(claim.member), claim.why]
+    """Return a source's claim about an endpoint as a list."""
+    return [int(claim.state), describe_member(claim.member), claim.reason]
 
 
-def describe_explanation(found: Explanation | None) -> list[Any] | None:
-    """Return why an endpoint is what it is."""
-    if found is None:
+def describe_explanation(explanation: Explanation | None) -> list[Any] | None:
+    """Return the status of an endpoint and the claims behind it as a list."""
+    if explanation is None:
         return None
-    verdict = found.verdict
+    status = explanation.status
     claims = [
-        [source.name, source.rank, counts, describe_claim(told.claim), told.number, told.at]
-        for source, counts, told in found.claims
+        [
+            source.name,
+            source.rank,
+            current,
+            describe_claim(recorded.claim),
+            recorded.sequence,
+            recorded.received_at_ms,
+        ]
+        for source, current, recorded in explanation.claims
     ]
-    return [int(verdict.state), describe_member(verdict.member), verdict.why, found.since, claims]
+    return [int(status.state), describe_member(status.member), status.reason, explanation.since_ms, claims]
 
 
-def endpoint_record(chooser: random.Random, ident: int) -> bytes:
-    """Return the published record of an endpoint; a few cannot be read."""
-    if chooser.random() < 0.02:
-        return chooser.choice((b"{", b"[]", b'{"id": 0}', b" " * 500))
-    host = chooser.choice((ident, ident, ident, ident % 4))
+def endpoint_record(rng: random.Random, ident: int) -> bytes:
+    """Return the record of an endpoint; a few records cannot be parsed."""
+    if rng.random() < 0.02:
+        return rng.choice((b"{", b"[]", b'{"id": 0}', b" " * 500))
+    host = rng.choice((ident, ident, ident, ident % 4))
     return json.dumps(
         {
             "id": f"s-{ident:08x}",
             "address": f"10.0.0.{host}:6565",
-            "zone": chooser.choice(("edge-1", "edge-1", "edge-2", 0)),
-            "kind": chooser.choice(("small", "large", 2)),
+            "zone": rng.choice(("edge-1", "edge-1", "edge-2", 0)),
+            "kind": rng.choice(("small", "large", 2)),
             "cell": ident % 3,
-            "weight": chooser.choice((20.0, 20.0, 40.5)),
-            "started": chooser.choice((0, 5000, 5000, 9000 + ident)),
-            "state": chooser.choice(("up", "up", "up", "draining")),
+            "weight": rng.choice((20.0, 20.0, 40.5)),
+            "started": rng.choice((0, 5000, 5000, 9000 + ident)),
+            "state": rng.choice(("up", "up", "up", "draining")),
         }
     ).encode()
 
 
 class EndpointSources:
-    """Three sources around one merge: a roster of ephemeral nodes, and two that claim by themselves."""
+    """One merge of three sources: a roster of ephemeral nodes, and two that make claims directly."""
 
     IDS = range(1, 15)
 
-    def __init__(self, seed: int, keep: bool) -> None:
-        self._random = random.Random(seed)
-        self._sources = [Source("changelog", 0), Source("zookeeper", 1), Source("dns", 2)]
-        self._merge = Merge(self._sources, keep)
-        self._roster = Roster(NAMES, RULES, self._emitted, self._confirm, self._alarm)
+    def __init__(self, seed: int, retain_last_list: bool) -> None:
+        self._rng = random.Random(seed)
+        self._sources = [
+            EndpointSource("changelog", 0),
+            EndpointSource("zookeeper", 1),
+            EndpointSource("dns", 2),
+        ]
+        self._merge = EndpointMerger(self._sources, retain_last_list)
+        self._roster = Roster(NAMES, RULES, self._emit_claim, self._request_confirmation, self._log_alarm)
         self._now = EPOCH_MS
-        self._names: dict[str, int] = {}  # ephemeral nodes, with the id in each
+        self._names: dict[str, int] = {}  # owner sessions of the ephemeral nodes
         self._transactions = itertools.count(1)
-        self._line: list[Any] = []
+        self._entries: list[Any] = []
         self.seen: Counter[str] = Counter()
 
     def run(self, steps: int) -> list[list[Any]]:
-        """Return for each step what the roster told, and what the sink is told by the merge."""
+        """Return for each step the events of the roster, and the members that the merge delivers."""
         lines = []
         for _ in range(steps):
-            self._line = []
-            self._now += self._random.choice((0.0, 1.0, 20.0, 150.0, 400.0))
+            self._entries = []
+            self._now += self._rng.choice((0.0, 1.0, 20.0, 150.0, 400.0))
             self._step()
-            self._settle()
-            lines.append(self._line)
-            self.seen.update(entry[0] for entry in self._line)
+            self._deliver()
+            lines.append(self._entries)
+            self.seen.update(entry[0] for entry in self._entries)
         return lines
 
     def _note(self, kind: str, *values: Any) -> None:
-        self._line.append([kind, *values])
+        self._entries.append([kind, *values])
 
-    def _emitted(self, ident: int, claim: Claim) -> None:
+    def _emit_claim(self, ident: int, claim: Claim) -> None:
         self._note("claim", ident, *describe_claim(claim))
-        self._merge.claim(self._sources_named("zookeeper"), ident, claim, self._now)
+        self._merge.apply_claim(self._source_named("zookeeper"), ident, claim, self._now)
 
-    def _confirm(self) -> None:
+    def _request_confirmation(self) -> None:
         self._note("confirmation-wanted")
 
-    def _alarm(self, event: str, **fields: Any) -> None:
+    def _log_alarm(self, event: str, **fields: Any) -> None:
         name, order = ALARMS[event]
         self._note(name, *(fields[field] for field in order))
         assert set(fields) == set(order)
 
-    def _sources_named(self, name: str) -> Source:
+    def _source_named(self, name: str) -> EndpointSource:
         return next(source for source in self._merge.sources if source.name == name)
 
     def _step(self) -> None:
-        chooser, roster = self._random, self._roster
-        roll = chooser.random()
+        rng, roster = self._rng, self._roster
+        roll = rng.random()
         if roll < 0.30:
-            self._put(chooser.choice(self.IDS))
+            self._put(rng.choice(self.IDS))
         elif roll < 0.48:
-            most = chooser.choice((1, 1, 1, 2, 7))
-            names = chooser.sample(sorted(self._names), min(len(self._names), most))
-            self._leave(names)
-            roster.removed(names, self._now)
+            count = rng.choice((1, 1, 1, 2, 7))
+            names = rng.sample(sorted(self._names), min(len(self._names), count))
+            self._remove_names(names)
+            roster.remove(names, self._now)
         elif roll < 0.54:
-            self._leave(chooser.sample(sorted(self._names), min(len(self._names), chooser.randrange(3))))
-            roster.whole(frozenset(self._names), chooser.random() < 0.5, self._now)
+            self._remove_names(rng.sample(sorted(self._names), min(len(self._names), rng.randrange(3))))
+            roster.apply_snapshot(frozenset(self._names), rng.random() < 0.5, self._now)
         elif roll < 0.57:
-            roster.down(self._now)
-            self._now += chooser.choice((100.0, 2000.0, 7000.0))
+            roster.connection_lost(self._now)
+            self._now += rng.choice((100.0, 2000.0, 7000.0))
             roster.tick(self._now)
         elif roll < 0.67:
             roster.tick(self._now)
-            due = roster.next_due()
-            self._note("due", None if due == math.inf else due, roster.unconfirmed)
+            next_tick_ms = roster.next_tick_ms()
+            self._note("due", None if next_tick_ms == math.inf else next_tick_ms, roster.unconfirmed)
         elif roll < 0.70:
-            roster.forget(self._now)
+            roster.prune(self._now)
         elif roll < 0.90:
             self._direct_claim()
         elif roll < 0.95:
-            name = chooser.choice(("changelog", "dns"))
-            self._merge.say(self._sources_named(name), chooser.random() < 0.75, self._now)
+            name = rng.choice(("changelog", "dns"))
+            self._merge.set_current(self._source_named(name), rng.random() < 0.75, self._now)
         elif roll < 0.96:
-            self._rank()
+            self._update_ranks()
         else:
-            ident = chooser.choice(self.IDS)
+            ident = rng.choice(self.IDS)
             self._note("explained", ident, describe_explanation(self._merge.explain(ident)))
 
     def _put(self, ident: int) -> None:
-        chooser = self._random
-        name = chooser.choice((f"n{ident}", f"n{ident}", f"twin{ident}"))
+        rng = self._rng
+        name = rng.choice((f"n{ident}", f"n{ident}", f"twin{ident}"))
         if self._names.get(name) is None:
-            self._names[name] = chooser.choice((100 + ident, 200 + next(self._transactions)))
-        made = chooser.choice((ident, next(self._transactions)))
-        self._roster.put(name, endpoint_record(chooser, ident), made, self._now, self._names[name], self._now)
+            self._names[name] = rng.choice((100 + ident, 200 + next(self._transactions)))
+        czxid = rng.choice((ident, next(self._transactions)))
+        self._roster.put(name, endpoint_record(rng, ident), czxid, self._now, self._names[name], self._now)
 
-    def _leave(self, names: list[str]) -> None:
+    def _remove_names(self, names: list[str]) -> None:
         for name in names:
             del self._names[name]
 
     def _direct_claim(self) -> None:
-        chooser = self._random
-        source = self._sources_named(chooser.choice(("changelog", "changelog", "dns")))
-        ident = chooser.choice(self.IDS)
-        state = chooser.choice((READY, READY, READY, DRAINING, GONE))
+        rng = self._rng
+        source = self._source_named(rng.choice(("changelog", "changelog", "dns")))
+        ident = rng.choice(self.IDS)
+        state = rng.choice((READY, READY, READY, DRAINING, GONE))
         member = None
-        if state is READY or chooser.random() < 0.5:
+        if state is READY or rng.random() < 0.5:
             record = b""
             while not record.startswith(b'{"id": "s-'):
-                record = endpoint_record(chooser, ident)
-            member = member_of(record, NAMES)
-        self._merge.claim(source, ident, Claim(state, member, f"said to be {int(state)}"), self._now)
-        known = self._merge.claimed(source, ident)
+                record = endpoint_record(rng, ident)
+            member = parse_member(record, NAMES)
+        self._merge.apply_claim(source, ident, Claim(state, member, f"said to be {int(state)}"), self._now)
+        known = self._merge.claim_of(source, ident)
         self._note("claimed", source.name, ident, None if known is None else describe_claim(known))
 
-    def _rank(self) -> None:
-        chooser = self._random
-        ranks = chooser.sample(range(5), 3)
-        if chooser.random() < 0.2:
+    def _update_ranks(self) -> None:
+        rng = self._rng
+        ranks = rng.sample(range(5), 3)
+        if rng.random() < 0.2:
             ranks = [1, 1, 2]
-        sources = [Source(source.name, rank) for source, rank in zip(self._sources, ranks, strict=True)]
+        sources = [
+            EndpointSource(source.name, rank) for source, rank in zip(self._sources, ranks, strict=True)
+        ]
         try:
-            self._merge.rank(sources, chooser.random() < 0.5, self._now)
+            self._merge.update_ranks(sources, rng.random() < 0.5, self._now)
         except ValueError as error:
             self._note("error", str(error))
 
-    def _settle(self) -> None:
-        """Hand over what has changed, most of the time, as the owner of the merge does."""
+    def _deliver(self) -> None:
+        """Deliver pending changes most of the time, as the owner of the merge does."""
         merge = self._merge
-        merge.say(self._sources_named("zookeeper"), self._roster.has_say(self._now), self._now)
-        if merge.waiting() and (merge.urgent or self._random.random() < 0.6):
+        merge.set_current(self._source_named("zookeeper"), self._roster.is_current(self._now), self._now)
+        if merge.has_changes() and (merge.urgent or self._rng.random() < 0.6):
             urgent = merge.urgent
-            self._note("told", urgent, [describe_member(member) for member in merge.take()])
-            self._note("known", merge.ids(), len(merge))
+            self._note("told", urgent, [describe_member(member) for member in merge.take_changes()])
+            self._note("known", merge.node_ids(), len(merge))
--- a/tests/soak_faults.py
+++ b/tests/soak_faults.py
@@ -62,10 +62,10 @@
         (
             Edit(
                 "frontends/fastcgi.py",
-                "        connection.answer(ident, head_of(answer), answer.body)\n",
-                "        connection.answer(ident, head_of(answer), answer.body)\n"
+                "        connection.answer(ident, response_head(answer), answer.body)\n",
+                "        connection.answer(ident, response_head(answer), answer.body)\n"
                 "        if ident == 2:\n"
-                "            connection.answer(ident, head_of(answer), answer.body)\n",
+                "            connection.answer(ident, response_head(answer), answer.body)\n",
             ),
         ),
     ),
@@ -137,7 +137,7 @@
             Edit(
                 "pipeline/route.py",
                 "        self.nodes.apply(event)\n",
-                "        if not event.whole:\n            return\n        self.nodes.apply(event)\n",
+                "        if not event.is_snapshot:\n            return\n        self.nodes.apply(event)\n",
             ),
         ),
     ),
--- a/tests/test_attempt_crossings.py
+++ b/tests/test_attempt_crossings.py
@@ -89,7 +89,7 @@
             for node in make_nodes()
             if node.node_id not in CACHES[caches:]
         ]
-        self.route.told(MembersUpdate(True, tuple(self.members)))
+        self.route.handle_membership_event(MembersUpdate(True, tuple(self.members)))
         self.answers: dict[str, list[Answer]] = {}
 
     def _connect(self, owner: Owner, address: tuple[str, int], timeout_s: float) -> Channel:
@@ -268,7 +268,7 @@
     harness = RouterHarness(make_class(idempotency=Idempotency.NON_IDEMPOTENT, never_cached=True), caches=1)
     txn = harness.submit_and_decide()
     harness.advance(10.0)
-    harness.route.told(changed_members(harness, started_ms=harness.clock.now()))
+    harness.route.handle_membership_event(changed_members(harness, started_ms=harness.clock.now()))
     assert harness.channels[0].over
     harness.channels[0].ended()
     assert len(next(iter(harness.route.requests)).attempts) == 1 and "ejected" not in capsys.readouterr().err
--- a/tests/test_capacity_control.py
+++ b/tests/test_capacity_control.py
@@ -23,7 +23,7 @@
     start_within,
     vanish,
 )
-from stonecove.discovery import Told
+from stonecove.discovery import MembershipEvent
 from stonecove.protocols.change_log import Follower
 from stonecove.protocols.gossip import FIXED
 from stonecove.runtime.log import set_log_sink
@@ -97,7 +97,7 @@
         self.left = wanted
         self.done = trio.Event()
 
-    def told(self, event: Told) -> None:
+    def handle_membership_event(self, event: MembershipEvent) -> None:
         self.left -= 1
         if not self.left:
             self.done.set()
--- a/tests/test_capacity_router.py
+++ b/tests/test_capacity_router.py
@@ -155,7 +155,7 @@
     buffer.feed(data)
     purge, whole = (frame.told for frame in frames(buffer))
     assert isinstance(purge, PurgeUpdate) and purge.key == 1
-    assert isinstance(whole, MembersUpdate) and whole.whole and len(whole.members) == len(members)
+    assert isinstance(whole, MembersUpdate) and whole.is_snapshot and len(whole.members) == len(members)
     assert capacity_router.parse(data) == 2
 
 
--- a/tests/test_client_crossings.py
+++ b/tests/test_client_crossings.py
@@ -23,7 +23,7 @@
 
 from stonecove.discovery import Member, MembersUpdate
 from stonecove.exchange import Answer, ClientRequest
-from stonecove.frontends.fastcgi import Front
+from stonecove.frontends.fastcgi import FastCgiFrontend
 from stonecove.pipeline.route import Route
 from stonecove.protocols.fastcgi.session import Session
 from stonecove.protocols.upstream_channel import Channel, Owner
@@ -95,8 +95,10 @@
         )
         self.route = Route(settings, 7, self.clock, self.timers, self.budget, 0.0, self._connect)
         self.route.send.max_connections = 100
-        self.route.told(MembersUpdate(True, tuple(Member(node, "127.0.0.1", 1) for node in make_nodes())))
-        self.front = Front(settings, self.route)
+        self.route.handle_membership_event(
+            MembersUpdate(True, tuple(Member(node, "127.0.0.1", 1) for node in make_nodes()))
+        )
+        self.front = FastCgiFrontend(settings, self.route)
         self.front.ready = True
 
     def _connect(self, owner: Owner, address: tuple[str, int], timeout_s: float) -> Channel:
--- a/tests/test_ephemeral.py
+++ b/tests/test_ephemeral.py
@@ -1,4 +1,4 @@
-"""The real program follows ephemeral nodes: the failures are brought about at the stand-in, under traffic."""
+"""Tests of a real router that follows ephemeral nodes, with failures injected under traffic."""
 
 from __future__ import annotations
 
@@ -17,42 +17,43 @@
 from keeper import BOXES, ROUTERS, Keeper, Routed, parents, record
 from stand import PATIENCE, SETTINGS, Stand
 
-ALLOWED = 300.0  # ms from told to the last fresh byte: 250, and 50 more on sockets
-ON_THE_WIRE = 1500.0  # the same from the change at the server to the cache, with room for a slow machine
+MAX_LATE_MS = 300.0  # from a claim to the last new work: 250 ms, and 50 ms for sockets
+MAX_LATE_AT_CACHE_MS = 1500.0  # from the change at the server to the cache, with headroom for a slow machine
 PARENT, ORIGIN = "s-00000020", "s-00000030"
 
 
 class Traffic:
-    """Clients that ask one thing after the other, and caches that answer; notes each fetch."""
+    """Clients that send one request after the other, and caches that answer; records each fetch."""
 
     def __init__(self, stand: Stand, workers: int = 3) -> None:
         self.stand = stand
-        self.fetches: list[tuple[float, int, str]] = []  # when it came to the cache, its id, the source
+        # Time of receipt at the cache, id of the cache, source.
+        self.fetches: list[tuple[float, int, str]] = []
         self.answers: Counter[int] = Counter()
-        self.asked = 0
-        self.lost: list[str] = []
-        self._over = threading.Event()
-        self._threads = [
-            threading.Thread(target=self._ask, args=(seed,), daemon=True) for seed in range(workers)
+        self.requests_sent = 0
+        self.errors: list[str] = []
+        self._stopping = threading.Event()
+        self._clients = [
+            threading.Thread(target=self._send_requests, args=(seed,), daemon=True) for seed in range(workers)
         ]
-        self._caches = threading.Thread(target=self._answer, daemon=True)
-        for thread in (*self._threads, self._caches):
+        self._caches = threading.Thread(target=self._answer_fetches, daemon=True)
+        for thread in (*self._clients, self._caches):
             thread.start()
 
-    def _ask(self, seed: int) -> None:
-        chooser, client = random.Random(seed), self.stand.client()
-        while not self._over.is_set():
-            self.asked += 1
+    def _send_requests(self, seed: int) -> None:
+        rng, client = random.Random(seed), self.stand.client()
+        while not self._stopping.is_set():
+            self.requests_sent += 1
             try:
-                answer = client.ask(X_ROW=f"{chooser.randrange(1, 400):016x}", X_SEG="0")
+                answer = client.ask(X_ROW=f"{rng.randrange(1, 400):016x}", X_SEG="0")
             except (OSError, EOFError) as error:
-                self.lost.append(repr(error))
+                self.errors.append(repr(error))
                 return
             self.answers[answer.status] += 1
             time.sleep(0.002)
 
-    def _answer(self) -> None:
-        while not self._over.is_set() or any(thread.is_alive() for thread in self._threads):
+    def _answer_fetches(self) -> None:
+        while not self._stopping.is_set() or any(thread.is_alive() for thread in self._clients):
             try:
                 fetch = self.stand.commands.get(timeout=0.05)
             except Exception:
@@ -64,26 +65,26 @@
                 except OSError:
                     continue
 
-    def wait(self, more: int = 60) -> None:
-        """Goes on until so many more were answered."""
-        wanted = sum(self.answers.values()) + more
-        Stand.wait(lambda: sum(self.answers.values()) >= wanted or self.lost, "more answers")
+    def wait_for_answers(self, more: int = 60) -> None:
+        """Wait until a number of further requests have been answered."""
+        target = sum(self.answers.values()) + more
+        Stand.wait(lambda: sum(self.answers.values()) >= target or self.errors, "more answers")
 
-    def after(self, moment: float, cache: int | None = None, source: str = "") -> list[float]:
-        """Milliseconds after that moment at which fetches came to a cache, or named a source."""
+    def fetches_after(self, since_ms: float, cache: int | None = None, source: str = "") -> list[float]:
+        """Return the delays in ms after a time at which fetches reached a cache, or named a source."""
         return [
-            at - moment
-            for at, ident, named in list(self.fetches)
-            if at > moment and (ident == cache if cache is not None else named == source)
+            at_ms - since_ms
+            for at_ms, ident, named in list(self.fetches)
+            if at_ms > since_ms and (ident == cache if cache is not None else named == source)
         ]
 
     def stop(self) -> None:
-        """Ends; each request must have had its one answer."""
-        self._over.set()
-        for thread in (*self._threads, self._caches):
+        """Stop, and check that each request had exactly one answer."""
+        self._stopping.set()
+        for thread in (*self._clients, self._caches):
             thread.join(PATIENCE)
-        assert not self.lost
-        assert sum(self.answers.values()) == self.asked
+        assert not self.errors
+        assert sum(self.answers.values()) == self.requests_sent
 
 
 @pytest.fixture
@@ -94,7 +95,7 @@
 
 
 class Scene:
-    """A router between traffic and the stand's two caches, which both sources list."""
+    """A router between traffic and two caches, which both endpoint sources list."""
 
     def __init__(
         self, keeper: Keeper, folder: Path, more: str = "", zookeeper: str = "", traffic: bool = True
@@ -105,33 +106,36 @@
         self.boxes = [keeper.box(record(cache.ident, cache.listener.port)) for cache in self.stand.caches]
         self.parents = [keeper.box(entry) for entry in parents(self.stand)]
         Stand.wait(
-            lambda: all(self.vouched(ident) for ident in (0x10, 0x11, 0x20, 0x30)), "both sources list all"
+            lambda: all(self.ready_in_both(ident) for ident in (0x10, 0x11, 0x20, 0x30)),
+            "both sources list all",
         )
         self.traffic = Traffic(self.stand) if traffic else None
         if self.traffic:
-            self.traffic.wait()
+            self.traffic.wait_for_answers()
 
-    def vouched(self, ident: int) -> bool:
+    def ready_in_both(self, ident: int) -> bool:
         found = self.routed.question("explain", f"s-{ident:08x}")
         claims = found.get("node", {}).get("claims", [])
         return [claim["state"] for claim in claims] == ["ready", "ready"]
 
-    def life(self, ident: int) -> dict[str, Any]:
-        lives = self.routed.question("trace")["lives"]
-        found: dict[str, Any] = next(life for life in lives if life["id"] == f"s-{ident:08x}")
+    def history(self, ident: int) -> dict[str, Any]:
+        histories = self.routed.question("trace")["lives"]
+        found: dict[str, Any] = next(history for history in histories if history["id"] == f"s-{ident:08x}")
         return found
 
-    def stopped(self, ident: int, moment: float, source: bool = False) -> None:
-        """The node got no fresh work later than allowed, as the router says and as the caches saw."""
+    def check_no_late_work(self, ident: int, since_ms: float, source: bool = False) -> None:
+        """Check by the router's report and at the caches that the node got no new work later than allowed."""
         assert self.traffic is not None
-        assert self.life(ident)["late_ms"] <= ALLOWED
-        late = self.traffic.after(moment + ON_THE_WIRE, None if source else ident, f"s-{ident:08x}")
+        assert self.history(ident)["late_ms"] <= MAX_LATE_MS
+        late = self.traffic.fetches_after(
+            since_ms + MAX_LATE_AT_CACHE_MS, None if source else ident, f"s-{ident:08x}"
+        )
         assert not late
 
-    def end_of_session(self, path: str) -> float:
-        """When the server ended the session that had the node."""
+    def session_end_ms(self, path: str) -> float:
+        """Return when the server ended the session that owned the node."""
         ends = [entry["at"] for entry in self.keeper.trace("session-end") if path in entry["paths"]]
-        assert ends, f"no session that had {path} has ended"
+        assert ends, f"no session that owned {path} has ended"
         return float(ends[-1])
 
     def close(self) -> None:
@@ -149,22 +153,22 @@
     made.close()
 
 
-# -- the hard cases --
+# -- failures under traffic --
 
 
-def test_a_box_whose_session_expires_while_it_serves(keeper: Keeper, tmp_path: Path) -> None:
+def test_a_cache_whose_session_expires_while_it_serves(keeper: Keeper, tmp_path: Path) -> None:
     scene = Scene(keeper, tmp_path, zookeeper="linger: 30s", traffic=False)
     client = scene.stand.client()
     client.send(X_ROW=f"{1:016x}")
-    out = scene.stand.command()
-    ident = out.cache.ident
+    pending = scene.stand.command()
+    ident = pending.cache.ident
     box = scene.boxes[ident - 0x10]
     keeper.do(f"expire {box.session}")
     scene.routed.wait_state(ident, "draining")
     scene.traffic = Traffic(scene.stand)
-    scene.traffic.wait(100)
-    scene.stopped(ident, scene.end_of_session(box.path))
-    out.reply(body=b"still served")  # what is out goes on
+    scene.traffic.wait_for_answers(100)
+    scene.check_no_late_work(ident, scene.session_end_ms(box.path))
+    pending.reply(body=b"still served")  # requests in flight continue
     assert client.answer().body == b"still served"
     explained = scene.routed.ask("explain", f"s-{ident:08x}")["node"]
     assert explained["why"] == "zookeeper: departed, what is out may end"
@@ -172,67 +176,67 @@
 
 
 @pytest.mark.parametrize(("started", "same"), [(7000, True), (0, False)])
-def test_a_box_that_vanishes_and_returns_within_a_second(scene: Scene, started: int, same: bool) -> None:
+def test_a_cache_that_disappears_and_returns_within_a_second(scene: Scene, started: int, same: bool) -> None:
     box, traffic = scene.boxes[0], scene.traffic
     assert traffic is not None
     box.say(started=started)
     Stand.wait(
         lambda: scene.routed.question("explain", "s-00000010")["node"]["started"] == started, "the start"
     )
-    moment = time.time() * 1000
+    since_ms = time.time() * 1000
     scene.keeper.do(f"expire {box.session}")
     scene.routed.wait_state(0x10, "draining")
     scene.keeper.box(box.record, "again")
     scene.routed.wait_state(0x10, "ready")
-    traffic.wait()
+    traffic.wait_for_answers()
     line = scene.routed.wait_line("endpoint_returned")[0]
     assert f"same_process={same}" in line
     node = scene.routed.question("explain", "s-00000010")["node"]
-    assert node["started"] == started if same else node["started"] >= moment
-    assert traffic.after(moment, 0x10)  # it is in use again
+    assert node["started"] == started if same else node["started"] >= since_ms
+    assert traffic.fetches_after(since_ms, 0x10)  # it gets work again
 
 
 @pytest.mark.parametrize("role", ["target", "source"])
 def test_drain_by_a_change_of_data_during_a_fill(scene: Scene, role: str) -> None:
     box = scene.boxes[0] if role == "target" else scene.parents[0]
     ident = 0x10 if role == "target" else 0x20
-    moment = box.say(state="draining")
+    since_ms = box.say(state="draining")
     scene.routed.wait_state(ident, "draining")
     assert scene.traffic is not None
-    scene.traffic.wait(150)
-    scene.stopped(ident, moment, role == "source")
-    assert scene.traffic.after(moment, 0x11)
+    scene.traffic.wait_for_answers(150)
+    scene.check_no_late_work(ident, since_ms, role == "source")
+    assert scene.traffic.fetches_after(since_ms, 0x11)
     if role == "source":
-        assert scene.traffic.after(moment, None, ORIGIN)  # fills go on, by the origin
+        assert scene.traffic.fetches_after(since_ms, None, ORIGIN)  # fills continue, from the origin
     box.say(state="up")
     scene.routed.wait_state(ident, "ready")
 
 
 def test_our_own_session_expires_under_load(scene: Scene) -> None:
-    told = scene.routed.question("sources")["coordination"]
-    scene.keeper.do(f"expire {told['session']}")
-    moment = scene.boxes[0].say(state="draining")
+    before = scene.routed.question("sources")["coordination"]
+    scene.keeper.do(f"expire {before['session']}")
+    since_ms = scene.boxes[0].say(state="draining")
     scene.routed.wait_line("coordination_session_expired")
     scene.routed.wait_state(0x10, "draining")
     assert scene.traffic is not None
-    scene.traffic.wait(100)
-    scene.stopped(0x10, moment + 1000)  # told once it is read in the new session
+    scene.traffic.wait_for_answers(100)
+    scene.check_no_late_work(0x10, since_ms + 1000)  # known once it is read in the new session
     after = scene.routed.question("sources")["coordination"]
-    assert after["session"] != told["session"] and after["state"] == "connected"
+    assert after["session"] != before["session"] and after["state"] == "connected"
     assert scene.routed.state(0x11) == "ready"
 
 
-def test_a_server_that_falls_behind_is_left(tmp_path: Path) -> None:
+def test_a_server_that_falls_behind_is_abandoned(tmp_path: Path) -> None:
     keeper = Keeper(2)
     try:
         scene = Scene(keeper, tmp_path)
         server = keeper.servers.index(scene.routed.question("sources")["coordination"]["server"])
-        # News comes, then the connection breaks, and the other server has not heard of it yet.
+        # A change is received, then the connection breaks, and the other server has not applied it yet.
         keeper.do(f"lag 60000 {1 - server}")
-        moment = (
+        since_ms = (
             scene.boxes[0].say(state="draining")
             if server in _servers_of(keeper, scene.boxes[0].session)
-            else (_say_at(keeper, server, scene.boxes[0], "draining"))
+            else (_set_state_at(keeper, server, scene.boxes[0], "draining"))
         )
         scene.routed.wait_state(0x10, "draining")
         scene.keeper.do(f"drop {scene.routed.question('sources')['coordination']['session']}")
@@ -248,8 +252,8 @@
             "back at the first",
         )
         assert scene.traffic is not None
-        scene.traffic.wait(100)
-        scene.stopped(0x10, moment)
+        scene.traffic.wait_for_answers(100)
+        scene.check_no_late_work(0x10, since_ms)
         assert scene.routed.state(0x10) == "draining"
         assert keeper.trace("refused-behind")
         scene.close()
@@ -258,7 +262,7 @@
 
 
 def _servers_of(keeper: Keeper, session: str) -> set[int]:
-    """The server that a session is connected to."""
+    """Return the server that a session is connected to, in a set."""
     found = [
         entry["server"]
         for entry in keeper.trace()
@@ -267,12 +271,12 @@
     return set(found[-1:])
 
 
-def _say_at(keeper: Keeper, server: int, box: Any, state: str) -> float:
-    """Changes a box's record at the ordering server, as its own server may lag."""
-    moment = time.time() * 1000
+def _set_state_at(keeper: Keeper, server: int, box: Any, state: str) -> float:
+    """Change a record at the ordering server, as the server of the node's session may lag."""
+    since_ms = time.time() * 1000
     box.record = {**box.record, "state": state}
     keeper.do(f"set {box.path} {json.dumps(box.record)}")
-    return moment
+    return since_ms
 
 
 def test_a_partition_with_the_list_ageing(keeper: Keeper, tmp_path: Path) -> None:
@@ -282,13 +286,15 @@
     keeper.do("partition")
     lines = scene.routed.wait_line("endpoint_source_stale", 4)
     assert "silent_s=" in lines[0] and scene.stand.lines("coordination_disconnected")
-    scene.routed.wait_state(0x40, "draining")  # no source with a say knows it
-    assert scene.routed.state(0x10) == "ready"  # the change log does
+    scene.routed.wait_state(0x40, "draining")  # no current source knows it
+    assert scene.routed.state(0x10) == "ready"  # the change log knows it
     assert scene.traffic is not None
-    scene.traffic.wait()
+    scene.traffic.wait_for_answers()
     keeper.do("heal")
-    Stand.wait(lambda: scene.routed.question("sources")["sources"][1]["has_say"], "a say again")
-    keeper.do("partition")  # once more, to be healed while the list still stands
+    Stand.wait(
+        lambda: scene.routed.question("sources")["sources"][1]["has_say"], "the source is current again"
+    )
+    keeper.do("partition")  # again, healed while the list still stands
     scene.routed.wait_line("endpoint_source_stale", 5)
     keeper.do("heal")
     Stand.wait(
@@ -313,7 +319,7 @@
     for one in made:
         one.get(timeout=PATIENCE)
     Stand.wait(lambda: scene.routed.state(0x1000 + count - 1) == "ready", "all are listed")
-    moment = time.time() * 1000
+    since_ms = time.time() * 1000
     changes = [
         client.set_async(
             f"{BOXES}/m{number}",
@@ -329,15 +335,15 @@
         )
         for number in range(count)
     ]
-    moment = scene.boxes[0].say(state="draining")
+    since_ms = scene.boxes[0].say(state="draining")
     for one in changes:
         one.get(timeout=PATIENCE)
     scene.routed.wait_state(0x10, "draining")
     scene.routed.wait_state(0x1000 + count - 1, "draining")
     assert scene.traffic is not None
-    scene.traffic.wait()
-    scene.stopped(0x10, moment + 1000)
-    client.stop()  # all 2,000 depart in one transaction
+    scene.traffic.wait_for_answers()
+    scene.check_no_late_work(0x10, since_ms + 1000)
+    client.stop()  # all 2,000 nodes depart in one transaction
     client.close()
     scene.routed.wait_line("mass_departure_confirmed")
     Stand.wait(lambda: scene.routed.state(0x1000) in ("draining", "unknown"), "all have departed")
@@ -352,7 +358,7 @@
     for ident in (0x10, 0x11):
         scene.routed.wait_state(ident, "draining", "gone", "unknown")
     assert scene.traffic is not None
-    scene.traffic.wait(20)  # nothing is left to ask, and each request is told so
+    scene.traffic.wait_for_answers(20)  # no node is left, and each request is answered accordingly
     for box in (*scene.boxes, *scene.parents):
         Stand.wait(lambda box=box: box.client.connected or True, "kazoo")  # type: ignore[misc]
         scene.keeper.box(box.record, f"{box.record['id']}-anew")
@@ -371,23 +377,23 @@
         text = scene.routed.operator.read_text()
         scene.routed.operator.write_text(text + "\nmembers: tracce: 5\nsources: zookeeper: linger: 3\n")
         scene.stand.reload(json.dumps(scene.stand.config))
-        refused = scene.routed.wait_line("operator_config_rejected", 2)
-        assert "tracce" in refused[0] + refused[1] and scene.routed.state(0x10) == "ready"
+        rejected = scene.routed.wait_line("operator_config_rejected", 2)
+        assert "tracce" in rejected[0] + rejected[1] and scene.routed.state(0x10) == "ready"
         moved = text.replace(
             ", ".join(f'"{server}"' for server in scene.keeper.servers), f'"{other.servers[0]}"'
         )
         assert moved != text
         scene.routed.operator.write_text(moved)
-        moment = time.time() * 1000
+        since_ms = time.time() * 1000
         scene.stand.reload(json.dumps(scene.stand.config))
         scene.routed.wait_line("coordination_path_changed")
         scene.routed.wait_state(0x10, "draining")
         assert scene.traffic is not None
-        scene.traffic.wait(100)
-        scene.stopped(0x10, moment + 1000)
+        scene.traffic.wait_for_answers(100)
+        scene.check_no_late_work(0x10, since_ms + 1000)
         assert scene.routed.question("sources")["coordination"]["server"] == other.servers[0]
-        scene.keeper.do(f"expire {scene.boxes[1].session}")  # the old ensemble has nothing to say any more
-        scene.traffic.wait(50)
+        scene.keeper.do(f"expire {scene.boxes[1].session}")  # the old ensemble no longer counts
+        scene.traffic.wait_for_answers(50)
         assert scene.routed.state(0x11) == "ready"
     finally:
         other.close()
@@ -401,11 +407,11 @@
         scene.keeper.do(f"drop {session}")
         scene.routed.wait_line("coordination_disconnected", 2)
     scene.keeper.do("readonly off")
-    moment = scene.boxes[0].say(state="draining")
+    since_ms = scene.boxes[0].say(state="draining")
     scene.routed.wait_state(0x10, "draining")
     assert scene.traffic is not None
-    scene.traffic.wait()
-    scene.stopped(0x10, moment + 1000)
+    scene.traffic.wait_for_answers()
+    scene.check_no_late_work(0x10, since_ms + 1000)
 
 
 def test_a_list_that_is_read_again_takes_back_no_drain_of_another_source(scene: Scene) -> None:
@@ -413,18 +419,18 @@
     scene.routed.wait_state(0x10, "draining")
     stand = scene.stand
     entries = b"".join(stand.record(cache, 0) for cache in stand.caches)
-    stand.log.tell(2, 1, entries + b"")  # the change log tells its whole list once more, as after a gap
-    stand.log.tell(3, 2, stand.record(stand.caches[1], 1))  # and something new behind it
+    stand.log.tell(2, 1, entries + b"")  # the change log repeats its snapshot, as after a gap
+    stand.log.tell(3, 2, stand.record(stand.caches[1], 1))  # followed by a change
     scene.routed.wait_state(0x11, "draining")
     assert scene.routed.state(0x10) == "draining"
-    stand.log.tell(4, 2, stand.record(stand.caches[0], 0))  # this is news: the most trusted source says so
+    stand.log.tell(4, 2, stand.record(stand.caches[0], 0))  # a new claim of the most trusted source
     scene.routed.wait_state(0x10, "ready")
 
 
 # -- presence --
 
 
-def test_routers_see_each_other_and_a_leaving_one_tells_so_first(keeper: Keeper, tmp_path: Path) -> None:
+def test_routers_see_each_other_and_a_leaving_one_announces_it_first(keeper: Keeper, tmp_path: Path) -> None:
     presence = f'presence: {{path: "{ROUTERS}", shares: "derived", grow: 50ms, shrink: 200ms}}'
     folders = [tmp_path / name for name in "ab"]
     for folder in folders:
@@ -475,11 +481,11 @@
         folder = tmp_path / "other"
         folder.mkdir()
         other = Routed(keeper, folder, presence)
-        other.wait_line("presence_name_conflict")  # another address under the same name
+        other.wait_line("presence_name_conflict")  # the same name at another address
         assert len(routed.question("fleet")["peers"]) == 1
         text = routed.operator.read_text()
         routed.operator.write_text(text.replace("session_timeout: 1min", "session_timeout: 50s"))
-        routed.stand.reload(json.dumps(routed.stand.config))  # another session takes our node over
+        routed.stand.reload(json.dumps(routed.stand.config))  # another session takes over the router's node
         routed.wait_line("coordination_path_changed")
         Stand.wait(
             lambda: [peer["state"] for peer in routed.question("fleet")["peers"]] == ["ready"], "its node"
@@ -495,10 +501,10 @@
             other.close()
 
 
-# -- off, and the commands --
+# -- without an operator file, and the commands --
 
 
-def test_without_an_operators_file_none_of_it_is_imported() -> None:
+def test_without_an_operator_file_nothing_of_discovery_is_imported() -> None:
     stand = Stand()
     try:
         maps = Path(f"/proc/{stand.process.pid}/maps").read_text()
@@ -515,7 +521,7 @@
         stand.close()
 
 
-def test_a_bad_operators_file_ends_the_start_with_all_that_is_wrong(tmp_path: Path) -> None:
+def test_a_bad_operator_file_ends_the_start_with_all_errors(tmp_path: Path) -> None:
     stand = Stand()
     stand.close()
     bad, config = tmp_path / "bad.cue", tmp_path / "config.json"
@@ -532,13 +538,13 @@
     assert done.returncode == 2 and len(done.stderr.splitlines()) == 2 and "members.trace" in done.stderr
 
 
-def test_the_commands_tell_a_nodes_story(scene: Scene) -> None:
+def test_the_members_commands_explain_a_node(scene: Scene) -> None:
     scene.boxes[0].say(state="draining")
     scene.routed.wait_state(0x10, "draining")
 
-    def told(*words: str) -> str:
+    def members_command(*arguments: str) -> str:
         done = subprocess.run(
-            [sys.executable, "-m", "stonecove", "members", "--socket", str(scene.routed.socket), *words],
+            [sys.executable, "-m", "stonecove", "members", "--socket", str(scene.routed.socket), *arguments],
             capture_output=True,
             text=True,
             check=False,
@@ -546,12 +552,16 @@
         )
         return f"{done.returncode} {done.stdout}{done.stderr}"
 
-    story = told("explain", "s-00000010")
-    assert story.startswith("0 s-00000010 is draining") and "its record says draining" in story
-    assert "changelog, rank 0: ready" in story and "zookeeper, rank 1: draining" in story
-    assert "s-00000011" in told("list") and "told to stop" in told("trace", "--id", "s-00000010")
-    assert "zookeeper, rank 1: has a say" in told("sources")
-    assert told("explain", "s-000000ff").startswith("1 ") and told("explain", "x").startswith("1 ")
-    assert told("fleet").startswith("1 ")
+    explanation = members_command("explain", "s-00000010")
+    assert explanation.startswith("0 s-00000010 is draining") and "its record says draining" in explanation
+    assert "changelog, rank 0: ready" in explanation and "zookeeper, rank 1: draining" in explanation
+    assert "s-00000011" in members_command("list") and "told to stop" in members_command(
+        "trace", "--id", "s-00000010"
+    )
+    assert "zookeeper, rank 1: has a say" in members_command("sources")
+    assert members_command("explain", "s-000000ff").startswith("1 ") and members_command(
+        "explain", "x"
+    ).startswith("1 ")
+    assert members_command("fleet").startswith("1 ")
     assert oct(scene.routed.socket.stat().st_mode & 0o777) == "0o600"
     assert SETTINGS["zone"] == 1
--- a/tests/test_golden_exchanges.py
+++ b/tests/test_golden_exchanges.py
@@ -15,8 +15,8 @@
 from golden_formats_depot import NOW_MS, SEED, Depot, PlainSocket, exchange_settings, quiet_log
 
 from stonecove.exchange import Answer, ClientRequest, Verdict
-from stonecove.frontends.fastcgi import Front, head_of
-from stonecove.frontends.http import HttpFront
+from stonecove.frontends.fastcgi import FastCgiFrontend, response_head
+from stonecove.frontends.http import HttpFrontend
 from stonecove.pipeline.admit import Admit
 from stonecove.pipeline.book import AttemptRecorder
 from stonecove.pipeline.relay import Relay, Reply
@@ -231,7 +231,7 @@
         "rejected-with-negative-pause": Answer(Verdict.REFUSED, retry_after_ms=-3.0),
         "failed": Answer(Verdict.FAILED),
     }
-    return as_json({name: shown(head_of(answer)) for name, answer in answers.items()})
+    return as_json({name: shown(response_head(answer)) for name, answer in answers.items()})
 
 
 # -- whole exchanges --
@@ -269,7 +269,7 @@
 def fastcgi_exchange(case: Mapping[str, Any]) -> Meaning:
     """Return the bytes of one exchange with a FastCGI client."""
     depot, sock = Depot(case["answers"], case.get("endpoints", 3)), PlainSocket()
-    front = Front(depot.settings, depot.route)
+    front = FastCgiFrontend(depot.settings, depot.route)
     front.ready = case.get("ready", False)
     client = Client(sock, front, depot.clock.now, depot.budget)
     if "records" in case:
@@ -400,7 +400,7 @@
 async def http_exchange(case: Mapping[str, Any]) -> Meaning:
     """Return the bytes of one exchange with an HTTP client, and whether the router ended the connection."""
     depot = Depot(case["answers"])
-    front = HttpFront(depot.settings, depot.route, depot.clock, None, "http")
+    front = HttpFrontend(depot.settings, depot.route, depot.clock, None, "http")
     front.ready = case.get("ready", False)
     client, server = trio.testing.memory_stream_pair()
     listener = Listener(case.get("draining", False))
--- a/tests/test_golden_tools_runs.py
+++ b/tests/test_golden_tools_runs.py
@@ -33,7 +33,7 @@
 
 from stonecove.commands.main import cli
 from stonecove.operator_config.grammar import OperatorError
-from stonecove.overload.book import Book, Event
+from stonecove.overload.book import AmplificationStatistics, LoadEvent
 from stonecove.scale import ledger, options, report
 from stonecove.scale.results import ControlCost, Delays, FaultResult, MachineCost, Measurement
 from stonecove.scale.series import Series, play_series
@@ -306,9 +306,9 @@
         at, cls = BEGAN + 1.0 + 0.04 * number, "pick-confirm" if number % 10 == 0 else "item-image"
         served = number % 13 != 0 and not (bad and number > 60)
         clients.events += [
-            Event(at, "meant", number, cls),
-            Event(at, "try", number, cls),
-            Event(at + 0.02, "served" if served else "refused", number, cls),
+            LoadEvent(at, "meant", number, cls),
+            LoadEvent(at, "try", number, cls),
+            LoadEvent(at + 0.02, "served" if served else "refused", number, cls),
         ]
         clients.took.record_value(1000 * number)
     if bad:
@@ -430,16 +430,18 @@
     """Return what a book counts of the events that a trial has left."""
     entry = next(one for one in recorded("trial_commands.json") if one["broken"])
     found = json.loads(entry["files"]["book.json"])
-    book = Book(Event(float(at), what, int(meaning), cls) for at, what, meaning, cls in found["events"])
+    book = AmplificationStatistics(
+        LoadEvent(float(at), what, int(meaning), cls) for at, what, meaning, cls in found["events"]
+    )
     return {
-        "meant": book.meant,
+        "meant": book.intended,
         "by_second": {
-            str(at): {"meant": second.meant, "caused": dict(sorted(second.came.items())),
-                      "ended": dict(sorted(second.ends.items()))}
+            str(at): {"meant": second.intended, "caused": dict(sorted(second.caused.items())),
+                      "ended": dict(sorted(second.ended.items()))}
             for at, second in sorted(book.seconds.items())
         },
         "by_class": {name: dict(sorted(came.items())) for name, came in sorted(book.by_class.items())},
-        "recovered_s": [finite(book.recovered(at)) for at in (0.0, 1.0, 5.0)],
+        "recovered_s": [finite(book.recovery_s(at)) for at in (0.0, 1.0, 5.0)],
         "sustained_by": [list(pair) for pair in book.sustained_by(3.0, 2.0)],
     }  # fmt: skip
 
--- a/tests/test_golden_wire.py
+++ b/tests/test_golden_wire.py
@@ -20,7 +20,7 @@
     shown,
 )
 
-from stonecove.discovery import Told
+from stonecove.discovery import MembershipEvent
 from stonecove.protocols import resp
 from stonecove.protocols.buffer import Buffer
 from stonecove.protocols.change_log import ChangeLogError, Follower, Frame, frames
@@ -108,10 +108,10 @@
     """Takes updates in; the one with the given number among them is refused."""
 
     def __init__(self, refused: int = -1) -> None:
-        self.updates: list[Told] = []
+        self.updates: list[MembershipEvent] = []
         self._refused = refused
 
-    def told(self, event: Told) -> None:
+    def handle_membership_event(self, event: MembershipEvent) -> None:
         """Note an update, or raise for the one that is refused."""
         self._refused -= 1
         if self._refused == -1:
--- a/tests/test_watch_crossings.py
+++ b/tests/test_watch_crossings.py
@@ -15,7 +15,7 @@
 import pytest
 from stand import PATIENCE, SETTINGS, ChangeLog, Hanging, Listener, Stand
 
-from stonecove.discovery import PurgeUpdate, Told
+from stonecove.discovery import MembershipEvent, PurgeUpdate
 from stonecove.protocols import change_log
 from stonecove.protocols.buffer import Buffer
 from stonecove.transport import change_log_follower
@@ -304,7 +304,7 @@
         self.groups: list[int] = []
         self._failures = failures
 
-    def told(self, event: Told) -> None:
+    def handle_membership_event(self, event: MembershipEvent) -> None:
         assert isinstance(event, PurgeUpdate)
         if self._failures.get(event.group, 0):
             self._failures[event.group] -= 1
