--- a/benchmarks/rollout.py
+++ b/benchmarks/rollout.py
@@ -25,7 +25,7 @@
 from stonecove.runtime.clock import Clock
 from stonecove.runtime.log import set_log_sink
 from stonecove.server.config import config_from
-from stonecove.server.configuration import ConfigurationKeeper
+from stonecove.server.configuration import ConfigurationAgent
 from stonecove.standins.webserver import settings
 from stonecove.transport.zookeeper import ZooKeeperClient
 
@@ -68,7 +68,7 @@
         self.ensemble = ZooKeeperClient(servers, number, SESSION, lambda: None)
         self.session = CountedSession(servers, number, SESSION)
         self.ensemble.session = self.session
-        self.keeper = ConfigurationKeeper(
+        self.keeper = ConfigurationAgent(
             ConfigurationRecord(True, PATH), config_from(table, {}), own, self, {}, Clock()
         )
         self.keeper.attach(self.ensemble)
--- a/stonecove/__init__.py
+++ b/stonecove/__init__.py
@@ -1,3 +1,3 @@
-"""stonecove: decisions for a front of directors before caches of large objects behind thin links."""
+"""An edge router: decides on requests to caches of large objects behind links of limited capacity."""
 
 __version__ = "0.1.0"
--- a/stonecove/__main__.py
+++ b/stonecove/__main__.py
@@ -1,4 +1,4 @@
-"""Starts one edge router: `python -m stonecove`. With arguments, the command line."""
+"""Run one edge router with `python -m stonecove`; with arguments, run the command line."""
 
 import sys
 
@@ -6,7 +6,7 @@
     if sys.argv[1:2] in ([], ["run"]):
         import signal
 
-        # Guards against an end by one that comes while we import: they wait until the router heeds them.
+        # A signal during the imports must not end the process: it waits until the router handles it.
         signal.pthread_sigmask(signal.SIG_BLOCK, (signal.SIGTERM, signal.SIGINT, signal.SIGHUP))
     if len(sys.argv) > 1:
         from stonecove.commands.main import main as commands
--- a/stonecove/commands/token.py
+++ b/stonecove/commands/token.py
@@ -28,10 +28,10 @@
 
 
 def _ring(path: Path) -> Any:
-    from stonecove.server.access import AccessError, read_ring
+    from stonecove.server.access import AccessError, read_key_ring
 
     try:
-        return read_ring(path)
+        return read_key_ring(path)
     except AccessError as error:
         _unusable(error)
 
@@ -174,16 +174,16 @@
     from stonecove.access.gate import Gate, Limits
     from stonecove.operator_config.grammar import OperatorError
     from stonecove.operator_config.reader import read
-    from stonecove.server.access import AccessError, policies_of, read_revoked, read_ring
+    from stonecove.server.access import AccessError, build_routes, read_key_ring, read_revocations
 
     try:
         access = read(operator).operator.access
         if access is None:
             raise AccessError(f"{operator}: has no access")
-        routes = policies_of(access)
-        gate = Gate(routes, read_ring(Path(access.ring)), Limits(access.seen, access.checks))
+        routes = build_routes(access)
+        gate = Gate(routes, read_key_ring(Path(access.ring)), Limits(access.seen, access.checks))
         if access.revoked:
-            gate.revoked = read_revoked(Path(access.revoked), time.time())
+            gate.revoked = read_revocations(Path(access.revoked), time.time())
     except (OperatorError, AccessError) as error:
         _unusable(error)
     item = "/".join(request.path.split("/")[2:4])
@@ -242,10 +242,10 @@
 
 
 def _table(path: Path) -> dict[str, Any]:
-    from stonecove.server.access import AccessError, read_private
+    from stonecove.server.access import AccessError, read_private_json
 
     try:
-        table = read_private(path)
+        table = read_private_json(path)
     except AccessError as error:
         _unusable(error)
     if not isinstance(table, dict) or not isinstance(table.get("keys"), list):
--- a/stonecove/scale/hollow_configuration.py
+++ b/stonecove/scale/hollow_configuration.py
@@ -12,8 +12,8 @@
 from stonecove.runtime.clock import Clock
 from stonecove.scale.hollow import HEADER_BYTES, Traffic
 from stonecove.server.config import Config
-from stonecove.server.configuration import ConfigurationKeeper
-from stonecove.server.reconfigure import Reconfigure
+from stonecove.server.configuration import ConfigurationAgent
+from stonecove.server.reconfigure import ActiveSettings
 from stonecove.transport.zookeeper import ZooKeeperClient
 
 SESSION = Figures(timeout=10.0)
@@ -39,7 +39,7 @@
         return data
 
 
-class _NotedReconfigure(Reconfigure):
+class _NotedReconfigure(ActiveSettings):
     """The program's change of settings, which notes when each version was in force."""
 
     def __init__(self, config: Config, route: Route, clock: Clock) -> None:
@@ -64,7 +64,7 @@
         self._ensemble.session = self._session
         self._reconfigure = _NotedReconfigure(config, route, clock)
         record = ConfigurationRecord(True, path)
-        self._keeper = ConfigurationKeeper(
+        self._keeper = ConfigurationAgent(
             record, config, config.table, self._reconfigure, route.recorder.counts, clock
         )
 
--- a/stonecove/scale/hollow_process.py
+++ b/stonecove/scale/hollow_process.py
@@ -91,14 +91,14 @@
         if not config.peer_listen:
             return
         from stonecove.operator_config.reader import read_text
-        from stonecove.server.swarm import SwarmKeeper, bound
+        from stonecove.server.swarm import SwarmAgent, bind_datagram_socket
 
         record = read_text("swarm: {}", "scale").operator.swarm
         assert record is not None
-        datagrams = CountedDatagrams.around(bound(config))
+        datagrams = CountedDatagrams.around(bind_datagram_socket(config))
         self._datagrams[hollow.ledger.router] = datagrams
         hollow.ending.callback(datagrams.close)
-        keeper = SwarmKeeper(record, config, datagrams, hollow.route, hollow.clock, None)
+        keeper = SwarmAgent(record, config, datagrams, hollow.route, hollow.clock, None)
         keeper.start(hollow.spawn)
 
     def kill(self, routers: list[int]) -> None:
--- a/stonecove/server/__init__.py
+++ b/stonecove/server/__init__.py
@@ -1,1 +1,1 @@
-"""Start and stop: configuration, clock, timers, readiness, signals and the drain."""
+"""Start and stop of a router: configuration, clock, timers, readiness, signals and the drain."""
--- a/stonecove/server/access.py
+++ b/stonecove/server/access.py
@@ -1,4 +1,7 @@
-"""Keys, policies and revocations from the operator's files, and again on SIGHUP: whole or not at all."""
+"""Load keys, policies and revocations from the operator's files, and reload them on SIGHUP.
+
+A reload is applied completely or not at all.
+"""
 
 from __future__ import annotations
 
@@ -22,96 +25,100 @@
 from stonecove.runtime.log import log
 from stonecove.runtime.log_events import LogEvent
 
-MOST_FILE = 1 << 24
+MAX_FILE_BYTES = 1 << 24
 
 
 class AccessError(Exception):
     """Keys, policies or revocations that can't be used; never holds a secret."""
 
 
-def read_private(path: Path) -> Any:
-    """JSON from a file that nobody else may read; raises AccessError. Looked at through one descriptor, so
-    that it is the file that was checked that is read.
+def read_private_json(path: Path) -> Any:
+    """Return the JSON of a file that no other user may read; raises AccessError.
+
+    Mode, owner and size are checked on the open descriptor, so that the checked file is the one that is read.
     """
     try:
         with path.open("rb") as file:
-            found = os.fstat(file.fileno())
-            if found.st_mode & 0o077:
-                raise AccessError(f"{path}: rights {stat.S_IMODE(found.st_mode):o}, others may read it")
-            if found.st_uid not in (os.geteuid(), 0):
-                raise AccessError(f"{path}: it is somebody else's")
-            if found.st_size > MOST_FILE:
-                raise AccessError(f"{path}: {found.st_size} bytes, {MOST_FILE} at most")
-            return json.loads(file.read(MOST_FILE))
+            status = os.fstat(file.fileno())
+            if status.st_mode & 0o077:
+                raise AccessError(f"{path}: rights {stat.S_IMODE(status.st_mode):o}, others may read it")
+            if status.st_uid not in (os.geteuid(), 0):
+                raise AccessError(f"{path}: owned by another user")
+            if status.st_size > MAX_FILE_BYTES:
+                raise AccessError(f"{path}: {status.st_size} bytes, {MAX_FILE_BYTES} at most")
+            return json.loads(file.read(MAX_FILE_BYTES))
     except OSError as error:
         raise AccessError(f"{path}: {error.strerror}") from None
     except (ValueError, RecursionError):
         raise AccessError(f"{path}: it is no JSON") from None
 
 
-def read_ring(path: Path) -> KeyRing:
-    """A ring file, or all rings `*.json` of a folder; raises AccessError."""
+def read_key_ring(path: Path) -> KeyRing:
+    """Return the keys of a ring file, or of all files `*.json` of a folder; raises AccessError."""
     files = sorted(path.glob("*.json")) if path.is_dir() else [path]
     keys: list[Key] = []
-    for one in files:
+    for file in files:
         try:
-            keys += KeyRing.read(read_private(one)).keys.values()
+            keys += KeyRing.read(read_private_json(file)).keys.values()
         except KeyRingError as error:
-            raise AccessError(f"{one}: {error}") from None
+            raise AccessError(f"{file}: {error}") from None
     try:
         return KeyRing(keys)
     except KeyRingError as error:
         raise AccessError(f"{path}: {error}") from None
 
 
-def read_revoked(path: Path, now: float) -> Revoked:
-    """A list of `{"kind": "key" | "subject" | "token", "name", "until", "issued_before"?}`."""
-    table, made = read_private(path), Revoked()
-    if not isinstance(table, list):
+def read_revocations(path: Path, now: float) -> Revoked:
+    """Return the revocations of a file; raises AccessError. `now` is in Unix seconds.
+
+    The file is a list of `{"kind": "key" | "subject" | "token", "name", "until", "issued_before"?}`.
+    """
+    entries, revocations = read_private_json(path), Revoked()
+    if not isinstance(entries, list):
         raise AccessError(f"{path}: it is no list")
-    for place, one in enumerate(table):
+    for index, entry in enumerate(entries):
         try:
-            if one["kind"] not in ("key", "subject", "token") or set(one) - {
+            if entry["kind"] not in ("key", "subject", "token") or set(entry) - {
                 "kind",
                 "name",
                 "until",
                 "issued_before",
             }:
                 raise ValueError
-            before = float(one.get("issued_before", math.inf))
-            made.revoke(one["kind"], str(one["name"]), before, float(one["until"]), now)
+            before = float(entry.get("issued_before", math.inf))
+            revocations.revoke(entry["kind"], str(entry["name"]), before, float(entry["until"]), now)
         except (KeyError, TypeError, ValueError, AttributeError):
-            raise AccessError(f"{path}: entry {place} can't be read") from None
-    return made
+            raise AccessError(f"{path}: entry {index} can't be read") from None
+    return revocations
 
 
-def policies_of(access: Access) -> Routes:
-    """The policies as records have them; raises AccessError."""
+def build_routes(access: Access) -> Routes:
+    """Return the routes of the configured policies; raises AccessError."""
     try:
         return Routes(
             Policy(
                 **{
-                    **one,
-                    "formats": tuple(Format(form) for form in one["formats"]),
-                    "methods": tuple(one["methods"]),
-                    **{name: one[name] / 1000.0 for name in ("skew", "longest", "grace")},
+                    **record,
+                    "formats": tuple(Format(form) for form in record["formats"]),
+                    "methods": tuple(record["methods"]),
+                    **{name: record[name] / 1000.0 for name in ("skew", "longest", "grace")},
                 }
             )
-            for one in access.policies
+            for record in access.policies
         )
     except ValueError as error:
         raise AccessError(str(error)) from None
 
 
-class AccessKeeper:
-    """The gate of a router, and what it is made of."""
+class AccessController:
+    """Creates the token checker of a router and reloads what it checks by."""
 
     def __init__(self, access: Access, depot: str, clock: Clock, route: Route) -> None:
-        """Raises AccessError."""
+        """Load the files; raises AccessError."""
         self._access = access
         ring, routes, revoked = self._read(access)
         gate = Gate(routes, ring, Limits(access.seen, access.checks), revoked)
-        self.desk = TokenChecker(gate, clock, depot, self._counter(route))
+        self.token_checker = TokenChecker(gate, clock, depot, self._counter(route))
 
     @staticmethod
     def _counter(route: Route) -> Any:
@@ -122,19 +129,20 @@
 
     @staticmethod
     def _read(access: Access) -> tuple[KeyRing, Routes, Revoked]:
-        revoked = read_revoked(Path(access.revoked), time.time()) if access.revoked else Revoked()
-        return read_ring(Path(access.ring)), policies_of(access), revoked
+        revoked = read_revocations(Path(access.revoked), time.time()) if access.revoked else Revoked()
+        return read_key_ring(Path(access.ring)), build_routes(access), revoked
 
     def reload(self, access: Access) -> None:
-        """Takes other keys, policies and revocations over; what was seen and started stays. A file that can't
-        be used is one line, and the old ones stay.
+        """Reload keys, policies and revocations; the records of seen tokens and of open requests stay.
+
+        A file that can't be used is logged, and the present keys, policies and revocations stay in use.
         """
         try:
             ring, routes, revoked = self._read(access)
         except AccessError as error:
             log(LogEvent.ACCESS_CONFIG_REJECTED, reason=str(error))
             return
-        gate = self.desk.gate
+        gate = self.token_checker.gate
         before = set(gate.ring.keys)
         gate.rekey(ring, routes)
         gate.revoked = revoked
--- a/stonecove/server/config.py
+++ b/stonecove/server/config.py
@@ -1,4 +1,4 @@
-"""What the platform tells the edge router at its start."""
+"""The configuration that the platform passes to the edge router at its start."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 from stonecove.routing.settings import Settings
 from stonecove.settings import settings_from
 
-LEAST_SOCKETS = 16
+MIN_SOCKETS = 16
 
 
 class ConfigError(Exception):
@@ -24,7 +24,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Config:
-    """The configuration, typed."""
+    """The configuration as typed values."""
 
     name: str
     listen: tuple[str, int]
@@ -32,50 +32,53 @@
     sockets: int
     memory_mb: float
     cores: float
-    pace: float  # bytes a second of one transfer; 0 if not told
+    pace: float  # bytes per second of one transfer; 0 if not stated
     changelog: tuple[str, int]
     last: int  # number of the last event in `known`
     known: tuple[MembershipEvent, ...]
     settings: Settings
-    table: Mapping[str, Any]  # the settings as decoded: what is rolled out changes them
-    peers: tuple[str, ...] = ()  # addresses of the other routers, as they are told
+    table: Mapping[str, Any]  # the settings as decoded, to which overlays of roll-outs are applied
+    peers: tuple[str, ...] = ()  # addresses of the other routers, as configured
     peer_listen: str = ""
-    version: int = 0  # of the settings, where who writes the file counts its changes
+    version: int = 0  # of the settings, if the writer of the file numbers its changes; else 0
 
 
-def address_of(text: Any) -> tuple[str, int]:
-    """Host and port; raises ConfigError."""
-    host, sign, port = str(text).rpartition(":")
-    if not sign or not host or not port.isdigit() or int(port) > 65535:
+def parse_address(text: Any) -> tuple[str, int]:
+    """Return host and port of an address; raises ConfigError."""
+    host, separator, port = str(text).rpartition(":")
+    if not separator or not host or not port.isdigit() or int(port) > 65535:
         raise ConfigError(f"{text!r} is no address like 10.0.0.4:6565")
     return host, int(port)
 
 
-def _version(told: Any) -> int:
-    """The version, where one is told. It decides nothing: guards against a start that fails for it."""
-    return told if isinstance(told, int) and not isinstance(told, bool) and told >= 0 else 0
+def _version(value: Any) -> int:
+    """Return a stated version, else 0: nothing depends on it, so an invalid one does not stop the start."""
+    return value if isinstance(value, int) and not isinstance(value, bool) and value >= 0 else 0
 
 
 def config_from(table: dict[str, Any], env: Mapping[str, str]) -> Config:
-    """The typed configuration; the environment names the listening address if the table does not."""
+    """Return the typed configuration of a decoded file; raises ConfigError.
+
+    The environment names the listening address and the router if the table does not.
+    """
     try:
         settings = settings_from(table["settings"])
         peers = table.get("peers", ())
         limits, known = table.get("limits", {}), table.get("known", {})
         config = Config(
             name=str(table.get("name") or env.get("RELAY_NAME", "?")),
-            listen=address_of(table.get("listen") or env.get("RELAY_LISTEN", "")),
+            listen=parse_address(table.get("listen") or env.get("RELAY_LISTEN", "")),
             seed=int(str(table.get("seed", "0")), 16),
             sockets=int(limits.get("sockets", 1024)),
             memory_mb=float(limits.get("memory_mb", 192)),
             cores=float(limits.get("cores", 1.0)),
             pace=float(table.get("flow_bytes_per_s", 0.0)),
-            changelog=address_of(table["changelog"]),
+            changelog=parse_address(table["changelog"]),
             last=int(known.get("seq", 0)),
             known=tuple(known_events(known, settings)),
             settings=settings,
             table=table["settings"],
-            # read by the swarm alone: guards against a start that fails for what nobody uses
+            # only gossip uses these: an invalid list does not stop a router that has gossip turned off
             peers=tuple(map(str, peers)) if isinstance(peers, (list, tuple)) else (),
             peer_listen=str(table.get("peer_listen") or ""),
             version=_version(table.get("version")),
@@ -84,7 +87,7 @@
         raise ConfigError(f"the configuration lacks {error}") from error
     except (TypeError, ValueError, AttributeError, ArithmeticError, ChangeLogError) as error:
         raise ConfigError(f"the configuration can't be used: {error}") from error
-    if config.sockets < LEAST_SOCKETS or not (config.memory_mb > 0 and config.cores > 0):
+    if config.sockets < MIN_SOCKETS or not (config.memory_mb > 0 and config.cores > 0):
         raise ConfigError(
             f"no room to run in {config.sockets} sockets, {config.memory_mb:g} MB and {config.cores:g} cores"
         )
@@ -92,7 +95,7 @@
 
 
 def read_table(env: Mapping[str, str] = os.environ) -> dict[str, Any]:
-    """The JSON object of the file that RELAY_CONFIG names; raises ConfigError."""
+    """Return the JSON object in the file that RELAY_CONFIG names; raises ConfigError."""
     path = env.get("RELAY_CONFIG")
     if not path:
         raise ConfigError("RELAY_CONFIG names no configuration file")
@@ -108,5 +111,5 @@
 
 
 def read_config(env: Mapping[str, str] = os.environ) -> Config:
-    """Reads the file that RELAY_CONFIG names; raises ConfigError."""
+    """Return the configuration in the file that RELAY_CONFIG names; raises ConfigError."""
     return config_from(read_table(env), env)
--- a/stonecove/server/configuration.py
+++ b/stonecove/server/configuration.py
@@ -1,7 +1,7 @@
-"""Takes over the versions of the settings that are rolled out to the fleet. Off on the platform.
+"""Apply the versions of the settings that are rolled out to the fleet. Off on the platform.
 
-Decisions are in `stonecove.rollout.follower`; here they are given the router's session with the coordination
-service, its own configuration file and the running router, whose settings they change.
+Decisions are in `stonecove.rollout.follower`. This module connects them to the router's session with the
+coordination service, its own configuration file and the running router, whose settings change.
 """
 
 from __future__ import annotations
@@ -39,23 +39,23 @@
 from stonecove.server.reconfigure import SettingsRefused
 from stonecove.transport.zookeeper import ZooKeeperClient
 
-HEALTH_PERIOD = 10.0  # seconds between two looks at the health while nothing is rolled out
-START_POLL = 0.005  # seconds between two looks at whether the target is in force, at the start
-NAME_RETRY = 5.0  # seconds after which a name that was taken is tried again
+HEALTH_INTERVAL_S = 10.0  # between two samples of the health while nothing is rolled out
+START_POLL_INTERVAL_S = 0.005  # between two checks, at the start, of whether the target is in force
+NAME_RETRY_S = 5.0  # after which registration under a name that was taken is retried
 
 
 class SettingsTarget(Protocol):
     """The running router, whose settings are changed."""
 
     def apply(self, settings: Settings, version: int) -> None:
-        """Takes them over, as a whole; raises SettingsRefused if they can't be, and changes nothing then."""
+        """Apply the settings completely; raises SettingsRefused, and changes nothing then."""
 
     def refuse(self, why: str, version: int) -> None:
-        """Notes a version that could not even be read."""
+        """Record a version that could not be read."""
 
 
-class ConfigurationKeeper:
-    """Keeps the router's settings in step with the target, and its report with what is in force."""
+class ConfigurationAgent:
+    """Applies the target version to the router's settings and reports the version in force."""
 
     def __init__(
         self,
@@ -66,21 +66,24 @@
         counts: Mapping[str, int],
         clock: Clock,
     ) -> None:
-        """`table`: the settings of the router's own file; `counts`: its answers by verdict."""
+        """Start with the settings of the router's own file in force.
+
+        `table` holds the settings of that file, `counts` the router's answers by verdict.
+        """
         self._record = record
         self._name = config.name
         self._table = table
         self._router = router
         self._clock = clock
-        self._window = HealthWindow(counts)
-        self._overlay = LOCAL_OVERLAY  # that is in force
+        self._health_window = HealthWindow(counts)
+        self._overlay = LOCAL_OVERLAY  # the overlay in force
         self._session: ConfigurationSession | None = None
         self._target_known = trio.Event()
         self._changed = trio.Event()
         self.follower = Follower(config.name, ":".join(map(str, config.listen)), clock.now())
 
     def attach(self, ensemble: ZooKeeperClient) -> None:
-        """Follows the target by this session from now on, in place of an earlier one."""
+        """Follow the target in this session from now on, in place of an earlier one."""
         if self._session is not None:
             self._session.retire()
         self.follower.reset_revision()
@@ -88,11 +91,11 @@
         self._session.start()
 
     async def ready(self) -> None:
-        """Waits until the target is in force, or refused, but no longer than the operator allows."""
+        """Wait until the target is applied or rejected, at most for the time that the operator allows."""
         with trio.move_on_after(self._record.start_wait / 1000.0) as waiting:
             await self._target_known.wait()
             while self.follower.next_version() is not None:
-                await trio.sleep(START_POLL)
+                await trio.sleep(START_POLL_INTERVAL_S)
         log(
             LogEvent.SETTINGS_LOADED,
             in_force=self.follower.in_force,
@@ -100,16 +103,16 @@
         )
 
     async def run(self) -> None:
-        """Tells the health: soon after each change, and when it has become another."""
+        """Report the health soon after each change of the version, and when it has changed."""
         while True:
             self._changed = trio.Event()
-            with trio.move_on_after(self._sleep()):
+            with trio.move_on_after(self._next_sample_delay_s()):
                 await self._changed.wait()
                 continue
-            self._tick()
+            self._sample_health()
 
     def rebase(self, table: Mapping[str, Any]) -> None:
-        """The router's own file says something else: taken over under the present overlay, or not at all.
+        """Apply changed settings of the router's own file, under the present overlay, or none of them.
 
         Raises SettingsRefused.
         """
@@ -120,27 +123,27 @@
         self._router.apply(settings, self._overlay.version)
         self._table = table
         self.follower.retry_refused()
-        self.go_on()
+        self.advance()
 
-    # -- what the session tells --
+    # -- called by the session --
 
     def target_read(self, target: Target, revision: int) -> None:
-        """The target, as it stands at that transaction."""
+        """Record the target as of the transaction `revision`."""
         self.follower.receive_target(target, revision, self._clock.now())
-        self.go_on()
+        self.advance()
         self._target_known.set()
 
     def target_absent(self) -> None:
-        """Nothing is published, or no longer: what is in force stays."""
+        """Record that no target is published (any more); the version in force stays."""
         self._target_known.set()
 
     def overlay_read(self, version: int, data: bytes | None) -> None:
-        """The data of a version's node; None: there is no such node."""
+        """Record the data of a version's node; None if there is no such node."""
         wanted = version == self.follower.next_version()
         overlay = self.follower.decode_overlay(version, data, self._clock.now())
         refused = self.follower.report().refused
         if overlay is not None:
-            self._take(overlay)
+            self._apply(overlay)
         elif wanted and refused is not None:
             self._router.refuse(refused.why, version)
             log(
@@ -149,112 +152,112 @@
                 in_force=self.follower.in_force,
                 reason=refused.why,
             )
-        self.go_on()
+        self.advance()
 
-    def go_on(self) -> None:
-        """Takes the next step to the target, and tells what has changed."""
+    def advance(self) -> None:
+        """Take the next step towards the target, and report what has changed."""
         version = self.follower.next_version()
         if version == LOCAL_VERSION:
-            self._take(LOCAL_OVERLAY)
+            self._apply(LOCAL_OVERLAY)
         elif version is not None and self._session is not None:
             self._session.fetch(version)
         if self._session is not None:
-            self._session.tell(self.follower.report())
+            self._session.publish(self.follower.report())
         self._changed.set()
 
-    # -- within --
+    # -- internals --
 
-    def _take(self, overlay: Overlay) -> None:
-        """Puts a version in force as a whole, or refuses it."""
+    def _apply(self, overlay: Overlay) -> None:
+        """Apply a version completely, or reject it."""
         now, before = self._clock.now(), self.follower.in_force
         try:
             self._router.apply(settings_with(self._table, overlay), overlay.version)
         except SettingsRefused as error:
-            self._refuse(overlay.version, str(error))
+            self._reject(overlay.version, str(error))
             return
         except MessageError as error:
             self._router.refuse(str(error), overlay.version)
-            self._refuse(overlay.version, str(error))
+            self._reject(overlay.version, str(error))
             return
         self._overlay = overlay
         self.follower.record_applied(overlay.version, now)
-        self._window.sample()  # what came before is of the version before
+        self._health_window.sample()  # starts a new sample: earlier answers belong to the previous version
         log(LogEvent.SETTINGS_APPLIED, version=overlay.version, before=before)
 
-    def _refuse(self, version: int, why: str) -> None:
-        self.follower.record_refusal(version, why, self._clock.now())
-        log(LogEvent.SETTINGS_REJECTED, version=version, in_force=self.follower.in_force, reason=why)
+    def _reject(self, version: int, reason: str) -> None:
+        self.follower.record_refusal(version, reason, self._clock.now())
+        log(LogEvent.SETTINGS_REJECTED, version=version, in_force=self.follower.in_force, reason=reason)
 
-    def _sleep(self) -> float:
-        due = self.follower.health_due_ms()
-        return HEALTH_PERIOD if due is None else max(0.0, (due - self._clock.now()) / 1000.0)
+    def _next_sample_delay_s(self) -> float:
+        deadline = self.follower.health_due_ms()
+        return HEALTH_INTERVAL_S if deadline is None else max(0.0, (deadline - self._clock.now()) / 1000.0)
 
-    def _tick(self) -> None:
-        found = self._window.sample()
-        if self.follower.health_due_ms() is not None or should_report(self.follower.health, found):
-            self.follower.record_health(found)
+    def _sample_health(self) -> None:
+        health = self._health_window.sample()
+        if self.follower.health_due_ms() is not None or should_report(self.follower.health, health):
+            self.follower.record_health(health)
         if self._session is not None:
             self._session.retry_name()
-            self._session.tell(self.follower.report())
+            self._session.publish(self.follower.report())
 
 
 class ConfigurationSession:
     """The nodes of a roll-out as one session with the coordination service sees them."""
 
-    def __init__(self, path: str, name: str, ensemble: ZooKeeperClient, keeper: ConfigurationKeeper) -> None:
+    def __init__(self, path: str, name: str, ensemble: ZooKeeperClient, agent: ConfigurationAgent) -> None:
         self._path = path
         self._ensemble = ensemble
-        self._keeper = keeper
+        self._agent = agent
         self._fetching: int | None = None
         self._retired = False
-        self._taken_at: float | None = None  # when our name was found to be taken, in trio's seconds
+        self._name_taken_at: float | None = None  # when the name was found to be taken, on trio's clock
         self._target = NodeWatch(target_path(path), ensemble.request, self)
-        report = keeper.follower.report()
+        report = agent.follower.report()
         self._registrar = Registrar(
             routers_path(path),
             name,
             report.encode(),
             ensemble.request,
             lambda: ensemble.session.session,
-            lambda data: _same_process(data, report),
+            lambda data: _is_same_process(data, report),
             log,
         )
 
     def start(self) -> None:
-        """Follows the session, which may be up already."""
+        """Follow the session, which may be connected already."""
         self._ensemble.add_listener(self._feed)
         if self._ensemble.session.connected:
             self._feed(Up(self._ensemble.session.session, False))
 
     def retire(self) -> None:
-        """Another session takes over: this one's report ends with it."""
+        """Stop following: another session takes over, and the report ends with this one."""
         self._retired = True
         self._registrar.retire()
 
-    def tell(self, report: Report) -> None:
-        """Writes the report, if it says something else than the last one."""
+    def publish(self, report: Report) -> None:
+        """Write the report, if it differs from the last one."""
         self._registrar.tell(report.encode())
 
     def retry_name(self) -> None:
-        """Tries again for a name that was taken."""
+        """Retry registration under a name that was taken, after a delay."""
         if not self._registrar.taken:
-            self._taken_at = None
-        elif self._taken_at is None:
-            self._taken_at = trio.current_time()
-        elif trio.current_time() >= self._taken_at + NAME_RETRY:
-            self._taken_at = None
+            self._name_taken_at = None
+        elif self._name_taken_at is None:
+            self._name_taken_at = trio.current_time()
+        elif trio.current_time() >= self._name_taken_at + NAME_RETRY_S:
+            self._name_taken_at = None
             self._registrar.again()
 
     def fetch(self, version: int) -> None:
-        """Reads a version's overlay, unless that is under way; one is read at a time."""
+        """Read a version's overlay, unless one is being read: only one is read at a time."""
         if self._fetching is None:
             self._fetching = version
             self._ensemble.request(zk.GetData(version_path(self._path, version)), self._fetched)
 
-    # -- the target's node --
+    # -- events of the target's node --
 
     def put(self, data: bytes, stat: Stat) -> None:
-        """The target was read; one that can't be used changes nothing."""
+        """Handle the target's data; an invalid target changes nothing."""
         if self._retired:
             return
         try:
@@ -262,18 +265,18 @@
         except MessageError as error:
             log_limited(LogEvent.SETTINGS_TARGET_INVALID, reason=str(error))
             return
-        self._keeper.target_read(target, stat.mzxid)
+        self._agent.target_read(target, stat.mzxid)
 
     def absent(self) -> None:
-        """There is no target."""
+        """Handle the absence of the target's node."""
         if not self._retired:
-            self._keeper.target_absent()
+            self._agent.target_absent()
 
     def unreadable(self, error: Err) -> None:
-        """The servers refuse to tell the target."""
+        """Log that the servers refuse to return the target."""
         log_limited(LogEvent.SETTINGS_TARGET_UNREADABLE, reason=error.name)
 
-    # -- within --
+    # -- internals --
 
     def _feed(self, event: SessionEvent) -> None:
         if self._retired:
@@ -288,17 +291,17 @@
         if self._retired or version is None or reply.error is Err.CONNECTION_LOSS:
             return  # the target is read again once there is a connection
         if isinstance(reply.result, zk.Data):
-            self._keeper.overlay_read(version, reply.result.data)
+            self._agent.overlay_read(version, reply.result.data)
         elif reply.error is Err.NO_NODE:
-            self._keeper.overlay_read(version, None)
+            self._agent.overlay_read(version, None)
         else:
             log_limited(LogEvent.SETTINGS_OVERLAY_UNREADABLE, version=version, reason=reply.error.name)
 
 
-def _same_process(data: bytes, mine: Report) -> bool:
-    """Whether a report is that of our own process before its restart: nobody else can listen there."""
+def _is_same_process(data: bytes, local: Report) -> bool:
+    """Return whether a report was written by this router before its restart: no other can listen there."""
     try:
-        found = Report.decode(data)
+        recorded = Report.decode(data)
     except MessageError:
         return False
-    return found.listen == mine.listen and found.started <= mine.started
+    return recorded.listen == local.listen and recorded.started <= local.started
--- a/stonecove/server/coordination.py
+++ b/stonecove/server/coordination.py
@@ -1,4 +1,4 @@
-"""One coordination service joined to the router: its session, its tree, a roster, and our own node there."""
+"""Connect one coordination service to the router: its session, its tree, a roster, and the router's node."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
 
     @property
     def seed(self) -> int:
-        """Seeds the order in which servers are tried, and the jitter of the pauses between."""
+        """Seed for the order in which servers are tried and for the jitter of the back-off."""
 
     @property
     def names(self) -> TopologyNames:
@@ -43,14 +43,14 @@
 
     @property
     def config(self) -> Config:
-        """The present configuration: its settings hold the fleet's size as configured."""
+        """The present configuration, whose settings hold the configured size of the fleet."""
 
-    def settle(self) -> None:
-        """Called after each event of the session, once roster and tree have taken it in."""
+    def apply_changes(self) -> None:
+        """Handle a session event, after roster and tree have handled it."""
 
 
-def rules_of(source: ZooKeeperSource) -> RosterRules:
-    """The figures of a roster."""
+def roster_rules(source: ZooKeeperSource) -> RosterRules:
+    """Return the parameters of a source's roster."""
     return RosterRules(
         source.stale_for,
         source.linger,
@@ -67,12 +67,12 @@
 
 
 def _credentials(source: ZooKeeperSource) -> tuple[tuple[str, bytes], ...]:
-    """Raises OSError for a file that can't be read."""
-    return tuple((one.scheme, Path(one.file).read_bytes().rstrip(b"\r\n")) for one in source.auth)
+    """Return schemes and credentials; raises OSError for a file that can't be read."""
+    return tuple((entry.scheme, Path(entry.file).read_bytes().rstrip(b"\r\n")) for entry in source.auth)
 
 
-def figures_of(source: ZooKeeperSource) -> Figures:
-    """The figures of a session, in seconds; raises OSError for a credential that can't be read."""
+def session_parameters(source: ZooKeeperSource) -> Figures:
+    """Return the parameters of a session, in seconds; raises OSError for an unreadable credential."""
     return Figures(
         source.session_timeout / 1000,
         source.connect_timeout / 1000,
@@ -85,46 +85,46 @@
 class CacheSink:
     """Passes the nodes of caches, parents and origin in one ensemble to a roster, with the time."""
 
-    def __init__(self, roster: Roster, clock: Clock, whole: Callable[[], None]) -> None:
+    def __init__(self, roster: Roster, clock: Clock, on_list_read: Callable[[], None]) -> None:
         self._roster = roster
         self._clock = clock
-        self._whole = whole
+        self._on_list_read = on_list_read
 
     def put(self, name: str, data: bytes, stat: Stat) -> None:
-        """A node was created, or its record changed."""
+        """Handle a node that was created or whose record changed."""
         self._roster.put(name, data, stat.czxid, float(stat.ctime), stat.ephemeral_owner, self._clock.now())
 
     def removed(self, names: Iterable[str]) -> None:
-        """Nodes were removed."""
+        """Handle the removal of nodes."""
         self._roster.remove(names, self._clock.now())
 
     def whole(self, names: frozenset[str], confirmed: bool) -> None:
-        """The whole list was read; `confirmed`: after a sync with the ordering server."""
+        """Handle a complete list; `confirmed` if it was read after a sync with the leader."""
         self._roster.apply_snapshot(names, confirmed, self._clock.now())
-        self._whole()
+        self._on_list_read()
 
     def absent(self, confirmed: bool) -> None:
-        """There is no such path: an empty list."""
+        """Handle a missing path as an empty list."""
         log_limited(LogEvent.ENDPOINT_PATH_MISSING)
         self.whole(frozenset(), confirmed)
 
 
 class PeerSink:
-    """The routers' nodes, handed to the count of the fleet; a record that can't be read counts as none."""
+    """Passes the routers' nodes to the count of the fleet; a router with an invalid record is not counted."""
 
     def __init__(
         self,
         fleet: presence.FleetCounter,
         names: TopologyNames,
         clock: Clock,
-        mine: str,
-        vanished: Callable[[], None],
+        local_name: str,
+        on_local_removed: Callable[[], None],
     ) -> None:
         self._fleet, self._names, self._clock = fleet, names, clock
-        self._mine, self._vanished = mine, vanished
+        self._local_name, self._on_local_removed = local_name, on_local_removed
 
     def put(self, name: str, data: bytes, stat: Stat) -> None:
-        """A router is there, or says something else."""
+        """Handle a router's node that was created or changed."""
         try:
             self._fleet.put(name, presence.parse_peer(data, self._names), self._clock.now())
         except RecordError as error:
@@ -132,81 +132,86 @@
             self._fleet.discard((name,), self._clock.now())
 
     def removed(self, names: Iterable[str]) -> None:
-        """Routers are gone; were we told to be, our node is made again."""
-        gone = list(names)
-        self._fleet.discard(gone, self._clock.now())
-        if self._mine in gone:
-            self._vanished()
+        """Handle the removal of routers' nodes; the local router's node is created again."""
+        removed = list(names)
+        self._fleet.discard(removed, self._clock.now())
+        if self._local_name in removed:
+            self._on_local_removed()
 
     def whole(self, names: frozenset[str], confirmed: bool) -> None:
-        """The list was read."""
+        """Handle a complete list."""
         self._fleet.source_read(self._clock.now())
 
     def absent(self, confirmed: bool) -> None:
-        """Nobody has made the path yet."""
+        """Handle a path that no router has created yet."""
         self._fleet.source_read(self._clock.now())
 
 
 class Coordination:
-    """One ensemble: its session, the caches' nodes below a path, and our own node."""
+    """One ensemble: its session, the caches' nodes below a path, and the router's own node."""
 
     def __init__(
         self,
         source: ZooKeeperSource,
-        own: Presence | None,
+        presence_record: Presence | None,
         peer: presence.Peer,
         owner: CoordinationOwner,
         emit: Callable[[NodeId, Claim], None],
     ) -> None:
-        """Raises OSError for a credential that can't be read."""
+        """Create the session; raises OSError for a credential that can't be read."""
         self.source = source
-        self.own = own
+        self.presence_record = presence_record
         self._clock = owner.clock
         names = owner.names
-        self.ensemble = ZooKeeperClient(source.servers, owner.seed, figures_of(source), owner.settle)
-        self.roster = Roster(names, rules_of(source), emit, self._confirm, log)
+        self.ensemble = ZooKeeperClient(
+            source.servers, owner.seed, session_parameters(source), owner.apply_changes
+        )
+        self.roster = Roster(names, roster_rules(source), emit, self._confirm, log)
         self.tree = Tree(
             source.path,
             self.ensemble.request,
-            CacheSink(self.roster, owner.clock, self._whole),
+            CacheSink(self.roster, owner.clock, self._on_list_read),
             source.watches == "recursive",
         )
-        self.whole_once = trio.Event()
+        self.list_read = trio.Event()
         self.ensemble.add_listener(self.tree.feed)
         self.ensemble.add_listener(self._feed)
         self.registrar: Registrar | None = None
         self.fleet: presence.FleetCounter | None = None
-        if own is not None:
-            least = presence.FleetSize(
+        if presence_record is not None:
+            configured = presence.FleetSize(
                 owner.config.settings.fleet_size, owner.config.settings.routers_by_zone
             )
             self.fleet = presence.FleetCounter(
-                len(names.zones), peer.zone, presence.Hysteresis(own.grow, own.shrink), least
+                len(names.zones),
+                peer.zone,
+                presence.Hysteresis(presence_record.grow, presence_record.shrink),
+                configured,
             )
             self.registrar = Registrar(
-                own.path,
+                presence_record.path,
                 peer.name,
                 presence.encode_peer(peer, names),
                 self.ensemble.request,
                 lambda: self.ensemble.session.session,
-                lambda data: _same_listen(data, names, peer),
+                lambda data: _is_same_process(data, names, peer),
                 log,
             )
             self.peers = Tree(
-                own.path,
+                presence_record.path,
                 self.ensemble.request,
                 PeerSink(self.fleet, names, owner.clock, peer.name, self.registrar.vanished),
                 source.watches == "recursive",
             )
-            # Our own node is asked for first: it stands before the list of all is read.
+            # The registrar sends its request first, so that the router's node exists before the list is read.
             self.ensemble.add_listener(self.registrar.feed)
             self.ensemble.add_listener(self.peers.feed)
 
     def _confirm(self) -> None:
         self.tree.confirm()
 
-    def _whole(self) -> None:
-        self.whole_once.set()
+    def _on_list_read(self) -> None:
+        self.list_read.set()
 
     def _feed(self, event: SessionEvent) -> None:
         if isinstance(event, (Down, Expired)):
@@ -216,21 +221,21 @@
                 self.fleet.source_lost(now)
 
     async def run(self) -> None:
-        """Until it is closed."""
+        """Run the session until it is closed."""
         await self.ensemble.run()
 
 
-def _same_listen(data: bytes, names: TopologyNames, peer: presence.Peer) -> bool:
-    """Whether a record is that of our own process before its restart: nobody else can listen there."""
+def _is_same_process(data: bytes, names: TopologyNames, peer: presence.Peer) -> bool:
+    """Return whether a record was written by this router before its restart: no other can listen there."""
     try:
-        found = presence.parse_peer(data, names)
+        recorded = presence.parse_peer(data, names)
     except RecordError:
         return False
-    return found.listen == peer.listen and found.started <= peer.started
+    return recorded.listen == peer.listen and recorded.started <= peer.started
 
 
-def connection_of(source: ZooKeeperSource) -> tuple[object, ...]:
-    """What can't be changed without another session or another list."""
+def session_key(source: ZooKeeperSource) -> tuple[object, ...]:
+    """Return the fields of a source that can't change without another session or another list."""
     return (
         source.servers,
         source.path,
--- a/stonecove/server/http.py
+++ b/stonecove/server/http.py
@@ -1,4 +1,4 @@
-"""The HTTP listener: connections over trio, with TLS where certificates are named. Off on the platform."""
+"""The HTTP listener: connections over trio, with TLS if a certificate is configured. Off on the platform."""
 
 from __future__ import annotations
 
@@ -19,20 +19,21 @@
 from stonecove.runtime.log_events import LogEvent
 from stonecove.state.requests import OpenRequest
 
-GULP = 65_536
-HEAD_WITHIN = 2.0  # seconds from a request's first byte to its last
-IDLE_FOR = 60.0  # seconds for which a connection with nothing open is kept
-WRITE_WITHIN = 10.0  # seconds for which a client may take in nothing
-HANDSHAKE_WITHIN = 5.0
-LINGER = 1.0  # seconds for which a client that we leave may go on sending
-BACKLOG = 1024
+READ_SIZE_BYTES = 65_536
+REQUEST_TIMEOUT_S = 2.0  # from a request's first byte to the last of its head, and for its body
+IDLE_TIMEOUT_S = 60.0  # for a connection without an open request
+WRITE_TIMEOUT_S = 10.0  # for a client that reads nothing
+HANDSHAKE_TIMEOUT_S = 5.0
+LINGER_S = 1.0  # for which a client may go on sending after the router has ended the connection
+LISTEN_BACKLOG = 1024
 
 Stream = trio.SocketStream | trio.SSLStream[trio.SocketStream]
 
 
-def tls_of(http: Http) -> ssl.SSLContext | None:
-    """A server's context, TLS 1.2 and later; raises OSError (ssl.SSLError is one) for files that can't be
-    used.
+def tls_context(http: Http) -> ssl.SSLContext | None:
+    """Return a server's context for TLS 1.2 and later; None if no certificate is configured.
+
+    Raises OSError (of which ssl.SSLError is a subclass) for files that can't be used.
     """
     if not http.certificate:
         return None
@@ -44,7 +45,7 @@
 
 
 class HttpConnection:
-    """One client connection: requests one after the other."""
+    """Serves the requests of one client connection, one after the other."""
 
     def __init__(self, stream: Stream, source: str, front: HttpFrontend, owner: HttpListener) -> None:
         self._stream, self._source, self._front, self._owner = stream, source, front, owner
@@ -52,18 +53,18 @@
         self._open: OpenRequest | None = None
 
     async def run(self) -> None:
-        """Until either side ends it."""
+        """Serve requests until either side ends the connection."""
         session = self._session
         try:
             while session.keep:
-                request = await self._request()
+                request = await self._next_request()
                 if request is None:
                     return
-                self._owner.busy += 1
+                self._owner.requests_in_flight += 1
                 try:
                     await self._serve(request)
                 finally:
-                    self._owner.busy -= 1
+                    self._owner.requests_in_flight -= 1
         except HttpError as error:
             log_limited(LogEvent.REQUEST_MALFORMED, status=error.status, reason=str(error), front="http")
             await self._send(session.refuse(error))
@@ -71,18 +72,18 @@
             if self._open is not None:
                 self._front.client_disconnected(self._open)
 
-    async def _request(self) -> HttpRequest | None:
-        """The next request's head; None if the client has gone, or was idle for long."""
+    async def _next_request(self) -> HttpRequest | None:
+        """Return the next request's head; None if the client has disconnected or was idle too long."""
         session = self._session
-        limit = trio.current_time() + IDLE_FOR
+        deadline = trio.current_time() + IDLE_TIMEOUT_S
         while (request := session.next()) is None:
             if session.began:
-                limit = min(limit, trio.current_time() + HEAD_WITHIN)
-            with trio.move_on_at(limit) as scope:
+                deadline = min(deadline, trio.current_time() + REQUEST_TIMEOUT_S)
+            with trio.move_on_at(deadline) as scope:
                 data = await self._receive()
             if scope.cancelled_caught:
                 if session.began:
-                    raise HttpError(408, "a request that does not end")
+                    raise HttpError(408, "the head of the request did not arrive in time")
                 return None
             if not data:
                 return None
@@ -91,12 +92,12 @@
 
     async def _receive(self) -> bytes:
         try:
-            return bytes(await self._stream.receive_some(GULP))
+            return bytes(await self._stream.receive_some(READ_SIZE_BYTES))
         except (trio.BrokenResourceError, trio.ClosedResourceError, OSError):
             return b""
 
     async def _serve(self, request: HttpRequest) -> None:
-        """One request, from its head to its answer."""
+        """Serve one request, from its head to its answer."""
         session, front = self._session, self._front
         decision = front.check_token(request, self._source)
         if decision is not None and not decision.good:
@@ -108,30 +109,30 @@
         try:
             if request.expects:
                 await self._send(session.go_on())
-            with trio.move_on_after(HEAD_WITHIN) as scope:
+            with trio.move_on_after(REQUEST_TIMEOUT_S) as scope:
                 while session.state is State.BODY and session.next() is None:
                     data = await self._receive()
                     if not data:
                         front.release(decision, ran=False)
-                        return self._end()
+                        return self._disable_keep_alive()
                     session.feed(data)
             if scope.cancelled_caught:
-                raise HttpError(408, "a body that does not end")
+                raise HttpError(408, "the body of the request did not arrive in time")
         except HttpError:
             front.release(decision, ran=False)
             raise
-        await self._ask(request, decision)
+        await self._forward(request, decision)
 
-    def _end(self) -> None:
+    def _disable_keep_alive(self) -> None:
         self._session.keep = False
 
-    async def _ask(self, request: HttpRequest, decision: Decision | None) -> None:
-        """Hands a whole request on, and waits for its one answer or for the client's end."""
+    async def _forward(self, request: HttpRequest, decision: Decision | None) -> None:
+        """Forward a complete request, and wait for its answer or for the client to disconnect."""
         answered = trio.Event()
-        made: list[tuple[int, HeaderFields, bytes]] = []
+        answers: list[tuple[int, HeaderFields, bytes]] = []
 
         def reply(status: int, fields: HeaderFields, body: bytes) -> None:
-            made.append((status, fields, body))
+            answers.append((status, fields, body))
             answered.set()
 
         try:
@@ -140,20 +141,20 @@
             self._front.release(decision, ran=False)
             await self._send(self._session.answer(log_malformed(error), [], b"", self._owner.draining))
             return
-        if opened is not None and not made:
+        if opened is not None and not answers:
             self._open = opened
             async with trio.open_nursery() as nursery:
-                nursery.start_soon(self._watch, nursery.cancel_scope)
+                nursery.start_soon(self._watch_client, nursery.cancel_scope)
                 await answered.wait()
                 nursery.cancel_scope.cancel()
-            if not made:
-                return self._end()  # the client has gone: `run` tells so
+            if not answers:
+                return self._disable_keep_alive()  # the client has disconnected: `run` reports it
             self._open = None
-        status, fields, body = made[0]
+        status, fields, body = answers[0]
         await self._send(self._session.answer(status, fields, body, self._owner.draining))
 
-    async def _watch(self, scope: trio.CancelScope) -> None:
-        """Takes in what is sent ahead; a client that ends its side while it waits has gone."""
+    async def _watch_client(self, scope: trio.CancelScope) -> None:
+        """Read pipelined data; a client that closes its side while it waits counts as disconnected."""
         while True:
             data = await self._receive()
             if not data:
@@ -166,25 +167,25 @@
                 return
 
     async def _send(self, data: bytes) -> None:
-        """Guards against a client that takes in nothing."""
+        """Write data; end the connection if the client does not read it in time."""
         try:
-            with trio.move_on_after(WRITE_WITHIN) as scope:
+            with trio.move_on_after(WRITE_TIMEOUT_S) as scope:
                 await self._stream.send_all(data)
         except (trio.BrokenResourceError, trio.ClosedResourceError, OSError):
-            return self._end()
+            return self._disable_keep_alive()
         if scope.cancelled_caught:
-            self._end()
+            self._disable_keep_alive()
 
 
 class HttpListener:
-    """Accepts HTTP clients, up to a number of places."""
+    """Accepts HTTP clients, up to the configured number of connections."""
 
     def __init__(
         self, http: Http, front: HttpFrontend, spawn: Callable[[Callable[[], Awaitable[None]]], None]
     ) -> None:
-        """Binds; raises OSError for an address or certificate that can't be used."""
+        """Bind the socket; raises OSError for an address or certificate that can't be used."""
         self._http, self.front, self._spawn = http, front, spawn
-        self._tls = tls_of(http)
+        self._tls = tls_context(http)
         self._sock = socket.socket()
         self._sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         try:
@@ -192,24 +193,25 @@
         except OSError:
             self._sock.close()
             raise
-        self._sock.listen(BACKLOG)
+        self._sock.listen(LISTEN_BACKLOG)
         self._sock.setblocking(False)
         self._accepting = trio.CancelScope()
-        self.where = ":".join(map(str, self._sock.getsockname()))
+        self.address = ":".join(map(str, self._sock.getsockname()))
         self.clients = 0
-        self.busy = 0  # requests that are not answered and written
+        self.requests_in_flight = 0  # requests whose answer is not yet written
         self.draining = False
 
     def start(self) -> None:
-        """Begins to accept."""
+        """Start to accept connections."""
         self._spawn(self._accept)
 
     def reload(self, http: Http) -> None:
-        """Takes a new certificate over, for connections to come; one that can't be used is a line, and the
-        old one stays. The address stays, too.
+        """Use a new certificate for new connections; the address does not change.
+
+        A certificate that can't be used is logged, and the present one stays in use.
         """
         try:
-            self._tls = tls_of(http)
+            self._tls = tls_context(http)
         except OSError as error:
             log(LogEvent.CERTIFICATE_REJECTED, reason=error.strerror or str(error))
             return
@@ -217,11 +219,11 @@
         log(LogEvent.HTTP_RELOADED, tls=self._tls is not None)
 
     def drain(self) -> None:
-        """Answers from now on are the last of their connections."""
+        """Close each connection after its next answer from now on."""
         self.draining = True
 
     def stop(self) -> None:
-        """No new connection is taken."""
+        """Stop accepting connections."""
         self._accepting.cancel()
         self._sock.close()
 
@@ -238,17 +240,17 @@
                     await trio.sleep(0.05)
                     continue
                 self.clients += 1
-                self._spawn(partial(self._one, client, str(address[0])))
+                self._spawn(partial(self._serve_client, client, str(address[0])))
 
-    async def _one(self, client: trio.socket.SocketType, source: str) -> None:
-        """A connection; nothing that goes wrong with it leaves here."""
+    async def _serve_client(self, client: trio.socket.SocketType, source: str) -> None:
+        """Serve one connection, with its TLS handshake."""
         try:
-            plain = trio.SocketStream(client)
-            stream: Stream = plain
+            transport = trio.SocketStream(client)
+            stream: Stream = transport
             if self._tls is not None:
-                stream = trio.SSLStream(plain, self._tls, server_side=True, https_compatible=True)
+                stream = trio.SSLStream(transport, self._tls, server_side=True, https_compatible=True)
                 try:
-                    with trio.fail_after(HANDSHAKE_WITHIN):
+                    with trio.fail_after(HANDSHAKE_TIMEOUT_S):
                         await stream.do_handshake()
                 except (trio.BrokenResourceError, trio.TooSlowError) as error:
                     log_limited(
@@ -257,18 +259,18 @@
                     await trio.aclose_forcefully(stream)
                     return
             await HttpConnection(stream, source, self.front, self).run()
-            await self._leave(stream, plain)
+            await self._shut_down(stream, transport)
         finally:
             self.clients -= 1
 
     @staticmethod
-    async def _leave(stream: Stream, plain: trio.SocketStream) -> None:
-        """Guards against an answer lost to a reset, as when a socket is closed with bytes unread."""
-        with trio.move_on_after(LINGER), contextlib.suppress(trio.BrokenResourceError, OSError):
+    async def _shut_down(stream: Stream, transport: trio.SocketStream) -> None:
+        """Close the connection in order: closing a socket with unread bytes resets it and loses answers."""
+        with trio.move_on_after(LINGER_S), contextlib.suppress(trio.BrokenResourceError, OSError):
             if isinstance(stream, trio.SSLStream):
                 await stream.aclose()
             else:
-                await plain.send_eof()
-                while await plain.receive_some(GULP):
+                await transport.send_eof()
+                while await transport.receive_some(READ_SIZE_BYTES):
                     pass
-        await trio.aclose_forcefully(plain)
+        await trio.aclose_forcefully(transport)
--- a/stonecove/server/leases.py
+++ b/stonecove/server/leases.py
@@ -1,8 +1,8 @@
-"""A router's side of what a host's routers share: asks the lessor for what the decisions want.
+"""The client side of leases: requests work and admission tokens from the lessor for the decision module.
 
-Off on the platform. STONECOVE_LEASES names a file that the supervisor has written. Nothing here waits:
-decisions go on with what is at hand, and a lessor that is late, gone or wrong costs throughput, never the
-rule (`sharing.lending`).
+Off on the platform. STONECOVE_LEASES names a file that the supervisor has written. Nothing here blocks:
+decisions use the leases at hand, and a lessor that is late, disconnected or faulty costs throughput but never
+breaks the limit (see `stonecove.quotas.lending`).
 """
 
 from __future__ import annotations
@@ -28,30 +28,30 @@
 from stonecove.runtime.log import log, log_limited
 from stonecove.runtime.log_events import LogEvent
 
-BACK_OFF = 0.05, 1.0  # seconds between two attempts to reach the lessor
-FETCH_EVERY = 0.05  # seconds between two looks at which admission tokens to fetch
-MOST_WAITING = 1024  # words to the lessor that may wait; more are dropped, as if they were lost
-MOST_LINE = 4096
+RECONNECT_DELAYS_S = 0.05, 1.0  # the first and the longest delay between two attempts to connect
+TOKEN_FETCH_INTERVAL_S = 0.05  # between two checks of which admission tokens to fetch
+MAX_QUEUED_MESSAGES = 1024  # messages to the lessor; more are dropped, as if they were lost
+MAX_LINE_BYTES = 4096
 
 
 class LeaseFileError(Exception):
-    """The file that the supervisor has written can't be used."""
+    """A file from the supervisor that can't be used."""
 
 
 @dataclass(frozen=True, slots=True)
 class LeaseFile:
-    """What the supervisor tells its instance at the start."""
+    """What the supervisor passes to an instance at its start; the fields have the names of the JSON keys."""
 
     socket: str
     window: float  # seconds
-    own: float
-    retries: float
-    rest: float  # seconds without a part of its own
+    own: float  # fraction of the slow-start budgets that needs no lease
+    retries: float  # fraction of the retry budget that needs no lease
+    rest: float  # seconds after the start without any unleased fraction
     plan: Plan | None
-    part: float  # of the plan that is this router's own
+    part: float  # fraction of the plan that is this router's own
 
     def dumps(self) -> str:
-        """As the file has it."""
+        """Return the contents of the file."""
         plan = self.plan.to_table() if self.plan is not None else None
         return json.dumps(
             {
@@ -67,28 +67,28 @@
 
     @classmethod
     def read(cls, path: Path) -> LeaseFile:
-        """Raises LeaseFileError."""
+        """Read a file; raises LeaseFileError."""
         try:
             table = json.loads(path.read_text())
-            figures = {name: float(table[name]) for name in ("window", "own", "retries", "rest", "part")}
+            numbers = {name: float(table[name]) for name in ("window", "own", "retries", "rest", "part")}
             plan = Plan.read(table["plan"]) if table["plan"] is not None else None
-            made = cls(socket=str(table["socket"]), plan=plan, **figures)
+            lease_file = cls(socket=str(table["socket"]), plan=plan, **numbers)
         except (OSError, ValueError, KeyError, TypeError, PlanError) as error:
             raise LeaseFileError(f"{path}: {error}") from None
-        if not (0 <= made.own <= 1 and 0 <= made.part <= 1 and made.window > 0):
-            raise LeaseFileError(f"{path}: figures that make no sense")
-        return made
+        if not (0 <= lease_file.own <= 1 and 0 <= lease_file.part <= 1 and lease_file.window > 0):
+            raise LeaseFileError(f"{path}: a fraction outside of 0 to 1, or a window that is not positive")
+        return lease_file
 
 
-def parts_of(settings: Settings) -> dict[str, float]:
-    """This router's part of each pool, by the settings."""
+def pool_shares(settings: Settings) -> dict[str, float]:
+    """Return this router's share of each pool, by the settings."""
     zone, by_zone = settings.zone, settings.routers_by_zone
-    directors = by_zone[zone] if 0 <= zone < len(by_zone) else settings.fleet_size
-    return {f"zone:{zone}": 1.0 / max(1, directors), "fleet": 1.0 / max(1, settings.fleet_size)}
+    routers = by_zone[zone] if 0 <= zone < len(by_zone) else settings.fleet_size
+    return {f"zone:{zone}": 1.0 / max(1, routers), "fleet": 1.0 / max(1, settings.fleet_size)}
 
 
-class Leases:
-    """Joins the decisions' wants, the lessor's socket and the admission tokens."""
+class LeaseClient:
+    """Connects the decision module's requests for leases and the admission tokens to the lessor's socket."""
 
     def __init__(
         self,
@@ -99,241 +99,245 @@
         clock: Clock,
         spawn: Callable[[Callable[[], Awaitable[None]]], None],
     ) -> None:
-        """The own part begins at once, or after the rest that the file states."""
+        """Enable the unleased fraction at once, or after the cooldown that the file states."""
         self._file, self._name, self._settings = file, name, settings
         self._route, self._clock, self._spawn = route, clock, spawn
         self._holder = LeaseHolder(file.window * LIFETIME_IN_WINDOWS)
-        self._born = time.monotonic()
-        self._rest_until = self._born + file.rest  # until then we have no part of our own
+        self._started_at_s = time.monotonic()
+        self._cooldown_until_s = self._started_at_s + file.rest  # until then the unleased fraction is 0
         self._zone = settings.zones[settings.zone] if settings.zone < len(settings.zones) else ""
         self._quota = Quota(file.plan, file.part) if file.plan is not None else None
-        self._asked_at: dict[tuple[str, str, str], float] = {}
-        self._send, self._outgoing = trio.open_memory_channel[dict[str, Any]](MOST_WAITING)
-        self._here = False
-        self._talking = trio.CancelScope()
-        self._own = file.own
-        self._scale = 1.0  # of it, as long as the routers among themselves say so
-        route.set_action_handler(RequestLease, self._want)
-        route.set_action_handler(ReturnLease, self._unspent)
+        self._tokens_requested_at: dict[tuple[str, str, str], float] = {}
+        self._queue_sender, self._queue_receiver = trio.open_memory_channel[dict[str, Any]](
+            MAX_QUEUED_MESSAGES
+        )
+        self._connected = False
+        self._connection_scope = trio.CancelScope()
+        self._unleased_fraction = file.own
+        self._share_factor = 1.0  # factor for it, as gossip among the routers sets it
+        route.set_action_handler(RequestLease, self._request_lease)
+        route.set_action_handler(ReturnLease, self._return_lease)
         self._post_terms()
         if self._quota is not None:
-            route.shared_limit_check = self._gate
+            route.shared_limit_check = self._check_quota
 
     def start(self) -> None:
-        """Begins to ask."""
-        self._spawn(self._run)
-        self._spawn(self._rested)
+        """Start all tasks."""
+        self._spawn(self._run_connections)
+        self._spawn(self._end_cooldown)
         if self._quota is not None:
-            self._spawn(self._fetch)
+            self._spawn(self._fetch_tokens)
 
-    async def _rested(self) -> None:
-        """Begins the own part once what was sent before our start has left the window."""
-        while (left := self._rest_until - time.monotonic()) > 0:
-            await trio.sleep(left)
+    async def _end_cooldown(self) -> None:
+        """Enable the unleased fraction once work sent before the start has left the window."""
+        while (remaining_s := self._cooldown_until_s - time.monotonic()) > 0:
+            await trio.sleep(remaining_s)
         self._post_terms()
 
-    def objection(self, settings: Settings) -> str:
-        """There is none: what is lent goes by the parts that we tell."""
+    def rejection_reason(self, settings: Settings) -> str:
+        """Return an empty text: the lessor goes by the shares that this client reports."""
         return ""
 
     def reconfigure(self, settings: Settings) -> None:
-        """These settings hold from now on; the lessor is told other parts in a new connection."""
+        """Apply settings; changed shares are reported to the lessor in a new connection."""
         before, self._settings = self._settings, settings
-        if parts_of(before) != parts_of(settings):
-            self._talking.cancel()
+        if pool_shares(before) != pool_shares(settings):
+            self._connection_scope.cancel()
 
-    def scale(self, part: float) -> None:
-        """The own part counts by so much: the share that it is a part of is not wholly ours.
+    def set_share_factor(self, factor: float) -> None:
+        """Multiply the unleased fraction, as this router holds only a part of the share it belongs to.
 
-        What is lent goes by the parts of the settings, whose sum with all own parts keeps to the rule.
+        Leases go by the shares of the settings, which together with all unleased fractions keep to the limit.
         """
-        self._scale = part
+        self._share_factor = factor
         self._post_terms()
 
     def _post_terms(self) -> None:
-        own = self._own if time.monotonic() >= self._rest_until else 0.0
-        self._route.post(LeaseTerms(own * self._scale, self._file.retries))
+        fraction = self._unleased_fraction if time.monotonic() >= self._cooldown_until_s else 0.0
+        self._route.post(LeaseTerms(fraction * self._share_factor, self._file.retries))
 
-    # -- what the decisions want --
+    # -- requests of the decision module --
 
-    def _say(self, word: dict[str, Any]) -> bool:
-        if not self._here:
+    def _enqueue(self, message: dict[str, Any]) -> bool:
+        if not self._connected:
             return False
         try:
-            self._send.send_nowait(word)
+            self._queue_sender.send_nowait(message)
         except trio.WouldBlock:
             log_limited(LogEvent.LEASE_MESSAGES_DROPPED)
             return False
         return True
 
-    def _want(self, want: RequestLease) -> None:
+    def _request_lease(self, request: RequestLease) -> None:
         now = time.monotonic()
-        if not self._here or (number := self._holder.begin_request(want.node_id, now)) is None:
+        if not self._connected or (number := self._holder.begin_request(request.node_id, now)) is None:
             return
-        if not math.isfinite(want.fleet_limit_ms + want.growth_ms_per_s):
+        if not math.isfinite(request.fleet_limit_ms + request.growth_ms_per_s):
             self._holder.end_request(number)
             return
         self._route.recorder.counts["lease_asked"] += 1
-        pool = f"zone:{self._settings.zone}" if want.zonal else "fleet"
-        said = self._say(
+        pool = f"zone:{self._settings.zone}" if request.zonal else "fleet"
+        queued = self._enqueue(
             {
                 "do": "ask",
                 "number": number,
-                "node": want.node_id,
-                "work": want.work_ms,
-                "rule": want.fleet_limit_ms,
-                "rises": want.growth_ms_per_s,
+                "node": request.node_id,
+                "work": request.work_ms,
+                "rule": request.fleet_limit_ms,
+                "rises": request.growth_ms_per_s,
                 "pool": pool,
             }
         )
-        if not said:
+        if not queued:
             self._holder.end_request(number)
 
-    def _unspent(self, unspent: ReturnLease) -> None:
-        self._say({"do": "back", "number": unspent.lease_id, "left": unspent.work_ms})
+    def _return_lease(self, returned: ReturnLease) -> None:
+        self._enqueue({"do": "back", "number": returned.lease_id, "left": returned.work_ms})
 
-    def _gate(self, asked: ClientRequest) -> str:
+    def _check_quota(self, request: ClientRequest) -> str:
         assert self._quota is not None
-        return self._quota.take((self._zone, asked.cls, asked.client), time.monotonic())
+        return self._quota.take((self._zone, request.cls, request.client), time.monotonic())
 
-    async def _fetch(self) -> None:
-        """Fetches admission tokens ahead."""
+    async def _fetch_tokens(self) -> None:
+        """Fetch admission tokens ahead of their use."""
         assert self._quota is not None
         while True:
-            await trio.sleep(FETCH_EVERY)
+            await trio.sleep(TOKEN_FETCH_INTERVAL_S)
             now = time.monotonic()
-            if not self._here:
+            if not self._connected:
                 self._quota.abandon_fetches()
                 continue
             for path, count in self._quota.batches_to_fetch(now):
-                if not self._say({"do": "take", "path": path, "count": count}):
+                if not self._enqueue({"do": "take", "path": path, "count": count}):
                     self._quota.add_batch(path, 0, "", now, now)
                 else:
-                    self._asked_at[path] = now
+                    self._tokens_requested_at[path] = now
 
     # -- the lessor --
 
-    async def _run(self) -> None:
-        wait, known = BACK_OFF[0], False
+    async def _run_connections(self) -> None:
+        delay_s, logged = RECONNECT_DELAYS_S[0], False
         while True:
-            why = "refused"
+            reason = "refused"
             try:
-                with trio.fail_after(BACK_OFF[1]):
+                with trio.fail_after(RECONNECT_DELAYS_S[1]):
                     stream = await trio.open_unix_socket(self._file.socket)
             except (OSError, trio.TooSlowError, ValueError) as error:
-                why = str(error)
+                reason = str(error)
             else:
-                began = time.monotonic()
+                connected_at = time.monotonic()
                 async with stream:
-                    why = await self._talk(stream)
-                self._lost()
-                if time.monotonic() > began + BACK_OFF[1]:
-                    wait, known = BACK_OFF[0], False
-            if not known:
-                log(LogEvent.LESSOR_DISCONNECTED, reason=why)
-                known = True
-            await trio.sleep(wait)
-            wait = min(BACK_OFF[1], wait * 2)
-
-    def _lost(self) -> None:
-        """Our own part stays what it was: what others hold may still be spent."""
-        self._here = False
+                    reason = await self._run_connection(stream)
+                self._on_disconnected()
+                if time.monotonic() > connected_at + RECONNECT_DELAYS_S[1]:
+                    delay_s, logged = RECONNECT_DELAYS_S[0], False
+            if not logged:
+                log(LogEvent.LESSOR_DISCONNECTED, reason=reason)
+                logged = True
+            await trio.sleep(delay_s)
+            delay_s = min(RECONNECT_DELAYS_S[1], delay_s * 2)
+
+    def _on_disconnected(self) -> None:
+        """Drop queued messages and requests for tokens; the unleased fraction stays.
+
+        It must not grow, as the other routers may still spend their leases.
+        """
+        self._connected = False
         while True:
             try:
-                self._outgoing.receive_nowait()
+                self._queue_receiver.receive_nowait()
             except trio.WouldBlock:
                 break
         if self._quota is not None:
             self._quota.abandon_fetches()
-        self._asked_at.clear()
+        self._tokens_requested_at.clear()
 
-    async def _talk(self, stream: trio.SocketStream) -> str:
-        """Until the connection ends, and why it did."""
-        why = "closed"
+    async def _run_connection(self, stream: trio.SocketStream) -> str:
+        """Run one connection until it ends; return why it did."""
+        reason = "closed"
         try:
             async with trio.open_nursery() as nursery:
-                self._talking = (
-                    nursery.cancel_scope
-                )  # before the settings are read: they may change meanwhile
+                # Set before the settings are read for the hello, as they may change meanwhile.
+                self._connection_scope = nursery.cancel_scope
                 await stream.send_all(json.dumps(self._hello()).encode() + b"\n")
                 nursery.start_soon(self._write, stream)
                 data = b""
-                async for part in stream:
-                    *lines, data = (data + part).split(b"\n")
+                async for chunk in stream:
+                    *lines, data = (data + chunk).split(b"\n")
                     for line in lines:
-                        self._heard(json.loads(line))
-                    if len(data) > MOST_LINE:
-                        raise ValueError("a line without end")
+                        self._handle_message(json.loads(line))
+                    if len(data) > MAX_LINE_BYTES:
+                        raise ValueError("a line exceeds the maximum length")
                 nursery.cancel_scope.cancel()
         except* (OSError, trio.BrokenResourceError, ValueError, KeyError, TypeError) as errors:
-            why = str(errors.exceptions[0])
-        return why
+            reason = str(errors.exceptions[0])
+        return reason
 
     def _hello(self) -> dict[str, Any]:
-        """Who we are, and our parts by the settings."""
+        """Return the first message: the router's name, and its shares by the settings."""
         return {
             "do": "hello",
             "name": self._name,
             "window": self._settings.overload_window_ms / 1000.0,
-            "parts": parts_of(self._settings),
-            "born": self._born,
+            "parts": pool_shares(self._settings),
+            "born": self._started_at_s,
         }
 
     async def _write(self, stream: trio.SocketStream) -> None:
-        async for word in self._outgoing:
-            await stream.send_all(json.dumps(word).encode() + b"\n")
+        async for message in self._queue_receiver:
+            await stream.send_all(json.dumps(message).encode() + b"\n")
 
-    def _heard(self, word: dict[str, Any]) -> None:
-        """A word of the lessor's; raises ValueError, KeyError or TypeError for one that makes no sense."""
+    def _handle_message(self, message: dict[str, Any]) -> None:
+        """Handle a message from the lessor; raises ValueError, KeyError or TypeError for an invalid one."""
         now = time.monotonic()
-        match word["is"]:
+        match message["is"]:
             case "terms":
-                self._here = True
-                self._own = min(1.0, max(0.0, float(word["own"])))
-                rest = float(word["rest"])
-                if rest > 0:
-                    self._rest_until = max(self._rest_until, now + rest)
-                    self._spawn(self._rested)
+                self._connected = True
+                self._unleased_fraction = min(1.0, max(0.0, float(message["own"])))
+                cooldown_s = float(message["rest"])
+                if cooldown_s > 0:
+                    self._cooldown_until_s = max(self._cooldown_until_s, now + cooldown_s)
+                    self._spawn(self._end_cooldown)
                 self._post_terms()
-                log(LogEvent.LESSOR_CONNECTED, unleased_fraction=self._own)
+                log(LogEvent.LESSOR_CONNECTED, unleased_fraction=self._unleased_fraction)
             case "grant":
-                grant = Grant(int(word["number"]), int(word["node"]), float(word["work"]))
+                grant = Grant(int(message["number"]), int(message["node"]), float(message["work"]))
                 if self._holder.accept_grant(grant, now):
                     self._route.recorder.counts["lease_granted"] += 1
-                    for number, left, until in self._holder.pop_leases(grant.node):
-                        self._piece(number, grant.node, left, until, now)
+                    for number, work_ms, expires_at in self._holder.pop_leases(grant.node):
+                        self._post_lease(number, grant.node, work_ms, expires_at, now)
             case "none":
-                self._holder.end_request(int(word["number"]))
+                self._holder.end_request(int(message["number"]))
             case "tokens" if self._quota is not None:
-                zone, cls, client = map(str, word["path"])
+                zone, cls, client = map(str, message["path"])
                 path = zone, cls, client
-                asked_at = self._asked_at.pop(path, -math.inf)
-                self._quota.add_batch(path, int(word["count"]), str(word["limit"]), asked_at, now)
+                requested_at = self._tokens_requested_at.pop(path, -math.inf)
+                self._quota.add_batch(path, int(message["count"]), str(message["limit"]), requested_at, now)
             case "wrong":
-                raise ValueError(str(word["why"]))
+                raise ValueError(str(message["why"]))
 
-    def _piece(self, number: int, node: int, work: float, until: float, now: float) -> None:
-        """Tells the decisions of a piece, and in time that it is over.
+    def _post_lease(self, number: int, node: int, work_ms: float, expires_at: float, now: float) -> None:
+        """Pass a lease to the decision module, and end it when it expires.
 
-        They go by the system's clock, pieces by the steady one: guards against a clock that is set back, by
-        which a piece would be good for longer than it is.
+        The decision module goes by the system clock, leases by the monotonic clock, in seconds. A lease is
+        ended explicitly because it would be valid for too long if the system clock were set back.
         """
-        self._route.post(LeaseGranted(number, node, work, self._clock.now() + (until - now) * 1000.0))
+        self._route.post(LeaseGranted(number, node, work_ms, self._clock.now() + (expires_at - now) * 1000.0))
 
-        async def end() -> None:
-            await trio.sleep(max(0.0, until - time.monotonic()))
+        async def expire() -> None:
+            await trio.sleep(max(0.0, expires_at - time.monotonic()))
             self._route.post(LeaseGranted(number, node, 0.0, 0.0))
 
-        self._spawn(end)
+        self._spawn(expire)
 
 
-def leases_from(
+def create_lease_client(
     path: Path,
     name: str,
     settings: Settings,
     route: Route,
     clock: Clock,
     spawn: Callable[[Callable[[], Awaitable[None]]], None],
-) -> Leases:
-    """Raises LeaseFileError."""
-    return Leases(LeaseFile.read(path), name, settings, route, clock, spawn)
+) -> LeaseClient:
+    """Create a client from a lease file; raises LeaseFileError."""
+    return LeaseClient(LeaseFile.read(path), name, settings, route, clock, spawn)
--- a/stonecove/server/serve.py
+++ b/stonecove/server/serve.py
@@ -1,4 +1,4 @@
-"""From the start to the end of the process."""
+"""The lifecycle of an edge router: start, readiness, signals, reload, drain and stop."""
 
 from __future__ import annotations
 
@@ -36,35 +36,35 @@
 
 if TYPE_CHECKING:
     from stonecove.operator_config.records import ConfigurationRecord, Operator
-    from stonecove.server.access import AccessKeeper
-    from stonecove.server.configuration import ConfigurationKeeper
+    from stonecove.server.access import AccessController
+    from stonecove.server.configuration import ConfigurationAgent
     from stonecove.server.http import HttpListener
-    from stonecove.server.leases import Leases
+    from stonecove.server.leases import LeaseClient
     from stonecove.server.members import Members
-    from stonecove.server.reconfigure import Reconfigure
-    from stonecove.server.swarm import SwarmKeeper
+    from stonecove.server.reconfigure import ActiveSettings
+    from stonecove.server.swarm import SwarmAgent
 
-BACKLOG = 1024
+LISTEN_BACKLOG = 1024
 SIGNALS = signal.SIGTERM, signal.SIGINT, signal.SIGHUP
-GRID = 0.005  # seconds: alarms fall due in steps, for each waking costs as much as many calls
-GRACE = 0.8  # seconds after SIGTERM for which new connections and requests still come
-KILL_AFTER = 0.7  # SIGKILL comes so many seconds after the longest deadline, counted from SIGTERM,
-LONGEST_COUNTED = 3.0  # with a longer one counted as so many seconds
-KILL_MARGIN = 0.5  # so long before SIGKILL all is answered,
-LEAST_MARGIN = 0.1  # or so long, where deadlines are so short that requests still come then
-LAST_WRITE = 0.3  # seconds left then to write the answers out
-MEMORY_SHARE = 0.25  # part of the memory limit for what is held of requests and answers; they are copied
-STATS_EVERY = 10.0
-CLIENT_IDLE = 60_000.0  # ms after which a client connection with nothing open is closed
-CHECK_EVERY = 0.25  # seconds between two looks at what clients are sending
-MUTE_FOR = 100.0  # ms for which a new client may say nothing while others wait for its place
-WAY_OUT = 0.25  # seconds for which an idle client that loses its place may end its side
-IDLE_FOR = 60.0  # ms for which an idle client keeps its place while others wait: it may be asking just now
-HALF_FOR = 500.0  # ms for which one keeps it that has begun to ask, has nothing else open and sends no more
-PLACES_PART = 0.125  # part of all places that are made at once: looking through all clients costs
-LEAST_CLIENTS = 8  # places for clients, however few descriptors there are
-CLIENTS_PART = 0.6  # of the descriptors that the system turned out to have, clients get so much
-PLACES_BACK = 0.125  # part by which places taken for a lack of descriptors grow again at each statistics
+TIMER_RESOLUTION_S = 0.005  # timers fire in steps: each wake-up costs as much as many callbacks
+ACCEPT_GRACE_S = 0.8  # after SIGTERM, new connections and requests are accepted for this long
+KILL_AFTER_DEADLINE_S = 0.7  # SIGKILL follows SIGTERM after the longest deadline plus this time
+MAX_COUNTED_DEADLINE_S = 3.0  # a longer deadline counts as this much towards the time of SIGKILL
+ANSWER_MARGIN_S = 0.5  # all requests are answered this long before SIGKILL
+MIN_ANSWER_MARGIN_S = 0.1  # used where deadlines are so short that requests still arrive at that time
+FINAL_WRITE_S = 0.3  # time left after the last answer to write buffered answers
+MEMORY_SHARE = 0.25  # share of the memory limit for buffered requests and answers, which are copied
+STATISTICS_INTERVAL_S = 10.0
+CLIENT_IDLE_TIMEOUT_MS = 60_000.0  # a client connection without an open request is closed after this time
+CLIENT_CHECK_INTERVAL_S = 0.25  # between two checks of what clients are sending
+FIRST_BYTE_TIMEOUT_MS = 100.0  # for a new client's first byte, while other clients wait to be accepted
+EVICTION_LINGER_S = 0.25  # time in which an evicted idle client may close its side
+IDLE_RETENTION_MS = 60.0  # an idle client is not evicted before this time: it may be sending a request
+PARTIAL_REQUEST_TIMEOUT_MS = 500.0  # the same for a client with a partial request and nothing else open
+EVICTION_FRACTION = 0.125  # share of all places that is freed at once, as each scan of the clients is costly
+MIN_CLIENTS = 8  # clients that are accepted, however few descriptors there are
+CLIENT_DESCRIPTOR_FRACTION = 0.6  # clients' share of the descriptors that the system turned out to have
+LIMIT_RECOVERY_FRACTION = 0.125  # growth of a reduced client limit at each output of statistics
 
 
 class Server:
@@ -77,23 +77,23 @@
         operator: Path | None = None,
         datagrams: socket.socket | None = None,
     ) -> None:
-        """`datagrams`: where other routers speak to us.
+        """Create a router; `datagrams` is the socket for messages from other routers.
 
-        Raises `OperatorError` or OSError for an operator's file that can't be used.
+        Raises OperatorError or OSError for an operator file that can't be used.
         """
         self._config = config
         self._nursery = nursery
         self._clock = Clock()
-        self._alarm_set = trio.Event()  # an earlier alarm than the one that is waited for
+        self._earlier_timer_set = trio.Event()  # a timer was set that expires before the one waited for
         self._timers = Timers(self._clock, trio.current_time, self._wake_timers)
-        self._came = trio.Event()  # a request waits to be decided
+        self._request_queued = trio.Event()  # a request waits for its decision
         self._clients: set[Client] = set()
-        self._making_room: set[Client] = set()  # idle ones that are ended for others, and not gone yet
+        self._evicting: set[Client] = set()  # idle clients that are being closed to admit others
         self._accepting = trio.CancelScope()
         self._starting = trio.CancelScope()
         self._stopping = trio.Event()
-        self._stop: tuple[str, float] = "", 0.0  # the signal that ends us, and when it came in trio's seconds
-        self._reload_wanted = False  # a new configuration was told of while we start
+        self._stop_signal: tuple[str, float] = "", 0.0  # its name and the time of its arrival on trio's clock
+        self._reload_pending = False  # SIGHUP arrived during the start
         self._budget = MemoryBudget()
         self._route = Route(
             config.settings,
@@ -105,211 +105,221 @@
             self._connect,
             self._wake_decide,
         )
-        self._limit(config)
+        self._apply_limits(config)
         self._front = FastCgiFrontend(config.settings, self._route)
         self._operator = operator
         self._changelog = ChangeLogClient(*config.changelog, Follower(config.last))
-        self._changelog.on_descriptor_shortage = self._short_of_descriptors
+        self._changelog.on_descriptor_shortage = self._on_descriptors_exhausted
         self._members: Members | None = None
-        self._leases: Leases | None = None
+        self._leases: LeaseClient | None = None
         if leases := os.environ.get("STONECOVE_LEASES"):
-            from stonecove.server.leases import leases_from
+            from stonecove.server.leases import create_lease_client
 
-            self._leases = leases_from(
+            self._leases = create_lease_client(
                 Path(leases), config.name, config.settings, self._route, self._clock, self._spawn
             )
         self._http: HttpListener | None = None
-        self._access: AccessKeeper | None = None
+        self._access: AccessController | None = None
         if operator is not None:
             from stonecove.operator_config.reader import read
 
-            self._more_fronts(read(operator).operator)
+            self._create_optional_frontends(read(operator).operator)
         if tracing := os.environ.get("STONECOVE_TRACE"):
-            from stonecove.server.tracing import trace_from
+            from stonecove.server.tracing import start_tracing
 
-            trace_from(tracing, config, self._route)
+            start_tracing(tracing, config, self._route)
         if operator is not None:
             from stonecove.server.members import Members
 
             self._members = Members(operator, config, self._route, self._clock, self._changelog, self._spawn)
-        self._swarm: SwarmKeeper | None = None
+        self._swarm: SwarmAgent | None = None
         record = self._members.operator.swarm if self._members is not None else None
         if self._members is not None and record is not None and datagrams is not None:
-            from stonecove.server.swarm import SwarmKeeper
-
-            self._swarm = SwarmKeeper(record, config, datagrams, self._route, self._clock, self._leases)
-            self._members.sized = self._swarm.present
-            self._members.also["swarm"] = self._swarm.answer
-        self._reconfigure: Reconfigure | None = None
-        self._configuration: ConfigurationKeeper | None = None
-        self._follow_settings()
-        self._time_drain(config.settings)
-
-    def _time_drain(self, settings: Settings) -> None:
-        """How long a drain may take: SIGKILL comes by the longest deadline."""
+            from stonecove.server.swarm import SwarmAgent
+
+            self._swarm = SwarmAgent(record, config, datagrams, self._route, self._clock, self._leases)
+            self._members.on_fleet_size = self._swarm.set_presence_count
+            self._members.query_handlers["swarm"] = self._swarm.handle_query
+        self._active_settings: ActiveSettings | None = None
+        self._configuration: ConfigurationAgent | None = None
+        self._update_reconfiguration()
+        self._set_drain_times(config.settings)
+
+    def _set_drain_times(self, settings: Settings) -> None:
+        """Set how long a drain may take: SIGKILL follows SIGTERM after the longest deadline."""
         longest = max(cls.deadline_ms for cls in settings.classes) / 1000.0
-        kill = min(longest, LONGEST_COUNTED) + KILL_AFTER  # seconds after SIGTERM, as is:
-        self._last_answer = max(kill - KILL_MARGIN, min(GRACE, kill - LEAST_MARGIN))
-        self._last_write = min(LAST_WRITE, kill - LEAST_MARGIN / 2 - self._last_answer)
+        kill = min(longest, MAX_COUNTED_DEADLINE_S) + KILL_AFTER_DEADLINE_S  # seconds after SIGTERM
+        self._last_answer_s = max(kill - ANSWER_MARGIN_S, min(ACCEPT_GRACE_S, kill - MIN_ANSWER_MARGIN_S))
+        self._final_write_s = min(FINAL_WRITE_S, kill - MIN_ANSWER_MARGIN_S / 2 - self._last_answer_s)
 
-    def _follow_settings(self) -> None:
-        """Settings are taken over while we run, if the operator's file says so.
+    def _update_reconfiguration(self) -> None:
+        """Turn changes of the settings at run time on or off, as the operator file says.
 
-        A router that takes part in roll-outs goes on with that until its end.
+        A router that takes part in roll-outs keeps doing so until it ends.
         """
         if self._configuration is not None:
             return
         members = self._members
         record = members.operator.configuration if members is not None else None
         if members is None or record is None or not record.settings:
-            self._reconfigure = None
+            self._active_settings = None
             if members is not None:
-                members.also.pop("configuration", None)
-        elif self._reconfigure is None:
-            from stonecove.server.reconfigure import Reconfigure
+                members.query_handlers.pop("configuration", None)
+        elif self._active_settings is None:
+            from stonecove.server.reconfigure import ActiveSettings
 
-            others = [one for one in (self._leases, self._swarm) if one is not None]
-            self._reconfigure = Reconfigure(
+            others = [component for component in (self._leases, self._swarm) if component is not None]
+            self._active_settings = ActiveSettings(
                 self._config.settings,
                 self._config.version,
                 self._route,
                 [self, members, *others],
-                self._counted,
+                self._derived_fleet_size,
                 self._clock.now,
             )
-            members.also["configuration"] = self._reconfigure.answer
-        if members is not None and record is not None and record.path and self._reconfigure is not None:
-            self._follow_rollouts(members, record, self._reconfigure)
+            members.query_handlers["configuration"] = self._active_settings.handle_query
+        if members is not None and record is not None and record.path and self._active_settings is not None:
+            self._follow_rollouts(members, record, self._active_settings)
 
     def _follow_rollouts(
-        self, members: Members, record: ConfigurationRecord, reconfigure: Reconfigure
+        self, members: Members, record: ConfigurationRecord, active_settings: ActiveSettings
     ) -> None:
-        """Changes of the settings come by the session with the coordination service."""
-        from stonecove.server.configuration import ConfigurationKeeper
-
-        keeper = ConfigurationKeeper(
-            record, self._config, self._config.table, reconfigure, self._route.recorder.counts, self._clock
+        """Follow changes of the settings in the session with the coordination service."""
+        from stonecove.server.configuration import ConfigurationAgent
+
+        agent = ConfigurationAgent(
+            record,
+            self._config,
+            self._config.table,
+            active_settings,
+            self._route.recorder.counts,
+            self._clock,
         )
-        members.use_session(keeper.attach)
-        self._spawn(keeper.run)
-        self._configuration = keeper
+        members.add_session_listener(agent.attach)
+        self._spawn(agent.run)
+        self._configuration = agent
 
-    def _counted(self) -> FleetSizeChanged | None:
-        """How many routers there are, where that is counted."""
+    def _derived_fleet_size(self) -> FleetSizeChanged | None:
+        """Return the number of routers where it is derived from membership, else None."""
         if self._swarm is not None:
-            return self._swarm.counted()
-        return self._members.counted() if self._members is not None else None
+            return self._swarm.derived_fleet_size()
+        return self._members.derived_fleet_size() if self._members is not None else None
 
-    def objection(self, settings: Settings) -> str:
-        """There is none to other settings here."""
+    def rejection_reason(self, settings: Settings) -> str:
+        """Return an empty text: the server itself can apply any settings."""
         return ""
 
     def reconfigure(self, settings: Settings) -> None:
-        """These settings hold from now on, at the fronts and for the drain."""
+        """Apply settings to the front-ends and to the times of the drain."""
         self._config = replace(self._config, settings=settings)
         self._front.reconfigure(settings)
         if self._http is not None:
             self._http.front.reconfigure(settings)
-        self._time_drain(settings)
+        self._set_drain_times(settings)
+
+    def _create_optional_frontends(self, operator: Operator) -> None:
+        """Create token checks and the HTTP front-end, if the operator file has them.
 
-    def _more_fronts(self, operator: Operator) -> None:
-        """Tokens and the HTTP front, where the operator's file has them; raises OSError or AccessError."""
+        Raises OSError or AccessError.
+        """
         settings = self._config.settings
         depot = settings.zones[settings.zone] if settings.zone < len(settings.zones) else ""
         if operator.access is not None:
-            from stonecove.server.access import AccessKeeper
+            from stonecove.server.access import AccessController
 
-            self._access = AccessKeeper(operator.access, depot, self._clock, self._route)
+            self._access = AccessController(operator.access, depot, self._clock, self._route)
             if operator.access.fastcgi:
-                self._front.token_checker = self._access.desk
+                self._front.token_checker = self._access.token_checker
         if operator.http is not None:
             from stonecove.frontends.http import HttpFrontend
             from stonecove.server.http import HttpListener
 
-            desk = self._access.desk if self._access is not None else None
+            token_checker = self._access.token_checker if self._access is not None else None
             scheme = "https" if operator.http.certificate else "http"
-            front = HttpFrontend(settings, self._route, self._clock, desk, scheme)
+            front = HttpFrontend(settings, self._route, self._clock, token_checker, scheme)
             self._http = HttpListener(operator.http, front, self._spawn)
 
-    def _connect(self, owner: Owner, address: tuple[str, int], patience: float) -> UpstreamConnection:
-        connection = UpstreamConnection(owner, address, patience, self._clock.now, self._short_of_descriptors)
+    def _connect(self, owner: Owner, address: tuple[str, int], timeout_s: float) -> UpstreamConnection:
+        connection = UpstreamConnection(
+            owner, address, timeout_s, self._clock.now, self._on_descriptors_exhausted
+        )
         self._spawn(connection.run)
         return connection
 
     def _wake_timers(self) -> None:
-        self._alarm_set.set()
+        self._earlier_timer_set.set()
 
     async def _run_timers(self) -> None:
-        """Makes the calls of the alarms as they fall due."""
+        """Run the callbacks of timers as they expire."""
         while True:
-            self._alarm_set = trio.Event()
+            self._earlier_timer_set = trio.Event()
             now = trio.current_time()
             self._timers.run_due()
-            with trio.move_on_at(max(self._timers.next_due(), now + GRID)):
-                await self._alarm_set.wait()
+            with trio.move_on_at(max(self._timers.next_due(), now + TIMER_RESOLUTION_S)):
+                await self._earlier_timer_set.wait()
 
     def _wake_decide(self) -> None:
-        self._came.set()
+        self._request_queued.set()
 
     async def _decide(self) -> None:
-        """Has requests decided, some at a time; in between, sockets are read and ends are booked."""
+        """Decide queued requests in batches, and let sockets be read and outcomes be recorded in between."""
         while True:
             if not self._route.decide():
-                self._came = trio.Event()
-                await self._came.wait()
+                self._request_queued = trio.Event()
+                await self._request_queued.wait()
             else:
                 await trio.lowlevel.checkpoint()
 
     def _spawn(self, task: Callable[[], Awaitable[None]]) -> None:
-        self._nursery.start_soon(self._apart, task)
+        self._nursery.start_soon(self._run_isolated, task)
 
     @staticmethod
-    async def _apart(task: Callable[[], Awaitable[None]]) -> None:
-        """Guards against what goes wrong with one connection ending the others."""
+    async def _run_isolated(task: Callable[[], Awaitable[None]]) -> None:
+        """Run a task and log its failure, which would otherwise end all connections."""
         try:
             await task()
         except Exception as error:
             log(LogEvent.INTERNAL_ERROR, where="connection", error=repr(error))
 
     async def run(self, listener: socket.socket) -> None:
-        """Serves until SIGTERM, and then finishes what was taken; reads its configuration anew on SIGHUP.
+        """Serve until SIGTERM or SIGINT, then drain; reload the configuration on SIGHUP.
 
-        Guards against a signal that ends the process before it is ready or while it drains: they are blocked
-        (see `main`) but for the time in which they are heeded.
+        Signals are blocked (see `main`) except while they are handled here. Otherwise one could end the
+        process before it is ready or while it drains.
         """
         with trio.open_signal_receiver(*SIGNALS) as signals:
             signal.pthread_sigmask(signal.SIG_UNBLOCK, SIGNALS)
             try:
                 async with trio.open_nursery() as nursery:
-                    nursery.start_soon(self._heed, signals)
-                    await self._live(listener)
-                    # Guards against a task that goes on with a socket which is closed by now.
+                    nursery.start_soon(self._handle_signals, signals)
+                    await self._run_lifecycle(listener)
+                    # Otherwise a task could go on using a socket that is closed by now.
                     self._nursery.cancel_scope.cancel()
             finally:
                 signal.pthread_sigmask(signal.SIG_BLOCK, SIGNALS)
 
-    async def _heed(self, signals: AsyncIterator[int]) -> None:
-        """Only the first signal to end counts, and no new configuration after it."""
+    async def _handle_signals(self, signals: AsyncIterator[int]) -> None:
+        """Handle signals; after the first one that ends the router, all others are ignored."""
         async for number in signals:
             if self._stopping.is_set():
                 continue
             if number != signal.SIGHUP:
-                self._stop = signal.Signals(number).name, trio.current_time()
+                self._stop_signal = signal.Signals(number).name, trio.current_time()
                 self._stopping.set()
                 self._starting.cancel()
             elif self._front.ready:
                 self._reload()
             else:
-                self._reload_wanted = True
+                self._reload_pending = True
 
-    async def _live(self, listener: socket.socket) -> None:
-        """From the start to the end of the drain."""
-        told = self._route if self._members is None else self._members
+    async def _run_lifecycle(self, listener: socket.socket) -> None:
+        """Start, serve until a signal asks to stop, and drain."""
+        sink = self._route if self._members is None else self._members
         for event in self._config.known:
-            told.handle_membership_event(event)
-        for task in (self._run_timers, self._decide, self._stats, self._check):
+            sink.handle_membership_event(event)
+        for task in (self._run_timers, self._decide, self._run_statistics, self._check_clients):
             self._nursery.start_soon(task)
-        self._nursery.start_soon(self._changelog.run, told)
+        self._nursery.start_soon(self._changelog.run, sink)
         with trio.CancelScope() as self._starting:
             await self._changelog.wait_caught_up(self._config.settings.drain_grace_ms / 1000.0)
         self._nursery.start_soon(self._accept, listener)
@@ -325,28 +335,28 @@
                     if self._configuration is not None:
                         await self._configuration.ready()
         if not self._stopping.is_set():
-            self._ready()
+            self._set_ready()
         await self._stopping.wait()
-        name, since = self._stop
-        log(LogEvent.ROUTER_STOPPING, signal=name, open=len(self._route.requests), within=self._last_answer)
+        name, since = self._stop_signal
+        log(LogEvent.ROUTER_STOPPING, signal=name, open=len(self._route.requests), within=self._last_answer_s)
         self._notify("STOPPING=1")
         if self._swarm is not None:
-            self._swarm.leaving()
+            self._swarm.announce_draining()
         if self._members is not None:
-            await self._members.leaving()
+            await self._members.announce_draining()
         await self._drain(listener, since)
         if self._swarm is not None:
             self._swarm.close()
         if self._members is not None:
             await self._members.close()
 
-    def _ready(self) -> None:
-        """Clients may come."""
+    def _set_ready(self) -> None:
+        """Accept requests from now on, and report readiness."""
         self._front.ready = True
         if self._http is not None:
             self._http.front.ready = True
             self._http.start()
-            log(LogEvent.HTTP_LISTENING, listen=self._http.where)
+            log(LogEvent.HTTP_LISTENING, listen=self._http.address)
         self._notify("READY=1")
         log(
             LogEvent.ROUTER_READY,
@@ -354,32 +364,36 @@
             listen=":".join(map(str, self._config.listen)),
             nodes=len(self._route.nodes),
         )
-        if self._reload_wanted:
+        if self._reload_pending:
             self._reload()
 
     @staticmethod
     def _notify(state: str) -> None:
-        """Tells a service manager, where one has asked for it."""
+        """Notify the service manager, if NOTIFY_SOCKET names one."""
         if os.environ.get("NOTIFY_SOCKET"):
             from stonecove.runtime.notify import notify
 
             notify(state)
 
     def _reload(self) -> None:
-        """Takes over from a new configuration what can change while requests go on.
+        """Apply those parts of a new configuration that can change while requests are served.
 
-        The whole file is checked first: guards against half a new configuration, and against ending over a
-        bad one.
+        The whole file is checked first, so that no half of a configuration is applied and an invalid file
+        does not end the router.
         """
         try:
             config = read_config()
         except ConfigError as error:
             log(LogEvent.CONFIG_RELOAD_REJECTED, reason=str(error))
-            if self._reconfigure is not None:
-                self._reconfigure.refuse(str(error))
+            if self._active_settings is not None:
+                self._active_settings.refuse(str(error))
             return
-        taken = self._take_settings(config, self._reconfigure) if self._reconfigure is not None else {}
-        if taken.get("settings") == "in-force":  # those of the file, under what is rolled out
+        fields = (
+            self._apply_file_settings(config, self._active_settings)
+            if self._active_settings is not None
+            else {}
+        )
+        if fields.get("settings") == "in-force":  # the file's settings, overlaid by what is rolled out
             config = replace(config, settings=self._config.settings)
         fixed = [
             name
@@ -393,31 +407,31 @@
             memory_mb=config.memory_mb,
             cores=config.cores,
             waits_for_restart=",".join(fixed) or "nothing",
-            **taken,
+            **fields,
         )
-        self._limit(config)
+        self._apply_limits(config)
         self._changelog.change_address(*config.changelog)
         if self._members is not None:
             self._members.reload(replace(config, settings=self._config.settings))
-            self._follow_settings()
+            self._update_reconfiguration()
         if self._operator is not None and (self._access is not None or self._http is not None):
-            self._reload_fronts(self._operator)
+            self._reload_frontends(self._operator)
 
-    def _take_settings(self, config: Config, reconfigure: Reconfigure) -> dict[str, object]:
-        """Puts the settings of a file in force, or tells why not; what the log line says of it."""
+    def _apply_file_settings(self, config: Config, active_settings: ActiveSettings) -> dict[str, object]:
+        """Apply the settings of a reloaded file if possible; return the log fields that state the result."""
         from stonecove.server.reconfigure import SettingsRefused
 
         try:
             if self._configuration is not None:
                 self._configuration.rebase(config.table)
             else:
-                reconfigure.apply(config.settings, config.version)
+                active_settings.apply(config.settings, config.version)
         except SettingsRefused as error:
-            return {"settings": f"refused: {error}", "version": reconfigure.version}
-        return {"settings": "in-force", "version": reconfigure.version}
+            return {"settings": f"refused: {error}", "version": active_settings.version}
+        return {"settings": "in-force", "version": active_settings.version}
 
-    def _reload_fronts(self, path: Path) -> None:
-        """Keys, policies, revocations and certificates, each whole or not at all."""
+    def _reload_frontends(self, path: Path) -> None:
+        """Reload keys, policies, revocations and certificates, each completely or not at all."""
         from stonecove.operator_config.grammar import OperatorError
         from stonecove.operator_config.reader import read
 
@@ -431,179 +445,189 @@
         if self._http is not None and operator.http is not None:
             self._http.reload(operator.http)
 
-    def _limit(self, config: Config) -> None:
-        """Shares the limits out."""
-        self._most_clients = self._granted_clients = max(LEAST_CLIENTS, config.sockets // 2)
+    def _apply_limits(self, config: Config) -> None:
+        """Divide the configured limits between clients, buffers, connections and the CPU budget."""
+        self._max_clients = self._configured_max_clients = max(MIN_CLIENTS, config.sockets // 2)
         self._budget.limit_bytes = config.memory_mb * MEMORY_SHARE * 1e6
         self._route.send.max_connections = connection_limit(config.sockets)
         self._route.admit.cpu.set_cores(config.cores)
 
-    def _short_of_descriptors(self) -> None:
-        """The system gives us no descriptor more, whatever our limit says: clients get fewer places.
+    def _on_descriptors_exhausted(self) -> None:
+        """Lower the client limit when the system has no more descriptors, whatever the configured limit is.
 
-        Guards against idle clients that hold all descriptors, so that no connection to the change log or to
-        a cache comes up again.
+        Otherwise idle clients hold all descriptors, and connections to the change log or to a cache can't be
+        opened again.
         """
         log_limited(
             LogEvent.DESCRIPTORS_EXHAUSTED,
             clients=len(self._clients),
             connections=self._route.send.connection_count(),
         )
-        if len(self._clients) <= self._most_clients:
-            held = len(self._clients) + self._route.send.connection_count()
-            self._most_clients = max(LEAST_CLIENTS, min(self._most_clients, int(CLIENTS_PART * held)))
-        self._make_room()
+        if len(self._clients) <= self._max_clients:
+            in_use = len(self._clients) + self._route.send.connection_count()
+            self._max_clients = max(
+                MIN_CLIENTS, min(self._max_clients, int(CLIENT_DESCRIPTOR_FRACTION * in_use))
+            )
+        self._evict_clients()
 
-    def _try_more_clients(self) -> None:
-        """Gives back, bit by bit, the places that a lack of descriptors took."""
-        more = max(1, round(PLACES_BACK * self._most_clients))
-        self._most_clients = min(self._granted_clients, self._most_clients + more)
+    def _raise_client_limit(self) -> None:
+        """Raise a client limit that was lowered for a lack of descriptors by one step."""
+        step = max(1, round(LIMIT_RECOVERY_FRACTION * self._max_clients))
+        self._max_clients = min(self._configured_max_clients, self._max_clients + step)
 
     async def _drain(self, listener: socket.socket, since: float) -> None:
-        """Goes on accepting for the grace, finishes what was taken, and ends well before SIGKILL.
+        """Accept requests for the grace period, finish those accepted, and end well before SIGKILL.
 
-        `since`: when we were told to end, in trio's seconds.
+        `since` is the time of the signal on trio's clock, in seconds.
         """
-        end = since + self._last_answer
+        end = since + self._last_answer_s
         if self._http is not None:
             self._http.drain()
         self._route.admit.final_deadline_ms = self._clock.now() + (end - trio.current_time()) * 1000.0
-        await trio.sleep_until(min(since + GRACE, end))
-        # Guards against requests that are lost with their connections, as those wait to be accepted.
+        await trio.sleep_until(min(since + ACCEPT_GRACE_S, end))
+        # Connections that wait to be accepted would be reset when the listener closes, with their requests.
         while trio.current_time() < end and select.select([listener], [], [], 0)[0]:
             await trio.sleep(0.01)
         if self._http is not None:
             self._http.stop()
-        self._accepting.cancel()  # the task is ended before the socket is, which it may be about to wait for
+        self._accepting.cancel()  # the task, which may be about to wait for the socket, ends before it closes
         await trio.lowlevel.checkpoint()
-        self._take_last(listener)
+        self._accept_backlog(listener)
         listener.close()
-        while trio.current_time() < end and not self._idle():
+        while trio.current_time() < end and not self._is_idle():
             await trio.sleep(0.01)
         self._route.expire()
-        # Guards against what comes in at the very end: it is answered, or meets a connection that we have
-        # ended in order. A reset would take along answers that are written and not yet read.
-        with trio.move_on_at(end + self._last_write):
-            while self._clients or (self._http is not None and self._http.busy):
+        # A request that arrives at the very end is answered or meets a connection that was closed in order.
+        # A reset would discard answers that were written and not yet read.
+        with trio.move_on_at(end + self._final_write_s):
+            while self._clients or (self._http is not None and self._http.requests_in_flight):
                 for client in list(self._clients):
                     client.close_if_idle()
                 await trio.sleep(0.01)
         log(LogEvent.ROUTER_STOPPED, open=len(self._route.requests))
 
-    def _take_last(self, listener: socket.socket) -> None:
-        """Accepts what came since the last look: with the listener, it would be reset."""
-        most = self._most_clients * (1.0 + PLACES_PART)
-        while len(self._clients) < most:
+    def _accept_backlog(self, listener: socket.socket) -> None:
+        """Accept the connections still in the backlog: closing the listener would reset them."""
+        limit = self._max_clients * (1.0 + EVICTION_FRACTION)
+        while len(self._clients) < limit:
             try:
-                self._take(listener.accept()[0])
+                self._add_client(listener.accept()[0])
             except OSError:
                 break
 
-    def _idle(self) -> bool:
-        """Whether nothing is open or coming in. Who has only just connected may be about to ask."""
-        if self._http is not None and self._http.busy:
+    def _is_idle(self) -> bool:
+        """Return whether nothing is open or arriving; a client that has just connected may send a request."""
+        if self._http is not None and self._http.requests_in_flight:
             return False
-        young = self._clock.now() - MUTE_FOR
+        recent = self._clock.now() - FIRST_BYTE_TIMEOUT_MS
         return not any(not request.answered for request in self._route.requests) and all(
-            client.resting() and not (client.mute and client.last_used > young) for client in self._clients
+            client.resting() and not (client.mute and client.last_used > recent) for client in self._clients
         )
 
-    async def _stats(self) -> None:
+    async def _run_statistics(self) -> None:
+        """Output statistics, raise a lowered client limit and close idle clients at intervals."""
         while True:
-            await trio.sleep(STATS_EVERY)
-            # Guards against what has grown old and then ended, as connections do: the oldest generation is
-            # looked through so seldom by itself that a node of 64 MB is full before. It holds few objects.
+            await trio.sleep(STATISTICS_INTERVAL_S)
+            # Connections grow old before they end, and their cycles are found by a collection of the oldest
+            # generation alone. By itself it runs so seldom that a node of 64 MB is full before. It is cheap,
+            # as that generation holds few objects.
             gc.collect()
             self._route.recorder.log_statistics(
                 open=len(self._route.requests),
                 clients=len(self._clients),
                 links=self._route.send.connection_count(),
             )
-            self._try_more_clients()
-            limit = self._clock.now() - CLIENT_IDLE
+            self._raise_client_limit()
+            limit = self._clock.now() - CLIENT_IDLE_TIMEOUT_MS
             for client in list(self._clients):
                 if client.idle() and client.last_used <= limit:
                     client.close_if_idle()
 
-    async def _check(self) -> None:
-        """Looks at what clients are sending, now and then; what lies in their sockets by then has come."""
+    async def _check_clients(self) -> None:
+        """Check at intervals what clients are sending; what their sockets hold by then counts as received."""
         while True:
-            await trio.sleep(CHECK_EVERY)
+            await trio.sleep(CLIENT_CHECK_INTERVAL_S)
             for client in list(self._clients):
                 client.check(self._clock.now())
 
-    def _make_room(self) -> bool:
-        """Closes clients that say nothing, else those idle, else those halfway, for longest; says whether.
+    def _evict_clients(self) -> bool:
+        """Close the clients longest without activity, to admit others; return whether there were any.
 
-        Guards against connections that are merely held keeping out those that ask, as when each client asks
-        once and stays, or never asks to the end; and against losing a request that has come, but that we have
-        not got round to reading.
+        Clients that have sent nothing go first, then idle ones, then those with a partial request. Otherwise
+        connections that are merely open keep out clients with requests, as when each client sends one request
+        and stays, or never completes one. A request that has arrived but is not read yet is not lost.
         """
-        self._making_room &= self._clients
-        surplus = len(self._clients) - self._most_clients  # where places were taken back
-        places = max(round(self._most_clients * PLACES_PART), surplus) - len(self._making_room)
+        self._evicting &= self._clients
+        surplus = len(self._clients) - self._max_clients  # where the limit was lowered
+        places = max(round(self._max_clients * EVICTION_FRACTION), surplus) - len(self._evicting)
         if places <= 0:
             return False
         now = self._clock.now()
-        mute = [client for client in self._clients if client.mute and client.last_used <= now - MUTE_FOR]
-        idle = mute or [
+        silent = [
             client
             for client in self._clients
-            if not client.leaving() and client.idle() and client.last_used <= now - IDLE_FOR
+            if client.mute and client.last_used <= now - FIRST_BYTE_TIMEOUT_MS
         ]
-        idle = idle or [
+        candidates = silent or [
             client
             for client in self._clients
-            if not client.leaving() and client.quiet() and client.last_used <= now - HALF_FOR
+            if not client.leaving() and client.idle() and client.last_used <= now - IDLE_RETENTION_MS
         ]
-        for client in heapq.nsmallest(places, idle, key=lambda client: client.last_used):
+        candidates = candidates or [
+            client
+            for client in self._clients
+            if not client.leaving()
+            and client.quiet()
+            and client.last_used <= now - PARTIAL_REQUEST_TIMEOUT_MS
+        ]
+        for client in heapq.nsmallest(places, candidates, key=lambda client: client.last_used):
             if client.leaving():
                 client.close()
             elif client.mute:
                 client.close_if_idle(0.0)
             elif client.resting():
-                client.close_if_idle(WAY_OUT)
-                if client.leaving():  # it may have begun to ask just then
-                    self._making_room.add(client)
+                client.close_if_idle(EVICTION_LINGER_S)
+                if client.leaving():  # not so if a request has begun to arrive
+                    self._evicting.add(client)
             elif not client.unread():
                 client.close()
-        return bool(idle)
+        return bool(candidates)
 
     async def _accept(self, listener: socket.socket) -> None:
         with self._accepting:
-            await self._accept_all(listener)
+            await self._accept_clients(listener)
 
-    async def _accept_all(self, listener: socket.socket) -> None:
+    async def _accept_clients(self, listener: socket.socket) -> None:
         while True:
             try:
                 await trio.lowlevel.wait_readable(listener)
-                if len(self._clients) >= self._most_clients:  # and only now somebody waits for a place
-                    await trio.sleep(0.001 if self._make_room() else 0.01)
+                if len(self._clients) >= self._max_clients:  # evicts only once a client waits to be accepted
+                    await trio.sleep(0.001 if self._evict_clients() else 0.01)
                     continue
-                self._take(listener.accept()[0])
+                self._add_client(listener.accept()[0])
             except BlockingIOError:
                 continue
             except OSError as error:
-                # Guards against running out of descriptors: wait, and let idle connections go.
+                # Without descriptors, idle connections are closed before the next attempt.
                 if error.errno in RESOURCE_ERRNOS:
-                    self._short_of_descriptors()
+                    self._on_descriptors_exhausted()
                     await trio.sleep(0.05)
 
-    def _take(self, sock: socket.socket) -> None:
-        """A new client counts at once: guards against an end of the drain that does not see it."""
+    def _add_client(self, sock: socket.socket) -> None:
+        """Register a new client at once, so that the end of the drain does not miss it, and serve it."""
         sock.setblocking(False)
         client = Client(sock, self._front, self._clock.now, self._budget)
         self._clients.add(client)
-        self._spawn(partial(self._serve, sock, client))
+        self._spawn(partial(self._serve_client, sock, client))
 
-    async def _serve(self, sock: socket.socket, client: Client) -> None:
-        """One client connection."""
+    async def _serve_client(self, sock: socket.socket, client: Client) -> None:
+        """Serve one client connection until it ends."""
         with sock:
             try:
                 sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-                why = await client.run()
-                if why not in ("closed by the client", "closed by us"):
-                    log_limited(LogEvent.CLIENT_CONNECTION_ABORTED, reason=why)
+                reason = await client.run()
+                if reason not in ("closed by the client", "closed by us"):
+                    log_limited(LogEvent.CLIENT_CONNECTION_ABORTED, reason=reason)
             finally:
                 self._clients.discard(client)
 
@@ -614,16 +638,16 @@
     operator: Path | None = None,
     datagrams: socket.socket | None = None,
 ) -> None:
-    """Runs an edge router on sockets that are bound already."""
+    """Run an edge router on sockets that are bound already."""
     async with trio.open_nursery() as nursery:
         await Server(config, nursery, operator, datagrams).run(listener)
 
 
-def _calm_collector() -> None:
-    """What is there at the start stays, and requests leave few cycles: look for them not too often.
+def _tune_garbage_collector() -> None:
+    """Exclude the objects of the start from collection, and limit how many objects may await it.
 
-    Guards against closed connections that pile up: each is a cycle that may hold 50 KB of buffers and
-    answers, and few objects, so that a high threshold is reached after hundreds of them.
+    Requests leave few cycles, but each closed connection is one. It may hold 50 KB of buffers and answers in
+    few objects, so that a high threshold would be reached after hundreds of them only.
     """
     gc.collect()
     gc.freeze()
@@ -642,30 +666,30 @@
                 file=sys.stderr,
             )
             return 2
-        listener.listen(BACKLOG)
+        listener.listen(LISTEN_BACKLOG)
         try:
-            datagrams = _datagrams(config, operator) if operator is not None else None
+            datagrams = _bind_peer_socket(config, operator) if operator is not None else None
         except OSError as error:
             print(f"stonecove: can't listen on {config.peer_listen}: {error.strerror}", file=sys.stderr)
             return 2
-        _calm_collector()
+        _tune_garbage_collector()
         await serve(config, listener, operator, datagrams)
     return 0
 
 
-def _datagrams(config: Config, operator: Path) -> socket.socket | None:
-    """Where other routers speak to us, if they are to; raises OSError."""
+def _bind_peer_socket(config: Config, operator: Path) -> socket.socket | None:
+    """Bind the socket for messages from other routers, if gossip is configured; raises OSError."""
     from stonecove.operator_config.reader import read
 
     if read(operator).operator.swarm is None:
         return None
-    from stonecove.server.swarm import bound
+    from stonecove.server.swarm import bind_datagram_socket
 
-    return bound(config)
+    return bind_datagram_socket(config)
 
 
-def _check_shared() -> str:
-    """What is wrong with the supervisor's own words; empty if nothing is."""
+def _check_lease_file() -> str:
+    """Return the error in the supervisor's lease file; empty if there is none."""
     if leases := os.environ.get("STONECOVE_LEASES"):
         from stonecove.server.leases import LeaseFile, LeaseFileError
 
@@ -676,36 +700,34 @@
     return ""
 
 
-def _check(operator: Path, config: Config) -> str:
-    """What is wrong with an operator's file; empty if it can be used. Guards against finding out half
-    started.
-    """
+def _check_operator_file(operator: Path, config: Config) -> str:
+    """Return the error in an operator file, before anything is started; empty if there is none."""
     from stonecove.operator_config.grammar import OperatorError
     from stonecove.operator_config.reader import read
 
     try:
-        found = read(operator).operator
+        record = read(operator).operator
     except OperatorError as error:
         return str(error)
-    if found.access is not None:
-        from stonecove.server.access import AccessError, policies_of, read_ring
+    if record.access is not None:
+        from stonecove.server.access import AccessError, build_routes, read_key_ring
 
         try:
-            read_ring(Path(found.access.ring))
-            policies_of(found.access)
+            read_key_ring(Path(record.access.ring))
+            build_routes(record.access)
         except AccessError as error:
             return f"stonecove: {error}"
-    if found.swarm is not None:
-        from stonecove.server.swarm import usable
+    if record.swarm is not None:
+        from stonecove.server.swarm import swarm_config_error
 
-        if wrong := usable(config):
-            return f"stonecove: {operator}: {wrong}"
+        if problem := swarm_config_error(config):
+            return f"stonecove: {operator}: {problem}"
     return ""
 
 
 def main(operator: Path | None = None) -> int:
-    """Entry point of the edge router; STONECOVE_OPERATOR names an operator's file if no argument does."""
-    signal.pthread_sigmask(signal.SIG_BLOCK, SIGNALS)  # until the router heeds them, and once it has ended
+    """Run the edge router; STONECOVE_OPERATOR names the operator file if no argument does."""
+    signal.pthread_sigmask(signal.SIG_BLOCK, SIGNALS)  # before and after the router handles them
     if pipe := os.environ.get("STONECOVE_LOG"):
         from stonecove.runtime.pipe import open_pipe_sink
 
@@ -720,10 +742,10 @@
     except ConfigError as error:
         print(f"stonecove: {error}", file=sys.stderr)
         return 2
-    if operator is not None and (wrong := _check(operator, config)):
-        print(wrong, file=sys.stderr)
+    if operator is not None and (problem := _check_operator_file(operator, config)):
+        print(problem, file=sys.stderr)
         return 2
-    if wrong := _check_shared():
-        print(wrong, file=sys.stderr)
+    if problem := _check_lease_file():
+        print(problem, file=sys.stderr)
         return 2
     return trio.run(_main, config, operator)
--- a/stonecove/server/tracing.py
+++ b/stonecove/server/tracing.py
@@ -1,11 +1,11 @@
-"""Follows requests by their ids through all stages, with OpenTelemetry. Off, and not imported, by default.
+"""Trace requests through all stages with OpenTelemetry. Off, and not imported, by default.
 
-STONECOVE_TRACE is RATIO:MOST_BYTES:KEEP:FILE. A request is a span `request`, each attempt a span `attempt`
-below it; what happens in between are events (admitted, written, arrived). The trace's id is
-made from the request's own (X-Txn), so that all instances choose the same requests, and a request that a
-client sends again is found under one id. Spans go as JSON, a line each, into a file that turns over by size.
+STONECOVE_TRACE is RATIO:MOST_BYTES:KEEP:FILE. A request is a span `request`, each attempt a child span
+`attempt`; steps in between are events (admitted, written, arrived). The trace id is derived from the id of
+the request (X-Txn), so that all instances sample the same requests, and a request that a client retries is
+found under one id. Spans are written as JSON, one per line, to a file that is rotated by size.
 
-The stages know nothing of this: their methods are wrapped from outside, where they pass a request on.
+The stages do not depend on this module: it wraps those of their methods that pass a request on.
 """
 
 from __future__ import annotations
@@ -31,44 +31,47 @@
 from stonecove.server.config import Config
 from stonecove.state.requests import Attempt, OpenRequest
 
-EXPORT_EVERY = 500  # ms
-MOST_QUEUED = 8192  # spans that wait to be written; more are dropped, and nothing waits for them
+EXPORT_INTERVAL_MS = 500
+MAX_QUEUED_SPANS = 8192  # more are dropped: requests never wait for spans to be written
 
 
 def trace_id_of(txn: str) -> int:
-    """128 bits that belong to an id of 16 hex digits; mixed, as the ratio is taken from the low half."""
+    """Return the 128-bit trace id of a request id of 16 hex digits.
+
+    The low half is a hash, as the sampler compares it with the ratio.
+    """
     return int(txn, 16) << 64 | mix64(int(txn, 16))
 
 
-class ByRequest(IdGenerator):
-    """Trace ids from requests' ids, random span ids."""
+class RequestIdGenerator(IdGenerator):
+    """Generates trace ids from request ids, and random span ids."""
 
     def __init__(self) -> None:
         self._random = RandomIdGenerator()
         self.txn = "0" * 16
 
     def generate_span_id(self) -> int:
-        """A random one."""
+        """Return a random span id."""
         return self._random.generate_span_id()
 
     def generate_trace_id(self) -> int:
-        """That of the request that is taken in just now."""
+        """Return the trace id of the request that is being accepted."""
         return trace_id_of(self.txn)
 
 
-class SpanFile(SpanExporter):
-    """Spans as JSON, a line each; runs in the exporter's thread. A full disk drops with a count."""
+class SpanFileExporter(SpanExporter):
+    """Writes spans as JSON lines, in the exporter's thread; spans that can't be written are counted."""
 
-    def __init__(self, path: Path, most_bytes: int, keep: int) -> None:
-        self._path, self._most, self._keep = path, most_bytes, keep
+    def __init__(self, path: Path, max_bytes: int, rotated_files: int) -> None:
+        self._path, self._max_bytes, self._rotated_files = path, max_bytes, rotated_files
         self.dropped = 0
 
     def export(self, spans: Sequence[ReadableSpan]) -> SpanExportResult:
-        """Appends; turns the file over first if it would grow too long."""
-        data = b"".join(line_of(span) for span in spans)
+        """Append spans to the file, after rotating it if it would grow too large."""
+        data = b"".join(span_to_line(span) for span in spans)
         try:
-            if self._path.exists() and self._path.stat().st_size + len(data) > self._most:
-                self._turn_over()
+            if self._path.exists() and self._path.stat().st_size + len(data) > self._max_bytes:
+                self._rotate()
             with self._path.open("ab") as file:
                 file.write(data)
         except OSError:
@@ -76,17 +79,20 @@
             return SpanExportResult.FAILURE
         return SpanExportResult.SUCCESS
 
-    def _turn_over(self) -> None:
-        names = [self._path, *(Path(f"{self._path}.{number}") for number in range(1, self._keep + 1))]
-        if self._keep == 0:
+    def _rotate(self) -> None:
+        names = [
+            self._path,
+            *(Path(f"{self._path}.{number}") for number in range(1, self._rotated_files + 1)),
+        ]
+        if self._rotated_files == 0:
             self._path.unlink()
         for old, new in reversed(list(zip(names, names[1:], strict=False))):
             if old.exists():
                 os.replace(old, new)
 
 
-def line_of(span: ReadableSpan) -> bytes:
-    """One span as a line; times are Unix nanoseconds."""
+def span_to_line(span: ReadableSpan) -> bytes:
+    """Return one span as a JSON line; times are in Unix nanoseconds."""
     context, parent = span.get_span_context(), span.parent
     assert context is not None
     return (
@@ -110,47 +116,47 @@
     )
 
 
-class Watch:
-    """Wraps the places at which stages pass requests on."""
+class RequestTracer:
+    """Wraps the methods with which stages pass requests on, and records spans."""
 
-    def __init__(self, route: Route, provider: TracerProvider, ids: ByRequest) -> None:
+    def __init__(self, route: Route, provider: TracerProvider, ids: RequestIdGenerator) -> None:
         self._route, self._ids = route, ids
         self._tracer = provider.get_tracer("stonecove")
-        self._requests: dict[int, Span] = {}  # by number, sampled ones alone
+        self._requests: dict[int, Span] = {}  # by request number; only sampled requests
         self._attempts: dict[Attempt, Span] = {}
-        self._wrap(route, "submit", self._asked)
-        self._wrap(route.send, "start", self._ordered)
-        self._wrap(route.send, "begin", self._begun)
-        self._wrap(route.relay, "handle_reply", self._arrived)
-        self._wrap(route.relay, "answer", self._answered)
-        self._wrap(route.relay, "client_disconnected", self._left)
-        self._wrap(route.recorder, "attempt_ended", self._ended)
+        self._wrap(route, "submit", self._trace_request)
+        self._wrap(route.send, "start", self._trace_order)
+        self._wrap(route.send, "begin", self._trace_write)
+        self._wrap(route.relay, "handle_reply", self._trace_reply)
+        self._wrap(route.relay, "answer", self._trace_answer)
+        self._wrap(route.relay, "client_disconnected", self._trace_departure)
+        self._wrap(route.recorder, "attempt_ended", self._trace_outcome)
 
     @staticmethod
-    def _wrap(owner: object, name: str, around: Callable[..., Any]) -> None:
-        inner = getattr(owner, name)
+    def _wrap(owner: object, name: str, hook: Callable[..., Any]) -> None:
+        wrapped_method = getattr(owner, name)
 
-        @wraps(inner)
-        def wrapped(*args: Any, **kwargs: Any) -> Any:
-            return around(inner, *args, **kwargs)
+        @wraps(wrapped_method)
+        def wrapper(*args: Any, **kwargs: Any) -> Any:
+            return hook(wrapped_method, *args, **kwargs)
 
-        setattr(owner, name, wrapped)
+        setattr(owner, name, wrapper)
 
-    def _asked(
-        self, inner: Callable[[ClientRequest], OpenRequest | None], asked: ClientRequest
+    def _trace_request(
+        self, wrapped_method: Callable[[ClientRequest], OpenRequest | None], client_request: ClientRequest
     ) -> OpenRequest | None:
-        self._ids.txn = asked.txn
+        self._ids.txn = client_request.txn
         span = self._tracer.start_span(
             "request",
             attributes={
-                "txn": asked.txn,
-                "class": asked.cls,
-                "item": asked.item,
-                "part": asked.chunk_index,
-                "ttl_ms": asked.timeout_ms,
+                "txn": client_request.txn,
+                "class": client_request.cls,
+                "item": client_request.item,
+                "part": client_request.chunk_index,
+                "ttl_ms": client_request.timeout_ms,
             },
         )
-        request = inner(asked)
+        request = wrapped_method(client_request)
         if not span.is_recording():
             return request
         if request is None:
@@ -161,7 +167,7 @@
         self._requests[request.request_id] = span
         return request
 
-    def _ordered(self, inner: Callable[[Attempt], None], attempt: Attempt) -> None:
+    def _trace_order(self, wrapped_method: Callable[[Attempt], None], attempt: Attempt) -> None:
         parent = self._requests.get(attempt.request.request_id)
         if parent is not None:
             order = attempt.action
@@ -176,24 +182,26 @@
                     "how": int(order.fetch_mode),
                 },
             )
-        inner(attempt)
+        wrapped_method(attempt)
 
-    def _begun(self, inner: Callable[..., Any], *args: Any, **kwargs: Any) -> Any:
-        found = inner(*args, **kwargs)
-        for attempt in (one for one in args if isinstance(one, Attempt)):
+    def _trace_write(self, wrapped_method: Callable[..., Any], *args: Any, **kwargs: Any) -> Any:
+        result = wrapped_method(*args, **kwargs)
+        for attempt in (argument for argument in args if isinstance(argument, Attempt)):
             if attempt in self._attempts and attempt.written_at_ms:
                 self._attempts[attempt].add_event("written")
-        return found
+        return result
 
-    def _arrived(self, inner: Callable[..., None], attempt: Attempt, reply: Any) -> None:
+    def _trace_reply(self, wrapped_method: Callable[..., None], attempt: Attempt, reply: Any) -> None:
         if (span := self._attempts.get(attempt)) is not None:
             span.add_event(
                 "arrived",
                 {"word": reply.status, "bytes": len(reply.body), "tell": reply.fields.get("tell", "")},
             )
-        inner(attempt, reply)
+        wrapped_method(attempt, reply)
 
-    def _answered(self, inner: Callable[..., None], request: OpenRequest, answer: Answer) -> None:
+    def _trace_answer(
+        self, wrapped_method: Callable[..., None], request: OpenRequest, answer: Answer
+    ) -> None:
         if not request.answered and (span := self._requests.pop(request.request_id, None)) is not None:
             span.set_attributes(
                 {
@@ -204,33 +212,37 @@
                 }
             )
             span.end()
-        inner(request, answer)
+        wrapped_method(request, answer)
 
-    def _left(self, inner: Callable[..., None], request: OpenRequest) -> None:
+    def _trace_departure(self, wrapped_method: Callable[..., None], request: OpenRequest) -> None:
         if (span := self._requests.pop(request.request_id, None)) is not None:
             span.set_attribute("verdict", "left")
             span.end()
-        inner(request)
+        wrapped_method(request)
 
-    def _ended(self, inner: Callable[..., None], attempt: Attempt, outcome: Outcome, *args: Any) -> None:
+    def _trace_outcome(
+        self, wrapped_method: Callable[..., None], attempt: Attempt, outcome: Outcome, *args: Any
+    ) -> None:
         if not attempt.ended and (span := self._attempts.pop(attempt, None)) is not None:
             span.set_attribute("outcome", reported_outcome(outcome))
             span.end()
-        inner(attempt, outcome, *args)
+        wrapped_method(attempt, outcome, *args)
 
 
-def trace_from(setting: str, config: Config, route: Route) -> TracerProvider:
-    """Begins to trace, as the setting says; raises ValueError for one that can't be read."""
-    ratio, most_bytes, keep, path = setting.split(":", 3)
-    ids = ByRequest()
+def start_tracing(setting: str, config: Config, route: Route) -> TracerProvider:
+    """Start tracing as STONECOVE_TRACE says; raises ValueError for a malformed setting."""
+    ratio, max_bytes, rotated_files, path = setting.split(":", 3)
+    ids = RequestIdGenerator()
     provider = TracerProvider(
         sampler=TraceIdRatioBased(float(ratio)),
         id_generator=ids,
         resource=Resource({"service.name": "stonecove", "service.instance.id": config.name}),
     )
-    exporter = SpanFile(Path(path), int(most_bytes), int(keep))
+    exporter = SpanFileExporter(Path(path), int(max_bytes), int(rotated_files))
     provider.add_span_processor(
-        BatchSpanProcessor(exporter, max_queue_size=MOST_QUEUED, schedule_delay_millis=EXPORT_EVERY)
+        BatchSpanProcessor(
+            exporter, max_queue_size=MAX_QUEUED_SPANS, schedule_delay_millis=EXPORT_INTERVAL_MS
+        )
     )
-    Watch(route, provider, ids)
+    RequestTracer(route, provider, ids)
     return provider
--- a/tests/golden_access_cases.py
+++ b/tests/golden_access_cases.py
@@ -23,7 +23,7 @@
 from stonecove.access.revoked import Revoked
 from stonecove.access.routes import Policy
 from stonecove.operator_config.reader import read_text
-from stonecove.server.access import policies_of
+from stonecove.server.access import build_routes
 
 FOLDER = Path(__file__).parent / "golden" / "access"
 NOW = 1_800_000_000
@@ -157,7 +157,7 @@
     """Return the policies and limits of a committed operator's file."""
     access = read_text((FOLDER / name).read_text(), name).operator.access
     assert access is not None
-    return policies_of(access), Limits(access.seen, access.checks)
+    return build_routes(access), Limits(access.seen, access.checks)
 
 
 def request_of(table: dict[str, Any]) -> Request:
--- a/tests/golden_fleet_control.py
+++ b/tests/golden_fleet_control.py
@@ -1,4 +1,4 @@
-"""Cases of the fleet area: answers of a router's members socket, on members, roll-outs and the swarm."""
+"""Golden cases of the fleet area: answers on a router's members socket, on members, roll-outs and gossip."""
 
 from __future__ import annotations
 
@@ -31,10 +31,10 @@
 from stonecove.runtime.clock import Clock
 from stonecove.runtime.timers import Timers
 from stonecove.server.config import Config, config_from
-from stonecove.server.configuration import ConfigurationKeeper
+from stonecove.server.configuration import ConfigurationAgent
 from stonecove.server.members import Members
-from stonecove.server.reconfigure import Reconfigure, SettingsRefused
-from stonecove.server.swarm import SwarmKeeper, bound
+from stonecove.server.reconfigure import ActiveSettings, SettingsRefused
+from stonecove.server.swarm import SwarmAgent, bind_datagram_socket
 from stonecove.settings import settings_from
 from stonecove.standins import zookeeper as standin
 from stonecove.state.budget import MemoryBudget
@@ -107,29 +107,29 @@
 
 
 class _Router:
-    """The parts of a router that its members socket asks, beside a coordination service of its own."""
+    """The components of a router that answer on its members socket, with a coordination service."""
 
-    def __init__(self, place: Path, server: str, nursery: trio.Nursery) -> None:
-        (place / "operator.cue").write_text(OPERATOR.format(server=server, socket=place / "members.sock"))
+    def __init__(self, folder: Path, server: str, nursery: trio.Nursery) -> None:
+        (folder / "operator.cue").write_text(OPERATOR.format(server=server, socket=folder / "members.sock"))
         self.clock = Clock(lambda: UNIX)
         config = router_config()
         route = _route(config, self.clock)
         changelog = ChangeLogClient("127.0.0.1", 1, Follower(0))
         self.members = Members(
-            place / "operator.cue", config, route, self.clock, changelog, nursery.start_soon
+            folder / "operator.cue", config, route, self.clock, changelog, nursery.start_soon
         )
-        self.settings = Reconfigure(
-            config.settings, 4, route, [self.members], self.members.counted, self.clock.now
+        self.settings = ActiveSettings(
+            config.settings, 4, route, [self.members], self.members.derived_fleet_size, self.clock.now
         )
-        self.members.also["configuration"] = self.settings.answer
+        self.members.query_handlers["configuration"] = self.settings.handle_query
         record = self.members.operator.configuration
         assert isinstance(record, ConfigurationRecord)
-        keeper = ConfigurationKeeper(
+        agent = ConfigurationAgent(
             record, config, config.table, self.settings, route.recorder.counts, self.clock
         )
-        self.members.use_session(keeper.attach)
+        self.members.add_session_listener(agent.attach)
         self.members.start()
-        nursery.start_soon(keeper.run)
+        nursery.start_soon(agent.run)
 
 
 async def _until(done: Callable[[], bool]) -> None:
@@ -140,10 +140,10 @@
 
 async def _service(nursery: trio.Nursery) -> str:
     """Start a coordination service; return its address."""
-    said: list[str] = []
-    nursery.start_soon(standin.serve, "127.0.0.1", [0], ("127.0.0.1", 0), 0.0, said.append)
-    await _until(lambda: len(said) == 2)
-    return said[0].split()[-1]
+    output: list[str] = []
+    nursery.start_soon(standin.serve, "127.0.0.1", [0], ("127.0.0.1", 0), 0.0, output.append)
+    await _until(lambda: len(output) == 2)
+    return output[0].split()[-1]
 
 
 class _Writer:
@@ -154,23 +154,24 @@
         self.ensemble = ZooKeeperClient(((host, int(port)),), 1, Figures(), lambda: None)
         nursery.start_soon(self.ensemble.run)
 
-    async def ask(self, what: zk.Request) -> Reply:
+    async def ask(self, request: zk.Request) -> Reply:
         """Return the reply to a request."""
         await _until(lambda: self.ensemble.session.connected)
-        found: list[Reply] = []
-        self.ensemble.request(what, found.append)
-        await _until(lambda: bool(found))
-        return found[0]
+        replies: list[Reply] = []
+        self.ensemble.request(request, replies.append)
+        await _until(lambda: bool(replies))
+        return replies[0]
 
 
 def _fields(value: Any) -> Any:
-    """Return an answer with what the coordination service's own numbers are replaced by their types."""
+    """Return an answer in which values assigned by the coordination service are replaced by their types."""
     if isinstance(value, dict):
-        loose = ("server", "session", "zxid", "watches")
+        volatile = ("server", "session", "zxid", "watches")
         return {
-            name: f"<{type(one).__name__}>" if name in loose else _fields(one) for name, one in value.items()
+            name: f"<{type(field).__name__}>" if name in volatile else _fields(field)
+            for name, field in value.items()
         }
-    return [_fields(one) for one in value] if isinstance(value, list) else value
+    return [_fields(item) for item in value] if isinstance(value, list) else value
 
 
 def _target(version: int, **changes: Any) -> bytes:
@@ -188,7 +189,7 @@
     """Return what a router answers on its members socket, and what it stores in the coordination service."""
     found: Meaning = {}
 
-    async def play(place: Path) -> None:
+    async def play(folder: Path) -> None:
         async with trio.open_nursery() as nursery:
             server = await _service(nursery)
             writer = _Writer(server, nursery)
@@ -207,42 +208,42 @@
             await writer.ask(zk.Create("/routers/r-1", b'{"name": "r-1", "zone": "hub", "state": "ready"}'))
             good = Overlay(5, {"limits": {"most_tries": 2}}).encode()
             await writer.ask(zk.Create("/configuration/versions/0000000005", good))
-            router = _Router(place, server, nursery)
+            router = _Router(folder, server, nursery)
             members = router.members
-            await _until(lambda: len(members.asked(["list"])["nodes"]) == 2)
-            await _until(lambda: members.asked(["fleet"]).get("holds", {}).get("fleet") == 2)
-            told = build_member(_node(0xA1, 6661, state="draining"))
+            await _until(lambda: len(members.handle_query(["list"])["nodes"]) == 2)
+            await _until(lambda: members.handle_query(["fleet"]).get("holds", {}).get("fleet") == 2)
+            draining = build_member(_node(0xA1, 6661, state="draining"))
             other = build_member(_node(0xA3, 6663, kind_index=1, started_ms=0.0))
-            members.handle_membership_event(MembersUpdate(True, (told, other)))
-            gone = other._replace(node=other.node._replace(state=NodeState.REMOVED))
-            members.handle_membership_event(MembersUpdate(False, (gone,)))
+            members.handle_membership_event(MembersUpdate(True, (draining, other)))
+            removed = other._replace(node=other.node._replace(state=NodeState.REMOVED))
+            members.handle_membership_event(MembersUpdate(False, (removed,)))
             await trio.testing.wait_all_tasks_blocked(0.01)
             found["answers"] = {
-                question: _fields(await _asked_by_socket(place, question)) for question in QUESTIONS
+                question: _fields(await _query_socket(folder, question)) for question in QUESTIONS
             }
-            found["socket_rights"] = oct((place / "members.sock").stat().st_mode & 0o777)
-            found["stored"] = await _rolled_out(writer, router)
+            found["socket_rights"] = oct((folder / "members.sock").stat().st_mode & 0o777)
+            found["stored"] = await _play_roll_outs(writer, router)
             nursery.cancel_scope.cancel()
 
-    with temporary_folder() as place:
-        trio.run(play, place)
+    with temporary_folder() as folder:
+        trio.run(play, folder)
     return found
 
 
-async def _rolled_out(writer: _Writer, router: _Router) -> Meaning:
+async def _play_roll_outs(writer: _Writer, router: _Router) -> Meaning:
     """Roll versions out, and return what the router stores and answers at each."""
 
     def in_force() -> Any:
-        return router.members.asked(["configuration"])["configuration"]
+        return router.members.handle_query(["configuration"])["configuration"]
 
     async def report() -> str:
         reply = await writer.ask(zk.GetData("/configuration/routers/r-0"))
         assert isinstance(reply.result, zk.Data)
         return reply.result.data.decode()
 
-    async def reported(mark: str) -> str:
+    async def reported(expected: str) -> str:
         with trio.fail_after(10):
-            while not (mark in (text := await report()) and '"settled":true' in text):
+            while not (expected in (text := await report()) and '"settled":true' in text):
                 await trio.sleep(0.01)
         return text
 
@@ -273,23 +274,23 @@
     except SettingsRefused as error:
         found["rejected at once"] = str(error)
     found["answer after that"] = in_force()
-    await router.members.leaving()
+    await router.members.announce_draining()
     found["presence of a router that drains"] = await present("draining")
     return found
 
 
-async def _asked_by_socket(place: Path, question: str) -> Any:
-    stream = await trio.open_unix_socket(str(place / "members.sock"))
+async def _query_socket(folder: Path, question: str) -> Any:
+    stream = await trio.open_unix_socket(str(folder / "members.sock"))
     async with stream:
         await stream.send_all(question.encode() + b"\n")
         data = b""
-        async for part in stream:
-            data += part
+        async for chunk in stream:
+            data += chunk
     assert data.endswith(b"\n")
     return json.loads(data)
 
 
-# -- the swarm --
+# -- gossip --
 
 
 def _sender(number: int, **changes: Any) -> Meaning:
@@ -309,7 +310,7 @@
     return {"kind": kind, "number": 50 + number, "sender": _sender(number), **empty, **more, **changes}
 
 
-_IDENT = 0x7098ED7ECE658641  # of the router's name, as it tells it itself
+_IDENT = 0x7098ED7ECE658641  # the hash of the router's name
 
 
 def _swarm_script() -> list[Meaning]:
@@ -317,7 +318,13 @@
     paused = _gossip("ping", 1, updates=[suspect, failed], paused_s=5.5)
     leaving = _gossip("update", 2, sender=_sender(2, state="leaving", incarnation=9))
     steps: list[Meaning] = [{"do": "ask", "question": "status"}, {"do": "ask", "question": "history"}]
-    us = {"member": _IDENT, "generation": int(UNIX * 1000), "incarnation": 4, "state": "suspect", "zone": 1}
+    local = {
+        "member": _IDENT,
+        "generation": int(UNIX * 1000),
+        "incarnation": 4,
+        "state": "suspect",
+        "zone": 1,
+    }
     last = _sender(5, state="suspect")
     steps += [
         {"do": "hear", "from": 0, "after_s": 0.5, "datagram": paused},
@@ -327,7 +334,7 @@
         {"do": "hear", "from": 0, "datagram": _gossip("indirect_ping_request", 1, target_member=0x1002)},
         {"do": "hear", "from": 0, "datagram": _gossip("sync", 1, bucket_digests=[0] * 16)},
         {"do": "hear", "from": 2, "datagram": _gossip("ping", 5, sender=_sender(5, generation=17))},
-        {"do": "hear", "from": 0, "datagram": _gossip("update", 1, updates=[us, last])},
+        {"do": "hear", "from": 0, "datagram": _gossip("update", 1, updates=[local, last])},
         {"do": "hear", "from": 2, "datagram": _gossip("ping", 5, joined=False)},
         *({"do": "time passes", "after_s": 0.25} for _ in range(8)),
         {"do": "ask", "question": "explain r-0000000000001003"},
@@ -357,27 +364,27 @@
         config = router_config(peer_listen="127.0.0.1:0", peers=list(peers))
         clock = Clock(lambda: UNIX + now - 1000.0)
         route = _route(config, clock)
-        datagrams = bound(config)
-        keeper = SwarmKeeper(record, config, datagrams, route, clock, None)
-        keeper.swarm.begin(now)
+        datagrams = bind_datagram_socket(config)
+        agent = SwarmAgent(record, config, datagrams, route, clock, None)
+        agent.swarm.begin(now)
         outputs: list[Any] = []
         for step in steps:
             now += step.get("after_s", 0.0)
             match step["do"]:
                 case "ask":
-                    outputs.append(keeper.answer(step["question"].split()))
+                    outputs.append(agent.handle_query(step["question"].split()))
                     continue
                 case "hear":
                     datagram = build_datagram(step["datagram"])
-                    keeper.swarm.receive(step["from"], datagram, now, clock.now())
+                    agent.swarm.receive(step["from"], datagram, now, clock.now())
                 case "counted by others":
-                    keeper.present(FleetSizeChanged(step["fleet"], tuple(step["by_zone"])))
+                    agent.set_presence_count(FleetSizeChanged(step["fleet"], tuple(step["by_zone"])))
                 case "time passes":
-                    keeper.swarm.tick(now, clock.now())
-            counted = keeper.counted()
+                    agent.swarm.tick(now, clock.now())
+            counted = agent.derived_fleet_size()
             assert counted is not None
-            out, keeper.swarm.gossip.outgoing = keeper.swarm.gossip.outgoing, []
-            sent = [{"to": peer, "bytes": encode(datagram).hex()} for peer, datagram in out]
+            outgoing, agent.swarm.gossip.outgoing = agent.swarm.gossip.outgoing, []
+            sent = [{"to": peer, "bytes": encode(datagram).hex()} for peer, datagram in outgoing]
             by_zone = list(counted.routers_by_zone)
             outputs.append({"routers": counted.fleet_size, "routers_by_zone": by_zone, "sent": sent})
         datagrams.close()
--- a/tests/golden_fleet_lease_file.py
+++ b/tests/golden_fleet_lease_file.py
@@ -1,4 +1,4 @@
-"""Cases of the fleet area: the file by which an instance learns of the lease socket."""
+"""Golden cases of the fleet area: the file that names the lease socket to an instance."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 def describe_lease_file(file: LeaseFile) -> Meaning:
-    """Return the meaning of what the supervisor tells an instance at its start."""
+    """Return the meaning of the file that the supervisor passes to an instance at its start."""
     plan = file.plan
     return {
         "socket": file.socket,
--- a/tests/golden_fleet_leases.py
+++ b/tests/golden_fleet_leases.py
@@ -26,7 +26,7 @@
 from stonecove.routing.events import LeaseGranted, LeaseTerms
 from stonecove.runtime.clock import Clock
 from stonecove.runtime.unix import bind_private, serve_connections
-from stonecove.server.leases import LeaseFile, Leases
+from stonecove.server.leases import LeaseClient, LeaseFile
 
 QUIET = 0.01  # seconds without anything to do, after which all that a step leads to has happened
 FLEET = """
@@ -286,7 +286,7 @@
             settings = make_settings(zones=("hub", "edge-1", "edge-2"))
             file = LeaseFile(str(folder / "leases.sock"), 3.0, 0.25, 0.125, 0.5, PLAN, 0.25)
             clock = Clock(lambda: UNIX + time.now - 100.0)
-            leases = Leases(file, "r-0", settings, cast(Any, router), clock, nursery.start_soon)
+            leases = LeaseClient(file, "r-0", settings, cast(Any, router), clock, nursery.start_soon)
             leases.start()
             for step in steps:
                 time.set(step["at_s"])
@@ -304,7 +304,7 @@
                         asked = cast(Any, SimpleNamespace(cls=step["of"], client=step["client"]))
                         limits = [router.shared_limit_check(asked) for _ in range(step["count"])]
                     case "own quota":
-                        leases.scale(step["scale"])
+                        leases.set_share_factor(step["scale"])
                     case "reconfigure":
                         leases.reconfigure(
                             make_settings(fleet_size=step["routers"], routers_by_zone=(0, 4, 4))
--- a/tests/golden_fleet_spans.py
+++ b/tests/golden_fleet_spans.py
@@ -15,7 +15,7 @@
 from stonecove.pipeline.relay import Reply
 from stonecove.routing.actions import SendAttempt
 from stonecove.routing.events import Outcome
-from stonecove.server.tracing import ByRequest, SpanFile, trace_from
+from stonecove.server.tracing import RequestIdGenerator, SpanFileExporter, start_tracing
 from stonecove.state.requests import Attempt, OpenRequest
 
 
@@ -78,7 +78,7 @@
     stages = _Stages()
     with temporary_folder() as folder:
         config = SimpleNamespace(name="r-0")
-        provider = trace_from(f"1:100000:2:{folder / 'trace'}", cast(Any, config), cast(Any, stages))
+        provider = start_tracing(f"1:100000:2:{folder / 'trace'}", cast(Any, config), cast(Any, stages))
         served = _traced(stages, 1, "00000000000000aa")
         full = _attempt(stages, served, 0, 0xA1, 0xA1)
         stages.recorder.attempt_ended(full, Outcome.REJECTED_OVERLOADED)
@@ -108,7 +108,7 @@
     txns = [f"{0x9E3779B97F4A7C15 * number % (1 << 64):016x}" for number in range(40)]
     found: Meaning = {"requests": txns}
     for ratio in (0.0, 0.1, 0.5, 1.0):
-        ids = ByRequest()
+        ids = RequestIdGenerator()
         tracer = TracerProvider(sampler=TraceIdRatioBased(ratio), id_generator=ids).get_tracer("test")
         chosen = []
         for number, txn in enumerate(txns):
@@ -154,7 +154,7 @@
     for most, keep in ((100_000, 2), (600, 2), (600, 0), (1, 1)):
         with temporary_folder() as folder:
             (folder / "r-0").mkdir()
-            exporter = SpanFile(folder / "r-0" / "trace", most, keep)
+            exporter = SpanFileExporter(folder / "r-0" / "trace", most, keep)
             for spans in ([first], [second, request], [], [first, second]):
                 exporter.export(spans)
             found[f"most_bytes {most}, kept {keep}"] = files_in(folder / "r-0")
--- a/tests/keeper.py
+++ b/tests/keeper.py
@@ -1,4 +1,4 @@
-"""Starts the stand-in coordination server, and plays boxes that keep their ephemeral nodes there."""
+"""Run the stand-in coordination service for tests, with caches that register ephemeral nodes there."""
 
 from __future__ import annotations
 
@@ -12,14 +12,14 @@
 from typing import Any
 
 from kazoo.client import KazooClient
-from stand import PATIENCE, Stand
+from stand import WAIT_TIMEOUT_S, Stand
 
 BOXES = "/stonecove/boxes"
 ROUTERS = "/stonecove/routers"
 
 
-class Keeper:
-    """A running ensemble, and its control port."""
+class CoordinationEnsemble:
+    """A running ensemble with its control port."""
 
     def __init__(self, servers: int = 1, lag: float = 0.0) -> None:
         self.process = subprocess.Popen(
@@ -40,12 +40,12 @@
         assert self.process.stdout is not None
         self.servers = [self.process.stdout.readline().split()[-1] for _ in range(servers)]
         host, _, port = self.process.stdout.readline().split()[-1].rpartition(":")
-        self._sock = socket.create_connection((host, int(port)), PATIENCE)
+        self._sock = socket.create_connection((host, int(port)), WAIT_TIMEOUT_S)
         self._stream = self._sock.makefile("r")
-        self.boxes: list[Box] = []
+        self.boxes: list[RegisteredCache] = []
 
     def do(self, command: str) -> list[str]:
-        """A command of the control port; the lines before `ok`."""
+        """Send a command to the control port; return the lines before `ok`."""
         self._sock.sendall(command.encode() + b"\n")
         lines = []
         while (line := self._stream.readline().strip()) != "ok":
@@ -54,46 +54,47 @@
         return lines
 
     def trace(self, what: str = "") -> list[dict[str, Any]]:
-        """All that has happened there."""
+        """Return the recorded events, of one kind if `what` names it."""
         return [entry for entry in map(json.loads, self.do("trace")) if not what or entry["what"] == what]
 
-    def box(self, record: dict[str, Any], name: str = "") -> Box:
-        """A box with its node."""
-        self.boxes.append(Box(self, record, name or record["id"]))
+    def box(self, record: dict[str, Any], name: str = "") -> RegisteredCache:
+        """Register a cache with its node."""
+        self.boxes.append(RegisteredCache(self, record, name or record["id"]))
         return self.boxes[-1]
 
     def client(self) -> KazooClient:
-        """A client that is none of ours."""
+        """Return an independent client (kazoo)."""
         client = KazooClient(hosts=",".join(self.servers), timeout=5.0)
-        client.start(timeout=PATIENCE)
+        client.start(timeout=WAIT_TIMEOUT_S)
         return client
 
     def close(self) -> None:
+        """Remove all registered caches, and stop the ensemble."""
         for box in self.boxes:
             box.leave()
         self._sock.close()
         self.process.terminate()
-        self.process.wait(PATIENCE)
+        self.process.wait(WAIT_TIMEOUT_S)
 
 
-class Box:
-    """A box's own session, with its ephemeral node."""
+class RegisteredCache:
+    """A cache's session, with its ephemeral node."""
 
-    def __init__(self, keeper: Keeper, record: dict[str, Any], name: str) -> None:
+    def __init__(self, keeper: CoordinationEnsemble, record: dict[str, Any], name: str) -> None:
         self.record, self.path = record, f"{BOXES}/{name}"
         self.client = keeper.client()
         self.client.create(self.path, json.dumps(record).encode(), ephemeral=True, makepath=True)
         self.session = f"{self.client.client_id[0]:#x}"
 
     def say(self, **changes: Any) -> float:
-        """Changes its record; Unix milliseconds before it was sent."""
+        """Change the record; return the time before it was sent, in Unix milliseconds."""
         self.record = {**self.record, **changes}
         moment = time.time() * 1000
         self.client.set(self.path, json.dumps(self.record).encode())
         return moment
 
     def leave(self) -> None:
-        """Ends the session by word."""
+        """Close the session explicitly."""
         if self.client is not None:
             self.client.stop()
             self.client.close()
@@ -101,7 +102,7 @@
 
 
 def record(ident: int, port: int, **changes: Any) -> dict[str, Any]:
-    """The record of a box of the stand's."""
+    """Return the record of a cache of the test stand."""
     return {
         "id": f"s-{ident:08x}",
         "address": f"127.0.0.1:{port}",
@@ -115,8 +116,10 @@
     }
 
 
-def operator_text(keeper: Keeper, socket_path: Path | None, more: str = "", zookeeper: str = "") -> str:
-    """An operator's file for the stand."""
+def operator_text(
+    keeper: CoordinationEnsemble, socket_path: Path | None, more: str = "", zookeeper: str = ""
+) -> str:
+    """Return an operator file for the test stand."""
     servers = ", ".join(f'"{server}"' for server in keeper.servers)
     return f"""
 sources: zookeeper: {{
@@ -132,15 +135,15 @@
 
 
 def parents(stand: Stand) -> list[dict[str, Any]]:
-    """Records of the stand's parent and origin, whose ports nobody listens on."""
+    """Return the records of the stand's parent and origin, on whose ports nothing listens."""
     return [record(0x20, 1, zone="hub", kind="parent"), record(0x30, 2, zone="hub", kind="origin")]
 
 
-class Routed:
-    """A stand whose router follows a keeper, and `stonecove members` to ask it."""
+class CoordinatedRouter:
+    """A test stand whose router uses an ensemble, with queries by `stonecove members`."""
 
     def __init__(
-        self, keeper: Keeper, folder: Path, more: str = "", zookeeper: str = "", **stand: Any
+        self, keeper: CoordinationEnsemble, folder: Path, more: str = "", zookeeper: str = "", **stand: Any
     ) -> None:
         self.keeper, self.socket = keeper, folder / "members.sock"
         self.operator = folder / "operator.cue"
@@ -148,36 +151,39 @@
         self.stand = Stand(env={"STONECOVE_OPERATOR": str(self.operator)}, **stand)
 
     def ask(self, *words: str) -> Any:
-        """What `stonecove members` says, as JSON."""
+        """Return the JSON output of `stonecove members`."""
         done = subprocess.run(
             [sys.executable, "-m", "stonecove", "members", "--socket", str(self.socket), "--json", *words],
             capture_output=True,
             text=True,
-            timeout=PATIENCE,
+            timeout=WAIT_TIMEOUT_S,
             check=False,
             env=dict(os.environ),
         )
         return json.loads(done.stdout) if done.stdout else {"exit": done.returncode, "why": done.stderr}
 
     def question(self, *words: str) -> Any:
-        """The same by the socket alone, without a program in between."""
+        """Return the answer to the same query, sent directly to the members socket."""
         with socket.socket(socket.AF_UNIX) as sock:
-            sock.settimeout(PATIENCE)
+            sock.settimeout(WAIT_TIMEOUT_S)
             sock.connect(str(self.socket))
             sock.sendall(" ".join(words).encode() + b"\n")
             return json.loads(b"".join(iter(lambda: sock.recv(65_536), b"")))
 
     def state(self, ident: int) -> str:
-        """What a node is for the router."""
+        """Return the state that a node has for the router."""
         found = self.question("explain", f"s-{ident:08x}")
         return str(found["node"]["state"]) if "node" in found else "unknown"
 
     def wait_state(self, ident: int, *states: str) -> None:
+        """Wait until a node has one of the states."""
         Stand.wait(lambda: self.state(ident) in states, f"s-{ident:08x} is {' or '.join(states)}")
 
     def wait_line(self, event: str, count: int = 1) -> list[str]:
+        """Wait until the log has that many lines of an event, and return them."""
         Stand.wait(lambda: len(self.stand.lines(event)) >= count, f"{count} lines {event}")
         return self.stand.lines(event)
 
     def close(self) -> None:
+        """Stop the router."""
         self.stand.close()
--- a/tests/soak_faults.py
+++ b/tests/soak_faults.py
@@ -51,7 +51,7 @@
         (
             Edit(
                 "server/serve.py",
-                "        with trio.move_on_at(end + self._last_write):\n            while self._clients",
+                "        with trio.move_on_at(end + self._final_write_s):\n            while self._clients",
                 "        with trio.move_on_at(end + 60.0):\n            while True or self._clients",
             ),
         ),
--- a/tests/stand.py
+++ b/tests/stand.py
@@ -1,4 +1,4 @@
-"""The shared helper of the socket tests: starts the real program and plays clients, caches and change log."""
+"""Run the real program for tests over sockets, with stand-ins for clients, caches and the change log."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 from stonecove.runtime.log_events import LogEvent
 
-PATIENCE = 30.0  # generous: nothing here measures speed
+WAIT_TIMEOUT_S = 30.0  # generous, as no test measures speed with it
 SETTINGS: dict[str, Any] = {
     "areas": ["hub", "edge-1"],
     "models": ["box", "parent", "origin"],
@@ -75,11 +75,12 @@
 
 
 def resp(*items: bytes) -> bytes:
+    """Return items as an array of RESP bulk strings."""
     return b"*%d\r\n" % len(items) + b"".join(b"$%d\r\n%b\r\n" % (len(item), item) for item in items)
 
 
-class Fetch(NamedTuple):
-    """A command that came to a cache."""
+class CacheCommand(NamedTuple):
+    """A command that a cache received."""
 
     cache: Cache
     sock: socket.socket
@@ -89,13 +90,14 @@
     body: bytes
 
     def reply(self, word: str = "200", body: bytes = b"", **fields: object) -> None:
+        """Send an answer, of a cached copy unless `fields` say otherwise."""
         table = {"tell": "hit", "ver": "aa11", "born": int(time.time() * 1000), **fields}
         text = ",".join(f"{name}={value}" for name, value in table.items())
         self.sock.sendall(resp(self.txn.encode(), word.encode(), text.encode(), body))
 
 
 class Listener:
-    """Accepts connections in threads of their own."""
+    """Serves each connection in its own thread."""
 
     def __init__(self, serve: Callable[[socket.socket], None], sock: socket.socket | None = None) -> None:
         self._serve = serve
@@ -111,15 +113,16 @@
             except OSError:
                 return
             self.accepted.append(sock)
-            threading.Thread(target=self._one, args=(sock,), daemon=True).start()
+            threading.Thread(target=self._serve_connection, args=(sock,), daemon=True).start()
 
-    def _one(self, sock: socket.socket) -> None:
+    def _serve_connection(self, sock: socket.socket) -> None:
         try:
             self._serve(sock)
         except (OSError, ValueError, struct.error):
             sock.close()
 
     def close(self) -> None:
+        """Close the listening socket and all connections."""
         for sock in (self.sock, *self.accepted):
             with contextlib.suppress(OSError):
                 sock.shutdown(socket.SHUT_RDWR)
@@ -127,9 +130,9 @@
 
 
 class Cache:
-    """A cache that hands what it is asked to the test."""
+    """A cache that passes the commands it receives to the test."""
 
-    def __init__(self, ident: int, commands: queue.Queue[Fetch]) -> None:
+    def __init__(self, ident: int, commands: queue.Queue[CacheCommand]) -> None:
         self.ident, self.name = ident, f"s-{ident:08x}"
         self._commands = commands
         self.listener = Listener(self._serve)
@@ -144,14 +147,14 @@
             texts = [item.decode("latin-1") for item in items]
             pairs = texts[2].split(",") if len(items) > 2 and texts[2] != "-" else []
             fields = dict((name, value) for name, _, value in (pair.partition("=") for pair in pairs))
-            self._commands.put(Fetch(self, sock, texts[0], texts[1], fields, items[-1]))
+            self._commands.put(CacheCommand(self, sock, texts[0], texts[1], fields, items[-1]))
 
 
 class ChangeLog:
-    """A change log that notes with which number each connection begins."""
+    """A change log that records the sequence number at which each connection starts."""
 
     def __init__(self, sock: socket.socket | None = None) -> None:
-        self.missed: Callable[[], bytes] | None = None  # what a connection that comes up is told first
+        self.missed: Callable[[], bytes] | None = None  # returns the first bytes sent on a new connection
         self.since: queue.Queue[int] = queue.Queue()
         self.listener = Listener(self._serve, sock)
 
@@ -162,27 +165,30 @@
         sock.recv(1)
 
     def tell(self, number: int, kind: int, payload: bytes = b"") -> None:
+        """Send an event on the latest connection."""
         Stand.wait(lambda: self.listener.accepted, "a connection to the change log")
         sock = self.listener.accepted[-1]
         sock.sendall(struct.pack(">IQB", 9 + len(payload), number, kind) + payload)
 
     def trickle(self) -> None:
-        """One more byte of a frame that never ends."""
+        """Send one more byte of a frame that is never completed."""
         with contextlib.suppress(OSError):
             self.listener.accepted[-1].send(b"\0")
 
 
 def record(kind: int, ident: int, content: bytes = b"", padding: int = 0) -> bytes:
+    """Return a FastCGI record."""
     return struct.pack(">BBHHBB", 1, kind, ident, len(content), padding, 0) + content + bytes(padding)
 
 
 def pair(name: str, value: str) -> bytes:
+    """Return a FastCGI name-value pair."""
     size = struct.pack(">I", len(value) | 1 << 31) if len(value) > 127 else bytes((len(value),))
     return bytes((len(name),)) + size + name.encode() + value.encode()
 
 
 class Answer(NamedTuple):
-    """A whole answer; status 0 if there was no response before the end."""
+    """A complete answer; status 0 if the request ended without a response."""
 
     ident: int
     status: int
@@ -195,7 +201,7 @@
     """One FastCGI connection."""
 
     def __init__(self, address: tuple[str, int]) -> None:
-        self.sock = socket.create_connection(address, PATIENCE)
+        self.sock = socket.create_connection(address, WAIT_TIMEOUT_S)
         self._stream = self.sock.makefile("rb")
         self._out: dict[int, bytes] = {}
 
@@ -208,7 +214,7 @@
         cgi: dict[str, str] | None = None,
         **fields: str | None,
     ) -> bytes:
-        """The records of a request; a field None is left out."""
+        """Return the records of a request; fields with the value None are omitted."""
         table = {
             "X_TXN": secrets.token_hex(8),
             "X_TTL_MS": "8000",
@@ -218,9 +224,9 @@
             "X_WORKING_SET_KB": "4.5",
             **fields,
         }
-        params = b"".join(pair(*one) for one in {"SCRIPT_NAME": path, **(cgi or {})}.items()) + b"".join(
-            pair(f"HTTP_{name}", value) for name, value in table.items() if value is not None
-        )
+        params = b"".join(
+            pair(*variable) for variable in {"SCRIPT_NAME": path, **(cgi or {})}.items()
+        ) + b"".join(pair(f"HTTP_{name}", value) for name, value in table.items() if value is not None)
         stdin = record(5, ident, body, padding) if body else b""
         return (
             record(1, ident, struct.pack(">HB5x", 1, 1))
@@ -231,11 +237,12 @@
             + record(5, ident)
         )
 
-    def send(self, ident: int = 1, **what: Any) -> None:
-        self.sock.sendall(self.request(ident, **what))
+    def send(self, ident: int = 1, **options: Any) -> None:
+        """Send a request; for the options, see `request`."""
+        self.sock.sendall(self.request(ident, **options))
 
     def record(self) -> tuple[int, int, bytes]:
-        """The next record; raises EOFError at the end of the connection."""
+        """Return kind, id and content of the next record; raises EOFError at the end of the connection."""
         head = self._stream.read(8)
         if len(head) < 8:
             raise EOFError
@@ -243,7 +250,7 @@
         return kind, ident, self._stream.read(length + padding)[:length]
 
     def answer(self) -> Answer:
-        """The next answer that is whole, whatever its id."""
+        """Return the next answer that is complete, whatever its id."""
         while True:
             kind, ident, content = self.record()
             if kind == 6:
@@ -254,56 +261,58 @@
                 fields = {name: value for name, value in lines}
                 return Answer(ident, int(fields.get("Status", "0")[:3]), fields, body, content[4])
 
-    def ask(self, **what: Any) -> Answer:
-        self.send(**what)
+    def ask(self, **options: Any) -> Answer:
+        """Send a request, and return the next answer."""
+        self.send(**options)
         return self.answer()
 
     def close(self) -> None:
+        """Close the connection."""
         self._stream.close()
         self.sock.close()
 
     def ended(self) -> bool:
-        """Whether the router has closed the connection."""
+        """Return whether the router has closed the connection."""
         try:
             return self.sock.recv(1) == b""
         except ConnectionResetError:
             return True
 
 
-class Hanging:
-    """An address at which connections don't come up until `open`, as with a machine that has vanished."""
+class UnresponsiveAddress:
+    """An address at which connections are not established until `open`, as with a machine that is down."""
 
     def __init__(self) -> None:
         self.sock = socket.socket()
         self.sock.bind(("127.0.0.1", 0))
         self.sock.listen(0)
         self.port: int = self.sock.getsockname()[1]
-        self._fillers = [socket.socket() for _ in range(2)]  # more would vie with the router when it opens
+        self._fillers = [socket.socket() for _ in range(2)]  # more would compete with the router in `open`
         for filler in self._fillers:
             filler.setblocking(False)
             filler.connect_ex(("127.0.0.1", self.port))
 
-    def open(self, patience: float = PATIENCE) -> socket.socket:
-        """Lets connections come up; returns the first that is none of ours.
+    def open(self, timeout_s: float = WAIT_TIMEOUT_S) -> socket.socket:
+        """Establish connections; return the first that is not one of the fillers.
 
-        One that the kernel forgot while it had no place for it stays away until something is sent on it.
+        A connection that the kernel dropped for a full backlog is established once its client sends data.
         """
-        ours = [filler.getsockname() for filler in self._fillers]
-        self.sock.settimeout(patience)
-        while (found := self.sock.accept())[1] in ours:
+        filler_addresses = [filler.getsockname() for filler in self._fillers]
+        self.sock.settimeout(timeout_s)
+        while (found := self.sock.accept())[1] in filler_addresses:
             found[0].close()
         return found[0]
 
     def close(self) -> None:
+        """Close the address and the connections that fill its backlog."""
         for sock in (self.sock, *self._fillers):
             sock.close()
 
 
 def free_address() -> tuple[str, int]:
-    """An address for a program to listen at.
+    """Return an address for a program to listen on.
 
-    Guards against a port that is free now and, a moment later, the near end of somebody's connection: those
-    are at 127.0.0.1.
+    It is not 127.0.0.1, where a free port may become the local end of another connection at any time.
     """
     host = ".".join(("127", *(str(random.randint(1, 250)) for _ in range(3))))
     with socket.create_server((host, 0)) as free:
@@ -323,8 +332,8 @@
         missed: Callable[[Stand], bytes] | None = None,
         **settings: Any,
     ) -> None:
-        self.commands: queue.Queue[Fetch] = queue.Queue()
-        self.caches = [Cache(0x10 + place, self.commands) for place in range(2)]
+        self.commands: queue.Queue[CacheCommand] = queue.Queue()
+        self.caches = [Cache(0x10 + index, self.commands) for index in range(2)]
         self.log = ChangeLog()
         self.address = free_address()
         nodes = [self.instance(cache.ident, cache.listener.port, 1, "box") for cache in self.caches]
@@ -346,7 +355,7 @@
 
     @staticmethod
     def plain_config() -> dict[str, Any]:
-        """A configuration without servers, at an address that is free."""
+        """Return a configuration without nodes, for a free address."""
         return {
             "name": "n0",
             "listen": ":".join(map(str, free_address())),
@@ -359,6 +368,7 @@
 
     @staticmethod
     def instance(ident: int, port: int, zone: int, kind: str) -> dict[str, Any]:
+        """Return a node as configurations have it."""
         return {
             "instanceId": f"s-{ident:08x}",
             "hostPort": f"127.0.0.1:{port}",
@@ -371,7 +381,7 @@
         }
 
     def record(self, cache: Cache, state: int, started: int = 0, port: int = 0) -> bytes:
-        """A record of the change log."""
+        """Return a cache's record as the change log sends it."""
         return struct.pack(
             ">IIHBBBHIQ",
             cache.ident,
@@ -386,12 +396,13 @@
         )
 
     def start(self) -> subprocess.Popen[bytes]:
+        """Start the router in a new folder, and return its process once it serves or has ended."""
         self.folder = tempfile.TemporaryDirectory()
         path = Path(self.folder.name, "config.json")
         path.write_text(json.dumps(self.config))
         limit = self._descriptors
 
-        def lower() -> None:
+        def limit_descriptors() -> None:
             if limit:
                 resource.setrlimit(resource.RLIMIT_NOFILE, (limit, limit))
 
@@ -399,54 +410,57 @@
             process = subprocess.Popen(
                 [sys.executable, "-m", "stonecove"],
                 stderr=output,
-                preexec_fn=lower,
+                preexec_fn=limit_descriptors,
                 env={**os.environ, **self._env, "RELAY_CONFIG": str(path)},
             )
-        self.wait(lambda: process.poll() is not None or self._live(), "the router is ready")
+        self.wait(lambda: process.poll() is not None or self._is_live(), "the router is ready")
         return process
 
     def reload(self, text: str) -> None:
-        """Replaces the configuration file and tells the program so."""
+        """Replace the configuration file, and send SIGHUP to the router."""
         path = Path(self.folder.name, "config.json")
         path.with_suffix(".new").write_text(text)
         path.with_suffix(".new").rename(path)
         self.process.send_signal(signal.SIGHUP)
 
-    def _live(self) -> bool:
+    def _is_live(self) -> bool:
         try:
             return self.client().ask(path="/status/live").status == 200
         except (OSError, EOFError):
             return False
 
     def client(self) -> Client:
+        """Return a new connection to the router."""
         return Client(self.address)
 
-    def command(self, word: str = "fetch") -> Fetch:
-        """The next command that a cache gets."""
-        while (found := self.commands.get(timeout=PATIENCE)).word != word:
+    def command(self, word: str = "fetch") -> CacheCommand:
+        """Return the next command of this name that a cache receives; others are skipped."""
+        while (found := self.commands.get(timeout=WAIT_TIMEOUT_S)).word != word:
             pass
         return found
 
-    def maybe_command(self, patience: float) -> Fetch | None:
-        """The next command, if one comes in that many seconds."""
+    def maybe_command(self, timeout_s: float) -> CacheCommand | None:
+        """Return the next command, or None if there is none within the timeout."""
         with contextlib.suppress(queue.Empty):
-            return self.commands.get(timeout=patience)
+            return self.commands.get(timeout=timeout_s)
         return None
 
     def lines(self, event: str) -> list[str]:
-        """Return the lines of an event in the router's log; no event of another name is ever written."""
+        """Return the lines of an event in the router's log; the name must be that of a known event."""
         assert event in set(LogEvent) or event == "Exception", event
         text = Path(self.folder.name, "log").read_text()
         return [line for line in text.splitlines() if line.split(" ")[1:2] == [event]]
 
     @staticmethod
-    def wait(true: Callable[[], object], what: str) -> None:
-        end = time.monotonic() + PATIENCE
-        while not true():
-            assert time.monotonic() < end, f"never came: {what}"
+    def wait(condition: Callable[[], object], what: str) -> None:
+        """Wait until a condition holds; fail with its description `what` after WAIT_TIMEOUT_S."""
+        deadline = time.monotonic() + WAIT_TIMEOUT_S
+        while not condition():
+            assert time.monotonic() < deadline, f"timed out waiting for: {what}"
             time.sleep(0.02)
 
     def close(self) -> None:
+        """Kill the router if it runs, and close all stand-ins."""
         if self.process.poll() is None:
             self.process.send_signal(signal.SIGKILL)
             self.process.wait()
--- a/tests/test_client_crossings.py
+++ b/tests/test_client_crossings.py
@@ -306,11 +306,9 @@
     harness, sock = RouterHarness(), ClientSocket()
     client, sock.unread = harness.client(sock), unread
     harness.time_s += 2.2
-    server: Any = SimpleNamespace(
-        _clock=harness.clock, _clients={client}, _making_room=set(), _most_clients=8
-    )
+    server: Any = SimpleNamespace(_clock=harness.clock, _clients={client}, _evicting=set(), _max_clients=8)
     if by == "room":
-        Server._make_room(server)
+        Server._evict_clients(server)
     else:
         client.check(harness.clock.now())
     assert bool(client._leaving) is not bool(unread) and not client.closed
@@ -495,7 +493,7 @@
         client = SimpleNamespace(check=checked_at.append)
         server: Any = SimpleNamespace(_clients=[client], _clock=Clock(trio.current_time))
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(Server._check, server)
+            nursery.start_soon(Server._check_clients, server)
             for _ in range(10):
                 await trio.sleep(0.1)
                 mock.jump(0.8)  # nobody ran for so long
--- a/tests/test_clients_gone.py
+++ b/tests/test_clients_gone.py
@@ -18,7 +18,7 @@
 from typing import Any, NamedTuple
 
 import pytest
-from stand import PATIENCE, SETTINGS, Cache, Client, Fetch, Hanging, Stand, record
+from stand import SETTINGS, WAIT_TIMEOUT_S, Cache, CacheCommand, Client, Stand, UnresponsiveAddress, record
 
 DISCONNECTIONS = ("abort", "FIN", "half-close", "reset")
 STAYS = "stays"
@@ -78,9 +78,9 @@
     return [item_of(1 + number) for number in range(count)]
 
 
-def fetches(stand: Stand, count: int) -> dict[str, Fetch]:
+def fetches(stand: Stand, count: int) -> dict[str, CacheCommand]:
     """Return the next fetches, by item."""
-    found: dict[str, Fetch] = {}
+    found: dict[str, CacheCommand] = {}
     while len(found) < count:
         fetch = stand.command()
         found[fetch.fields["item"]] = fetch
@@ -142,13 +142,13 @@
 # -- attempts that wait --
 
 
-def received(listener: Hanging, until: str) -> bytes:
+def received(listener: UnresponsiveAddress, until: str) -> bytes:
     """Return what is received on all connections, until that text has arrived and nothing follows.
 
     The kernel may complete a handshake for a connection that is not accepted yet, so an attempt may arrive on
     any.
     """
-    connections, data, end = [listener.open()], b"", time.monotonic() + PATIENCE
+    connections, data, end = [listener.open()], b"", time.monotonic() + WAIT_TIMEOUT_S
     listener.sock.setblocking(False)
     while time.monotonic() < end:
         with contextlib.suppress(BlockingIOError):
@@ -166,7 +166,7 @@
 def test_no_first_attempt_on_a_connection_that_comes_up_late() -> None:
     limits = {"cancel": False, "connect_timeout": 28_000.0}  # time for the kernel to retry the handshake
     with running(limits) as stand:
-        hanging = Hanging()
+        hanging = UnresponsiveAddress()
         move_cache(stand, stand.caches[0], hanging.port)
         stand.log.tell(3, 2, stand.record(stand.caches[1], 1))  # so that all requests go to one cache
         stand.wait(lambda: len(stand.lines("endpoint_updated")) == 6, "the drain")
@@ -185,7 +185,7 @@
     """The cache never completes the handshake; the next one gets the requests that still have a client."""
     with running({"connect_timeout": 500.0}) as stand:
         clients = disconnecting_clients(stand, items_of_cache(stand, stand.caches[0], 5))
-        hanging = Hanging()
+        hanging = UnresponsiveAddress()
         move_cache(stand, stand.caches[0], hanging.port)
         for each in clients:
             each.client.send(X_ROW=each.item, **LONG_TTL)
@@ -306,10 +306,10 @@
         assert retried <= set(items_of_staying(clients)) and retried
 
 
-def opened(listeners: Sequence[Hanging]) -> list[socket.socket]:
+def opened(listeners: Sequence[UnresponsiveAddress]) -> list[socket.socket]:
     """Return a connection of each listener that opens soon; the kernel retries a handshake after 1 s."""
 
-    def open_soon(listener: Hanging) -> socket.socket | None:
+    def open_soon(listener: UnresponsiveAddress) -> socket.socket | None:
         with contextlib.suppress(TimeoutError):
             return listener.open(2.0)
         return None
@@ -320,7 +320,7 @@
 
 def test_connections_come_up_together_with_the_ends_of_their_clients() -> None:
     with running({"connect_timeout": 28_000.0}) as stand:
-        hanging = [Hanging() for _ in range(6)]  # one per cache, each of which is waited for
+        hanging = [UnresponsiveAddress() for _ in range(6)]  # one per cache, each of which is waited for
         updates = b"".join(stand.record(cache, 1) for cache in stand.caches)
         for number, one in enumerate(hanging):
             updates += stand.record(SimpleNamespace(ident=0x50 + number), 0, port=one.port)  # type: ignore[arg-type]
--- a/tests/test_configuration_processes.py
+++ b/tests/test_configuration_processes.py
@@ -12,8 +12,8 @@
 import pytest
 import trio
 from kazoo.client import KazooClient
-from keeper import Keeper
-from stand import PATIENCE, Stand
+from keeper import CoordinationEnsemble
+from stand import WAIT_TIMEOUT_S, Stand
 
 from stonecove.fleet.rollout_controller import Controller, service_session
 from stonecove.operator_config.records import ConfigurationRecord
@@ -22,7 +22,7 @@
 from stonecove.routing.settings import Settings
 from stonecove.runtime.clock import Clock
 from stonecove.server.config import config_from
-from stonecove.server.configuration import ConfigurationKeeper
+from stonecove.server.configuration import ConfigurationAgent
 from stonecove.server.reconfigure import SettingsRefused
 from stonecove.transport.zookeeper import ZooKeeperClient
 
@@ -57,7 +57,7 @@
         self.router = FakeRouter()
         self.ensemble = ZooKeeperClient(addresses, 1, FIGURES, lambda: None)
         self.counts = {"served": 10}
-        self.keeper = ConfigurationKeeper(
+        self.keeper = ConfigurationAgent(
             ConfigurationRecord(True, PATH, start_wait),
             config_from(table, {}),
             table["settings"],
@@ -83,10 +83,10 @@
 class Scene:
     """Routers, a folder for changes, and the command."""
 
-    def __init__(self, ensemble: Keeper, folder: Path, nursery: trio.Nursery) -> None:
+    def __init__(self, ensemble: CoordinationEnsemble, folder: Path, nursery: trio.Nursery) -> None:
         self.ensemble, self.folder, self.nursery = ensemble, folder, nursery
         self.client = KazooClient(hosts=ensemble.servers[0], timeout=5.0)
-        self.client.start(timeout=PATIENCE)
+        self.client.start(timeout=WAIT_TIMEOUT_S)
         self.members: list[Member] = []
 
     def add(self, name: str, settles: bool = True, servers: list[str] | None = None, **more: Any) -> Member:
@@ -114,12 +114,12 @@
     async def publish(self, warm_up: float, servers: list[str] | None = None) -> RolloutState:
         """The command's controller in this process: to all at once."""
         addresses = addresses_of(servers or self.ensemble.servers)
-        async with service_session(addresses, FIGURES, PATIENCE) as session:
-            controller = Controller(PATH, session, PATIENCE)
+        async with service_session(addresses, FIGURES, WAIT_TIMEOUT_S) as session:
+            controller = Controller(PATH, session, WAIT_TIMEOUT_S)
             return await controller.publish({"rules": {"warm_up": warm_up}}, (1.0,), Bounds())
 
     async def wait(self, true: Callable[[], object], what: str) -> None:
-        with trio.move_on_after(PATIENCE) as waiting:
+        with trio.move_on_after(WAIT_TIMEOUT_S) as waiting:
             while not await trio.to_thread.run_sync(true):
                 await trio.sleep(0.02)
         assert not waiting.cancelled_caught, f"never came: {what}"
@@ -146,7 +146,7 @@
         return await self.end(self.start(*words, **more))
 
     async def end(self, process: subprocess.Popen[str]) -> tuple[int, str, str]:
-        out, error = await trio.to_thread.run_sync(lambda: process.communicate(timeout=PATIENCE))
+        out, error = await trio.to_thread.run_sync(lambda: process.communicate(timeout=WAIT_TIMEOUT_S))
         return process.returncode, (out.splitlines() or [""])[-1], error
 
 
@@ -157,7 +157,7 @@
 @pytest.fixture
 def play(tmp_path: Path) -> Iterator[Callable[[Callable[[Scene], Awaitable[None]]], None]]:
     """Plays a scene against an ensemble of two servers."""
-    ensemble = Keeper(2)
+    ensemble = CoordinationEnsemble(2)
 
     async def main(scene: Callable[[Scene], Awaitable[None]]) -> None:
         async with trio.open_nursery() as nursery:
