--- a/tests/test_configuration_router.py
+++ b/tests/test_configuration_router.py
@@ -1,4 +1,4 @@
-"""The real program takes part in roll-outs of settings: the command, a stand-in ensemble, a router."""
+"""Test roll-outs of settings with the real program: the command, a stand-in ensemble and a router."""
 
 from __future__ import annotations
 
@@ -13,8 +13,8 @@
 from typing import Any
 
 import pytest
-from keeper import Keeper, Routed, parents
-from stand import PATIENCE, Stand
+from keeper import CoordinatedRouter, CoordinationEnsemble, parents
+from stand import WAIT_TIMEOUT_S, Stand
 
 from stonecove.rollout.messages import Overlay, Target, target_path, version_path
 
@@ -22,21 +22,21 @@
 RECORD = f'configuration: {{settings: true, path: "{PATH}", start_wait: 10s}}'
 
 
-class Published:
-    """The ensemble, and the command that publishes there."""
+class Publisher:
+    """An ensemble, and the command that publishes settings there."""
 
-    def __init__(self, ensemble: Keeper, folder: Path) -> None:
+    def __init__(self, ensemble: CoordinationEnsemble, folder: Path) -> None:
         self.ensemble, self.folder = ensemble, folder
         self._changes = 0
 
     def command(self, *words: str) -> tuple[int, dict[str, str], str]:
-        """Exit code, the last line's values, what was said of errors."""
+        """Run the command; return its exit code, the fields of its last line, and its error output."""
         done = subprocess.run(
             [sys.executable, "-m", "stonecove", "configuration", words[0], "--servers"]
             + [",".join(self.ensemble.servers), "--path", PATH, *words[1:]],
             capture_output=True,
             text=True,
-            timeout=PATIENCE,
+            timeout=WAIT_TIMEOUT_S,
             check=False,
             env=dict(os.environ),
         )
@@ -51,28 +51,28 @@
 
 
 @pytest.fixture
-def published(tmp_path: Path) -> Iterator[Published]:
-    ensemble = Keeper()
-    yield Published(ensemble, tmp_path)
+def publisher(tmp_path: Path) -> Iterator[Publisher]:
+    ensemble = CoordinationEnsemble()
+    yield Publisher(ensemble, tmp_path)
     ensemble.close()
 
 
 @pytest.fixture
-def routed(published: Published) -> Iterator[Routed]:
-    found = Routed(published.ensemble, published.folder, RECORD)
-    for one in parents(found.stand):
-        published.ensemble.box(one)
-    yield found
-    found.close()
+def routed(publisher: Publisher) -> Iterator[CoordinatedRouter]:
+    running = CoordinatedRouter(publisher.ensemble, publisher.folder, RECORD)
+    for node in parents(running.stand):
+        publisher.ensemble.box(node)
+    yield running
+    running.close()
 
 
-def in_force(routed: Routed) -> dict[str, Any]:
-    told: dict[str, Any] = routed.question("configuration")["configuration"]
-    return told
+def in_force(routed: CoordinatedRouter) -> dict[str, Any]:
+    status: dict[str, Any] = routed.question("configuration")["configuration"]
+    return status
 
 
-def oldest_asked_for(routed: Routed, row: int) -> float:
-    """The oldest copy of a page that the router asks a cache for, in ms."""
+def requested_max_age_ms(routed: CoordinatedRouter, row: int) -> float:
+    """Return the maximum age of a page that the router requests from a cache, in ms."""
     client = routed.stand.client()
     client.send(path="/svc/page", X_ROW=f"{row:016x}", X_SEG="0")
     fetch = routed.stand.command()
@@ -81,45 +81,49 @@
     return float(fetch.fields["oldest"])
 
 
-def reload(routed: Routed, part: str, **changes: Any) -> None:
-    """Replaces fields of a part of the settings in the router's own file."""
+def reload(routed: CoordinatedRouter, section: str, **changes: Any) -> None:
+    """Replace fields of a section of the settings in the router's own file."""
     settings = routed.stand.config["settings"]
-    changed = {**settings, part: {**settings[part], **changes}} if part else {**settings, **changes}
+    changed = {**settings, section: {**settings[section], **changes}} if section else {**settings, **changes}
     routed.stand.reload(json.dumps({**routed.stand.config, "settings": changed}))
 
 
-def test_a_published_change_is_in_force_in_the_running_router(published: Published, routed: Routed) -> None:
+def test_a_published_change_is_in_force_in_the_running_router(
+    publisher: Publisher, routed: CoordinatedRouter
+) -> None:
     process = routed.stand.process
     assert in_force(routed)["version"] == 0
-    assert oldest_asked_for(routed, 1) == 20_000.0
-    code, line, error = published.publish({"domain": {"lifetime_by_class": [0.0, 0.0, 12_345.0]}})
+    assert requested_max_age_ms(routed, 1) == 20_000.0
+    code, line, error = publisher.publish({"domain": {"lifetime_by_class": [0.0, 0.0, 12_345.0]}})
     assert code == 0, error
     assert (line["version"], line["state"], line["in_force"]) == ("1", "complete", "1")
-    told = in_force(routed)
-    assert told["version"] == 1 and told["refused"] is None
-    assert oldest_asked_for(routed, 2) == 12_345.0
+    current = in_force(routed)
+    assert current["version"] == 1 and current["refused"] is None
+    assert requested_max_age_ms(routed, 2) == 12_345.0
     assert process.poll() is None and len(routed.stand.lines("router_ready")) == 1
 
 
-def test_a_change_that_a_router_refuses_halts_and_leaves_the_old_one(
-    published: Published, routed: Routed
+def test_a_change_that_a_router_rejects_halts_and_keeps_the_old_version(
+    publisher: Publisher, routed: CoordinatedRouter
 ) -> None:
-    assert published.publish({"domain": {"heed_within": 900.0}})[0] == 0
-    code, line, _ = published.publish({"domain": {"shield_kind": 0}})
+    assert publisher.publish({"domain": {"heed_within": 900.0}})[0] == 0
+    code, line, _ = publisher.publish({"domain": {"shield_kind": 0}})
     assert (code, line["state"]) == (1, "halted")
-    told = in_force(routed)
-    assert told["version"] == 1
-    assert told["refused"]["version"] == 2 and "parent_kind" in told["refused"]["why"]
+    current = in_force(routed)
+    assert current["version"] == 1
+    assert current["refused"]["version"] == 2 and "parent_kind" in current["refused"]["why"]
     refused = routed.stand.lines("settings_rejected")
     assert len(refused) == 1 and "parent_kind" in refused[0]
-    status = published.command("status")[1]
+    status = publisher.command("status")[1]
     assert status["in_force"] == "1" and status["refused"] == "1"
 
 
-def test_a_router_that_starts_serves_by_what_is_published(published: Published, routed: Routed) -> None:
-    assert published.publish({"domain": {"heed_within": 900.0}})[0] == 0
+def test_a_starting_router_serves_with_the_published_version(
+    publisher: Publisher, routed: CoordinatedRouter
+) -> None:
+    assert publisher.publish({"domain": {"heed_within": 900.0}})[0] == 0
     routed.close()
-    again = Routed(published.ensemble, published.folder, RECORD)
+    again = CoordinatedRouter(publisher.ensemble, publisher.folder, RECORD)
     try:
         again.wait_line("router_ready")
         log = Path(again.stand.folder.name, "log").read_text()
@@ -129,10 +133,10 @@
         again.close()
 
 
-def test_the_routers_own_file_is_taken_over_below_what_is_published(
-    published: Published, routed: Routed
+def test_the_routers_own_file_is_applied_below_the_published_overlay(
+    publisher: Publisher, routed: CoordinatedRouter
 ) -> None:
-    assert published.publish({"domain": {"heed_within": 900.0}})[0] == 0
+    assert publisher.publish({"domain": {"heed_within": 900.0}})[0] == 0
     reload(routed, "rules", drain_grace=444.0)
     line = routed.wait_line("config_reloaded")[-1]
     assert "settings=in-force" in line and "version=1" in line
@@ -143,16 +147,16 @@
     assert in_force(routed)["version"] == 1
 
 
-def test_a_router_that_was_stopped_takes_the_newest_version_in_one_step(
-    published: Published, routed: Routed
+def test_a_router_that_was_paused_applies_the_newest_version_in_one_step(
+    publisher: Publisher, routed: CoordinatedRouter
 ) -> None:
-    assert published.publish({"domain": {"heed_within": 900.0}})[0] == 0
-    process, client = routed.stand.process, published.ensemble.client()
+    assert publisher.publish({"domain": {"heed_within": 900.0}})[0] == 0
+    process, client = routed.stand.process, publisher.ensemble.client()
     process.send_signal(signal.SIGSTOP)
     try:
-        Stand.wait(lambda: published.command("status")[1].get("live") == "0", "its session has ended")
+        Stand.wait(lambda: publisher.command("status")[1].get("live") == "0", "its session has ended")
         target = Target.decode(client.get(target_path(PATH))[0])
-        for version in (2, 3):  # as two roll-outs to the rest of a fleet leave them
+        for version in (2, 3):  # as two roll-outs leave them that this router has missed
             overlay = Overlay(version, {"domain": {"heed_within": 900.0 + version}})
             client.create(version_path(PATH, version), overlay.encode())
             target = replace(target, version=version, previous=version - 1, round=version)
@@ -162,5 +166,5 @@
         client.stop()
         client.close()
     Stand.wait(lambda: in_force(routed)["version"] == 3, "version 3 in force")
-    taken = [line for line in routed.stand.lines("settings_applied") if "version=2" in line]
-    assert taken == [], "a version that was overtaken is passed over"
+    applied = [line for line in routed.stand.lines("settings_applied") if "version=2" in line]
+    assert applied == [], "a superseded version is skipped"
--- a/tests/test_ephemeral.py
+++ b/tests/test_ephemeral.py
@@ -14,8 +14,8 @@
 from typing import Any
 
 import pytest
-from keeper import BOXES, ROUTERS, Keeper, Routed, parents, record
-from stand import PATIENCE, SETTINGS, Stand
+from keeper import BOXES, ROUTERS, CoordinatedRouter, CoordinationEnsemble, parents, record
+from stand import SETTINGS, WAIT_TIMEOUT_S, Stand
 
 MAX_LATE_MS = 300.0  # from a claim to the last new work: 250 ms, and 50 ms for sockets
 MAX_LATE_AT_CACHE_MS = 1500.0  # from the change at the server to the cache, with headroom for a slow machine
@@ -82,14 +82,14 @@
         """Stop, and check that each request had exactly one answer."""
         self._stopping.set()
         for thread in (*self._clients, self._caches):
-            thread.join(PATIENCE)
+            thread.join(WAIT_TIMEOUT_S)
         assert not self.errors
         assert sum(self.answers.values()) == self.requests_sent
 
 
 @pytest.fixture
-def keeper() -> Iterator[Keeper]:
-    running = Keeper(2)
+def keeper() -> Iterator[CoordinationEnsemble]:
+    running = CoordinationEnsemble(2)
     yield running
     running.close()
 
@@ -98,10 +98,15 @@
     """A router between traffic and two caches, which both endpoint sources list."""
 
     def __init__(
-        self, keeper: Keeper, folder: Path, more: str = "", zookeeper: str = "", traffic: bool = True
+        self,
+        keeper: CoordinationEnsemble,
+        folder: Path,
+        more: str = "",
+        zookeeper: str = "",
+        traffic: bool = True,
     ) -> None:
         self.keeper = keeper
-        self.routed = Routed(keeper, folder, more, zookeeper)
+        self.routed = CoordinatedRouter(keeper, folder, more, zookeeper)
         self.stand = self.routed.stand
         self.boxes = [keeper.box(record(cache.ident, cache.listener.port)) for cache in self.stand.caches]
         self.parents = [keeper.box(entry) for entry in parents(self.stand)]
@@ -147,7 +152,7 @@
 
 
 @pytest.fixture
-def scene(keeper: Keeper, tmp_path: Path) -> Iterator[Scene]:
+def scene(keeper: CoordinationEnsemble, tmp_path: Path) -> Iterator[Scene]:
     made = Scene(keeper, tmp_path)
     yield made
     made.close()
@@ -156,7 +161,7 @@
 # -- failures under traffic --
 
 
-def test_a_cache_whose_session_expires_while_it_serves(keeper: Keeper, tmp_path: Path) -> None:
+def test_a_cache_whose_session_expires_while_it_serves(keeper: CoordinationEnsemble, tmp_path: Path) -> None:
     scene = Scene(keeper, tmp_path, zookeeper="linger: 30s", traffic=False)
     client = scene.stand.client()
     client.send(X_ROW=f"{1:016x}")
@@ -227,7 +232,7 @@
 
 
 def test_a_server_that_falls_behind_is_abandoned(tmp_path: Path) -> None:
-    keeper = Keeper(2)
+    keeper = CoordinationEnsemble(2)
     try:
         scene = Scene(keeper, tmp_path)
         server = keeper.servers.index(scene.routed.question("sources")["coordination"]["server"])
@@ -261,7 +266,7 @@
         keeper.close()
 
 
-def _servers_of(keeper: Keeper, session: str) -> set[int]:
+def _servers_of(keeper: CoordinationEnsemble, session: str) -> set[int]:
     """Return the server that a session is connected to, in a set."""
     found = [
         entry["server"]
@@ -271,7 +276,7 @@
     return set(found[-1:])
 
 
-def _set_state_at(keeper: Keeper, server: int, box: Any, state: str) -> float:
+def _set_state_at(keeper: CoordinationEnsemble, server: int, box: Any, state: str) -> float:
     """Change a record at the ordering server, as the server of the node's session may lag."""
     since_ms = time.time() * 1000
     box.record = {**box.record, "state": state}
@@ -279,7 +284,7 @@
     return since_ms
 
 
-def test_a_partition_with_the_list_ageing(keeper: Keeper, tmp_path: Path) -> None:
+def test_a_partition_with_the_list_ageing(keeper: CoordinationEnsemble, tmp_path: Path) -> None:
     scene = Scene(keeper, tmp_path, zookeeper="stale_for: 2500ms", more="sources: changelog: silent_for: 24h")
     box = keeper.box(record(0x40, scene.stand.caches[0].listener.port, address="127.0.0.1:9"), "only-here")
     scene.routed.wait_state(0x40, "ready")
@@ -317,7 +322,7 @@
         for number in range(count)
     ]
     for one in made:
-        one.get(timeout=PATIENCE)
+        one.get(timeout=WAIT_TIMEOUT_S)
     Stand.wait(lambda: scene.routed.state(0x1000 + count - 1) == "ready", "all are listed")
     since_ms = time.time() * 1000
     changes = [
@@ -337,7 +342,7 @@
     ]
     since_ms = scene.boxes[0].say(state="draining")
     for one in changes:
-        one.get(timeout=PATIENCE)
+        one.get(timeout=WAIT_TIMEOUT_S)
     scene.routed.wait_state(0x10, "draining")
     scene.routed.wait_state(0x1000 + count - 1, "draining")
     assert scene.traffic is not None
@@ -369,7 +374,7 @@
 
 
 def test_sighup_moves_to_another_ensemble_whole_or_not_at_all(scene: Scene, tmp_path: Path) -> None:
-    other = Keeper(1)
+    other = CoordinationEnsemble(1)
     try:
         for box in (*scene.boxes, *scene.parents):
             state = "draining" if box.record["id"] == "s-00000010" else "up"
@@ -430,13 +435,15 @@
 # -- presence --
 
 
-def test_routers_see_each_other_and_a_leaving_one_announces_it_first(keeper: Keeper, tmp_path: Path) -> None:
+def test_routers_see_each_other_and_a_leaving_one_announces_it_first(
+    keeper: CoordinationEnsemble, tmp_path: Path
+) -> None:
     presence = f'presence: {{path: "{ROUTERS}", shares: "derived", grow: 50ms, shrink: 200ms}}'
     folders = [tmp_path / name for name in "ab"]
     for folder in folders:
         folder.mkdir()
-    one = Routed(keeper, folders[0], presence)
-    two = Routed(keeper, folders[1], presence.replace("presence: {", 'presence: {name: "n1", '))
+    one = CoordinatedRouter(keeper, folders[0], presence)
+    two = CoordinatedRouter(keeper, folders[1], presence.replace("presence: {", 'presence: {name: "n1", '))
     client = keeper.client()
     try:
         Stand.wait(lambda: one.question("fleet")["holds"] == {"fleet": 2, "by_zone": [0, 2]}, "two routers")
@@ -450,7 +457,7 @@
 
         client.DataWatch(f"{ROUTERS}/n1", watch)
         two.stand.process.terminate()
-        assert two.stand.process.wait(PATIENCE) == 0
+        assert two.stand.process.wait(WAIT_TIMEOUT_S) == 0
         Stand.wait(lambda: states[-1:] == ["gone"], "the end of its node")
         assert states == ["ready", "draining", "gone"]
         log = (Path(two.stand.folder.name) / "log").read_text().splitlines()
@@ -466,9 +473,9 @@
         two.close()
 
 
-def test_a_router_that_was_killed_takes_its_name_back(keeper: Keeper, tmp_path: Path) -> None:
+def test_a_router_that_was_killed_takes_its_name_back(keeper: CoordinationEnsemble, tmp_path: Path) -> None:
     presence = f'presence: {{path: "{ROUTERS}"}}'
-    routed = Routed(keeper, tmp_path, presence, zookeeper="session_timeout: 1min")
+    routed = CoordinatedRouter(keeper, tmp_path, presence, zookeeper="session_timeout: 1min")
     other = None
     try:
         Stand.wait(lambda: len(routed.question("fleet")["peers"]) == 1, "its node")
@@ -480,7 +487,7 @@
         )
         folder = tmp_path / "other"
         folder.mkdir()
-        other = Routed(keeper, folder, presence)
+        other = CoordinatedRouter(keeper, folder, presence)
         other.wait_line("presence_name_conflict")  # the same name at another address
         assert len(routed.question("fleet")["peers"]) == 1
         text = routed.operator.read_text()
@@ -532,7 +539,7 @@
         capture_output=True,
         text=True,
         check=False,
-        timeout=PATIENCE,
+        timeout=WAIT_TIMEOUT_S,
         env={"RELAY_CONFIG": str(config)},
     )
     assert done.returncode == 2 and len(done.stderr.splitlines()) == 2 and "members.trace" in done.stderr
@@ -548,7 +555,7 @@
             capture_output=True,
             text=True,
             check=False,
-            timeout=PATIENCE,
+            timeout=WAIT_TIMEOUT_S,
         )
         return f"{done.returncode} {done.stdout}{done.stderr}"
 
--- a/tests/test_fleet_daemon.py
+++ b/tests/test_fleet_daemon.py
@@ -17,7 +17,7 @@
 from typing import Any
 
 import pytest
-from stand import PATIENCE, Client, Stand
+from stand import WAIT_TIMEOUT_S, Client, Stand
 
 from stonecove.runtime.log_events import LogEvent
 
@@ -70,7 +70,7 @@
             [sys.executable, "-m", "stonecove", "fleet", "--operator", str(self.operator), *words],
             capture_output=True,
             text=True,
-            timeout=2 * PATIENCE,
+            timeout=2 * WAIT_TIMEOUT_S,
             check=False,
         )
         assert done.returncode == code, (words, done.returncode, done.stdout, done.stderr)
@@ -118,7 +118,7 @@
     def close(self) -> None:
         if self.process.poll() is None:
             self.process.terminate()
-            self.process.wait(PATIENCE)
+            self.process.wait(WAIT_TIMEOUT_S)
         for path in self.folder.glob("*/run.json"):  # what a killed supervisor has left
             pid = int(json.loads(path.read_text())["pid"])
             if f"{path.parent}" in Path(f"/proc/{pid}/environ").read_text():
@@ -152,7 +152,7 @@
     assert daemon.do("logs", "--grep", " router_ready ").count(" router_ready ") >= 2
     began = time.monotonic()
     daemon.process.terminate()
-    assert daemon.process.wait(PATIENCE) == 0 and time.monotonic() - began < 10
+    assert daemon.process.wait(WAIT_TIMEOUT_S) == 0 and time.monotonic() - began < 10
     daemon.do("status", code=2)
     assert not list(daemon.folder.glob("*/run.json"))
 
@@ -259,7 +259,7 @@
         daemon.wait_phase("held")
         assert daemon.lines("instance_limit_exceeded")
         daemon.process.terminate()
-        daemon.process.wait(PATIENCE)
+        daemon.process.wait(WAIT_TIMEOUT_S)
         path = daemon.folder / "journal"
         data = bytearray(path.read_bytes())
         data[40] ^= 1
@@ -283,7 +283,7 @@
     path = tmp_path / "notify"
     with socket.socket(socket.AF_UNIX, socket.SOCK_DGRAM) as manager:
         manager.bind(str(path))
-        manager.settimeout(PATIENCE)
+        manager.settimeout(WAIT_TIMEOUT_S)
         monkeypatch.setenv("NOTIFY_SOCKET", str(path))
         daemon = Daemon(tmp_path)
         try:
@@ -299,7 +299,7 @@
             _told(manager, "RELOADING=1")
             daemon.process.terminate()
             _told(manager, "STOPPING=1")
-            assert daemon.process.wait(PATIENCE) == 0
+            assert daemon.process.wait(WAIT_TIMEOUT_S) == 0
         finally:
             daemon.close()
 
@@ -308,7 +308,7 @@
     path = tmp_path / "notify"
     with socket.socket(socket.AF_UNIX, socket.SOCK_DGRAM) as manager:
         manager.bind(str(path))
-        manager.settimeout(PATIENCE)
+        manager.settimeout(WAIT_TIMEOUT_S)
         stand = Stand(env={"NOTIFY_SOCKET": str(path)})
         try:
             _told(manager, "READY=1")
--- a/tests/test_fleet_failures.py
+++ b/tests/test_fleet_failures.py
@@ -11,8 +11,8 @@
 from pathlib import Path
 
 import pytest
-from keeper import BOXES, Keeper, record
-from stand import Fetch, Stand
+from keeper import BOXES, CoordinationEnsemble, record
+from stand import CacheCommand, Stand
 from test_fleet_daemon import Daemon
 
 from stonecove.fleet.control import ask
@@ -21,8 +21,8 @@
 
 
 @pytest.fixture
-def keeper() -> Iterator[Keeper]:
-    made = Keeper()
+def keeper() -> Iterator[CoordinationEnsemble]:
+    made = CoordinationEnsemble()
     yield made
     made.close()
 
@@ -50,7 +50,9 @@
         daemon.close()
 
 
-def test_twenty_instances_lose_membership_at_once_and_serve_on(tmp_path: Path, keeper: Keeper) -> None:
+def test_twenty_instances_lose_membership_at_once_and_serve_on(
+    tmp_path: Path, keeper: CoordinationEnsemble
+) -> None:
     """The coordination server falls silent for all; then one box drains, and all have to hear of it."""
     members = tmp_path / "members.cue"
     members.write_text(
@@ -73,7 +75,7 @@
             asked = set()
             for number, client in enumerate(clients):
                 client.send(1, X_ROW=f"{number * 7919 + 1:016x}")
-                fetch: Fetch = daemon.stand.command()
+                fetch: CacheCommand = daemon.stand.command()
                 asked.add(fetch.cache.ident)
                 fetch.reply(body=b"x")
                 assert client.answer().status == 200
--- a/tests/test_golden_access.py
+++ b/tests/test_golden_access.py
@@ -44,7 +44,7 @@
 from stonecove.access.keys import KeyRing, KeyRingError, generate
 from stonecove.access.reasons import Reason, status_of
 from stonecove.commands.main import cli
-from stonecove.server.access import AccessError, read_revoked, read_ring
+from stonecove.server.access import AccessError, read_key_ring, read_revocations
 
 POLICY_PATHS = ("/svc/x", "/svc/open/x", "/svc/once", "/svc/grace/a/b", "/svc/rate/x", "/svc/open-requests/x",
                 "/svc/depot/x", "/svc/issued/x", "/svc/cloudfront/x", "/svc/edge/x", "/svc/valued/x", "/svcx",
@@ -136,20 +136,20 @@
             path = folder / "ring.json"
             path.write_text(text)
             path.chmod(rights)
-            note(title, lambda path=path: read_ring(path))  # type: ignore[misc]
-        note("no file", lambda: read_ring(folder / "nothing.json"))
+            note(title, lambda path=path: read_key_ring(path))  # type: ignore[misc]
+        note("no file", lambda: read_key_ring(folder / "nothing.json"))
         both = folder / "rings"
         both.mkdir()
-        note("empty folder", lambda: read_ring(both))
+        note("empty folder", lambda: read_key_ring(both))
         for part in ("a.json", "b.json"):
             (both / part).write_text(good)
             (both / part).chmod(0o600)
-        note("folder with a key twice", lambda: read_ring(both))
+        note("folder with a key twice", lambda: read_key_ring(both))
         for place, entry in enumerate(_broken_revocations()):
             path = folder / f"revoked-{place}.json"
             path.write_text(json.dumps(entry))
             path.chmod(0o600)
-            note(json.dumps(entry), lambda path=path: read_revoked(path, NOW))  # type: ignore[misc]
+            note(json.dumps(entry), lambda path=path: read_revocations(path, NOW))  # type: ignore[misc]
     return told
 
 
@@ -171,7 +171,7 @@
         path = Path(name, "revoked.json")
         path.write_bytes((FOLDER / "revoked.json").read_bytes())
         path.chmod(0o600)
-        made = read_revoked(path, NOW)
+        made = read_revocations(path, NOW)
     names = [(one["kind"], one["name"]) for one in load("revoked.json")]
     return {
         "entries": len(made),
--- a/tests/test_golden_exchanges.py
+++ b/tests/test_golden_exchanges.py
@@ -394,7 +394,7 @@
     """The state of the listener that an HTTP connection uses."""
 
     def __init__(self, draining: bool) -> None:
-        self.busy, self.draining = 0, draining
+        self.requests_in_flight, self.draining = 0, draining
 
 
 async def http_exchange(case: Mapping[str, Any]) -> Meaning:
--- a/tests/test_http.py
+++ b/tests/test_http.py
@@ -20,7 +20,7 @@
 from cryptography import x509
 from cryptography.hazmat.primitives import hashes, serialization
 from cryptography.hazmat.primitives.asymmetric import ec
-from stand import PATIENCE, Stand, free_address
+from stand import WAIT_TIMEOUT_S, Stand, free_address
 
 from stonecove.access import formats
 from stonecove.access.keys import KeyRing, generate
@@ -169,7 +169,7 @@
         return formats.sign_jwt(found, {"exp": time.time() + 60, "sub": "picker", **claims})
 
     def connect(self) -> http.client.HTTPConnection:
-        return http.client.HTTPConnection(*self.address, timeout=PATIENCE)
+        return http.client.HTTPConnection(*self.address, timeout=WAIT_TIMEOUT_S)
 
     def ask(self, path: str, token: str = "", method: str = "GET", client: Any = None, **fields: str) -> Any:
         """Status, fields and body."""
@@ -329,7 +329,7 @@
     ],
 )
 def test_bad_clients_get_one_answer_and_others_are_served(fronted: Fronted, data: bytes, status: int) -> None:
-    with socket.create_connection(fronted.address, PATIENCE) as sock:
+    with socket.create_connection(fronted.address, WAIT_TIMEOUT_S) as sock:
         with contextlib.suppress(OSError):
             sock.sendall(data)  # it may be left while it still sends
         got = b""
@@ -344,11 +344,11 @@
     fronted = Fronted(tmp_path, answer=False)
     try:
         head = f"GET {IMAGE}/0 HTTP/1.1\r\nHost: e\r\nAuthorization: Bearer {fronted.token()}\r\n\r\n"
-        with socket.create_connection(fronted.address, PATIENCE) as sock:
+        with socket.create_connection(fronted.address, WAIT_TIMEOUT_S) as sock:
             sock.sendall(head.encode())
             fetch = fronted.stand.command()
         fetch.reply(body=b"late")
-        with socket.create_connection(fronted.address, PATIENCE) as sock:
+        with socket.create_connection(fronted.address, WAIT_TIMEOUT_S) as sock:
             head = (
                 f"POST /svc/confirm/{OBJECT}/0 HTTP/1.1\r\nHost: e\r\nContent-Length: 3\r\n"
                 f"Expect: 100-continue\r\nAuthorization: Bearer {fronted.token(jti='x')}\r\n\r\n"
@@ -361,7 +361,7 @@
             fetch.reply(body=b"ok")
             assert sock.recv(1000).startswith(b"HTTP/1.1 200 ")
             forged = head.replace(fronted.token(jti="x")[:20], "AAAA")
-        with socket.create_connection(fronted.address, PATIENCE) as sock:
+        with socket.create_connection(fronted.address, WAIT_TIMEOUT_S) as sock:
             sock.sendall(forged.encode())  # refused by its head alone: no 100
             assert sock.recv(1000).startswith(b"HTTP/1.1 40")
     finally:
@@ -400,7 +400,7 @@
     context.check_hostname, context.verify_mode = False, ssl.CERT_NONE
 
     def connect() -> http.client.HTTPSConnection:
-        client = http.client.HTTPSConnection(*fronted.address, timeout=PATIENCE, context=context)
+        client = http.client.HTTPSConnection(*fronted.address, timeout=WAIT_TIMEOUT_S, context=context)
         client.connect()
         return client
 
@@ -426,7 +426,7 @@
         fronted.stand.process.send_signal(signal.SIGHUP)
         Stand.wait(lambda: fronted.stand.lines("certificate_rejected"), "a refusal")
         assert common_name(connect()) == "second"
-        with socket.create_connection(fronted.address, PATIENCE) as plain:
+        with socket.create_connection(fronted.address, WAIT_TIMEOUT_S) as plain:
             plain.sendall(b"GET / HTTP/1.1\r\nHost: e\r\n\r\n")
             assert not plain.recv(1000).startswith(b"HTTP")
         assert common_name(connect()) == "second"
@@ -466,7 +466,7 @@
         fetch.reply(body=b"last")
         answer = client.getresponse()
         assert answer.read() == b"last" and answer.headers["Connection"] == "close"
-        assert fronted.stand.process.wait(PATIENCE) == 0
+        assert fronted.stand.process.wait(WAIT_TIMEOUT_S) == 0
     finally:
         fronted.close()
 
@@ -491,7 +491,7 @@
         capture_output=True,
         text=True,
         check=False,
-        timeout=PATIENCE,
+        timeout=WAIT_TIMEOUT_S,
         env={**os.environ, "RELAY_CONFIG": str(config), "STONECOVE_OPERATOR": str(operator)},
     )
     assert done.returncode == 2 and len(done.stderr.splitlines()) == 1
--- a/tests/test_other_settings.py
+++ b/tests/test_other_settings.py
@@ -14,7 +14,7 @@
 from typing import Any
 
 import pytest
-from stand import PATIENCE, Cache, Client, Fetch, Stand
+from stand import WAIT_TIMEOUT_S, Cache, CacheCommand, Client, Stand
 
 from stonecove.pipeline.admit import Admit
 from stonecove.pipeline.intake import Intake
@@ -171,7 +171,9 @@
             **key,
         )
 
-    def request_fetch(self, client: Client, class_index: int, ident: int = 1, ttl: float = 0.0) -> Fetch:
+    def request_fetch(
+        self, client: Client, class_index: int, ident: int = 1, ttl: float = 0.0
+    ) -> CacheCommand:
         """Send a request and return its fetch; if a busy router rejects it, send it again."""
         for _ in range(20):
             self.send(client, class_index, ident, ttl)
@@ -194,7 +196,7 @@
     yield from enumerate(stand.deployment["classes"])
 
 
-def reset(fetch: Fetch) -> None:
+def reset(fetch: CacheCommand) -> None:
     fetch.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
     fetch.sock.shutdown(socket.SHUT_RD)
     fetch.sock.close()
@@ -281,7 +283,7 @@
     stand.request_fetch(late, 0).reply(body=b"late")
     first.reply(body=b"early")
     assert late.answer().body == b"late" and early.answer().body == b"early"
-    assert stand.process.wait(PATIENCE) == 0
+    assert stand.process.wait(WAIT_TIMEOUT_S) == 0
 
 
 @pytest.mark.parametrize(
@@ -303,7 +305,7 @@
         env={"RELAY_CONFIG": str(path)},
         capture_output=True,
         text=True,
-        timeout=PATIENCE,
+        timeout=WAIT_TIMEOUT_S,
     )
     assert (done.returncode, done.stderr.count("\n")) == (2, 1) and "settings" in done.stderr
 
--- a/tests/test_reconfigured.py
+++ b/tests/test_reconfigured.py
@@ -1,4 +1,4 @@
-"""Other settings for a decision module that runs: what holds from then on, and what is kept."""
+"""Test changes of the settings of a running decision module: what applies, and what is retained."""
 
 from __future__ import annotations
 
@@ -30,82 +30,85 @@
 from stonecove.routing.settings import Idempotency, Settings
 
 
-def told(harness: DirectorHarness, settings: Settings) -> None:
+def apply_settings(harness: DirectorHarness, settings: Settings) -> None:
     assert harness.deliver(SettingsChanged(settings)) == []
 
 
-def dues(actions: list[Action]) -> list[float]:
+def timer_deadlines(actions: list[Action]) -> list[float]:
     return [act.expires_at_ms for act in actions if isinstance(act, StartTimer)]
 
 
-# -- what comes later goes by the new settings --
+# -- new settings apply to later events --
 
 
-def test_the_aim_holds_for_later_requests_and_open_ones_keep_theirs(harness: DirectorHarness) -> None:
+def test_the_latency_objective_applies_to_later_requests_and_open_ones_keep_theirs(
+    harness: DirectorHarness,
+) -> None:
     early = harness.request(object_key=1, size_kb=10.0)
-    told(harness, make_settings(make_class(latency_objective_ms=100.0, objective_stretch=0.0)))
+    apply_settings(harness, make_settings(make_class(latency_objective_ms=100.0, objective_stretch=0.0)))
     late = harness.request(object_key=2, size_kb=10.0)
-    assert dues(early)[0] - harness.now_ms > 400.0 and dues(late)[0] - harness.now_ms < 100.0
+    assert (
+        timer_deadlines(early)[0] - harness.now_ms > 400.0
+        and timer_deadlines(late)[0] - harness.now_ms < 100.0
+    )
     again = sent_attempts(harness.end_attempt(sent_attempts(early)[0], Outcome.CONNECT_FAILED))
     assert (
         again and again[0].deadline_ms == sent_attempts(early)[0].deadline_ms
-    )  # and the deadline that was told
+    )  # and the deadline is unchanged
 
 
-def test_an_open_request_keeps_its_effect(harness: DirectorHarness) -> None:
+def test_an_open_request_keeps_its_idempotency(harness: DirectorHarness) -> None:
     get = sent_attempts(harness.request())[0]
-    told(harness, make_settings(make_class(idempotency=Idempotency.NON_IDEMPOTENT)))
-    assert sent_attempts(
-        harness.end_attempt(get, Outcome.RESET)
-    )  # it was taken in as one that does no harm twice
+    apply_settings(harness, make_settings(make_class(idempotency=Idempotency.NON_IDEMPOTENT)))
+    assert sent_attempts(harness.end_attempt(get, Outcome.RESET))  # it was accepted as idempotent
     later = sent_attempts(harness.request(object_key=9))[0]
     assert harness.end_attempt(later, Outcome.RESET) == [FailRequest(later.request_id)]
 
 
-def test_attempts_are_bounded_by_what_holds_now(harness: DirectorHarness) -> None:
-    told(harness, make_settings(max_attempts=1))
+def test_attempts_are_limited_by_the_present_settings(harness: DirectorHarness) -> None:
+    apply_settings(harness, make_settings(max_attempts=1))
     get = sent_attempts(harness.request())[0]
     assert not sent_attempts(harness.end_attempt(get, Outcome.CONNECT_FAILED))
-    told(harness, make_settings())
+    apply_settings(harness, make_settings())
     get = sent_attempts(harness.request())[0]
     assert sent_attempts(harness.end_attempt(get, Outcome.CONNECT_FAILED))
 
 
 def test_a_class_that_is_appended_is_served(harness: DirectorHarness) -> None:
     assert harness.request(class_index=1) == [RejectRequest(1, 0.0)]
-    told(harness, make_settings(make_class(), make_class(name="new")))
+    apply_settings(harness, make_settings(make_class(), make_class(name="new")))
     assert sent_attempts(harness.request(class_index=1)) and sent_attempts(harness.request(class_index=0))
 
 
-def test_the_aim_stands_for_work_that_is_not_known_yet(harness: DirectorHarness) -> None:
-    told(harness, make_settings(make_class(latency_objective_ms=50.0)))
+def test_the_latency_objective_replaces_unknown_mean_work(harness: DirectorHarness) -> None:
+    apply_settings(harness, make_settings(make_class(latency_objective_ms=50.0)))
     assert harness.director.state.statistics.mean_work == [MeanWork(0.0, 50.0)]
     harness.request(size_kb=200.0)
-    told(harness, make_settings(make_class(latency_objective_ms=70.0)))
+    apply_settings(harness, make_settings(make_class(latency_objective_ms=70.0)))
     assert harness.director.state.statistics.mean_work == [MeanWork(1.0, 200.0)]
 
 
-def test_weights_hold_from_now_on(harness: DirectorHarness) -> None:
+def test_weights_apply_at_once(harness: DirectorHarness) -> None:
     heavy = [node._replace(weight=50.0 if node.node_id == CACHES[0] else 1.0) for node in harness.nodes]
     harness.deliver(EndpointListUpdate(EndpointListKind.SNAPSHOT, tuple(heavy)))
     caches = [node for node in heavy if node.node_id in CACHES]
     for weighted in (False, True, False):
-        told(harness, make_settings(weights_known=weighted))
+        apply_settings(harness, make_settings(weights_known=weighted))
         homes = RendezvousHash(caches, weighted)
         assert all(
             harness.director.state.endpoints.caches.order(key) == homes.order(key) for key in range(60)
         )
 
 
-# -- what was learned stays --
+# -- learned state is retained --
 
 
-def test_an_ejected_cache_stays_ejected_and_others_are_asked(harness: DirectorHarness) -> None:
+def test_an_ejected_cache_stays_ejected_and_others_are_used(harness: DirectorHarness) -> None:
     get = sent_attempts(harness.request())[0]
     harness.end_attempt(get, Outcome.CONNECT_FAILED)
-    told(harness, make_settings(connect_timeout_ms=5000.0))
+    apply_settings(harness, make_settings(connect_timeout_ms=5000.0))
     assert all(sent_attempts(harness.request(object_key=key))[0].node_id != get.node_id for key in range(40))
-    harness.now_ms += 1250.0  # the pause was begun under the old time-out, and ends by it
+    harness.now_ms += 1250.0  # the ejection began under the old time-out, and ends by it
     assert any(sent_attempts(harness.request(object_key=key))[0].node_id == get.node_id for key in range(40))
 
 
@@ -115,12 +118,12 @@
         harness.end_attempt(get, cache_status=CacheStatus.HIT)
     popularity = harness.director.state.popularity
     ranks = {key: popularity.cache_rank(key) for key in (*range(3), 1000, 1004)}
-    told(harness, make_settings(slow_start_ms=90_000.0, purge_settled_ms=1000.0))
+    apply_settings(harness, make_settings(slow_start_ms=90_000.0, purge_settled_ms=1000.0))
     assert {key: popularity.cache_rank(key) for key in ranks} == ranks and set(ranks.values()) >= {0}
 
 
 @pytest.mark.parametrize("half_life", [500.0, 1000.0, 80_000.0])
-def test_counts_go_on_from_what_they_are_worth(half_life: float) -> None:
+def test_popularity_keeps_its_present_value_when_the_half_life_changes(half_life: float) -> None:
     popularity = Popularity(1000.0)
     for n in range(100):
         popularity.record_request(100_000.0 + n * 30.0, 1, 10.0, 0)
@@ -131,61 +134,61 @@
     assert popularity._current_weight(now + half_life) == pytest.approx(2 * before)
 
 
-def cold_world(**changes: float) -> DirectorHarness:
-    cold = [node._replace(started_ms=99_900.0) if node.kind == 0 else node for node in make_nodes()]
-    return DirectorHarness(make_settings(**changes), cold)
+def warming_world(**changes: float) -> DirectorHarness:
+    nodes = [node._replace(started_ms=99_900.0) if node.kind == 0 else node for node in make_nodes()]
+    return DirectorHarness(make_settings(**changes), nodes)
 
 
-def flood(harness: DirectorHarness, count: int = 600) -> int:
-    """How many of so many requests, all at one moment, are sent to the cold caches."""
+def send_burst(harness: DirectorHarness, count: int = 600) -> int:
+    """Return how many of `count` simultaneous requests are sent to the caches that are warming up."""
     return sum(
         len(sent_attempts(harness.request(object_key=n, wait_ms=0.0, size_kb=20.0))) for n in range(count)
     )
 
 
-def test_a_cold_cache_gets_no_second_budget() -> None:
-    harness = cold_world()
-    assert 0 < flood(harness) < 600
+def test_a_cache_that_warms_up_gets_no_second_budget() -> None:
+    harness = warming_world()
+    assert 0 < send_burst(harness) < 600
     for multiple in (2.0, 1.0, 2.0):
-        told(harness, make_settings(overload_multiple=multiple, max_attempts=8))
-        assert flood(harness) == 0
-    once = cold_world(overload_multiple=4.0)
-    most = flood(once)
-    told(harness, make_settings(overload_multiple=4.0))
-    first = charged(harness)
-    flood(harness)
-    total = charged(harness)
-    alone = charged(once)
-    assert most > 0 and first < total <= alone * 1.05  # what was sent before counts in the larger budget
-
-
-def charged(harness: DirectorHarness) -> float:
+        apply_settings(harness, make_settings(overload_multiple=multiple, max_attempts=8))
+        assert send_burst(harness) == 0
+    reference = warming_world(overload_multiple=4.0)
+    most = send_burst(reference)
+    apply_settings(harness, make_settings(overload_multiple=4.0))
+    first = charged_work_ms(harness)
+    send_burst(harness)
+    total = charged_work_ms(harness)
+    alone = charged_work_ms(reference)
+    assert most > 0 and first < total <= alone * 1.05  # work sent before counts towards the larger budget
+
+
+def charged_work_ms(harness: DirectorHarness) -> float:
     budget = harness.director.state.cache_budget
     return sum(charge.work_ms for charges in budget.charges.values() for charge in charges)
 
 
-def limit_now(harness: DirectorHarness, key: int, group: int = 3) -> float:
+def current_max_age_ms(harness: DirectorHarness, key: int, group: int = 3) -> float:
     return harness.director.state.purges.max_age_ms(harness.now_ms, key, group)
 
 
-def test_a_purge_that_was_told_stays_guarded_though_the_times_get_shorter(harness: DirectorHarness) -> None:
-    lasts = 5000.0 * PURGE_RETENTION_MARGIN + 500.0
+def test_an_earlier_purge_stays_enforced_when_the_retention_is_shortened(harness: DirectorHarness) -> None:
+    retention = 5000.0 * PURGE_RETENTION_MARGIN + 500.0
     harness.deliver(PurgeReceived(0.0, 0, 5))
-    told(harness, make_settings(purge_settled_ms=100.0, purge_grace_ms=10.0))
-    harness.now_ms += lasts - 1.0
+    apply_settings(harness, make_settings(purge_settled_ms=100.0, purge_grace_ms=10.0))
+    harness.now_ms += retention - 1.0
     get = sent_attempts(harness.request(object_key=5, wait_ms=0.0))[0]
-    assert 0.0 < get.max_age_ms <= lasts
+    assert 0.0 < get.max_age_ms <= retention
     harness.now_ms += 2.0
-    harness.deliver(PurgeReceived(0.0, 0, 6))  # all that was purged before is over
+    harness.deliver(PurgeReceived(0.0, 0, 6))  # earlier purges have expired
     harness.now_ms += 100.0 * PURGE_RETENTION_MARGIN + 10.0
     assert (
-        limit_now(harness, 6) == limit_now(harness, 5) == math.inf
-    )  # and what comes later goes by the new times
+        current_max_age_ms(harness, 6) == current_max_age_ms(harness, 5) == math.inf
+    )  # and later purges go by the new times
 
 
-def test_a_purge_is_guarded_longer_once_copies_last_longer(harness: DirectorHarness) -> None:
+def test_a_purge_is_enforced_longer_when_the_retention_is_extended(harness: DirectorHarness) -> None:
     harness.deliver(PurgeReceived(0.0, 0, 5))
-    told(harness, make_settings(purge_settled_ms=20_000.0))
+    apply_settings(harness, make_settings(purge_settled_ms=20_000.0))
     harness.now_ms += 25_000.0
     assert sent_attempts(harness.request(object_key=5, wait_ms=0.0))[0].max_age_ms > 0.0
 
@@ -199,18 +202,18 @@
     assert len(purges._purged_at_ms) <= 210
 
 
-def test_links_keep_what_was_learned_in_proportion(harness: DirectorHarness) -> None:
+def test_links_scale_their_estimates_in_proportion(harness: DirectorHarness) -> None:
     harness.request()
     director = harness.director
     cache = next(iter(director.state.link_loads.values()))
     cache.capacity, before = cache.capacity * 0.5, cache.capacity
     director.state.zone_link.capacity *= 2.0
     link = director.state.zone_link.capacity
-    told(harness, make_settings(zone_link_kb_per_s=(0.0, 40_000.0, 20_000.0)))
+    apply_settings(harness, make_settings(zone_link_kb_per_s=(0.0, 40_000.0, 20_000.0)))
     assert cache.capacity == pytest.approx(before) and director.state.zone_link.capacity == pytest.approx(
         2 * link
     )
-    told(harness, make_settings())
+    apply_settings(harness, make_settings())
     assert cache.capacity == pytest.approx(before / 2) and director.state.zone_link.capacity == pytest.approx(
         link
     )
@@ -220,20 +223,20 @@
     twin = DirectorHarness()
     for n in range(300):
         if n % 10 == 0:
-            told(harness, make_settings())
-        ours, theirs = harness.request(object_key=n % 17), twin.request(object_key=n % 17)
-        assert ours == theirs
+            apply_settings(harness, make_settings())
+        actions, twin_actions = harness.request(object_key=n % 17), twin.request(object_key=n % 17)
+        assert actions == twin_actions
         if n % 3:
             outcome = Outcome.OK if n % 7 else Outcome.RESET
             assert harness.end_attempt(
-                sent_attempts(ours)[0], outcome, cache_status=CacheStatus.HIT
-            ) == twin.end_attempt(sent_attempts(theirs)[0], outcome, cache_status=CacheStatus.HIT)
+                sent_attempts(actions)[0], outcome, cache_status=CacheStatus.HIT
+            ) == twin.end_attempt(sent_attempts(twin_actions)[0], outcome, cache_status=CacheStatus.HIT)
 
 
-# -- numbers of directors go the same way --
+# -- changes of the number of routers --
 
 
-def test_a_share_that_goes_down_and_up_again_is_what_it_was() -> None:
+def test_a_share_that_shrinks_and_grows_again_is_restored() -> None:
     harness = DirectorHarness(make_settings(weights_known=True))
     harness.request()
     loads = harness.director.state.link_loads
@@ -244,20 +247,22 @@
     assert {node: load.capacity for node, load in loads.items()} == before
 
 
-def test_links_of_parents_go_by_all_directors_and_not_by_those_of_the_zone(harness: DirectorHarness) -> None:
+def test_links_of_parents_depend_on_all_routers_and_not_on_those_of_the_zone(
+    harness: DirectorHarness,
+) -> None:
     harness.request()
     source = next(node for node in harness.director.state.link_loads if node in PARENTS)
     before = harness.director.state.link_loads[source].capacity
     assert before > 4.0
-    harness.deliver(FleetSizeChanged(4, (0, 1, 3)))  # twice as many in all, as many in our zone
+    harness.deliver(FleetSizeChanged(4, (0, 1, 3)))  # twice as many in all, as many in the router's zone
     assert harness.director.state.link_loads[source].capacity == pytest.approx(before / 2)
 
 
-# -- any order --
+# -- random sequences --
 
 
-class Play:
-    """Seeded events of all kinds, as a router would tell them; judges each answer and each copy."""
+class RandomSequence:
+    """Plays seeded events of all kinds, as a router would report them; checks each answer and each copy."""
 
     def __init__(self, seed: int) -> None:
         self.random = Random(seed)
@@ -267,19 +272,19 @@
         ]
         self.harness = DirectorHarness(make_settings(*self.classes))
         self.open: dict[int, RequestReceived] = {}
-        self.out: dict[int, list[SendAttempt]] = {}
+        self.attempts: dict[int, list[SendAttempt]] = {}
         self.pending: dict[tuple[int, int], SendAttempt] = {}
-        self.purged: dict[int, float] = {}  # by object: until when, by the times that held when it was told
-        self.moments: dict[int, float] = {}
-        self.lasts = 5000.0
+        self.purged: dict[int, float] = {}  # end of enforcement by object, set at the time of the purge
+        self.purged_at: dict[int, float] = {}
+        self.retention_ms = 5000.0
         self.timers: list[tuple[float, int]] = []
         self.answers = 0
 
     def take(self, actions: list[Action]) -> None:
         for act in actions:
             if isinstance(act, SendAttempt):
-                self.judge(act)
-                attempts = self.out[act.request_id]
+                self.check_age(act)
+                attempts = self.attempts[act.request_id]
                 self.pending[act.request_id, len(attempts)] = act
                 attempts.append(act)
             elif isinstance(act, (RejectRequest, FailRequest)):
@@ -288,20 +293,20 @@
                 self.timers.append((act.expires_at_ms, act.token))
 
     def answered(self, req: int) -> None:
-        assert req in self.open, "a second final answer, or one that is not owed"
+        assert req in self.open, "a second final answer, or one without an open request"
         del self.open[req]
         self.answers += 1
 
-    def judge(self, get: SendAttempt) -> None:
-        """No copy that may be older than a purge."""
+    def check_age(self, get: SendAttempt) -> None:
+        """Check that no copy older than a purge may be used."""
         request, now = self.open[get.request_id], self.harness.now_ms
         if request.class_index == 0 and now < self.purged.get(request.object_key, 0.0):
-            assert 0.0 < get.max_age_ms <= max(now - self.moments[request.object_key], 0.001)
+            assert 0.0 < get.max_age_ms <= max(now - self.purged_at[request.object_key], 0.001)
 
     def step(self) -> None:
         random, harness = self.random, self.harness
         harness.now_ms += random.expovariate(1 / 20.0)
-        for at, token in [one for one in self.timers if one[0] <= harness.now_ms]:
+        for at, token in [timer for timer in self.timers if timer[0] <= harness.now_ms]:
             self.timers.remove((at, token))
             self.take(harness.deliver(TimerExpired(token)))
         kind = random.choices(
@@ -320,7 +325,7 @@
             3,
             0,
         )
-        self.open[request.request_id], self.out[request.request_id] = request, []
+        self.open[request.request_id], self.attempts[request.request_id] = request, []
         self.take(self.harness.deliver(request))
 
     def end(self) -> None:
@@ -341,7 +346,7 @@
 
     def purge(self) -> None:
         key, now = self.random.randrange(1, 12), self.harness.now_ms
-        self.moments[key], self.purged[key] = now, max(self.purged.get(key, 0.0), now + self.lasts)
+        self.purged_at[key], self.purged[key] = now, max(self.purged.get(key, 0.0), now + self.retention_ms)
         self.take(self.harness.deliver(PurgeReceived(0.0, 0, key)))
 
     def list(self) -> None:
@@ -358,12 +363,12 @@
         random = self.random
         if random.random() < 0.05:
             self.classes.append(make_class(name=f"c{len(self.classes)}"))
-        aim = random.choice([1.0, 700.0, 4000.0])
-        self.classes = [replace(cls, latency_objective_ms=aim) for cls in self.classes]
-        self.lasts = random.choice([100.0, 5000.0, 30_000.0])
+        objective_ms = random.choice([1.0, 700.0, 4000.0])
+        self.classes = [replace(cls, latency_objective_ms=objective_ms) for cls in self.classes]
+        self.retention_ms = random.choice([100.0, 5000.0, 30_000.0])
         settings = make_settings(
             *self.classes,
-            purge_settled_ms=self.lasts,
+            purge_settled_ms=self.retention_ms,
             max_attempts=random.choice([1, 4, 8]),
             connect_timeout_ms=random.choice([10.0, 300.0]),
             zone_link_kb_per_s=(0.0, random.choice([0.0, 20_000.0]), 0.0),
@@ -373,7 +378,7 @@
             overload_multiple=random.choice([0.5, 2.0]),
             fleet_size=random.choice([1, 5]),
         )
-        told(self.harness, settings)
+        apply_settings(self.harness, settings)
 
     def peers(self) -> None:
         self.take(
@@ -391,18 +396,18 @@
 
 @pytest.mark.parametrize("seed", range(12))
 def test_any_order_gives_one_answer_each_and_nothing_older_than_a_purge(seed: int) -> None:
-    play = Play(seed)
+    sequence = RandomSequence(seed)
     for _ in range(1500):
-        play.step()
-    play.harness.now_ms += 60_000.0
-    while play.pending:
-        (req, number), get = play.pending.popitem()
-        over = req not in play.open
-        play.take(
-            play.harness.deliver(
-                AttemptEnded(req, number, get.node_id, Outcome.TIMEOUT, 30.0, over, 0, 0.0, ())
+        sequence.step()
+    sequence.harness.now_ms += 60_000.0
+    while sequence.pending:
+        (req, number), get = sequence.pending.popitem()
+        ended = req not in sequence.open
+        sequence.take(
+            sequence.harness.deliver(
+                AttemptEnded(req, number, get.node_id, Outcome.TIMEOUT, 30.0, ended, 0, 0.0, ())
             )
         )
-    assert not play.open and play.answers > 200
-    assert not play.harness.director.state.in_flight
-    assert all(load.in_flight == 0 for load in play.harness.director.state.link_loads.values())
+    assert not sequence.open and sequence.answers > 200
+    assert not sequence.harness.director.state.in_flight
+    assert all(load.in_flight == 0 for load in sequence.harness.director.state.link_loads.values())
--- a/tests/test_router.py
+++ b/tests/test_router.py
@@ -1,4 +1,4 @@
-"""The real program on real sockets: what clients, caches and the change log see of it."""
+"""Test the real program on sockets, as clients, caches and the change log see it."""
 
 from __future__ import annotations
 
@@ -17,15 +17,15 @@
 
 import pytest
 from stand import (
-    PATIENCE,
     SETTINGS,
+    WAIT_TIMEOUT_S,
     Answer,
     Cache,
+    CacheCommand,
     ChangeLog,
     Client,
-    Fetch,
-    Hanging,
     Stand,
+    UnresponsiveAddress,
     pair,
     record,
     resp,
@@ -37,7 +37,7 @@
 from stonecove.state.requests import OpenRequests
 
 WRITE: dict[str, Any] = {"path": "/svc/confirm"}
-FINAL_REFUSED, FINAL_FAILED = 503, 502
+STATUS_REJECTED, STATUS_FAILED = 503, 502
 
 
 @pytest.fixture
@@ -49,14 +49,14 @@
     running.close()
 
 
-def is_refusal(answer: Answer) -> bool:
-    return answer.status == FINAL_REFUSED and int(answer.fields["X-Throttle-Ms"]) > 0
+def is_rejection(answer: Answer) -> bool:
+    return answer.status == STATUS_REJECTED and int(answer.fields["X-Throttle-Ms"]) > 0
 
 
 # -- a request and its answer --
 
 
-def test_a_request_passes_on_unchanged_and_comes_back_whole(stand: Stand) -> None:
+def test_a_request_and_its_answer_are_forwarded_unchanged(stand: Stand) -> None:
     client, body = stand.client(), bytes(range(256)) * 900
     client.send(5, X_TXN="9b1f03aa5c7e2d41", X_ETAG='W/"4be0"')
     fetch = stand.command()
@@ -125,7 +125,7 @@
 
 
 @pytest.mark.parametrize(
-    "word, what, again",
+    "word, options, again",
     [
         ("404", {}, True),
         ("503", {}, True),
@@ -136,11 +136,11 @@
         ("500", WRITE, False),
     ],
 )
-def test_only_what_never_ran_or_does_no_harm_goes_out_again(
-    stand: Stand, word: str, what: dict[str, Any], again: bool
+def test_only_unexecuted_or_idempotent_requests_are_retried(
+    stand: Stand, word: str, options: dict[str, Any], again: bool
 ) -> None:
     client = stand.client()
-    client.send(**what)
+    client.send(**options)
     first = stand.command()
     first.reply(word, tell="")
     if again:
@@ -149,16 +149,16 @@
         second.reply(body=b"ok")
         assert client.answer().body == b"ok"
     else:
-        assert client.answer().status == FINAL_FAILED
+        assert client.answer().status == STATUS_FAILED
         assert stand.commands.empty()
 
 
-@pytest.mark.parametrize("what, status", [({}, 200), (WRITE, FINAL_FAILED)])
-def test_a_connection_that_breaks_may_have_run_what_was_on_it(
-    stand: Stand, what: dict[str, Any], status: int
+@pytest.mark.parametrize("options, status", [({}, 200), (WRITE, STATUS_FAILED)])
+def test_requests_on_a_broken_connection_may_have_been_executed(
+    stand: Stand, options: dict[str, Any], status: int
 ) -> None:
     client = stand.client()
-    client.send(**what)
+    client.send(**options)
     fetch = stand.command()
     fetch.sock.shutdown(2)
     if status == 200:
@@ -181,7 +181,7 @@
 
 
 def test_a_connection_that_never_comes_up_proves_that_nothing_ran(stand: Stand) -> None:
-    hanging, client = Hanging(), stand.client()
+    hanging, client = UnresponsiveAddress(), stand.client()
     stand.log.tell(2, 2, stand.record(stand.caches[0], 0, port=hanging.port))
     stand.wait(lambda: len(stand.lines("endpoint_updated")) == 5, "the change")
     for number in range(8):  # about half of them have their home there
@@ -195,7 +195,7 @@
 COPY = b"tell=hit,ver=aa11,born=1796128466000"
 
 
-@pytest.mark.parametrize("what, status", [({}, 200), (WRITE, FINAL_FAILED)])
+@pytest.mark.parametrize("options, status", [({}, 200), (WRITE, STATUS_FAILED)])
 @pytest.mark.parametrize(
     "parts",
     [
@@ -214,12 +214,12 @@
         (b"200", COPY, bytes(240_001)),
     ],
 )
-def test_a_spoilt_answer_may_have_run_and_ends_its_connection(
-    stand: Stand, parts: Any, what: dict[str, Any], status: int
+def test_a_malformed_answer_closes_its_connection_and_may_have_been_executed(
+    stand: Stand, parts: Any, options: dict[str, Any], status: int
 ) -> None:
-    """Half an answer (it stays open: the rest never comes), rubbish, and arrays that say nothing readable."""
+    """Send truncated answers on connections that stay open, invalid data, and arrays with invalid items."""
     client = stand.client()
-    client.send(**what)
+    client.send(**options)
     fetch = stand.command()
     fetch.sock.sendall(parts if isinstance(parts, bytes) else resp(fetch.txn.encode(), *parts))
     if status == 200:
@@ -231,20 +231,20 @@
     assert answer.body == (b"whole" if status == 200 else b"") and stand.lines("upstream_connection_closed")
 
 
-def test_given_up_at_once_when_nothing_is_left_to_try(stand: Stand) -> None:
+def test_a_request_is_rejected_at_once_when_no_cache_is_left(stand: Stand) -> None:
     client = stand.client()
     for cache in stand.caches:
         cache.listener.close()
-    assert is_refusal(client.ask(X_TTL_MS="3600000"))
+    assert is_rejection(client.ask(X_TTL_MS="3600000"))
 
 
-@pytest.mark.parametrize("what, refused", [({}, True), (WRITE, False)])
-def test_a_silent_cache_is_answered_for_when_time_is_up(
-    stand: Stand, what: dict[str, Any], refused: bool
+@pytest.mark.parametrize("options, refused", [({}, True), (WRITE, False)])
+def test_a_request_to_a_silent_cache_is_answered_at_its_deadline(
+    stand: Stand, options: dict[str, Any], refused: bool
 ) -> None:
     client = stand.client()
-    answer = client.ask(X_TTL_MS="300", **what)
-    assert is_refusal(answer) if refused else answer.status == FINAL_FAILED
+    answer = client.ask(X_TTL_MS="300", **options)
+    assert is_rejection(answer) if refused else answer.status == STATUS_FAILED
     fetch = stand.command()
     assert stand.command("abort").txn == fetch.txn
     fetch.reply(body=b"too late")
@@ -264,8 +264,8 @@
     assert client.answer().body == b"whole"
 
 
-def test_what_is_more_than_owed_leaves_its_connection_in_use(stand: Stand) -> None:
-    """Second copies, and answers under an id that is not open."""
+def test_unsolicited_answers_leave_their_connection_in_use(stand: Stand) -> None:
+    """Send duplicate answers, and answers with an unknown id."""
     client = stand.client()
     used = set()
     for _ in range(3):
@@ -279,8 +279,8 @@
     assert len(used) == 1 and not stand.lines("upstream_connection_closed")
 
 
-def test_requests_that_are_out_together_go_by_connections_of_their_own(stand: Stand) -> None:
-    """Guards against one spoilt answer taking along all that is asked of its cache."""
+def test_concurrent_requests_use_separate_connections(stand: Stand) -> None:
+    """With a shared connection, one malformed answer would fail all requests to its cache."""
     client = stand.client()
     for ident in range(1, 9):
         client.send(ident, X_ROW=f"{ident:016x}", **WRITE)
@@ -289,11 +289,11 @@
     fetches[0].sock.sendall(b"noise\r\n")
     for fetch in fetches[1:]:
         fetch.reply()
-    assert sorted(client.answer().status for _ in range(8)) == [200] * 7 + [FINAL_FAILED]
+    assert sorted(client.answer().status for _ in range(8)) == [200] * 7 + [STATUS_FAILED]
 
 
 def test_the_key_of_a_keyed_class_passes_on_with_each_attempt() -> None:
-    """Guards against a repeat that the origin can't know for one; other classes have no key."""
+    """Without the key, the origin could not recognise a retry; other classes have no key."""
     classes = [
         {**cls, "effect": "token" if cls["name"] == "confirm" else cls["effect"], "group": "all"}
         for cls in SETTINGS["classes"]
@@ -314,19 +314,19 @@
         stand.close()
 
 
-@pytest.mark.parametrize(("price", "what", "most"), [(0.08, {}, 4), (0.08, WRITE, 16), (0.0, {}, 16)])
+@pytest.mark.parametrize(("price", "options", "most"), [(0.08, {}, 4), (0.08, WRITE, 16), (0.0, {}, 16)])
 def test_reads_share_connections_where_these_have_a_price(
-    price: float, what: dict[str, Any], most: int
+    price: float, options: dict[str, Any], most: int
 ) -> None:
-    """Guards against all routers of a fleet holding a connection for each request; writes go alone."""
+    """Otherwise each router of a fleet would hold a connection for each request; writes are not shared."""
     stand = Stand(prices={"handshake": price})
     try:
         client = stand.client()
         for ident in range(1, 17):
-            client.send(ident, X_ROW=f"{ident:016x}", **what)
+            client.send(ident, X_ROW=f"{ident:016x}", **options)
         fetches = [stand.command() for _ in range(16)]
-        held = len({id(fetch.sock) for fetch in fetches})
-        assert held == most if most == 16 else held <= most + 1  # 16 by fours, at two caches
+        connections = len({id(fetch.sock) for fetch in fetches})
+        assert connections == most if most == 16 else connections <= most + 1  # 16 by fours, at two caches
         for fetch in fetches:
             fetch.reply()
         assert [client.answer().status for _ in range(16)] == [200] * 16
@@ -334,8 +334,8 @@
         stand.close()
 
 
-def test_a_connection_reset_while_new_is_no_word_of_its_cache(stand: Stand) -> None:
-    """What was not written goes by another connection: a write too, for it surely did not run."""
+def test_a_reset_of_a_new_connection_does_not_count_against_its_cache(stand: Stand) -> None:
+    """A request that was not written is sent on another connection, even a write: it was not executed."""
     client, home = stand.client(), stand.caches[0]
     stand.log.tell(2, 2, stand.record(stand.caches[1], 2))
     stand.wait(lambda: len(stand.lines("endpoint_updated")) == 5, "only one cache is left")
@@ -350,9 +350,9 @@
 
 
 def test_a_connection_that_breaks_now_and_then_ejects_no_cache(stand: Stand) -> None:
-    """Each break is made good at the same cache, and takes nothing from what others may try again."""
+    """Each attempt is repeated at the same cache, without using the retry budget of other requests."""
     client = stand.client()
-    for _ in range(40):  # more than the budget for further attempts would bear
+    for _ in range(40):  # more than the retry budget allows
         client.send()
         home = stand.command()
         home.sock.shutdown(2)
@@ -364,7 +364,7 @@
 
 
 def test_one_broken_connection_ejects_no_cache(stand: Stand) -> None:
-    """All that was on it is asked for again at the same cache, which holds it by now."""
+    """All its requests are sent again to the same cache, which has cached the objects by now."""
     client = stand.client()
     for ident in range(1, 4):
         client.send(ident)
@@ -378,8 +378,8 @@
     assert {client.answer().status for _ in fetches} == {200} and not stand.lines("routing_notice")
 
 
-def test_links_to_a_node_that_left_the_list_are_given_up(stand: Stand) -> None:
-    """Nobody there answers any more: what is out ends at once, and nothing is kept for the node."""
+def test_connections_to_a_removed_node_are_closed(stand: Stand) -> None:
+    """Attempts in flight end at once, as a removed node no longer answers, and no connection is kept."""
     client = stand.client()
     client.send()
     fetch = stand.command()
@@ -404,7 +404,7 @@
 
 
 @pytest.mark.parametrize(
-    "word, fields, what",
+    "word, fields, options",
     [
         ("200", {"born": int(time.time() * 1000) - 60_000}, {"path": "/svc/page"}),  # fresh for 20 s
         ("304", {"ver": "other"}, {"X_ETAG": "4be0"}),
@@ -412,16 +412,16 @@
     ],
 )
 def test_what_a_cache_must_not_send_is_not_passed_on(
-    stand: Stand, word: str, fields: dict[str, object], what: dict[str, Any]
+    stand: Stand, word: str, fields: dict[str, object], options: dict[str, Any]
 ) -> None:
     client = stand.client()
-    client.send(**what)
+    client.send(**options)
     stand.command().reply(word, b"", **fields)
     stand.command().reply(body=b"good")
     assert client.answer().body == b"good" and len(stand.lines("copy_rejected")) == 1
 
 
-def test_the_clients_copy_that_holds(stand: Stand) -> None:
+def test_a_client_copy_that_is_still_valid(stand: Stand) -> None:
     client = stand.client()
     client.send(X_ETAG="4be0")
     stand.command().reply("304", ver="4be0")
@@ -429,7 +429,7 @@
     assert (answer.status, answer.body, answer.fields["X-Notmod"]) == (200, b"", "1")
 
 
-def test_a_client_that_leaves_takes_its_attempt_along(stand: Stand) -> None:
+def test_the_attempt_of_a_client_that_disconnects_is_aborted(stand: Stand) -> None:
     client = stand.client()
     client.send(3)
     fetch = stand.command()
@@ -446,11 +446,11 @@
     assert stand.command("abort").txn == fetch.txn
 
 
-# -- what clients do wrong --
+# -- invalid requests and clients at their limits --
 
 
 @pytest.mark.parametrize(
-    "what, status",
+    "options, status",
     [
         ({"X_TXN": None}, 400),
         ({"X_TXN": "a,from=s-1"}, 400),
@@ -473,9 +473,9 @@
         ({"X_FILL": "y" * 40_000}, 413),
     ],
 )
-def test_a_bad_request_is_told_so(stand: Stand, what: dict[str, Any], status: int) -> None:
+def test_a_malformed_request_is_rejected(stand: Stand, options: dict[str, Any], status: int) -> None:
     client = stand.client()
-    assert client.ask(**what).status == status
+    assert client.ask(**options).status == status
     assert stand.lines("request_malformed")
     client.send(2)
     stand.command().reply()
@@ -491,7 +491,7 @@
         record(9, 0, b"\x20\x00abc"),
     ],
 )
-def test_what_is_not_fastcgi_ends_its_connection_alone(stand: Stand, data: bytes) -> None:
+def test_invalid_fastcgi_closes_only_its_own_connection(stand: Stand, data: bytes) -> None:
     other, client = stand.client(), stand.client()
     other.send()
     fetch = stand.command()
@@ -518,16 +518,16 @@
 
 
 @pytest.mark.parametrize("sent", ["nothing", "half a record", "half a request"])
-def test_what_never_comes_in_whole_is_ended_and_others_are_not(stand: Stand, sent: str) -> None:
-    """Guards against clients that hold a connection for nothing."""
+def test_incomplete_requests_time_out_and_others_do_not(stand: Stand, sent: str) -> None:
+    """Otherwise clients could occupy connections without sending requests."""
     usual, client = stand.client(), stand.client()
     usual.send()
     fetch = stand.command()
-    whole = client.request(7)
+    data = client.request(7)
     if sent == "half a record":
-        client.sock.sendall(whole[:10])
+        client.sock.sendall(data[:10])
     elif sent == "half a request":
-        client.sock.sendall(whole[:-8])  # all but the end of the body
+        client.sock.sendall(data[:-8])  # all but the end of the body
         assert client.answer()[:2] == (7, 408)
         client.send(8)
         stand.command().reply(body=b"goes on")
@@ -539,7 +539,7 @@
 
 
 @pytest.mark.parametrize("kind, status", [(4, 413), (5, 413)])
-def test_what_never_ends_is_answered_before_its_end(stand: Stand, kind: int, status: int) -> None:
+def test_oversized_requests_are_rejected_before_their_end(stand: Stand, kind: int, status: int) -> None:
     client = stand.client()
     client.sock.sendall(client.request()[:-8].replace(record(4, 1), b"" if kind == 4 else record(4, 1)))
     client.sock.sendall(record(kind, 1, bytes(60_000)) * 3)  # no end of it
@@ -547,7 +547,7 @@
 
 
 def test_the_id_of_an_open_request_is_not_taken_again(stand: Stand) -> None:
-    """Guards against an answer that goes to the wrong one of the two."""
+    """Otherwise an answer could go to the wrong one of two requests."""
     client, other = stand.client(), stand.client()
     client.send(X_TXN="9b1f03aa5c7e2d41")
     fetch = stand.command()
@@ -559,8 +559,8 @@
     assert other.answer().body == b"now"
 
 
-def test_a_client_that_is_turned_away_again_and_again_is_left(stand: Stand) -> None:
-    """What it had open before is answered first, though it goes on sending."""
+def test_a_client_with_many_rejected_requests_is_disconnected(stand: Stand) -> None:
+    """Its open request is answered first, although it goes on sending."""
     client = stand.client()
     client.send(1)
     fetch = stand.command()
@@ -576,16 +576,16 @@
     assert {answer.status for answer in answers if answer.body != b"first"} == {404}
 
 
-def test_idle_clients_make_room_and_busy_ones_stay() -> None:
-    """Guards against connections that are merely held keeping out those that ask."""
+def test_idle_clients_are_evicted_and_busy_ones_stay() -> None:
+    """Otherwise idle connections would keep out clients that send requests."""
     stand = Stand(sockets=16)  # of which clients get 8
     busy, halfway = stand.client(), stand.client()
     busy.send()
     fetch = stand.command()
     halfway.sock.sendall(halfway.request()[:40])
-    held = [stand.client() for _ in range(6)]
-    for client in held[:3]:
-        assert client.ask(path="/status/live").status == 200  # and it stays; the others never say anything
+    idle = [stand.client() for _ in range(6)]
+    for client in idle[:3]:
+        assert client.ask(path="/status/live").status == 200  # and stays connected; the others send nothing
     for _ in range(8):
         late = stand.client()
         assert late.ask(path="/status/live").status == 200
@@ -593,7 +593,7 @@
     stand.command().reply(body=b"halfway")
     assert halfway.answer().body == b"halfway"
     fetch.reply(body=b"busy")
-    assert busy.answer().body == b"busy" and held[-1].ended()
+    assert busy.answer().body == b"busy" and idle[-1].ended()
     stand.close()
 
 
@@ -612,26 +612,26 @@
     assert (answer.ident, answer.status, answer.protocol) == (33, 0, 2)
 
 
-def test_no_room_for_a_request_is_a_refusal() -> None:
+def test_a_request_over_the_limit_is_rejected() -> None:
     stand = Stand(limits={**SETTINGS["limits"], "most_held": 1})
     client = stand.client()
     client.send(1)
     fetch = stand.command()
     client.send(2)
     answer = client.answer()
-    assert answer.ident == 2 and is_refusal(answer)
+    assert answer.ident == 2 and is_rejection(answer)
     fetch.reply()
     assert client.answer()[:2] == (1, 200)
     stand.close()
 
 
-def test_no_memory_for_a_request_is_a_refusal_and_what_is_held_is_given_back() -> None:
+def test_a_request_over_the_memory_limit_is_rejected_and_memory_is_released() -> None:
     stand = Stand(memory_mb=0.1)  # a quarter of it is 25,000 bytes
     client = stand.client()
     for _ in range(5):
         answer = client.ask(body=bytes(30_000))
         assert (answer.status, answer.protocol) == (0, 2)
-        assert is_refusal(client.ask(X_WORKING_SET_KB="100"))
+        assert is_rejection(client.ask(X_WORKING_SET_KB="100"))
         client.send(body=bytes(2000))
         stand.command().reply(body=bytes(20_000))
         assert client.answer().status == 200
@@ -655,8 +655,8 @@
 # -- the change log --
 
 
-def ask_many(stand: Stand, client: Client, count: int = 12) -> list[Fetch]:
-    """Asks for so many objects; every one is served."""
+def request_many(stand: Stand, client: Client, count: int = 12) -> list[CacheCommand]:
+    """Request `count` objects, each of which is served; return the caches' commands."""
     found = []
     for number in range(count):
         client.send(X_ROW=f"{number + 1:016x}")
@@ -667,43 +667,43 @@
 
 
 @pytest.mark.parametrize("state", [1, 2])
-def test_nothing_new_goes_to_a_cache_that_drains_or_is_gone(stand: Stand, state: int) -> None:
-    client, (leaving, staying) = stand.client(), stand.caches
-    assert {fetch.cache for fetch in ask_many(stand, client)} == {leaving, staying}
-    stand.log.tell(2, 2, stand.record(leaving, state))
+def test_nothing_new_goes_to_a_cache_that_drains_or_is_removed(stand: Stand, state: int) -> None:
+    client, (removed, remaining) = stand.client(), stand.caches
+    assert {fetch.cache for fetch in request_many(stand, client)} == {removed, remaining}
+    stand.log.tell(2, 2, stand.record(removed, state))
     stand.wait(lambda: len(stand.lines("endpoint_updated")) == 5, "the change")
-    assert {fetch.cache for fetch in ask_many(stand, client)} == {staying}
+    assert {fetch.cache for fetch in request_many(stand, client)} == {remaining}
 
 
-def test_a_source_that_drains_is_named_no_more(stand: Stand) -> None:
+def test_a_draining_source_is_no_longer_used(stand: Stand) -> None:
     client = stand.client()
-    assert ask_many(stand, client, 1)[0].fields["from"] == "s-00000020"
+    assert request_many(stand, client, 1)[0].fields["from"] == "s-00000020"
     parent = struct.pack(">IIHBBBHIQ", 0x20, 0x7F000001, 1, 1, 0, 1, 0, 9_000_000, 0)
     stand.log.tell(2, 2, parent)
     stand.wait(lambda: len(stand.lines("endpoint_updated")) == 5, "the change")
-    assert ask_many(stand, client, 1)[0].fields["from"] == "s-00000030"
+    assert request_many(stand, client, 1)[0].fields["from"] == "s-00000030"
 
 
 def test_a_new_cache_at_an_old_address_is_another_cache(stand: Stand) -> None:
-    """Guards against naming a home by its address, and against using a connection to the old one."""
+    """Nodes must not be identified by their address, and a connection to the old cache must not be used."""
     client, (old, _) = stand.client(), stand.caches
-    ask_many(stand, client)
+    request_many(stand, client)
     assert old.listener.accepted
     new = struct.pack(">IIHBBBHIQ", 0x99, 0x7F000001, old.listener.port, 0, 1, 0, 0, 9_000_000, 0)
     before = len(old.listener.accepted)
     stand.log.tell(2, 2, stand.record(old, 2) + new)
     stand.wait(lambda: len(stand.lines("endpoint_updated")) == 6, "the change")
-    ask_many(stand, client)
+    request_many(stand, client)
     assert len(old.listener.accepted) > before
 
 
 def test_a_cache_that_has_moved_is_asked_at_its_new_address(stand: Stand) -> None:
     client, (old, _) = stand.client(), stand.caches
-    assert old in {fetch.cache for fetch in ask_many(stand, client)}
+    assert old in {fetch.cache for fetch in request_many(stand, client)}
     moved = Cache(old.ident, stand.commands)
     stand.log.tell(2, 2, stand.record(old, 0, port=moved.listener.port))
     stand.wait(lambda: len(stand.lines("endpoint_updated")) == 5, "the change")
-    assert {fetch.cache for fetch in ask_many(stand, client)} == {moved, stand.caches[1]}
+    assert {fetch.cache for fetch in request_many(stand, client)} == {moved, stand.caches[1]}
     moved.listener.close()
 
 
@@ -711,7 +711,7 @@
 def test_connections_older_than_the_start_of_their_machine_are_closed(
     stand: Stand, since: int, lost: bool
 ) -> None:
-    """Guards against waiting for a process that is gone, and giving up what its successor works on."""
+    """A dead process must not be waited for, and attempts at its successor must not be given up."""
     client = stand.client()
     client.send()
     fetch = stand.command()
@@ -735,7 +735,7 @@
     moment = int(time.time() * 1000) - 100
     stand.log.tell(2, kind, name + struct.pack(">Q", moment))
 
-    def asked() -> bool:
+    def is_copy_age_limited() -> bool:
         client.send()
         fetch = stand.command()
         fetch.reply()
@@ -744,7 +744,7 @@
         assert not oldest or time.time() * 1000 - oldest >= moment
         return oldest > 0
 
-    stand.wait(asked, "the purge")
+    stand.wait(is_copy_age_limited, "the purge")
 
 
 def test_an_answer_that_is_older_than_the_purge_it_was_asked_after(stand: Stand) -> None:
@@ -760,7 +760,7 @@
 
 @pytest.mark.parametrize("breaks", ["closed", "gap", "unreadable", "silent", "trickling"])
 def test_the_change_log_goes_on_where_it_broke(stand: Stand, breaks: str) -> None:
-    assert stand.log.since.get(timeout=PATIENCE) == 1
+    assert stand.log.since.get(timeout=WAIT_TIMEOUT_S) == 1
     purge = struct.pack(">HQ", 40, 1)
     stand.log.tell(2, 4, purge)
     stand.log.tell(2, 0)
@@ -778,23 +778,23 @@
             return bool(stand.lines("change_log_disconnected"))
 
         stand.wait(given_up, "an end of the trickling")
-    assert stand.log.since.get(timeout=PATIENCE) == 2
+    assert stand.log.since.get(timeout=WAIT_TIMEOUT_S) == 2
     stand.log.tell(3, 2, stand.record(stand.caches[0], 1))
     stand.wait(lambda: len(stand.lines("endpoint_updated")) == 5, "the next event")
 
 
-@pytest.mark.parametrize("news", ["drain", "source", "purge"])
-def test_what_waits_for_a_connection_is_looked_at_again(news: str) -> None:
-    """Guards against sending by a decision that was overtaken while the connection came up."""
+@pytest.mark.parametrize("event", ["drain", "source", "purge"])
+def test_requests_waiting_for_a_connection_are_decided_again(event: str) -> None:
+    """Otherwise a request could be sent by a decision that became outdated while connecting."""
     limits = {"connect_timeout": 28_000.0, "conn_idle": 600_000.0, "most_tries": 8, "cancel": True}
     stand = Stand(limits=limits)  # time for the kernel to try again and again
-    hanging, client, (slow, other) = Hanging(), stand.client(), stand.caches
+    hanging, client, (slow, other) = UnresponsiveAddress(), stand.client(), stand.caches
     stand.log.tell(2, 2, stand.record(slow, 0, port=hanging.port) + stand.record(other, 1))
     stand.wait(lambda: len(stand.lines("endpoint_updated")) == 6, "the first change")
     client.send(X_TTL_MS="30000")
     client.send(2, path="/svc/nothing")
     assert client.answer().status == 404  # so the first request has been decided
-    if news == "drain":
+    if event == "drain":
         stand.log.tell(3, 2, stand.record(slow, 1, port=hanging.port) + stand.record(other, 0))
         stand.command().reply(body=b"other")
         assert client.answer().body == b"other"
@@ -803,17 +803,17 @@
             sock.settimeout(1.0)
             assert sock.recv(1) == b""  # it may end the connection, but sends nothing
     else:
-        parent = struct.pack(">IIHBBBHIQ", 0x20, 0x7F000001, 1, int(news == "source"), 0, 1, 0, 9_000_000, 0)
-        stand.log.tell(3, 4, struct.pack(">HQ", 17 + (news == "source"), int(time.time() * 1000)))
+        parent = struct.pack(">IIHBBBHIQ", 0x20, 0x7F000001, 1, int(event == "source"), 0, 1, 0, 9_000_000, 0)
+        stand.log.tell(3, 4, struct.pack(">HQ", 17 + (event == "source"), int(time.time() * 1000)))
         stand.log.tell(4, 2, parent)
         stand.wait(lambda: len(stand.lines("endpoint_updated")) == 7, "the change after the purge")
         fields = hanging.open().recv(1000)
-        assert (b"oldest=" in fields, b"from=s-00000030" in fields) == (news == "purge", news == "source")
+        assert (b"oldest=" in fields, b"from=s-00000030" in fields) == (event == "purge", event == "source")
     hanging.close()
     stand.close()
 
 
-def test_odd_news_ends_nothing(stand: Stand) -> None:
+def test_invalid_change_log_events_are_ignored(stand: Stand) -> None:
     client, odd = stand.client(), struct.pack(">IIHBBBHIQ", 0x77, 0, 0, 9, 200, 200, 65535, 0, 2**64 - 1)
     for number in range(2, 9):
         stand.log.tell(number, 2, odd + odd)
@@ -821,7 +821,7 @@
     nodes = b"".join(stand.record(cache, 0) for cache in stand.caches)
     stand.log.tell(10, 1, nodes + struct.pack(">IIHBBBHIQ", 0x30, 0x7F000001, 1, 0, 0, 2, 0, 9_000_000, 0))
     stand.wait(lambda: len(stand.lines("endpoint_updated")) == 4 + 14 + 3, "the whole list")
-    assert {fetch.fields["from"] for fetch in ask_many(stand, client)} == {"s-00000030"}
+    assert {fetch.fields["from"] for fetch in request_many(stand, client)} == {"s-00000030"}
 
 
 def test_a_clock_that_is_set_back_stops_no_timer_and_hides_no_purge(tmp_path: Path) -> None:
@@ -832,9 +832,9 @@
     )
     stand = Stand(env={"PYTHONPATH": str(tmp_path)})
     client = stand.client()
-    ask_many(stand, client, 2)
+    request_many(stand, client, 2)
     flag.touch()
-    assert is_refusal(client.ask(X_TTL_MS="300"))
+    assert is_rejection(client.ask(X_TTL_MS="300"))
     assert stand.command("abort").word == "abort"
     stand.log.tell(2, 4, struct.pack(">HQ", 17, int((time.time() - 3600) * 1000)))
     stand.log.tell(3, 2, stand.record(stand.caches[0], 0))
@@ -851,12 +851,12 @@
     client, new = stand.client(), ChangeLog()
     client.send()
     fetch = stand.command()
-    assert stand.log.since.get(timeout=PATIENCE) == 1
+    assert stand.log.since.get(timeout=WAIT_TIMEOUT_S) == 1
     stand.log.tell(2, 4, struct.pack(">HQ", 40, 1))
     stand.log.tell(3, 0)  # and then it stays open and silent
     changed = {**stand.config, "changelog": f"127.0.0.1:{new.listener.port}"}
     stand.reload(json.dumps(changed))
-    assert new.since.get(timeout=PATIENCE) == 2
+    assert new.since.get(timeout=WAIT_TIMEOUT_S) == 2
     new.tell(3, 2, stand.record(stand.caches[0], 1))
     stand.wait(lambda: len(stand.lines("endpoint_updated")) == 5, "the next event")
     fetch.reply(body=b"went on")
@@ -881,13 +881,13 @@
     ],
 )
 def test_a_bad_new_configuration_is_one_line_and_the_old_one_stays(stand: Stand, text: str) -> None:
-    assert stand.log.since.get(timeout=PATIENCE) == 1
+    assert stand.log.since.get(timeout=WAIT_TIMEOUT_S) == 1
     changes = json.loads(text) if text.startswith('{"') else None
     stand.reload(text if changes is None else json.dumps({**stand.config, **changes}))
     stand.wait(lambda: stand.lines("config_reload_rejected"), "a line of the log")
     stand.log.tell(2, 2, stand.record(stand.caches[0], 1))
     stand.wait(lambda: len(stand.lines("endpoint_updated")) == 5, "an event by the old address")
-    ask_many(stand, stand.client(), 2)
+    request_many(stand, stand.client(), 2)
     assert len(stand.lines("config_reload_rejected")) == 1
 
 
@@ -895,24 +895,24 @@
     limits = {"limits": {**stand.config["limits"], "memory_mb": 0.001}}
     stand.reload(json.dumps({**stand.config, **limits}))
     stand.wait(lambda: stand.lines("config_reloaded"), "the new configuration")
-    assert is_refusal(stand.client().ask(X_WORKING_SET_KB="100"))
+    assert is_rejection(stand.client().ask(X_WORKING_SET_KB="100"))
 
 
-def test_what_is_over_our_share_of_a_core_is_refused_at_once(stand: Stand) -> None:
-    """Guards against being stopped by the platform, so that all becomes late; a new share holds at once."""
+def test_requests_over_the_cpu_share_are_rejected_at_once(stand: Stand) -> None:
+    """Otherwise the platform would throttle the process and delay all; a new share applies at once."""
     client, limits = stand.client(), stand.config["limits"]
     stand.reload(json.dumps({**stand.config, "limits": {**limits, "cores": 1e-6}}))
     stand.wait(lambda: len(stand.lines("config_reloaded")) == 1, "the new share")
-    stand.wait(lambda: is_refusal(client.ask(X_TTL_MS="60000")), "a refusal")
-    assert is_refusal(client.ask(X_TTL_MS="60000"))
+    stand.wait(lambda: is_rejection(client.ask(X_TTL_MS="60000")), "a refusal")
+    assert is_rejection(client.ask(X_TTL_MS="60000"))
     stand.reload(json.dumps(stand.config))
     stand.wait(lambda: len(stand.lines("config_reloaded")) == 2, "the old share")
-    ask_many(stand, client, 2)
+    request_many(stand, client, 2)
 
 
 @pytest.mark.parametrize("waited, refused", [(10.0, []), (50.0, [0]), (100.0, [0, 1]), (9000.0, [0, 1, 2])])
-def test_what_has_waited_too_long_is_refused_by_its_worth(waited: float, refused: list[int]) -> None:
-    classes = [{"deadline": 5000.0, "on_time": 200.0, "importance": worth} for worth in (1.0, 2.0, 4.5)]
+def test_requests_that_waited_too_long_are_rejected_by_priority(waited: float, refused: list[int]) -> None:
+    classes = [{"deadline": 5000.0, "on_time": 200.0, "importance": weight} for weight in (1.0, 2.0, 4.5)]
     settings = settings_from({"zone": 0, "classes": classes})
     admit = Admit(settings, OpenRequests(), MemoryBudget(), 0.0, 1)
     assert [kind for kind in range(3) if admit.should_shed(1000.0 + waited, 1000.0, kind)] == refused
@@ -920,63 +920,63 @@
 
 @pytest.mark.parametrize("deadline, within", [(100.0, 0.7), (300.0, 0.8), (600.0, 0.8), (9000.0, 3.2)])
 def test_sigterm_answers_before_sigkill(deadline: float, within: float) -> None:
-    """SIGKILL comes 0.7 s after the longest deadline, of which 3 s count at most."""
+    """SIGKILL comes 0.7 s after the longest deadline, which counts as 3 s at most."""
     classes = [{**cls, "deadline": deadline, "on_time": 500.0} for cls in SETTINGS["classes"]]
     stand = Stand(classes=classes)
     client = stand.client()
     client.send(X_TTL_MS="60000")
     stand.command()
     stand.process.send_signal(signal.SIGTERM)
-    assert is_refusal(client.answer())
-    assert stand.process.wait(PATIENCE) == 0
+    assert is_rejection(client.answer())
+    assert stand.process.wait(WAIT_TIMEOUT_S) == 0
     assert stand.lines("router_stopping")[0].endswith(f" within={within}") and stand.lines("router_stopped")
     stand.close()
 
 
-def test_sigterm_finishes_what_was_taken_and_takes_more_for_the_grace(stand: Stand) -> None:
+def test_sigterm_finishes_accepted_requests_and_accepts_more_in_the_grace_period(stand: Stand) -> None:
     early = stand.client()
     early.send()
-    held = stand.command()
+    fetch = stand.command()
     stand.process.send_signal(signal.SIGTERM)
     stand.wait(lambda: stand.lines("router_stopping"), "the stop")
     late = stand.client()
     late.send()
     stand.command().reply(body=b"late")
     assert late.answer().body == b"late"
-    held.reply(body=b"early")
+    fetch.reply(body=b"early")
     assert early.answer().body == b"early"
-    assert stand.process.wait(PATIENCE) == 0
+    assert stand.process.wait(WAIT_TIMEOUT_S) == 0
     stand.process = stand.start()
 
 
-def test_sigterm_while_all_places_are_taken_loses_nothing() -> None:
-    """Guards against an end with connections that wait to be accepted, and against one by an error."""
+def test_sigterm_at_the_client_limit_loses_nothing() -> None:
+    """The router must not end with connections that wait to be accepted, nor with an error."""
     stand = Stand(sockets=16)  # of which clients get 8
-    held = [stand.client() for _ in range(8)]
-    for client in held:
+    clients = [stand.client() for _ in range(8)]
+    for client in clients:
         client.send()
-    fetches = [stand.command() for _ in held]
+    fetches = [stand.command() for _ in clients]
     late = stand.client()
     late.send(X_ROW="0123456789abcdef")
     stand.process.send_signal(signal.SIGTERM)
     stand.wait(lambda: stand.lines("router_stopping"), "the stop")
     for fetch in fetches:
         fetch.reply(body=b"held")
-    assert {client.answer().body for client in held} == {b"held"}
+    assert {client.answer().body for client in clients} == {b"held"}
     stand.command().reply(body=b"late")
     assert late.answer().body == b"late"
-    assert stand.process.wait(PATIENCE) == 0 and not stand.lines("Exception")
+    assert stand.process.wait(WAIT_TIMEOUT_S) == 0 and not stand.lines("Exception")
     stand.close()
 
 
-def test_sigterm_answers_what_no_cache_answers(stand: Stand) -> None:
+def test_sigterm_answers_requests_without_an_answer_from_a_cache(stand: Stand) -> None:
     clients = [stand.client(), stand.client()]
     clients[0].send(X_TTL_MS="3600000")
     clients[1].send(X_TTL_MS="3600000", **WRITE)
     stand.command(), stand.command()
     stand.process.send_signal(signal.SIGTERM)
-    assert is_refusal(clients[0].answer()) and clients[1].answer().status == FINAL_FAILED
-    assert stand.process.wait(PATIENCE) == 0
+    assert is_rejection(clients[0].answer()) and clients[1].answer().status == STATUS_FAILED
+    assert stand.process.wait(WAIT_TIMEOUT_S) == 0
     stand.process = stand.start()
 
 
@@ -1003,17 +1003,17 @@
         env={"RELAY_CONFIG": str(path)},
         capture_output=True,
         text=True,
-        timeout=PATIENCE,
+        timeout=WAIT_TIMEOUT_S,
     )
     assert done.returncode == 2 and done.stderr.startswith("stonecove: ") and done.stderr.count("\n") == 1
 
 
-def test_connections_that_ask_once_and_go_leave_no_memory_behind(stand: Stand) -> None:
-    """As on a day of churn: each closed connection is a cycle that holds its answer until it is collected."""
-    over = threading.Event()
+def test_short_lived_connections_leak_no_memory(stand: Stand) -> None:
+    """Each closed connection is a reference cycle that keeps its answer in memory until it is collected."""
+    stopped = threading.Event()
 
     def serve() -> None:
-        while not over.is_set():
+        while not stopped.is_set():
             if (fetch := stand.maybe_command(0.05)) is not None and fetch.word == "fetch":
                 fetch.reply(body=bytes(60_000))
 
@@ -1028,25 +1028,25 @@
             client = Client(stand.address)
             assert client.ask().status == 200
             client.close()
-        assert resident() < before + 15.0  # 35 MB when cycles were looked for every 20,000 objects
+        assert resident() < before + 15.0  # 35 MB with a collection every 20,000 objects
     finally:
-        over.set()
+        stopped.set()
         server.join()
 
 
 def test_a_router_is_ready_once_it_knows_what_the_log_told_while_it_started() -> None:
-    """Guards against a first request to a cache that was drained after the configuration was written."""
-    told: list[float] = []
+    """Otherwise a first request could go to a cache that drained after the configuration was written."""
+    sent_at: list[float] = []
 
     def missed(stand: Stand) -> bytes:
         time.sleep(0.3)
-        told.append(time.monotonic())
+        sent_at.append(time.monotonic())
         drain = stand.record(stand.caches[0], 1)
         return struct.pack(">IQB", 9 + len(drain), 2, 2) + drain
 
     stand = Stand(missed=missed, rules={**SETTINGS["rules"], "drain_grace": 20_000.0})
     try:
-        assert told and not stand.lines("internal_error")
+        assert sent_at and not stand.lines("internal_error")
         client = stand.client()
         for number in range(8):
             client.send(number + 1, X_ROW=f"{number:016x}")
--- a/tests/test_stop_crossings.py
+++ b/tests/test_stop_crossings.py
@@ -1,4 +1,4 @@
-"""Signals and closes of the router's own that meet bytes on their way."""
+"""Test signals, and closes by the router, that cross with data in transit."""
 
 from __future__ import annotations
 
@@ -18,23 +18,23 @@
 import pytest
 import trio
 import trio.testing
-from stand import PATIENCE, SETTINGS, ChangeLog, Client, Hanging, Stand, resp
+from stand import SETTINGS, WAIT_TIMEOUT_S, ChangeLog, Client, Stand, UnresponsiveAddress, resp
 
 from stonecove.protocols.fastcgi.session import TAKE_IN, Session
 from stonecove.state.budget import MemoryBudget
 from stonecove.transport.client_connection import ClientConnection
 
 TERM, HUP = signal.SIGTERM, signal.SIGHUP
-ROOM = MemoryBudget()
-ROOM.limit_bytes = 1e6
+BUDGET = MemoryBudget()
+BUDGET.limit_bytes = 1e6
 
 
 @pytest.fixture
 def stand() -> Iterator[Stand]:
-    """One that the test has to end."""
+    """Yield a running router, which the test has to stop."""
     running = Stand()
     yield running
-    assert running.process.wait(PATIENCE) == 0
+    assert running.process.wait(WAIT_TIMEOUT_S) == 0
     assert running.lines("router_stopped")[0].endswith(" open=0") and not running.lines("internal_error")
     running.close()
 
@@ -44,9 +44,9 @@
     stand.wait(lambda: stand.lines("router_stopping"), "the stop")
 
 
-def refused(stand: Stand) -> bool:
-    """Whether the router takes no new connections any more."""
-    with contextlib.suppress(OSError), socket.create_connection(stand.address, PATIENCE):
+def refuses_connections(stand: Stand) -> bool:
+    """Return whether the router no longer accepts connections."""
+    with contextlib.suppress(OSError), socket.create_connection(stand.address, WAIT_TIMEOUT_S):
         return False
     return True
 
@@ -57,10 +57,10 @@
 @pytest.mark.parametrize("number", [HUP, TERM])
 @pytest.mark.parametrize("where", ["imports", "reads", "starts"])
 def test_a_signal_before_the_router_is_ready(tmp_path: Path, where: str, number: signal.Signals) -> None:
-    """Guards against a start that a signal ends: SIGHUP means a new configuration, SIGTERM an end with 0."""
+    """A signal must not end the start: SIGHUP reloads the configuration, SIGTERM ends with exit code 0."""
     config, gate, real = Stand.plain_config(), tmp_path / "gate", tmp_path / "real"
     log, released = ChangeLog(), threading.Event()
-    log.missed = lambda: released.wait(PATIENCE) and struct.pack(">IQB", 9, 0, 0) or b""
+    log.missed = lambda: released.wait(WAIT_TIMEOUT_S) and struct.pack(">IQB", 9, 0, 0) or b""
     config["changelog"] = f"127.0.0.1:{log.listener.port}"
     config["settings"] = {**SETTINGS, "rules": {**SETTINGS["rules"], "drain_grace": 60_000.0}}
     real.write_text(json.dumps(config))
@@ -75,17 +75,17 @@
     with subprocess.Popen([sys.executable, "-m", "stonecove"], env=env, stderr=subprocess.PIPE) as process:
         try:
             if where == "starts":
-                Stand.wait(lambda: log.listener.accepted, "the change log is asked")
+                Stand.wait(lambda: log.listener.accepted, "a connection to the change log")
                 process.send_signal(number)
             else:
                 opened: list[int] = []
 
-                def reads() -> bool:
+                def open_gate() -> bool:
                     with contextlib.suppress(OSError):
                         opened.append(os.open(gate, os.O_WRONLY | os.O_NONBLOCK))
                     return bool(opened)
 
-                Stand.wait(reads, "the start stands still")
+                Stand.wait(open_gate, "the start stands still")
                 process.send_signal(number)
                 os.write(opened[0], real.read_bytes())
                 real.rename(gate) if where == "reads" else None
@@ -96,7 +96,7 @@
                 lines = iter(process.stderr.readline, b"")
                 assert any(b" config_reloaded " in line for line in lines)
                 process.send_signal(TERM)
-            assert process.wait(PATIENCE) == 0
+            assert process.wait(WAIT_TIMEOUT_S) == 0
         finally:
             released.set()
             process.kill()
@@ -125,20 +125,20 @@
 # -- the drain --
 
 
-def test_a_request_that_is_half_read_as_the_grace_ends(stand: Stand) -> None:
+def test_a_request_that_is_half_read_when_the_grace_period_ends(stand: Stand) -> None:
     client = stand.client()
-    whole = client.request()
+    data = client.request()
     stand.process.send_signal(TERM)
     stand.wait(lambda: stand.lines("router_stopping"), "the stop")
-    client.sock.sendall(whole[:-20])
-    stand.wait(lambda: refused(stand), "the end of the grace")
-    client.sock.sendall(whole[-20:])
+    client.sock.sendall(data[:-20])
+    stand.wait(lambda: refuses_connections(stand), "the end of the grace")
+    client.sock.sendall(data[-20:])
     stand.command().reply(body=b"whole")
     assert client.answer().body == b"whole" and client.ended()
 
 
 @pytest.mark.parametrize("where", ["written", "half answered"])
-def test_a_request_that_is_out_as_the_router_stops(stand: Stand, where: str) -> None:
+def test_a_request_in_flight_when_the_router_stops(stand: Stand, where: str) -> None:
     client = stand.client()
     client.send()
     fetch = stand.command()
@@ -150,8 +150,8 @@
     assert client.answer().body == b"x" * 20_000 and client.ended()
 
 
-def test_a_request_that_waits_for_a_connection_as_the_router_stops() -> None:
-    stand, hanging = Stand(limits={**SETTINGS["limits"], "connect_timeout": 28_000.0}), Hanging()
+def test_a_request_that_waits_for_a_connection_when_the_router_stops() -> None:
+    stand, hanging = Stand(limits={**SETTINGS["limits"], "connect_timeout": 28_000.0}), UnresponsiveAddress()
     try:
         for number, cache in enumerate(stand.caches, 2):
             stand.log.tell(number, 2, stand.record(cache, 0, port=hanging.port))
@@ -168,16 +168,16 @@
             link.sendall(resp(txn, b"200", b"ver=a,born=9999999999999,tell=hit", b"came up"))
             assert client.answer().body == b"came up"
         client.close()
-        assert stand.process.wait(PATIENCE) == 0
+        assert stand.process.wait(WAIT_TIMEOUT_S) == 0
     finally:
         hanging.close()
         stand.close()
 
 
-def test_all_ends_before_sigkill_whoever_hangs_rests_or_trickles(stand: Stand) -> None:
-    hung, resting, mute, trickling = (stand.client() for _ in range(4))
-    assert resting.ask(path="/status/live").status == 200
-    hung.send(X_TTL_MS="3600000")
+def test_the_drain_ends_before_sigkill_despite_hanging_idle_or_trickling_clients(stand: Stand) -> None:
+    hanging, idle, silent, trickling = (stand.client() for _ in range(4))
+    assert idle.ask(path="/status/live").status == 200
+    hanging.send(X_TTL_MS="3600000")
     stand.command()
     stop(stand)
     data = iter(trickling.request())
@@ -188,18 +188,18 @@
         return stand.process.poll() is not None
 
     stand.wait(ended, "the end")
-    assert hung.answer().status == 503
-    assert resting.ended() and mute.ended()
+    assert hanging.answer().status == 503
+    assert idle.ended() and silent.ended()
     first, last = (float(stand.lines(event)[0].split()[0]) for event in ("router_stopping", "router_stopped"))
     assert last - first < 3.7
 
 
-def test_a_connection_that_comes_between_the_last_look_at_the_listener_and_its_close(tmp_path: Path) -> None:
-    """The process plays the client itself: the kernel has set the connection up, nobody has accepted it."""
+def test_a_connection_between_the_last_poll_of_the_listener_and_its_close(tmp_path: Path) -> None:
+    """The process connects to itself: the kernel has established a connection that is not accepted yet."""
     config = Stand.plain_config()
     path = tmp_path / "config.json"
     path.write_text(json.dumps(config))
-    asked = Client.request(Client.__new__(Client), path="/status/live")
+    request = Client.request(Client.__new__(Client), path="/status/live")
     host, port = config["listen"].split(":")
     program = f"""if True:
         import os, select, signal, socket, sys
@@ -208,7 +208,7 @@
         def last(*lists):
             if not (found := look(*lists)[0]):
                 late.append(socket.create_connection(({host!r}, {port}), 20))
-                late[0].sendall({asked!r})
+                late[0].sendall({request!r})
             return [found]
         select.select = last
         log = serve.log
@@ -225,27 +225,27 @@
         env={**os.environ, "RELAY_CONFIG": str(path)},
         capture_output=True,
         text=True,
-        timeout=PATIENCE,
+        timeout=WAIT_TIMEOUT_S,
     )
     assert done.returncode == 0 and "Status: 200 OK" in done.stdout, done.stderr
 
 
-# -- closes that meet bytes --
+# -- closes that cross with data --
 
 
-class Slow(Client):
-    """One that has room for little, so that answers stay in the router's socket until it reads."""
+class SlowClient(Client):
+    """A client with a small receive buffer: answers stay in the router's socket buffer until it reads."""
 
     def __init__(self, address: tuple[str, int]) -> None:
         self.sock = socket.socket()
         self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 2048)
-        self.sock.settimeout(PATIENCE)
+        self.sock.settimeout(WAIT_TIMEOUT_S)
         self.sock.connect(address)
         self._stream = self.sock.makefile("rb")
         self._out = {}
 
-    def left(self) -> bool:
-        """Whether the router has ended its side."""
+    def router_has_closed(self) -> bool:
+        """Return whether the router has closed its side."""
         ends = [
             "{:08X}:{:04X}".format(*struct.unpack("=I", socket.inet_aton(host)), port)
             for host, port in (self.sock.getpeername(), self.sock.getsockname())
@@ -254,16 +254,16 @@
         return [*ends, "01"] not in rows
 
 
-@pytest.mark.parametrize("why", ["the router stops", "others want its place"])
-def test_an_answer_that_is_not_read_yet_when_a_request_crosses_the_close(why: str) -> None:
-    """Guards against a reset that takes a written answer along."""
+@pytest.mark.parametrize("cause", ["the router stops", "others want its place"])
+def test_an_unread_answer_survives_a_request_that_crosses_the_close(cause: str) -> None:
+    """Otherwise a reset would discard a written answer."""
     stand = Stand(sockets=16)  # of which clients get 8
-    client = Slow(stand.address)
+    client = SlowClient(stand.address)
     client.send()
     stand.command().reply(body=b"x" * 20_000)
     client.sock.recv(1, socket.MSG_PEEK)
     others: list[Client] = []
-    if why == "the router stops":
+    if cause == "the router stops":
         stop(stand)
     else:
         for _ in range(7):
@@ -272,7 +272,7 @@
             stand.command()
         others.append(stand.client())
         others[-1].send()
-    stand.wait(client.left, "the close")
+    stand.wait(client.router_has_closed, "the close")
     client.send(2, X_ROW="0123456789abcdef")
     assert client.answer()[3] == b"x" * 20_000
     with pytest.raises(EOFError):
@@ -284,23 +284,23 @@
     stand.close()
 
 
-def test_what_can_not_be_read_takes_no_open_request_along(stand: Stand) -> None:
+def test_invalid_data_does_not_abort_an_open_request(stand: Stand) -> None:
     client = stand.client()
     client.send(1)
     fetch = stand.command()
-    client.sock.sendall(b"GET / HTTP/1.1\r\n\r\n" * 8000)  # more than is read at once: a close would reset
+    client.sock.sendall(b"GET / HTTP/1.1\r\n\r\n" * 8000)  # more than one read takes: a close would reset
     stand.wait(lambda: stand.client().ask(path="/status/live").status == 200, "a look at others")
     fetch.reply(body=b"whole")
     assert client.answer().body == b"whole" and client.ended()
     stop(stand)
 
 
-class Taken:
-    """Notes the requests of a connection."""
+class RequestRecorder:
+    """Records the requests of a connection."""
 
     def __init__(self) -> None:
         self.idents: list[int] = []
-        self.answers = False  # each one at once
+        self.answers = False  # whether each request is answered at once
 
     def request(self, connection: Session, ident: int, *_: Any) -> bool:
         self.idents.append(ident)
@@ -309,34 +309,34 @@
         return True
 
     def aborted(self, connection: Session, ident: int) -> None:
-        """Nobody waits."""
+        """Ignore the abort."""
 
 
 @pytest.mark.parametrize("close", ["check", "finish"])
-def test_a_request_that_has_come_but_is_not_read_keeps_its_connection(close: str) -> None:
-    """It comes in the very moment in which the connection is ended for its silence."""
-    asked, handler = Client.request(Client.__new__(Client), 7), Taken()
+def test_a_received_but_unread_request_keeps_its_connection_open(close: str) -> None:
+    """The request arrives just when the connection is closed as idle."""
+    request, handler = Client.request(Client.__new__(Client), 7), RequestRecorder()
 
     async def play() -> None:
         near, far = socket.socketpair()
         near.setblocking(False)
-        client = ClientConnection(near, handler, lambda: 1.0, ROOM)
+        client = ClientConnection(near, handler, lambda: 1.0, BUDGET)
 
-        def end() -> None:
+        def close_connection() -> None:
             client.check(TAKE_IN + 2.0) if close == "check" else client.close_if_idle()
 
         with near, far:
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(client.run)
                 await trio.testing.wait_all_tasks_blocked()
-                far.sendall(asked)
-                end()
+                far.sendall(request)
+                close_connection()
                 assert handler.idents == [7] and not client._leaving
                 client.answer(7, b"\r\n", b"")
                 assert far.recv(4096)
-                far.sendall(asked[:20])
-                end()
-                far.sendall(asked[20:])
+                far.sendall(request[:20])
+                close_connection()
+                far.sendall(request[20:])
                 await trio.testing.wait_all_tasks_blocked()
                 assert handler.idents == [7, 7]
                 nursery.cancel_scope.cancel()
@@ -344,18 +344,18 @@
     trio.run(play)
 
 
-def test_a_request_that_is_read_after_we_left_is_not_sent_on() -> None:
-    handler, (near, far) = Taken(), socket.socketpair()
-    asked = Client.request(Client.__new__(Client), 7)
+def test_a_request_read_after_the_close_is_not_forwarded() -> None:
+    handler, (near, far) = RequestRecorder(), socket.socketpair()
+    request = Client.request(Client.__new__(Client), 7)
     with near, far:
-        session = Session(near, handler, lambda: 1.0, ROOM)
+        session = Session(near, handler, lambda: 1.0, BUDGET)
         session.check(TAKE_IN + 2.0)
-        session._buffer.feed(asked)
+        session._buffer.feed(request)
         session.received()
         assert handler.idents == []
-        session = Session(near, handler, lambda: 1.0, ROOM)
-        last = asked.replace(struct.pack(">HB5x", 1, 1), bytes((0, 1)) + bytes(6), 1)
+        session = Session(near, handler, lambda: 1.0, BUDGET)
+        last = request.replace(struct.pack(">HB5x", 1, 1), bytes((0, 1)) + bytes(6), 1)
         handler.answers = True
-        session._buffer.feed(last + asked)  # the second one comes after the answer that was to be the last
+        session._buffer.feed(last + request)  # the second request follows the last answer of the connection
         session.received()
         assert handler.idents == [7]
--- a/tests/test_swarm_beside.py
+++ b/tests/test_swarm_beside.py
@@ -12,7 +12,7 @@
 from typing import Any
 
 import pytest
-from keeper import ROUTERS, Keeper, operator_text
+from keeper import ROUTERS, CoordinationEnsemble, operator_text
 from stand import Stand
 from test_fleet_daemon import Daemon
 
@@ -28,13 +28,15 @@
 
 
 @pytest.fixture
-def keeper() -> Iterator[Keeper]:
-    keeper = Keeper()
+def keeper() -> Iterator[CoordinationEnsemble]:
+    keeper = CoordinationEnsemble()
     yield keeper
     keeper.close()
 
 
-def test_the_greater_count_applies_beside_a_coordination_service(keeper: Keeper, tmp_path: Path) -> None:
+def test_the_greater_count_applies_beside_a_coordination_service(
+    keeper: CoordinationEnsemble, tmp_path: Path
+) -> None:
     """Check that neither a session that outlives its router nor one that expires early enlarges the share."""
     presence = f'presence: {{path: "{ROUTERS}", shares: "derived", grow: 50ms, shrink: 200ms}}'
     trial = trial_of('title: "t", routers: 3, lasts: 1s, window: 300ms', "t", 1)
--- a/tests/test_watch_crossings.py
+++ b/tests/test_watch_crossings.py
@@ -13,7 +13,7 @@
 from pathlib import Path
 
 import pytest
-from stand import PATIENCE, SETTINGS, ChangeLog, Hanging, Listener, Stand
+from stand import SETTINGS, WAIT_TIMEOUT_S, ChangeLog, Listener, Stand, UnresponsiveAddress
 
 from stonecove.discovery import MembershipEvent, PurgeUpdate
 from stonecove.protocols import change_log
@@ -117,7 +117,7 @@
 
 @pytest.mark.parametrize("down", ["refused", "mute", "hanging"])
 def test_a_start_without_a_log_is_ready_and_hears_of_drains_as_it_returns(down: str) -> None:
-    hanging = Hanging() if down == "hanging" else None
+    hanging = UnresponsiveAddress() if down == "hanging" else None
     with running() as stand, socket.socket() as sock:
         sock.bind(("127.0.0.1", 0))
         if down == "mute":  # the backlog accepts connections, and nothing is sent
@@ -189,7 +189,7 @@
 
 @pytest.mark.parametrize("at", ["mid-frame", "connecting", "backing off", "mute"])
 def test_sighup_moves_the_log_at_any_point_and_nothing_is_missed_or_told_twice(at: str) -> None:
-    hanging = Hanging()
+    hanging = UnresponsiveAddress()
     with running() as stand, socket.socket() as closed, socket.create_server(("127.0.0.1", 0)) as mute:
         new, drain = ChangeLog(), frame(3, 2, stand.record(stand.caches[0], 1))
         closed.bind(("127.0.0.1", 0))
@@ -207,7 +207,7 @@
         if at == "backing off":
             stand.wait(lambda: len(stand.lines("change_log_disconnected")) > 3, "refusals")
         move_change_log(stand, new.listener.port)
-        assert new.since.get(timeout=PATIENCE) == 2
+        assert new.since.get(timeout=WAIT_TIMEOUT_S) == 2
         new.listener.accepted[-1].sendall(frame(2, 2, stand.record(stand.caches[1], 1)) + drain)
         stand.wait(lambda: has_drained(stand), "the drain")
         assert len(stand.lines("endpoint_updated")) == 6
@@ -218,14 +218,14 @@
 def test_a_reset_in_the_middle_of_a_frame_loses_nothing() -> None:
     with running() as stand:
         drain = frame(3, 2, stand.record(stand.caches[0], 1))
-        assert stand.log.since.get(timeout=PATIENCE) == 1
+        assert stand.log.since.get(timeout=WAIT_TIMEOUT_S) == 1
         sock = stand.log.listener.accepted[-1]
         sock.sendall(frame(2, 2, stand.record(stand.caches[1], 0)) + drain[:20])
         wait_changes(stand, 1)
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
         sock.shutdown(socket.SHUT_RD)
         sock.close()
-        assert stand.log.since.get(timeout=PATIENCE) == 2
+        assert stand.log.since.get(timeout=WAIT_TIMEOUT_S) == 2
         stand.log.tell(3, 2, drain[13:])
         stand.wait(lambda: has_drained(stand), "the drain")
 
@@ -286,11 +286,11 @@
 def test_a_gap_that_came_while_the_router_stood_still_is_asked_for_once_more() -> None:
     """The read ahead of all tasks and the task's own read must not count as two."""
     with running() as stand:
-        assert stand.log.since.get(timeout=PATIENCE) == 1
+        assert stand.log.since.get(timeout=WAIT_TIMEOUT_S) == 1
         suspend(stand)
         stand.log.listener.accepted[-1].sendall(frame(3, 4, PURGE) + frame(4, 4, PURGE))
         stand.process.send_signal(signal.SIGCONT)
-        assert stand.log.since.get(timeout=PATIENCE) == 1
+        assert stand.log.since.get(timeout=WAIT_TIMEOUT_S) == 1
         assert "reason='a gap before 3'" in stand.lines("change_log_disconnected")[0]
 
 
--- a/tests/test_zookeeper.py
+++ b/tests/test_zookeeper.py
@@ -11,8 +11,8 @@
 from hypothesis import strategies as st
 from kazoo.client import KazooClient
 from kazoo.exceptions import BadVersionError, NodeExistsError, NoNodeError, NotEmptyError, RolledBackError
-from keeper import Keeper
-from stand import PATIENCE, Stand
+from keeper import CoordinationEnsemble
+from stand import WAIT_TIMEOUT_S, Stand
 
 from stonecove.protocols.buffer import Buffer
 from stonecove.protocols.zookeeper import jute
@@ -323,14 +323,14 @@
 
 
 @pytest.fixture(scope="module")
-def keeper() -> Iterator[Keeper]:
-    running = Keeper(3, lag=15.0)
+def keeper() -> Iterator[CoordinationEnsemble]:
+    running = CoordinationEnsemble(3, lag=15.0)
     yield running
     running.close()
 
 
 @pytest.fixture
-def kazoo(keeper: Keeper) -> Iterator[KazooClient]:
+def kazoo(keeper: CoordinationEnsemble) -> Iterator[KazooClient]:
     client = keeper.client()
     yield client
     client.stop()
@@ -371,7 +371,7 @@
             assert kazoo.exists("/tx/7") is None
 
 
-def test_kazoo_recipes_run_on_it(keeper: Keeper, kazoo: KazooClient) -> None:
+def test_kazoo_recipes_run_on_it(keeper: CoordinationEnsemble, kazoo: KazooClient) -> None:
     other = keeper.client()
     held, order = threading.Event(), []
 
@@ -384,12 +384,12 @@
         thread.start()
         Stand.wait(lambda: len(kazoo.Lock("/recipes/lock").contenders()) == 2, "the second contender")
         order.append("one")
-    thread.join(PATIENCE)
+    thread.join(WAIT_TIMEOUT_S)
     assert order == ["one", "two"]
     threading.Thread(
         target=kazoo.Election("/recipes/election", "me").run, args=(held.set,), daemon=True
     ).start()
-    assert held.wait(PATIENCE)
+    assert held.wait(WAIT_TIMEOUT_S)
     counters = [client.Counter("/recipes/counter") for client in (kazoo, other)]
     for _ in range(5):
         for counter in counters:
@@ -400,7 +400,7 @@
     other.sync("/recipes")  # it is at a server that lags
     assert not other.Barrier("/recipes/barrier").wait(0.05)
     kazoo.Barrier("/recipes/barrier").remove()
-    assert other.Barrier("/recipes/barrier").wait(PATIENCE)
+    assert other.Barrier("/recipes/barrier").wait(WAIT_TIMEOUT_S)
     parties = [client.Party("/recipes/party", name) for client, name in ((kazoo, "a"), (other, "b"))]
     for party in parties:
         party.join()
@@ -416,7 +416,7 @@
     Stand.wait(lambda: len(parties[0]) == 1, "the other has left the party")
 
 
-def test_kazoo_lives_through_drops_and_notices_an_expiry(keeper: Keeper) -> None:
+def test_kazoo_lives_through_drops_and_notices_an_expiry(keeper: CoordinationEnsemble) -> None:
     client, states = keeper.client(), []
     client.add_listener(lambda state: states.append(state))
     client.create("/alive", ephemeral=True)
