--- a/benchmarks/capacity_processes.py
+++ b/benchmarks/capacity_processes.py
@@ -17,7 +17,7 @@
 from benchmarks.capacity_log import LogServer
 from benchmarks.swarm import idle
 from stonecove.commands.demo import free_port, wait_ready
-from stonecove.fleet.control import ControlError, ask
+from stonecove.fleet.control import ControlError, send_command
 from stonecove.standins.depot import HOST
 from stonecove.standins.webserver import settings
 
@@ -207,7 +207,7 @@
     limit = time.monotonic() + 60.0
     while time.monotonic() < limit:
         try:
-            units = ask(folder, "status")["instances"]
+            units = send_command(folder, "status")["instances"]
         except ControlError:
             units = []
         if len(units) == count and all(unit["phase"] == "ready" for unit in units):
--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -22,7 +22,7 @@
 from pathlib import Path
 from typing import Any
 
-from stonecove.fleet.control import ControlError, ask
+from stonecove.fleet.control import ControlError, send_command
 from stonecove.quotas.leases import LeaseHolder, Lessor, unleased_fraction_for
 from stonecove.standins.depot import Depot
 from stonecove.standins.webserver import settings
@@ -40,7 +40,7 @@
 
 def _status(folder: Path) -> dict[str, dict[str, Any]]:
     try:
-        return {unit["name"]: unit for unit in ask(folder, "status")["instances"]}
+        return {unit["name"]: unit for unit in send_command(folder, "status")["instances"]}
     except ControlError:
         return {}
 
@@ -226,7 +226,7 @@
                     if age >= 3.0:
                         used.append(sent / (_allowed(age) * HEADROOM))
             clients.end()
-            found = ask(fleet, "status")["leases"]
+            found = send_command(fleet, "status")["leases"]
             answered, lost = sum(clients.answers.values()), len(clients.lost)
             supervisor.terminate()
             supervisor.wait(60)
--- a/benchmarks/rollout.py
+++ b/benchmarks/rollout.py
@@ -17,7 +17,7 @@
 
 import trio
 
-from stonecove.fleet.rollout_controller import Controller, service_session
+from stonecove.fleet.rollout_controller import RolloutController, service_session
 from stonecove.operator_config.records import ConfigurationRecord
 from stonecove.protocols.zookeeper.session import Figures, Server, Session
 from stonecove.rollout.messages import DEFAULT_WAVES, Bounds, RolloutState
@@ -111,7 +111,7 @@
             nursery.start_soon(router.keeper.run)
         slowest, most_bytes = 0.0, 0.0
         async with service_session(servers, Figures(), PATIENCE) as service:
-            controller = Controller(PATH, service, PATIENCE)
+            controller = RolloutController(PATH, service, PATIENCE)
             with trio.fail_after(PATIENCE):
                 while len(controller.reports.by_name) < count:
                     await trio.sleep(0.05)
--- a/stonecove/commands/configuration.py
+++ b/stonecove/commands/configuration.py
@@ -13,7 +13,7 @@
 from stonecove.commands.members import print_table, table_of
 
 if TYPE_CHECKING:
-    from stonecove.fleet.rollout_controller import Controller
+    from stonecove.fleet.rollout_controller import RolloutController
     from stonecove.protocols.zookeeper.session import Server
     from stonecove.rollout.messages import Report, Target
 
@@ -136,15 +136,15 @@
 
 
 def _run(
-    access: Access, work: Callable[[Controller], Awaitable[Any]]
+    access: Access, work: Callable[[RolloutController], Awaitable[Any]]
 ) -> tuple[Target | None, dict[str, Any]]:
     """Does the work in a session, and returns the target and the reports after it; else ends the program."""
     import trio
 
     from stonecove.fleet.rollout_controller import (
-        Controller,
         InputError,
         OvertakenError,
+        RolloutController,
         RolloutError,
         ServiceError,
         service_session,
@@ -153,7 +153,7 @@
 
     async def session() -> tuple[Target | None, dict[str, Any]]:
         async with service_session(access.servers, Figures(auth=access.auth), access.patience) as service:
-            controller = Controller(access.path, service, access.patience)
+            controller = RolloutController(access.path, service, access.patience)
             try:
                 await work(controller)
                 return await controller.status(), dict(controller.reports.by_name)
@@ -328,5 +328,5 @@
     sys.exit(_tell(*_run(access, partial(_roll_back, version, waves))))
 
 
-async def _roll_back(version: int, waves: tuple[float, ...], controller: Controller) -> None:
+async def _roll_back(version: int, waves: tuple[float, ...], controller: RolloutController) -> None:
     await controller.roll_back(version, waves)
--- a/stonecove/commands/fleet.py
+++ b/stonecove/commands/fleet.py
@@ -49,11 +49,11 @@
 
 
 def _ask(context: click.Context, do: str, **what: Any) -> dict[str, Any]:
-    from stonecove.fleet.control import ControlError, ask
+    from stonecove.fleet.control import ControlError, send_command
 
     folder = _folder(context)
     try:
-        return ask(folder, do, **what)
+        return send_command(folder, do, **what)
     except ControlError as error:
         click.echo(f"stonecove fleet: {error}", err=True)
         sys.exit(UNUSABLE if "supervisor" in str(error) or "control.sock" in str(error) else FAILED)
@@ -241,17 +241,17 @@
 @click.pass_context
 def logs_command(context: click.Context, names: tuple[str, ...], lines: int, since: float, grep: str) -> None:
     """Show the logs of instances, merged by time. Works without a supervisor, too."""
-    from stonecove.fleet.logs import FILE, merged
+    from stonecove.fleet.logs import LOG_NAME, merge_logs
 
     folder = _folder(context)
     try:
-        found = sorted(path for path in folder.iterdir() if (path / FILE).exists())
+        found = sorted(path for path in folder.iterdir() if (path / LOG_NAME).exists())
     except OSError as error:
         click.echo(f"stonecove fleet: {folder}: {error.strerror}", err=True)
         sys.exit(UNUSABLE)
     folders = [(path.name, path) for path in found if not names or path.name in names]
     last: deque[tuple[float, str, str]] = deque(maxlen=lines)
-    last.extend(entry for entry in merged(folders) if entry[0] >= since and grep in entry[2])
+    last.extend(entry for entry in merge_logs(folders) if entry[0] >= since and grep in entry[2])
     for moment, name, line in last:
         click.echo(
             json.dumps({"time": moment, "name": name, "line": line}) if context.obj[2] else f"{name} {line}"
@@ -263,14 +263,14 @@
 @click.pass_context
 def trace_command(context: click.Context, txn: str) -> None:
     """Tell what became of a request, by its id (X-Txn), if it was sampled. Ends with 1 if it was not."""
-    from stonecove.fleet.traces import spans, told
+    from stonecove.fleet.traces import format_spans, read_spans
 
     try:
-        found = list(spans(_folder(context), txn))
+        found = list(read_spans(_folder(context), txn))
     except ValueError:
         click.echo(f"stonecove fleet: {txn!r} is no id of 16 hex digits", err=True)
         sys.exit(UNUSABLE)
-    for line in map(json.dumps, found) if context.obj[2] else told(found):
+    for line in map(json.dumps, found) if context.obj[2] else format_spans(found):
         click.echo(line)
     sys.exit(GOOD if found else FAILED)
 
--- a/stonecove/explore/fleet.py
+++ b/stonecove/explore/fleet.py
@@ -1,7 +1,7 @@
 """The machines of the fleet's decisions: shared budgets, and the lives of supervised instances.
 
-Real `Lessor`, `LeaseHolder`, `Instance` and `Roll`; made up are the wire between them, the processes and the
-clock.
+Real `Lessor`, `LeaseHolder`, `InstanceLifecycle` and `RollingRestart`; made up are the wire between them, the
+processes and the clock.
 """
 
 from __future__ import annotations
@@ -13,23 +13,23 @@
 
 from stonecove.explore.coordination import _canon as canon
 from stonecove.explore.machine import Violation
-from stonecove.fleet.restart import Do, Instance, Phase, Policy
-from stonecove.fleet.rolling import Roll, RollState
+from stonecove.fleet.restart import Action, InstanceLifecycle, Phase, RestartPolicy
+from stonecove.fleet.rolling import RollingRestart, RollingState
 from stonecove.quotas.leases import Grant, LeaseHolder, Lessor
 from stonecove.routing.events import LeaseGranted
 from stonecove.routing.leased_budget import LeasedBudget
 
 NODE, WINDOW, RULE, OWN, PIECE, LIFE = 7, 4.0, 10.0, 0.3, 0.5, 0.25
 TICK, JUMP = 0.5, 1.5  # half the life of a piece, and one and a half
-POLICY = Policy(
-    ready_within=2.0,
-    first_wait=1.0,
-    longest_wait=2.0,
-    most_restarts=1,
-    window=8.0,
-    misses=1,
-    stop_within=2.0,
-    calm_for=4.0,
+POLICY = RestartPolicy(
+    ready_timeout_s=2.0,
+    initial_backoff_s=1.0,
+    max_backoff_s=2.0,
+    max_restarts=1,
+    restart_window_s=8.0,
+    unhealthy_threshold=1,
+    stop_timeout_s=2.0,
+    backoff_reset_s=4.0,
 )
 STEP = 1.0
 
@@ -325,73 +325,73 @@
         self.bounds = bounds
         self.left = {"faults": bounds.faults, "words": bounds.words}
         self.now = 100.0
-        self.units = [Instance(POLICY) for _ in range(bounds.instances)]
+        self.units = [InstanceLifecycle(POLICY) for _ in range(bounds.instances)]
         self.processes: list[Process | None] = [None] * bounds.instances
         self.crashes: list[list[float]] = [[] for _ in range(bounds.instances)]  # ends that nobody asked for
         self.said_stop = [False] * bounds.instances
         self.hold_released = [False] * bounds.instances
-        self.roll = Roll()
+        self.roll = RollingRestart()
         self.journal: dict[str, Any] = {}
         for place in range(bounds.instances):
-            self._act(place, self.units[place].want(True, self.now))
+            self._act(place, self.units[place].set_should_run(True, self.now))
             self._answers(place)
         if bounds.roll:
-            self.roll.begin([str(place) for place in range(bounds.instances)], 1)
+            self.roll.start([str(place) for place in range(bounds.instances)], 1)
             self._roll_on()
 
     # -- what the supervisor does --
 
-    def _act(self, place: int, steps: list[Do]) -> None:
+    def _act(self, place: int, steps: list[Action]) -> None:
         for step in steps:
-            if step is Do.START:
+            if step is Action.START:
                 if self.processes[place] is not None:
                     self.broken("one-process", f"instance {place} is started while its process runs")
                 self.processes[place] = Process()
-            elif step is Do.TERMINATE:
+            elif step is Action.TERMINATE:
                 process = self.processes[place]
                 if process is not None:
                     process.asked = True
-            elif step is Do.KILL and self.processes[place] is not None:
+            elif step is Action.KILL and self.processes[place] is not None:
                 self.processes[place] = None
                 self._exited(place, "ended by SIGKILL")
-        self.journal[str(place)] = self.units[place].keep(1000.0 + self.now, self.now)
+        self.journal[str(place)] = self.units[place].to_journal(1000.0 + self.now, self.now)
         self._seen(place)
 
     def _seen(self, place: int) -> None:
         unit, name = self.units[place], str(place)
-        if name not in self.roll.under_way:
+        if name not in self.roll.in_progress:
             return
         if unit.phase is Phase.READY:
-            self.roll.ready(name)
-        elif unit.phase in (Phase.HELD, Phase.WAITING, Phase.STOPPED) or (
-            unit.phase in (Phase.STOPPING, Phase.KILLED) and unit.why != "rolled"
+            self.roll.mark_ready(name)
+        elif unit.phase in (Phase.SUSPENDED, Phase.BACKING_OFF, Phase.STOPPED) or (
+            unit.phase in (Phase.STOPPING, Phase.KILLED) and unit.reason != "rolled"
         ):
-            self.roll.failed(name, unit.why)
+            self.roll.mark_failed(name, unit.reason)
 
     def _roll_on(self) -> None:
         not_ready = {
             str(place)
             for place, unit in enumerate(self.units)
-            if unit.wanted and unit.phase not in (Phase.READY, Phase.HELD)
+            if unit.should_run and unit.phase not in (Phase.READY, Phase.SUSPENDED)
         }
-        for step in self.roll.next(not_ready):
-            self._act(int(step.name), self.units[int(step.name)].again(self.now, "rolled"))
+        for step in self.roll.next_steps(not_ready):
+            self._act(int(step.name), self.units[int(step.name)].request_restart(self.now, "rolled"))
         out = [
             place
             for place, unit in enumerate(self.units)
-            if unit.why == "rolled" or (str(place) in self.roll.under_way)
+            if unit.reason == "rolled" or (str(place) in self.roll.in_progress)
         ]
-        if len(out) > self.roll.out:
-            self.broken("roll-out", f"{len(out)} are taken out by a roll of {self.roll.out}")
+        if len(out) > self.roll.max_unavailable:
+            self.broken("roll-out", f"{len(out)} are taken out by a roll of {self.roll.max_unavailable}")
 
     def _exited(self, place: int, how: str) -> None:
-        self._act(place, self.units[place].exited(how, self.now))
+        self._act(place, self.units[place].on_exited(how, self.now))
 
     def _answers(self, place: int) -> None:
         process = self.processes[place]
         if process is not None:
             process.answers = True
-            self._act(place, self.units[place].health(True, self.now))
+            self._act(place, self.units[place].on_health_check(True, self.now))
 
     # -- steps --
 
@@ -427,7 +427,7 @@
             self.now += STEP
             for number, one in enumerate(self.units):
                 for _ in range(4):  # what has fallen due by now, one after the other
-                    if self.now >= one.next_due():
+                    if self.now >= one.next_deadline():
                         self._act(number, one.tick(self.now))
             self._count()
         elif word == "answers":
@@ -443,7 +443,7 @@
         elif word == "hang" and process is not None:
             process.answers = False
             self.crashes[place].append(self.now)
-            self._act(place, unit.health(False, self.now))
+            self._act(place, unit.on_health_check(False, self.now))
         elif word == "stubborn" and process is not None:
             process.stubborn = True
         elif word in ("stop", "start"):
@@ -451,7 +451,7 @@
             self.said_stop[place] = word == "stop"
             if word == "start":
                 self.crashes[place].clear()
-            self._act(place, unit.want(word == "start", self.now))
+            self._act(place, unit.set_should_run(word == "start", self.now))
         elif word == "supervisor-dies":
             self._again()
         self._roll_on()
@@ -459,27 +459,27 @@
 
     def _again(self) -> None:
         """A new supervisor: by journal and run files."""
-        roll = self.roll.keep()
+        roll = self.roll.to_journal()
         for place, before in enumerate(list(self.units)):
-            unit = self.units[place] = Instance(POLICY)
-            unit.recall(self.journal[str(place)], 1000.0 + self.now, self.now)
-            process, wanted = self.processes[place], unit.wanted
+            unit = self.units[place] = InstanceLifecycle(POLICY)
+            unit.restore(self.journal[str(place)], 1000.0 + self.now, self.now)
+            process, wanted = self.processes[place], unit.should_run
             if process is not None:
-                unit.adopted(False, self.now)
+                unit.on_adopted(False, self.now)
                 if not wanted:
-                    self._act(place, unit.want(False, self.now))
-            elif unit.wanted and unit.phase is Phase.STOPPED:
-                self._act(place, unit.want(True, self.now, "wanted"))
-            if before.phase is Phase.HELD and unit.phase is not Phase.HELD:
+                    self._act(place, unit.set_should_run(False, self.now))
+            elif unit.should_run and unit.phase is Phase.STOPPED:
+                self._act(place, unit.set_should_run(True, self.now, "wanted"))
+            if before.phase is Phase.SUSPENDED and unit.phase is not Phase.SUSPENDED:
                 self.broken("held-is-held", f"instance {place} was held, and a new supervisor starts it")
         if self.bounds.roll:
-            self.roll = Roll()
-            self.roll.recall(roll, {str(place) for place in range(len(self.units))})
+            self.roll = RollingRestart()
+            self.roll.restore(roll, {str(place) for place in range(len(self.units))})
 
     def _count(self) -> None:
         for place, unit in enumerate(self.units):
-            recent = [at for at in self.crashes[place] if at > self.now - POLICY.window]
-            if len(recent) > POLICY.most_restarts + 1:
+            recent = [at for at in self.crashes[place] if at > self.now - POLICY.restart_window_s]
+            if len(recent) > POLICY.max_restarts + 1:
                 self.broken(
                     "restarts-bounded", f"instance {place} crashed {len(recent)} times within the window"
                 )
@@ -488,9 +488,9 @@
 
     def _look(self) -> None:
         for place, unit in enumerate(self.units):
-            if unit.phase is Phase.HELD and self.processes[place] is not None:
+            if unit.phase is Phase.SUSPENDED and self.processes[place] is not None:
                 self.broken("held-is-held", f"instance {place} is held, and runs")
-            if self.said_stop[place] and unit.phase in (Phase.STARTING, Phase.READY, Phase.WAITING):
+            if self.said_stop[place] and unit.phase in (Phase.STARTING, Phase.READY, Phase.BACKING_OFF):
                 self.broken(
                     "stop-stands", f"instance {place} was stopped by an operator, and is {unit.phase.value}"
                 )
@@ -509,19 +509,20 @@
             self._roll_on()
             self.now += STEP
             for number, one in enumerate(self.units):
-                if self.now >= one.next_due():
+                if self.now >= one.next_deadline():
                     self._act(number, one.tick(self.now))
         for place, unit in enumerate(self.units):
             wanted = not self.said_stop[place]
-            if wanted and unit.phase not in (Phase.READY, Phase.HELD):
+            if wanted and unit.phase not in (Phase.READY, Phase.SUSPENDED):
                 self.broken(
-                    "wanted-runs", f"instance {place} is wanted, and is {unit.phase.value}: {unit.why}"
+                    "wanted-runs", f"instance {place} is wanted, and is {unit.phase.value}: {unit.reason}"
                 )
             if not wanted and self.processes[place] is not None:
                 self.broken("stop-stands", f"instance {place} was stopped, and still runs")
-        if self.bounds.roll and self.roll.state is RollState.ROLLING:
+        if self.bounds.roll and self.roll.state is RollingState.ROLLING:
             self.broken(
-                "roll-ends", f"the roll waits for {self.roll.under_way}, {len(self.roll.left)} are left"
+                "roll-ends",
+                f"the roll waits for {self.roll.in_progress}, {len(self.roll.remaining)} are left",
             )
 
     def encode(self) -> bytes:
@@ -531,13 +532,13 @@
                 (
                     name,
                     [round(at - self.now, 3) for at in value]
-                    if name == "_recent"
+                    if name == "_restart_times"
                     else round(min(value - self.now, 1e6), 3)
-                    if name in ("_due", "since")
+                    if name in ("_deadline", "phase_since")
                     else canon(value),
                 )
                 for name, value in sorted(vars(unit).items())
-                if name not in ("policy", "since", "restarts")
+                if name not in ("policy", "phase_since", "restarts")
             ]
             for unit in self.units
         ]
@@ -549,7 +550,7 @@
             None if one is None else (one.answers, one.stubborn, one.asked) for one in self.processes
         ]
         crashes = [
-            [round(at - self.now, 3) for at in all_of if at > self.now - POLICY.window]
+            [round(at - self.now, 3) for at in all_of if at > self.now - POLICY.restart_window_s]
             for all_of in self.crashes
         ]
         return marshal.dumps(
@@ -559,7 +560,7 @@
                 processes,
                 crashes,
                 self.said_stop,
-                repr(self.roll.keep()),
+                repr(self.roll.to_journal()),
                 [
                     (place, kept["wanted"], kept["held"], len(kept["recent"]))
                     for place, kept in sorted(self.journal.items())
--- a/stonecove/fleet/__init__.py
+++ b/stonecove/fleet/__init__.py
@@ -1,5 +1,5 @@
-"""Many instances of the router on one host, started, watched and ended as one. Off on the platform.
+"""Supervision of several router instances on one host. Not used on the platform.
 
-Decisions without I/O: `restart`, `rolling`, `placement`, `leases`, `buckets`. State that survives:
-`journal`, `runfile`. I/O over them: `supervisor`, `control`, `logs`, `probe`, `launch`.
+Decisions without I/O: `restart`, `rolling`, `placement`. Persistent state: `journal`, `runfile`. I/O:
+`supervisor`, `control`, `lender`, `logs`, `probe`, `launch`. Tools: `traces`, `rollout_controller`.
 """
--- a/stonecove/fleet/control.py
+++ b/stonecove/fleet/control.py
@@ -1,4 +1,7 @@
-"""The control socket: one JSON object a line each way, rights 0600, for those who may act for this user."""
+"""Client of the supervisor's control socket: one JSON object per line in each direction.
+
+The socket has rights 0600, so only processes of the same user can send commands.
+"""
 
 from __future__ import annotations
 
@@ -7,28 +10,28 @@
 from pathlib import Path
 from typing import Any
 
-NAME = "control.sock"
-MOST = 1 << 20
+SOCKET_NAME = "control.sock"
+MAX_COMMAND_BYTES = 1 << 20
 
 
 class ControlError(Exception):
-    """The supervisor can't be asked, or refuses; the text is one line."""
+    """The supervisor can't be reached or rejects a command; the text is one line."""
 
 
-def ask(folder: Path, do: str, patience: float = 10.0, **what: Any) -> dict[str, Any]:
-    """Asks the supervisor of a folder; raises ControlError."""
-    path = folder / NAME
+def send_command(folder: Path, command: str, timeout_s: float = 10.0, **arguments: Any) -> dict[str, Any]:
+    """Send a command to the supervisor of a folder and return its answer; raises ControlError."""
+    path = folder / SOCKET_NAME
     try:
         with socket.socket(socket.AF_UNIX) as sock:
-            sock.settimeout(patience)
+            sock.settimeout(timeout_s)
             sock.connect(str(path))
-            sock.sendall(json.dumps({"do": do, **what}).encode() + b"\n")
+            sock.sendall(json.dumps({"do": command, **arguments}).encode() + b"\n")
             data = b""
             while not data.endswith(b"\n"):
-                part = sock.recv(65_536)
-                if not part:
+                received = sock.recv(65_536)
+                if not received:
                     break
-                data += part
+                data += received
         answer = json.loads(data)
     except FileNotFoundError:
         raise ControlError(f"{folder}: no supervisor runs here") from None
--- a/stonecove/fleet/lender.py
+++ b/stonecove/fleet/lender.py
@@ -1,4 +1,7 @@
-"""The lessor's socket: `leases.sock` in the fleet's folder, rights 0600, a JSON object a line each way."""
+"""The lessor's socket: `leases.sock` in the fleet's folder, with rights 0600.
+
+Messages are JSON objects, one per line in each direction.
+"""
 
 from __future__ import annotations
 
@@ -19,10 +22,10 @@
 from stonecove.runtime.unix import bind_private, serve_connections
 from stonecove.server.leases import LeaseFile
 
-SOCKET = "leases.sock"
-MOST_LINE = 4096
-HELLO_WITHIN = 2.0  # seconds
-MOST_BEHIND = 1 << 18  # bytes of answers that a holder has not read: it is left
+LEASE_SOCKET_NAME = "leases.sock"
+MAX_LINE_BYTES = 4096
+IO_TIMEOUT_S = 2.0  # for the first message of a lease holder, and for writing answers to it
+MAX_UNSENT_BYTES = 1 << 18  # answers not read by a lease holder, beyond which it is disconnected
 
 
 def _limit(table: dict[str, Any]) -> Limit:
@@ -32,8 +35,8 @@
     return limit
 
 
-def plan_of(fleet: Fleet) -> Plan | None:
-    """The plan of the operator's limits; raises PlanError."""
+def plan_from_fleet(fleet: Fleet) -> Plan | None:
+    """Return the plan of the operator's limits; None without limits. Raises PlanError."""
     table = fleet.limits
     if table is None:
         return None
@@ -44,132 +47,144 @@
         _limit(table),
         floor.get("part", 0.0),
         floor.get("class", ""),
-        tuple((zone, _limit(one)) for zone, one in zones.items()),
+        tuple((zone, _limit(limits)) for zone, limits in zones.items()),
         tuple(
-            (zone, cls, _limit(each))
-            for zone, one in zones.items()
-            for cls, each in one.get("classes", {}).items()
+            (zone, cls, _limit(class_limits))
+            for zone, limits in zones.items()
+            for cls, class_limits in limits.get("classes", {}).items()
         ),
         _limit(table["client"]) if "client" in table else None,
     )
 
 
-class Lender:
-    """One lessor, as many holders as connect."""
+class LessorServer:
+    """Serves one lessor to the lease holders that connect."""
 
     def __init__(self, fleet: Fleet, folder: Path) -> None:
-        """Raises PlanError for limits that make no sense."""
+        """Create the lessor; raises PlanError for inconsistent limits."""
         assert fleet.leases is not None
-        self._path = folder / SOCKET
-        self._count = max(1, len(fleet.instances))
-        window = fleet.leases.window / 1000.0
-        self.lending = Lending(time.monotonic(), window, self._count, fleet.leases.own, plan_of(fleet))
+        self._path = folder / LEASE_SOCKET_NAME
+        self._instance_count = max(1, len(fleet.instances))
+        window_s = fleet.leases.window / 1000.0
+        self.lending = Lending(
+            time.monotonic(), window_s, self._instance_count, fleet.leases.own, plan_from_fleet(fleet)
+        )
         if self.lending.plan is not None:
-            self.lending.plan.hierarchy(self.lending.unleased_fraction / self._count)
+            self.lending.plan.hierarchy(self.lending.unleased_fraction / self._instance_count)
         self._keys = itertools.count(1)
 
-    def file(self, rest: float) -> LeaseFile:
-        """What an instance is told at its start; `rest`: seconds without a part of its own."""
+    def lease_file(self, cooldown_s: float) -> LeaseFile:
+        """Return what an instance reads at its start; `cooldown_s` is the time without an unleased share."""
         lending = self.lending
-        part = lending.unleased_fraction / self._count
+        share = lending.unleased_fraction / self._instance_count
         return LeaseFile(
-            str(self._path), lending.window_s, lending.unleased_fraction, part, rest, lending.plan, part
+            str(self._path),
+            lending.window_s,
+            lending.unleased_fraction,
+            share,
+            cooldown_s,
+            lending.plan,
+            share,
         )
 
     async def run(self, task_status: trio.TaskStatus[None] = trio.TASK_STATUS_IGNORED) -> None:
-        """Serves until it is cancelled."""
-        self._path.unlink(missing_ok=True)  # the folder's lock is ours: nobody else listens there
+        """Serve until cancelled."""
+        self._path.unlink(missing_ok=True)  # the lock on the folder excludes another listener
         listener = bind_private(str(self._path), 256)
         task_status.started()
-        await serve_connections(listener, self._holder)
+        await serve_connections(listener, self._serve_holder)
 
-    async def _holder(self, client: trio.socket.SocketType) -> None:
-        """One holder, from its hello to its end."""
-        key, name, why = str(next(self._keys)), "", "closed"
+    async def _serve_holder(self, client: trio.socket.SocketType) -> None:
+        """Serve one lease holder until it disconnects or sends an invalid message."""
+        key, name, reason = str(next(self._keys)), "", "closed"
         outgoing = bytearray()
         with client:
             try:
                 data = b""
-                with trio.fail_after(HELLO_WITHIN):
+                with trio.fail_after(IO_TIMEOUT_S):
                     while b"\n" not in data:
-                        data += await self._more(client, data)
+                        data += await self._receive(client, data)
                 while True:
                     *lines, data = data.split(b"\n")
                     for line in lines:
-                        word = json.loads(line)
-                        name = str(word["name"]) if word["do"] == "hello" else name
-                        answer = self._answer(key, word)
+                        message = json.loads(line)
+                        name = str(message["name"]) if message["do"] == "hello" else name
+                        answer = self._answer(key, message)
                         if answer is not None:
                             outgoing += json.dumps(answer).encode() + b"\n"
-                    await self._write(client, outgoing)
-                    data += await self._more(client, data)
+                    await self._send(client, outgoing)
+                    data += await self._receive(client, data)
             except EOFError:
                 pass
             except (OSError, trio.TooSlowError) as error:
-                why = str(error) or type(error).__name__
+                reason = str(error) or type(error).__name__
             except (ValueError, KeyError, TypeError, AttributeError) as error:
-                why = str(error) or type(error).__name__
-                log_limited(LogEvent.LEASE_MESSAGE_MALFORMED, name=name, reason=why)
+                reason = str(error) or type(error).__name__
+                log_limited(LogEvent.LEASE_MESSAGE_MALFORMED, name=name, reason=reason)
                 with contextlib.suppress(OSError):
-                    await client.send(json.dumps({"is": "wrong", "why": why}).encode() + b"\n")
+                    await client.send(json.dumps({"is": "wrong", "why": reason}).encode() + b"\n")
             finally:
                 self.lending.remove_holder(key)
         if name:
-            log(LogEvent.LEASE_HOLDER_DISCONNECTED, name=name, reason=why)
+            log(LogEvent.LEASE_HOLDER_DISCONNECTED, name=name, reason=reason)
 
     @staticmethod
-    async def _more(client: trio.socket.SocketType, data: bytes) -> bytes:
-        """More bytes; raises EOFError at the end, ValueError for a line that never ends."""
-        if len(data) > MOST_LINE:
+    async def _receive(client: trio.socket.SocketType, data: bytes) -> bytes:
+        """Return more bytes; raises EOFError at the end, ValueError if the incomplete line is too long."""
+        if len(data) > MAX_LINE_BYTES:
             raise ValueError("a line without end")
-        part = await client.recv(65_536)
-        if not part:
+        received = await client.recv(65_536)
+        if not received:
             raise EOFError
-        return part
+        return received
 
     @staticmethod
-    async def _write(client: trio.socket.SocketType, outgoing: bytearray) -> None:
-        """Guards against a holder that asks and never reads: others wait for nothing of it."""
-        if len(outgoing) > MOST_BEHIND:
-            raise ValueError("it does not read")
-        with trio.move_on_after(HELLO_WITHIN) as scope:
+    async def _send(client: trio.socket.SocketType, outgoing: bytearray) -> None:
+        """Send the queued answers and remove them from the queue.
+
+        A lease holder that sends requests without reading answers is disconnected, so that it can't exhaust
+        memory: raises ValueError or OSError.
+        """
+        if len(outgoing) > MAX_UNSENT_BYTES:
+            raise ValueError("lease holder does not read its answers")
+        with trio.move_on_after(IO_TIMEOUT_S) as scope:
             while outgoing:
                 sent = await client.send(outgoing)
                 del outgoing[:sent]
         if scope.cancelled_caught:
-            raise OSError("it does not read")
+            raise OSError("lease holder does not read its answers")
 
-    def _answer(self, key: str, word: dict[str, Any]) -> dict[str, Any] | None:
-        """Raises ValueError, KeyError or TypeError for a word that can't be heeded."""
+    def _answer(self, key: str, message: dict[str, Any]) -> dict[str, Any] | None:
+        """Return the answer to a message, if it has one; raises ValueError, KeyError or TypeError."""
         now, lending = time.monotonic(), self.lending
-        match word["do"]:
+        match message["do"]:
             case "hello":
-                parts = {str(pool): float(part) for pool, part in word["parts"].items()}
+                shares = {str(pool): float(share) for pool, share in message["parts"].items()}
                 terms = lending.add_holder(
-                    key, str(word["name"]), float(word["window"]), parts, float(word["born"]), now
+                    key, str(message["name"]), float(message["window"]), shares, float(message["born"]), now
                 )
                 return {"is": "terms", **terms._asdict()}
             case "ask":
-                number = int(word["number"])
+                number = int(message["number"])
                 grant = lending.request_lease(
                     key,
                     number,
-                    int(word["node"]),
-                    float(word["work"]),
-                    float(word["rule"]),
-                    str(word["pool"]),
+                    int(message["node"]),
+                    float(message["work"]),
+                    float(message["rule"]),
+                    str(message["pool"]),
                     now,
-                    float(word["rises"]),
+                    float(message["rises"]),
                 )
                 return (
                     {"is": "none", "number": number} if grant is None else {"is": "grant", **grant._asdict()}
                 )
             case "back":
-                lending.return_lease(key, int(word["number"]), float(word["left"]), now)
+                lending.return_lease(key, int(message["number"]), float(message["left"]), now)
                 return None
             case "take":
-                zone, cls, client = map(str, word["path"])
-                count, limit = lending.take_tokens(key, (zone, cls, client), int(word["count"]), now)
+                zone, cls, client = map(str, message["path"])
+                count, limit = lending.take_tokens(key, (zone, cls, client), int(message["count"]), now)
                 return {"is": "tokens", "path": [zone, cls, client], "count": count, "limit": limit}
             case other:
                 raise LendingError(f"no word {other!r}")
--- a/stonecove/fleet/logs.py
+++ b/stonecove/fleet/logs.py
@@ -1,7 +1,8 @@
-"""Logs of a fleet: pipes that instances write into, files that grow to a size, a view merged by time.
+"""Logs of a fleet: named pipes that instances write to, log files with rotation, and a view merged by time.
 
-A thread of its own writes, behind a bounded queue: a slow or full disk holds up neither the supervisor nor an
-instance. What finds no room is dropped and counted, and the count is written once there is room again.
+A separate thread writes behind a bounded queue, so that a slow or full disk delays neither the supervisor nor
+an instance. Lines that exceed the queue are dropped and counted; the count is written with the next line that
+reaches the file.
 """
 
 from __future__ import annotations
@@ -16,14 +17,14 @@
 from collections.abc import Iterable, Iterator
 from pathlib import Path
 
-MOST_QUEUED = 4096  # lines that wait to be written
-PIPE = "log.pipe"
-FILE = "log"
+MAX_QUEUED_LINES = 4096
+PIPE_NAME = "log.pipe"
+LOG_NAME = "log"
 
 
 def make_pipe(folder: Path) -> Path:
-    """The named pipe of an instance, rights 0600; one that is there is used again."""
-    path = folder / PIPE
+    """Create the named pipe of an instance with rights 0600, or reuse the existing one."""
+    path = folder / PIPE_NAME
     try:
         if not stat.S_ISFIFO(path.stat().st_mode):
             path.unlink()
@@ -34,80 +35,80 @@
 
 
 def open_pipe(path: Path) -> int:
-    """A descriptor to read from; opened for both ways, it never ends while nobody writes."""
+    """Return a descriptor to read from; opened read-write, it reports no end while there is no writer."""
     return os.open(path, os.O_RDWR | os.O_NONBLOCK | os.O_CLOEXEC)
 
 
-class Lines:
-    """Cuts what comes out of a pipe into lines."""
+class LineSplitter:
+    """Splits the bytes read from a pipe into lines."""
 
     def __init__(self) -> None:
-        self._rest = b""
+        self._incomplete = b""
 
     def feed(self, data: bytes) -> list[str]:
-        """The lines that are whole by now."""
-        *whole, self._rest = (self._rest + data).split(b"\n")
-        if len(self._rest) > 65_536:
-            whole, self._rest = [*whole, self._rest], b""
-        return [line.decode("utf-8", "replace") for line in whole if line]
+        """Return the lines that are complete after `data`."""
+        *complete, self._incomplete = (self._incomplete + data).split(b"\n")
+        if len(self._incomplete) > 65_536:
+            complete, self._incomplete = [*complete, self._incomplete], b""
+        return [line.decode("utf-8", "replace") for line in complete if line]
 
 
 class RotatingFile:
-    """A file that is put aside once it has reached its size; so many old ones are kept, `.1` the youngest."""
+    """A log file that is rotated at a maximum size; `.1` is the newest of the rotated files."""
 
-    def __init__(self, path: Path, most_bytes: int, keep: int) -> None:
-        self._path, self._most, self._keep = path, most_bytes, keep
+    def __init__(self, path: Path, max_bytes: int, max_rotated: int) -> None:
+        self._path, self._max_bytes, self._max_rotated = path, max_bytes, max_rotated
         self._file = open(path, "ab", buffering=0)  # noqa: SIM115 - it stays open
         self._size = self._file.tell()
 
     def write(self, data: bytes) -> None:
-        """Writes whole lines; raises OSError, with nothing of a part left behind."""
-        if self._size and self._size + len(data) > self._most:
+        """Write complete lines; raises OSError, with nothing of a failed write left in the file."""
+        if self._size and self._size + len(data) > self._max_bytes:
             self._rotate()
-        at = self._size
-        done = 0
+        start = self._size
+        written = 0
         try:
-            while done < len(data):
-                done += self._file.write(data[done:]) or 0
+            while written < len(data):
+                written += self._file.write(data[written:]) or 0
         except OSError:
             with contextlib.suppress(OSError):
-                os.ftruncate(self._file.fileno(), at)
+                os.ftruncate(self._file.fileno(), start)
             raise
         self._size += len(data)
 
     def _rotate(self) -> None:
         self._file.close()
         try:
-            if self._keep < 1:
+            if self._max_rotated < 1:
                 self._path.unlink(missing_ok=True)
-            for number in range(self._keep - 1, 0, -1):
-                older = self._path.with_name(f"{self._path.name}.{number}")
-                if older.exists():
-                    os.replace(older, self._path.with_name(f"{self._path.name}.{number + 1}"))
-            if self._keep >= 1:
+            for number in range(self._max_rotated - 1, 0, -1):
+                rotated = self._path.with_name(f"{self._path.name}.{number}")
+                if rotated.exists():
+                    os.replace(rotated, self._path.with_name(f"{self._path.name}.{number + 1}"))
+            if self._max_rotated >= 1:
                 os.replace(self._path, self._path.with_name(f"{self._path.name}.1"))
         finally:
             self._file = open(self._path, "ab", buffering=0)  # noqa: SIM115
             self._size = self._file.tell()
 
     def close(self) -> None:
-        """Closes it."""
+        """Close the file."""
         self._file.close()
 
 
-class Writer:
-    """Writes lines to files in a thread; `put` never waits."""
+class LogWriter:
+    """Writes lines to files in a thread; `put` does not block."""
 
-    def __init__(self, most_queued: int = MOST_QUEUED) -> None:
-        self._queue: queue.Queue[tuple[RotatingFile, str] | None] = queue.Queue(most_queued)
+    def __init__(self, max_queued_lines: int = MAX_QUEUED_LINES) -> None:
+        self._queue: queue.Queue[tuple[RotatingFile, str] | None] = queue.Queue(max_queued_lines)
         self._lock = threading.Lock()
-        self._lost: dict[RotatingFile, int] = {}
+        self._unreported_drops: dict[RotatingFile, int] = {}
         self.dropped = 0
         self._thread = threading.Thread(target=self._run, daemon=True)
         self._thread.start()
 
     def put(self, file: RotatingFile, line: str) -> None:
-        """A line for a file, to be written soon, or dropped with a count."""
+        """Queue a line for a file; if the queue is full, the line is dropped and counted."""
         try:
             self._queue.put_nowait((file, line))
         except queue.Full:
@@ -116,32 +117,32 @@
     def _drop(self, file: RotatingFile) -> None:
         with self._lock:
             self.dropped += 1
-            self._lost[file] = self._lost.get(file, 0) + 1
+            self._unreported_drops[file] = self._unreported_drops.get(file, 0) + 1
 
     def _run(self) -> None:
         while (job := self._queue.get()) is not None:
             file, line = job
             with self._lock:
-                lost = self._lost.get(file, 0)
-            note = f"{line.partition(' ')[0]} log-dropped count={lost}\n" if lost else ""
+                drops = self._unreported_drops.get(file, 0)
+            note = f"{line.partition(' ')[0]} log-dropped count={drops}\n" if drops else ""
             try:
                 file.write((note + line + "\n").encode())
             except (OSError, ValueError):
                 self._drop(file)
                 continue
-            if lost:
+            if drops:
                 with self._lock:
-                    self._lost[file] -= lost
+                    self._unreported_drops[file] -= drops
 
-    def close(self, patience: float = 1.0) -> None:
-        """Writes what waits, for so many seconds at most."""
+    def close(self, timeout_s: float = 1.0) -> None:
+        """Write the queued lines and end the thread, waiting at most `timeout_s` for each of the two."""
         with contextlib.suppress(queue.Full):
-            self._queue.put(None, timeout=patience)
-        self._thread.join(patience)
+            self._queue.put(None, timeout=timeout_s)
+        self._thread.join(timeout_s)
 
 
-def moment_of(line: str) -> float:
-    """The Unix second of a line, in either form; 0 if it tells none."""
+def line_time_s(line: str) -> float:
+    """Return the Unix time of a line in text or JSON form; 0 if it has none."""
     try:
         if line.startswith("{"):
             return float(json.loads(line)["time"])
@@ -150,24 +151,24 @@
         return 0.0
 
 
-def _files(folder: Path) -> list[Path]:
-    """The log files of an instance, the oldest first."""
-    old = sorted(
-        (path for path in folder.glob(f"{FILE}.*") if path.suffix[1:].isdigit()),
+def _log_files(folder: Path) -> list[Path]:
+    """Return the log files of an instance, oldest first."""
+    rotated = sorted(
+        (path for path in folder.glob(f"{LOG_NAME}.*") if path.suffix[1:].isdigit()),
         key=lambda path: -int(path.suffix[1:]),
     )
-    return [*old, folder / FILE]
+    return [*rotated, folder / LOG_NAME]
 
 
-def _read(name: str, folder: Path) -> Iterator[tuple[float, str, str]]:
-    last = 0.0
-    for path in _files(folder):
+def _read_lines(name: str, folder: Path) -> Iterator[tuple[float, str, str]]:
+    last_s = 0.0
+    for path in _log_files(folder):
         with contextlib.suppress(FileNotFoundError), open(path, encoding="utf-8", errors="replace") as file:
             for line in file:
-                last = max(last, moment_of(line))  # a line without a time stays behind the one before it
-                yield last, name, line.rstrip("\n")
+                last_s = max(last_s, line_time_s(line))  # a line without a time stays after the previous one
+                yield last_s, name, line.rstrip("\n")
 
 
-def merged(folders: Iterable[tuple[str, Path]]) -> Iterator[tuple[float, str, str]]:
-    """All lines of several instances in the order of their times: (Unix second, name, line)."""
-    return heapq.merge(*(_read(name, folder) for name, folder in folders))
+def merge_logs(folders: Iterable[tuple[str, Path]]) -> Iterator[tuple[float, str, str]]:
+    """Yield all lines of several instances ordered by time: (Unix seconds, name, line)."""
+    return heapq.merge(*(_read_lines(name, folder) for name, folder in folders))
--- a/stonecove/fleet/probe.py
+++ b/stonecove/fleet/probe.py
@@ -1,4 +1,4 @@
-"""Asks an instance whether it serves, by the platform's own question: FastCGI, `/status/live`."""
+"""Health check of an instance by the platform's own request: FastCGI, `/status/live`."""
 
 from __future__ import annotations
 
@@ -8,13 +8,13 @@
 
 from stonecove.protocols.fastcgi import codec as fastcgi
 
-PATH = b"/status/live"
-MOST = 4096  # bytes of an answer that is worth reading
+LIVENESS_PATH = b"/status/live"
+MAX_RESPONSE_BYTES = 4096
 
 
-def question() -> bytes:
-    """The records of one request."""
-    params = bytes((len(b"SCRIPT_NAME"), len(PATH))) + b"SCRIPT_NAME" + PATH
+def liveness_request() -> bytes:
+    """Return the records of one request."""
+    params = bytes((len(b"SCRIPT_NAME"), len(LIVENESS_PATH))) + b"SCRIPT_NAME" + LIVENESS_PATH
     return (
         fastcgi.record(fastcgi.BEGIN, 1, struct.pack(">HB5x", fastcgi.RESPONDER, 0))
         + fastcgi.record(fastcgi.PARAMS, 1, params)
@@ -23,37 +23,37 @@
     )
 
 
-def answered(data: bytes) -> bool | None:
-    """Whether the answer says 200; None while it is not whole."""
-    at, out = 0, b""
-    while at + 8 <= len(data):
-        _, kind, _, length, padding, _ = struct.unpack_from(">BBHHBB", data, at)
-        end = at + 8 + length + padding
+def response_is_ok(data: bytes) -> bool | None:
+    """Return whether the response has status 200; None while it is incomplete."""
+    offset, output = 0, b""
+    while offset + 8 <= len(data):
+        _, kind, _, length, padding, _ = struct.unpack_from(">BBHHBB", data, offset)
+        end = offset + 8 + length + padding
         if end > len(data):
             return None
         if kind == fastcgi.STDOUT:
-            out += data[at + 8 : at + 8 + length]
+            output += data[offset + 8 : offset + 8 + length]
         elif kind == fastcgi.END:
-            return out.startswith(b"Status: 200")
-        at = end
+            return output.startswith(b"Status: 200")
+        offset = end
     return None
 
 
-async def live(address: tuple[str, int], within: float) -> bool:
-    """Whether an instance answers 200 within so many seconds."""
-    with trio.move_on_after(within):
+async def check_liveness(address: tuple[str, int], timeout_s: float) -> bool:
+    """Return whether an instance answers with status 200 within the timeout."""
+    with trio.move_on_after(timeout_s):
         try:
             with trio.socket.socket() as sock:
                 await sock.connect(address)
-                await sock.send(question())
+                await sock.send(liveness_request())
                 data = b""
-                while len(data) < MOST:
-                    part = await sock.recv(MOST)
-                    if not part:
+                while len(data) < MAX_RESPONSE_BYTES:
+                    received = await sock.recv(MAX_RESPONSE_BYTES)
+                    if not received:
                         return False
-                    data += part
-                    if (good := answered(data)) is not None:
-                        return good
+                    data += received
+                    if (healthy := response_is_ok(data)) is not None:
+                        return healthy
         except OSError:
             return False
     return False
--- a/stonecove/fleet/restart.py
+++ b/stonecove/fleet/restart.py
@@ -1,14 +1,15 @@
-"""When an instance is started, ended, started anew, or held. Knows no I/O; times are seconds of a steady
-clock.
+"""Decide when an instance is started, stopped, restarted or suspended.
 
-    STOPPED --want--> STARTING --ready--> READY --exit--> WAITING --due--> STARTING
-                         |  late              | hung          | too many within the window
-                         v                    v               v
-                      KILLED  <-----------  KILLED          HELD --release--> STARTING
+The module performs no I/O; times are seconds of a monotonic clock unless said otherwise.
 
-An instance that is wanted is started; one that ends by itself is started anew after a wait that doubles; one
-that ends too often within a window is held, with an alarm, until an operator releases it. One that does not
-become ready in time, or answers no longer though it runs, is ended: SIGTERM, then SIGKILL.
+    STOPPED --run--> STARTING --ready--> READY --exit--> BACKING_OFF --deadline--> STARTING
+                        |  timeout         | unhealthy         | too many restarts within the window
+                        v                  v                   v
+                   STOPPING, KILLED <------+               SUSPENDED --operator--> STARTING
+
+An instance that should run is started. One that exits by itself is restarted after a backoff that doubles.
+One that exits too often within a window is suspended, with an alarm, until an operator starts it. One that
+does not become ready in time, or no longer answers health checks, is stopped: SIGTERM, then SIGKILL.
 """
 
 from __future__ import annotations
@@ -20,19 +21,19 @@
 
 
 class Phase(Enum):
-    """Where an instance stands."""
+    """The phase of an instance's lifecycle; the values stand in the status output."""
 
     STOPPED = "stopped"
     STARTING = "starting"
     READY = "ready"
-    STOPPING = "stopping"  # it was asked to end
-    KILLED = "killed"  # SIGKILL was sent, its end is not seen yet
-    WAITING = "waiting"  # for the next start
-    HELD = "held"
+    STOPPING = "stopping"  # SIGTERM was sent
+    KILLED = "killed"  # SIGKILL was sent, the exit is not yet observed
+    BACKING_OFF = "waiting"  # until the next start
+    SUSPENDED = "held"
 
 
-class Do(Enum):
-    """What the supervisor is to do."""
+class Action(Enum):
+    """What the supervisor has to do."""
 
     START = "start"
     TERMINATE = "terminate"
@@ -40,184 +41,189 @@
     ALARM = "alarm"
 
 
-class Policy(NamedTuple):
-    """Figures, in seconds where not said otherwise."""
+class RestartPolicy(NamedTuple):
+    """Limits and timeouts of the restart decisions."""
 
-    ready_within: float = 10.0
-    first_wait: float = 0.2
-    longest_wait: float = 30.0
-    most_restarts: int = 5  # within the window; the next one holds
-    window: float = 60.0
-    misses: int = 3  # health checks in a row without an answer, after which it counts as hung
-    stop_within: float = 3.7  # from SIGTERM to SIGKILL
-    calm_for: float = 30.0  # ready for so long, the waits begin anew
+    ready_timeout_s: float = 10.0
+    initial_backoff_s: float = 0.2
+    max_backoff_s: float = 30.0
+    max_restarts: int = 5  # within the window; the next one suspends the instance
+    restart_window_s: float = 60.0
+    unhealthy_threshold: int = 3  # consecutive health checks without an answer
+    stop_timeout_s: float = 3.7  # from SIGTERM to SIGKILL
+    backoff_reset_s: float = 30.0  # time in READY after which the backoff is reset
 
 
-class Instance:
-    """One instance's life, as the supervisor decides it."""
+class InstanceLifecycle:
+    """State machine of one supervised instance."""
 
-    def __init__(self, policy: Policy) -> None:
+    def __init__(self, policy: RestartPolicy) -> None:
         self.policy = policy
         self.phase = Phase.STOPPED
-        self.wanted = False
-        self.why = "not started yet"
-        self.since = 0.0
-        self.restarts = 0  # in all, since the supervisor's first start
-        self._recent: deque[float] = deque()
-        self._wait = policy.first_wait
-        self._due = math.inf
-        self._missed = 0
-        self._again = False  # it is ended only to be started anew
-
-    # -- what the operator wants --
-
-    def want(self, run: bool, now: float, why: str = "by an operator") -> list[Do]:
-        """It is to run, or not. Wanting a held instance to run releases it."""
-        self.wanted = run
-        if run and self.phase in (Phase.STOPPED, Phase.HELD):
-            self._recent.clear()
-            self._wait = self.policy.first_wait
-            return self._start(now, why)
+        self.should_run = False
+        self.reason = "not started yet"
+        self.phase_since = 0.0
+        self.restarts = 0  # total, over all supervisor processes
+        self._restart_times: deque[float] = deque()
+        self._backoff_s = policy.initial_backoff_s
+        self._deadline = math.inf
+        self._failed_checks = 0
+        self._restart_pending = False  # stopped only in order to be started again
+
+    # -- operator requests --
+
+    def set_should_run(self, run: bool, now: float, reason: str = "by an operator") -> list[Action]:
+        """Set whether the instance should run; setting it for a suspended instance starts it again."""
+        self.should_run = run
+        if run and self.phase in (Phase.STOPPED, Phase.SUSPENDED):
+            self._restart_times.clear()
+            self._backoff_s = self.policy.initial_backoff_s
+            return self._start(now, reason)
         if run and self.phase in (Phase.STOPPING, Phase.KILLED):
-            self._again = True
+            self._restart_pending = True
         if not run:
-            self._again = False
+            self._restart_pending = False
             if self.phase in (Phase.STARTING, Phase.READY):
-                return self._end(now, why)
-            if self.phase in (Phase.WAITING, Phase.HELD):
-                self._become(Phase.STOPPED, now, why)
+                return self._terminate(now, reason)
+            if self.phase in (Phase.BACKING_OFF, Phase.SUSPENDED):
+                self._enter_phase(Phase.STOPPED, now, reason)
         return []
 
-    def again(self, now: float, why: str) -> list[Do]:
-        """It is to be ended and started anew, as in a roll; this counts as no crash."""
-        self.wanted = True
+    def request_restart(self, now: float, reason: str) -> list[Action]:
+        """Stop the instance and start it again, as in a rolling restart; this does not count as a crash."""
+        self.should_run = True
         if self.phase in (Phase.STARTING, Phase.READY):
-            self._again = True
-            return self._end(now, why)
-        return self.want(True, now, why)
-
-    # -- what is seen --
-
-    def adopted(self, ready: bool, now: float) -> None:
-        """It was found running by its run file."""
-        self.wanted = True
-        self._become(Phase.READY if ready else Phase.STARTING, now, "found running")
-        self._due = math.inf if ready else now + self.policy.ready_within
-
-    def health(self, good: bool, now: float) -> list[Do]:
-        """The answer to a health check, or none in time."""
-        if good:
-            self._missed = 0
+            self._restart_pending = True
+            return self._terminate(now, reason)
+        return self.set_should_run(True, now, reason)
+
+    # -- observations --
+
+    def on_adopted(self, ready: bool, now: float) -> None:
+        """Record that a running process was found by its run file."""
+        self.should_run = True
+        self._enter_phase(Phase.READY if ready else Phase.STARTING, now, "found running")
+        self._deadline = math.inf if ready else now + self.policy.ready_timeout_s
+
+    def on_health_check(self, healthy: bool, now: float) -> list[Action]:
+        """Process the result of a health check; a check without an answer in time is not healthy."""
+        if healthy:
+            self._failed_checks = 0
             if self.phase is Phase.STARTING:
-                self._become(Phase.READY, now, "answers")
-                self._due = now + self.policy.calm_for
+                self._enter_phase(Phase.READY, now, "answers")
+                self._deadline = now + self.policy.backoff_reset_s
             return []
         if self.phase is Phase.READY:
-            self._missed += 1
-            if self._missed >= self.policy.misses:
-                return self._crash_end(now, f"no answer to {self._missed} health checks")
+            self._failed_checks += 1
+            if self._failed_checks >= self.policy.unhealthy_threshold:
+                return self._terminate_as_crash(now, f"no answer to {self._failed_checks} health checks")
         return []
 
-    def over_limit(self, what: str, now: float) -> list[Do]:
-        """It holds more memory or descriptors than it may."""
-        return self._crash_end(now, what) if self.phase in (Phase.STARTING, Phase.READY) else []
-
-    def exited(self, how: str, now: float) -> list[Do]:
-        """Its process is over."""
-        asked = self.phase in (Phase.STOPPING, Phase.KILLED)
-        if asked and self._again and self.wanted:
-            self._again = False
-            return self._start(now, "started anew")
-        if not self.wanted:
-            self._become(Phase.STOPPED, now, how)
-            self._due = math.inf
+    def on_limit_exceeded(self, reason: str, now: float) -> list[Action]:
+        """Stop an instance that uses more of a resource than its limit allows."""
+        return self._terminate_as_crash(now, reason) if self.phase in (Phase.STARTING, Phase.READY) else []
+
+    def on_exited(self, reason: str, now: float) -> list[Action]:
+        """Process the exit of the instance's process."""
+        requested = self.phase in (Phase.STOPPING, Phase.KILLED)
+        if requested and self._restart_pending and self.should_run:
+            self._restart_pending = False
+            return self._start(now, "restarted")
+        if not self.should_run:
+            self._enter_phase(Phase.STOPPED, now, reason)
+            self._deadline = math.inf
             return []
-        return self._crashed(now, how)
+        return self._back_off_or_suspend(now, reason)
 
-    def start_failed(self, why: str, now: float) -> list[Do]:
-        """It could not even be started."""
-        return self._crashed(now, why)
+    def on_start_failed(self, reason: str, now: float) -> list[Action]:
+        """Process a failure to create the instance's process."""
+        return self._back_off_or_suspend(now, reason)
 
-    def tick(self, now: float) -> list[Do]:
-        """Time has passed."""
-        if now < self._due:
+    def tick(self, now: float) -> list[Action]:
+        """Return what is to be done because a deadline has passed."""
+        if now < self._deadline:
             return []
-        if self.phase is Phase.WAITING:
-            return self._start(now, "after a wait")
+        if self.phase is Phase.BACKING_OFF:
+            return self._start(now, "after backoff")
         if self.phase is Phase.STARTING:
-            return self._crash_end(now, f"not ready within {self.policy.ready_within:g} s")
+            return self._terminate_as_crash(now, f"not ready within {self.policy.ready_timeout_s:g} s")
         if self.phase is Phase.STOPPING:
-            self._become(Phase.KILLED, now, self.why)
-            self._due = now + self.policy.stop_within
-            return [Do.KILL]
+            self._enter_phase(Phase.KILLED, now, self.reason)
+            self._deadline = now + self.policy.stop_timeout_s
+            return [Action.KILL]
         if self.phase is Phase.KILLED:
-            self._due = now + self.policy.stop_within
-            return [Do.KILL]
+            self._deadline = now + self.policy.stop_timeout_s
+            return [Action.KILL]
         if self.phase is Phase.READY:
-            self._wait, self._due = self.policy.first_wait, math.inf
+            self._backoff_s, self._deadline = self.policy.initial_backoff_s, math.inf
         return []
 
-    def next_due(self) -> float:
-        """When `tick` is to be called next."""
-        return self._due
+    def next_deadline(self) -> float:
+        """Return the time at which `tick` has to be called next."""
+        return self._deadline
 
-    # -- within --
+    # -- transitions --
 
-    def _become(self, phase: Phase, now: float, why: str) -> None:
+    def _enter_phase(self, phase: Phase, now: float, reason: str) -> None:
         if phase is not self.phase:
-            self.since = now
-        self.phase, self.why = phase, why
-
-    def _start(self, now: float, why: str) -> list[Do]:
-        self._missed = 0
-        self._become(Phase.STARTING, now, why)
-        self._due = now + self.policy.ready_within
-        return [Do.START]
-
-    def _end(self, now: float, why: str) -> list[Do]:
-        self._become(Phase.STOPPING, now, why)
-        self._due = now + self.policy.stop_within
-        return [Do.TERMINATE]
-
-    def _crash_end(self, now: float, why: str) -> list[Do]:
-        """It is ended for what it did; its exit counts as a crash."""
-        self._again = False
-        return self._end(now, why)
-
-    def _crashed(self, now: float, why: str) -> list[Do]:
-        while self._recent and self._recent[0] <= now - self.policy.window:
-            self._recent.popleft()
-        if len(self._recent) >= self.policy.most_restarts:
-            self._become(
-                Phase.HELD, now, f"{why}; {len(self._recent)} restarts within {self.policy.window:g} s"
+            self.phase_since = now
+        self.phase, self.reason = phase, reason
+
+    def _start(self, now: float, reason: str) -> list[Action]:
+        self._failed_checks = 0
+        self._enter_phase(Phase.STARTING, now, reason)
+        self._deadline = now + self.policy.ready_timeout_s
+        return [Action.START]
+
+    def _terminate(self, now: float, reason: str) -> list[Action]:
+        self._enter_phase(Phase.STOPPING, now, reason)
+        self._deadline = now + self.policy.stop_timeout_s
+        return [Action.TERMINATE]
+
+    def _terminate_as_crash(self, now: float, reason: str) -> list[Action]:
+        """Stop a faulty instance; its exit counts as a crash."""
+        self._restart_pending = False
+        return self._terminate(now, reason)
+
+    def _back_off_or_suspend(self, now: float, reason: str) -> list[Action]:
+        while self._restart_times and self._restart_times[0] <= now - self.policy.restart_window_s:
+            self._restart_times.popleft()
+        if len(self._restart_times) >= self.policy.max_restarts:
+            self._enter_phase(
+                Phase.SUSPENDED,
+                now,
+                f"{reason}; {len(self._restart_times)} restarts within {self.policy.restart_window_s:g} s",
             )
-            self._due = math.inf
-            return [Do.ALARM]
-        self._recent.append(now)
+            self._deadline = math.inf
+            return [Action.ALARM]
+        self._restart_times.append(now)
         self.restarts += 1
-        self._become(Phase.WAITING, now, why)
-        self._due = now + self._wait
-        self._wait = min(2.0 * self._wait, self.policy.longest_wait)
+        self._enter_phase(Phase.BACKING_OFF, now, reason)
+        self._deadline = now + self._backoff_s
+        self._backoff_s = min(2.0 * self._backoff_s, self.policy.max_backoff_s)
         return []
 
-    # -- what survives the supervisor --
+    # -- persistence --
 
-    def keep(self, wall: float, now: float) -> dict[str, object]:
-        """What is written to the journal: Unix times of recent restarts, and what is wanted."""
+    def to_journal(self, unix_s: float, now: float) -> dict[str, object]:
+        """Return the journal's entry; the times of recent restarts are written as Unix seconds."""
         return {
-            "wanted": self.wanted,
-            "held": self.phase is Phase.HELD,
-            "why": self.why,
+            "wanted": self.should_run,
+            "held": self.phase is Phase.SUSPENDED,
+            "why": self.reason,
             "restarts": self.restarts,
-            "recent": [wall - (now - at) for at in self._recent],
+            "recent": [unix_s - (now - at) for at in self._restart_times],
         }
 
-    def recall(self, kept: dict[str, object], wall: float, now: float) -> None:
-        """What the journal held; a clock that was set back makes restarts seem no newer than now."""
-        self.wanted = bool(kept.get("wanted"))
-        self.restarts = int(str(kept.get("restarts", 0)))
-        recent = kept.get("recent", [])
+    def restore(self, entry: dict[str, object], unix_s: float, now: float) -> None:
+        """Restore the state of a journal entry.
+
+        After the system clock was set back, recent restarts count as if they had happened now.
+        """
+        self.should_run = bool(entry.get("wanted"))
+        self.restarts = int(str(entry.get("restarts", 0)))
+        recent = entry.get("recent", [])
         if isinstance(recent, list):
-            self._recent = deque(now - max(0.0, wall - float(at)) for at in recent)
-        if kept.get("held"):
-            self._become(Phase.HELD, now, str(kept.get("why", "")))
+            self._restart_times = deque(now - max(0.0, unix_s - float(at)) for at in recent)
+        if entry.get("held"):
+            self._enter_phase(Phase.SUSPENDED, now, str(entry.get("why", "")))
--- a/stonecove/fleet/rolling.py
+++ b/stonecove/fleet/rolling.py
@@ -1,5 +1,6 @@
-"""A rolling restart: so many instances out at once, and an end to it when a new one does not become ready.
-No I/O.
+"""Rolling restarts with a bounded number of unavailable instances; the first failure stops the restart.
+
+The module performs no I/O.
 """
 
 from __future__ import annotations
@@ -8,8 +9,8 @@
 from typing import NamedTuple
 
 
-class RollState(Enum):
-    """Where a roll stands."""
+class RollingState(Enum):
+    """The state of a rolling restart; the values stand in the journal."""
 
     NONE = "none"
     ROLLING = "rolling"
@@ -17,84 +18,87 @@
     STOPPED = "stopped"
 
 
-class Step(NamedTuple):
-    """An instance is to be started anew."""
+class RestartStep(NamedTuple):
+    """An instance that is to be restarted now."""
 
     name: str
 
 
-class Roll:
-    """Takes instances in turn. What is under way is never more than `out`, counting those that are out
-    anyway.
+class RollingRestart:
+    """Restarts instances in order.
+
+    No more than `max_unavailable` are unavailable at once, including those that are unavailable for other
+    reasons.
     """
 
     def __init__(self) -> None:
-        self.state = RollState.NONE
-        self.why = ""
-        self.out = 1
-        self.left: list[str] = []
-        self.under_way: list[str] = []
-        self.done: list[str] = []
-
-    def begin(self, names: list[str], out: int) -> None:
-        """Raises ValueError while another one is under way."""
-        if self.state is RollState.ROLLING:
+        self.state = RollingState.NONE
+        self.reason = ""
+        self.max_unavailable = 1
+        self.remaining: list[str] = []
+        self.in_progress: list[str] = []
+        self.finished: list[str] = []
+
+    def start(self, names: list[str], max_unavailable: int) -> None:
+        """Start a rolling restart; raises ValueError while another one is in progress."""
+        if self.state is RollingState.ROLLING:
             raise ValueError("a roll is under way")
-        if out < 1:
+        if max_unavailable < 1:
             raise ValueError("at least one instance is out at a time")
-        self.state, self.why, self.out = RollState.ROLLING, "", out
-        self.left, self.under_way, self.done = list(names), [], []
+        self.state, self.reason, self.max_unavailable = RollingState.ROLLING, "", max_unavailable
+        self.remaining, self.in_progress, self.finished = list(names), [], []
 
-    def next(self, not_ready: set[str]) -> list[Step]:
-        """Who is to be started anew now; `not_ready`: instances that are out, for whatever reason."""
-        if self.state is not RollState.ROLLING:
+    def next_steps(self, not_ready: set[str]) -> list[RestartStep]:
+        """Return the instances to restart now; `not_ready` are those unavailable for whatever reason."""
+        if self.state is not RollingState.ROLLING:
             return []
         steps = []
-        # Guards against taking down more than was stated while others are down by themselves.
-        while self.left and len(not_ready | set(self.under_way)) < self.out:
-            name = self.left.pop(0)
-            self.under_way.append(name)
-            steps.append(Step(name))
-        if not self.left and not self.under_way:
-            self.state = RollState.DONE
+        # Instances that are down by themselves count, so that a crash does not raise the number unavailable.
+        while self.remaining and len(not_ready | set(self.in_progress)) < self.max_unavailable:
+            name = self.remaining.pop(0)
+            self.in_progress.append(name)
+            steps.append(RestartStep(name))
+        if not self.remaining and not self.in_progress:
+            self.state = RollingState.DONE
         return steps
 
-    def ready(self, name: str) -> None:
-        """A new one serves."""
-        if name in self.under_way:
-            self.under_way.remove(name)
-            self.done.append(name)
+    def mark_ready(self, name: str) -> None:
+        """Record that a restarted instance is ready."""
+        if name in self.in_progress:
+            self.in_progress.remove(name)
+            self.finished.append(name)
 
-    def failed(self, name: str, why: str) -> None:
-        """A new one crashed, was late, or is held: nothing more is taken down."""
-        if self.state is RollState.ROLLING and name in self.under_way:
-            self.state, self.why = RollState.STOPPED, f"{name}: {why}"
+    def mark_failed(self, name: str, reason: str) -> None:
+        """Stop the rolling restart because a restarted instance crashed, was late or is suspended."""
+        if self.state is RollingState.ROLLING and name in self.in_progress:
+            self.state, self.reason = RollingState.STOPPED, f"{name}: {reason}"
 
-    def stop(self, why: str) -> None:
-        """By an operator."""
-        if self.state is RollState.ROLLING:
-            self.state, self.why = RollState.STOPPED, why
+    def stop(self, reason: str) -> None:
+        """Stop the rolling restart for a reason other than a failed instance."""
+        if self.state is RollingState.ROLLING:
+            self.state, self.reason = RollingState.STOPPED, reason
 
-    def keep(self) -> dict[str, object]:
-        """What is written to the journal."""
+    def to_journal(self) -> dict[str, object]:
+        """Return the journal's entry."""
         return {
             "state": self.state.value,
-            "why": self.why,
-            "out": self.out,
-            "left": self.left,
-            "under_way": self.under_way,
-            "done": self.done,
+            "why": self.reason,
+            "out": self.max_unavailable,
+            "left": self.remaining,
+            "under_way": self.in_progress,
+            "done": self.finished,
         }
 
-    def recall(self, kept: dict[str, object], known: set[str]) -> None:
-        """What the journal held; what was under way is done once it is seen ready. Names that are gone are
-        left out.
+    def restore(self, entry: dict[str, object], known: set[str]) -> None:
+        """Restore the state of a journal entry, without instances that are not in `known`.
+
+        Instances in progress count as finished once they are seen ready.
         """
 
         def names(field: str) -> list[str]:
-            value = kept.get(field, [])
+            value = entry.get(field, [])
             return [str(name) for name in value if name in known] if isinstance(value, list) else []
 
-        self.state = RollState(str(kept.get("state", "none")))
-        self.why, self.out = str(kept.get("why", "")), int(str(kept.get("out", 1)))
-        self.left, self.under_way, self.done = names("left"), names("under_way"), names("done")
+        self.state = RollingState(str(entry.get("state", "none")))
+        self.reason, self.max_unavailable = str(entry.get("why", "")), int(str(entry.get("out", 1)))
+        self.remaining, self.in_progress, self.finished = names("left"), names("under_way"), names("done")
--- a/stonecove/scale/configuration.py
+++ b/stonecove/scale/configuration.py
@@ -18,9 +18,9 @@
 import trio
 
 from stonecove.fleet.rollout_controller import (
-    Controller,
     InputError,
     OvertakenError,
+    RolloutController,
     ServiceError,
     service_session,
 )
@@ -97,7 +97,7 @@
 
     async def _publish_all(self, routers: int, every: float) -> None:
         async with service_session(self.servers, Figures(), PATIENCE) as session:
-            controller = Controller(CONFIGURATION_PATH, session, PATIENCE)
+            controller = RolloutController(CONFIGURATION_PATH, session, PATIENCE)
             with trio.move_on_after(PATIENCE):
                 while len(controller.reports.by_name) < routers and not self._over.is_set():
                     await trio.sleep(0.05)
@@ -107,7 +107,7 @@
                 while trio.current_time() < began + every and not self._over.is_set():
                     await trio.sleep(0.05)
 
-    async def _publish(self, controller: Controller) -> None:
+    async def _publish(self, controller: RolloutController) -> None:
         merge = {"rules": {"warm_up": FIRST_WARM_UP + len(self.changes)}}
         began = time.time_ns()
         try:
--- a/tests/golden_fleet_files.py
+++ b/tests/golden_fleet_files.py
@@ -1,4 +1,4 @@
-"""What the cases of the fleet area share."""
+"""Helpers shared by the cases of the fleet area."""
 
 from __future__ import annotations
 
@@ -21,13 +21,13 @@
 
 @contextmanager
 def temporary_folder() -> Iterator[Path]:
-    """A folder with a short path, so that sockets fit into it."""
+    """Provide a folder with a path short enough for Unix sockets."""
     with tempfile.TemporaryDirectory(prefix="golden-") as folder:
         yield Path(folder)
 
 
 def as_json(data: bytes) -> Any:
-    """Return JSON as a value, or the text where it is none."""
+    """Return the parsed JSON, or the text if it is not JSON."""
     try:
         return json.loads(data)
     except ValueError:
@@ -35,24 +35,24 @@
 
 
 def files_in(folder: Path) -> Meaning:
-    """Return the texts of a folder's files by their names."""
+    """Return the texts of a folder's files by file name."""
     return {path.name: path.read_text() for path in sorted(folder.iterdir())}
 
 
 @contextmanager
 def notified() -> Iterator[Callable[[], list[str]]]:
-    """A service manager's socket, named by NOTIFY_SOCKET; gives a call that returns what was told."""
+    """Set NOTIFY_SOCKET to a test socket; provides a function that returns the messages received."""
     with temporary_folder() as folder, socket.socket(socket.AF_UNIX, socket.SOCK_DGRAM) as sock:
         sock.bind(str(folder / "notify"))
         sock.setblocking(False)
 
-        def heard() -> list[str]:
-            found = []
+        def received_messages() -> list[str]:
+            messages = []
             try:
                 while True:
-                    found.append(sock.recv(4096).decode())
+                    messages.append(sock.recv(4096).decode())
             except BlockingIOError:
-                return [re.sub(r"MONOTONIC_USEC=\d+", "MONOTONIC_USEC=<number>", text) for text in found]
+                return [re.sub(r"MONOTONIC_USEC=\d+", "MONOTONIC_USEC=<number>", text) for text in messages]
 
         with mock.patch.dict(os.environ, {"NOTIFY_SOCKET": str(folder / "notify")}):
-            yield heard
+            yield received_messages
--- a/tests/golden_fleet_journal.py
+++ b/tests/golden_fleet_journal.py
@@ -14,40 +14,44 @@
 
 from stonecove.fleet import runfile
 from stonecove.fleet.journal import Journal, JournalError
-from stonecove.fleet.restart import Instance, Phase, Policy
-from stonecove.fleet.rolling import Roll, RollState
-from stonecove.fleet.supervisor import LAUNCH
+from stonecove.fleet.restart import InstanceLifecycle, Phase, RestartPolicy
+from stonecove.fleet.rolling import RollingRestart, RollingState
+from stonecove.fleet.supervisor import LAUNCH_SCRIPT
 
 
 class MemoryDisk:
-    """A disk that holds one file, notes what is done to it, and refuses to write when told so."""
+    """An in-memory disk with one file that records operations and fails writes while `full` is set."""
 
     def __init__(self, data: bytes = b"") -> None:
         self.data = data
         self.full = False
-        self.done: list[Meaning] = []
+        self.operations: list[Meaning] = []
 
     def _check(self) -> None:
         if self.full:
             raise OSError(28, "No space left on device")
 
     def read(self, path: Path) -> bytes:
+        """Return the content."""
         return self.data
 
     def append(self, path: Path, data: bytes) -> None:
+        """Append bytes."""
         self._check()
         self.data += data
-        self.done.append({"appended": data.hex()})
+        self.operations.append({"appended": data.hex()})
 
     def truncate(self, path: Path, size: int) -> None:
+        """Truncate the content."""
         self._check()
         self.data = self.data[:size]
-        self.done.append({"truncated_to": size})
+        self.operations.append({"truncated_to": size})
 
     def replace(self, path: Path, data: bytes) -> None:
+        """Replace the content."""
         self._check()
         self.data = data
-        self.done.append({"replaced_by": data.hex()})
+        self.operations.append({"replaced_by": data.hex()})
 
 
 PATH = Path("journal")
@@ -101,10 +105,15 @@
     journal = Journal(PATH, disk)
     outputs = []
     for one in inputs:
-        disk.full, disk.done = one["disk_full"], []
+        disk.full, disk.operations = one["disk_full"], []
         stored = journal.put(one["key"], one["value"])
         outputs.append(
-            {"stored": stored, "disk": disk.done, "records": journal.records, "failures": journal.failed}
+            {
+                "stored": stored,
+                "disk": disk.operations,
+                "records": journal.records,
+                "failures": journal.failed_writes,
+            }
         )
     return outputs
 
@@ -112,10 +121,10 @@
 def _journal_script() -> list[Meaning]:
     puts: list[tuple[str, Any, bool]] = [(key, value, False) for key, value in ENTRIES]
     puts += [
-        ("unit/r-0", RUNNING, False),  # as it is: nothing is written
+        ("unit/r-0", RUNNING, False),  # unchanged: nothing is written
         ("unit/r-0", STOPPED, True),
         ("unit/r-0", STOPPED, True),
-        ("unit/r-0", STOPPED, False),  # all is written anew
+        ("unit/r-0", STOPPED, False),  # the file is rewritten
         ("unit/r-0", RUNNING, False),
     ]
     return [{"key": key, "value": value, "disk_full": full} for key, value, full in puts]
@@ -130,7 +139,7 @@
 
 
 def _journal_state(data: bytes) -> Meaning:
-    """Return what a journal of these bytes holds, or the places at which it is said to be broken."""
+    """Return the content of a journal, or the offsets named in its error."""
     disk = MemoryDisk(data)
     try:
         journal = Journal(PATH, disk)
@@ -140,34 +149,34 @@
 
 
 def _ranges(states: list[Meaning]) -> list[Meaning]:
-    """Return runs of equal states, with the positions of the first and the last."""
-    found: list[Meaning] = []
+    """Return runs of equal states with their first and last positions."""
+    runs: list[Meaning] = []
     for position, state in enumerate(states):
-        if found and found[-1]["state"] == state:
-            found[-1]["to"] = position
+        if runs and runs[-1]["state"] == state:
+            runs[-1]["to"] = position
         else:
-            found.append({"from": position, "to": position, "state": state})
-    return found
+            runs.append({"from": position, "to": position, "state": state})
+    return runs
 
 
-def _journal_cuts() -> list[Meaning]:
+def _truncated_journals() -> list[Meaning]:
     data = FOLDER.read_bytes("journal.bin")
     return _ranges([_journal_state(data[:size]) for size in range(len(data) + 1)])
 
 
-def _journal_damage() -> list[Meaning]:
-    """Return what is read where one byte is another, by the place of that byte."""
+def _damaged_journals() -> list[Meaning]:
+    """Return the journal's state with one byte inverted, by the offset of that byte."""
     data = FOLDER.read_bytes("journal.bin")
     states = []
-    for place in range(len(data)):
-        state = _journal_state(data[:place] + bytes([data[place] ^ 0xFF]) + data[place + 1 :])
+    for offset in range(len(data)):
+        state = _journal_state(data[:offset] + bytes([data[offset] ^ 0xFF]) + data[offset + 1 :])
         state.pop("values", None)
         states.append(state)
     return _ranges(states)
 
 
 class JournalFile:
-    """The golden journal, written anew and read back."""
+    """The golden journal, rewritten and read back."""
 
     name = "journal"
 
@@ -181,11 +190,11 @@
         data = folder.read_bytes("journal.bin")
         assert _journal_bytes() == data
         assert _journal_state(data) == folder.read("journal.json")
-        with temporary_folder() as place:
-            journal = Journal(place / "journal")
+        with temporary_folder() as folder_path:
+            journal = Journal(folder_path / "journal")
             for key, value in ENTRIES:
                 assert journal.put(key, value)
-            assert (place / "journal").read_bytes() == data
+            assert (folder_path / "journal").read_bytes() == data
 
 
 PHASES = {
@@ -194,48 +203,48 @@
     "ready": Phase.READY,
     "stopping": Phase.STOPPING,
     "killed": Phase.KILLED,
-    "backing_off": Phase.WAITING,
-    "held": Phase.HELD,
+    "backing_off": Phase.BACKING_OFF,
+    "held": Phase.SUSPENDED,
 }
-ROLL_STATES = {
-    "none": RollState.NONE,
-    "rolling": RollState.ROLLING,
-    "done": RollState.DONE,
-    "stopped": RollState.STOPPED,
+ROLLING_STATES = {
+    "none": RollingState.NONE,
+    "rolling": RollingState.ROLLING,
+    "done": RollingState.DONE,
+    "stopped": RollingState.STOPPED,
 }
 
 
-def _recall(inputs: list[Meaning]) -> list[Any]:
-    """Read entries back into what they describe, and write them once more."""
+def _restore_entries(inputs: list[Meaning]) -> list[Any]:
+    """Restore entries and write them again."""
     outputs: list[Meaning] = []
     for one in inputs:
         value = one["value"]
         if one["key"] == "roll":
-            roll = Roll()
-            roll.recall(value, set(one["instances"]))
+            roll = RollingRestart()
+            roll.restore(value, set(one["instances"]))
             meaning = {
-                "state": key_of(ROLL_STATES, roll.state),
-                "reason": roll.why,
-                "most_out": roll.out,
-                "remaining": roll.left,
-                "in_progress": roll.under_way,
-                "finished": roll.done,
+                "state": key_of(ROLLING_STATES, roll.state),
+                "reason": roll.reason,
+                "most_out": roll.max_unavailable,
+                "remaining": roll.remaining,
+                "in_progress": roll.in_progress,
+                "finished": roll.finished,
             }
-            outputs.append({"meaning": meaning, "written": roll.keep()})
+            outputs.append({"meaning": meaning, "written": roll.to_journal()})
             continue
-        instance = Instance(Policy())
-        instance.recall(value, UNIX, 1000.0)
+        instance = InstanceLifecycle(RestartPolicy())
+        instance.restore(value, UNIX, 1000.0)
         meaning = {
             "phase": key_of(PHASES, instance.phase),
-            "wanted": instance.wanted,
-            "reason": instance.why,
+            "wanted": instance.should_run,
+            "reason": instance.reason,
             "restarts": instance.restarts,
         }
-        outputs.append({"meaning": meaning, "written": instance.keep(UNIX, 1000.0)})
+        outputs.append({"meaning": meaning, "written": instance.to_journal(UNIX, 1000.0)})
     return outputs
 
 
-def _recall_script() -> list[Meaning]:
+def _restore_script() -> list[Meaning]:
     future = {**RESTARTED, "recent": [UNIX + 50.0]}  # the clock was set back
     instances = [RUNNING, RESTARTED, HELD, STOPPED, future, {}]
     rolls: list[Meaning] = [ROLLING, ROLL_STOPPED, {**ROLLING, "state": "done"}, {"state": "none"}]
@@ -286,10 +295,20 @@
 
 
 def _launch() -> Meaning:
-    """Return what the launcher leaves, and how the program that takes its place finds things."""
+    """Return the files written by the launcher and the environment of the program that replaces it."""
     shell = 'echo "descriptors $(ulimit -Sn)"; echo "pid $$"; echo error >&2'
     with temporary_folder() as folder:
-        command = [str(LAUNCH), str(folder), "-", "64", str(folder / "errors"), "--", "sh", "-c", shell]
+        command = [
+            str(LAUNCH_SCRIPT),
+            str(folder),
+            "-",
+            "64",
+            str(folder / "errors"),
+            "--",
+            "sh",
+            "-c",
+            shell,
+        ]
         done = subprocess.run([sys.executable, "-S", "-E", *command], capture_output=True, check=False)
         run = (folder / "run.json").read_bytes()
         output = (folder / "errors").read_text()
@@ -312,9 +331,9 @@
 CASES = (
     JournalFile(),
     Replay("journal-writes", _journal_script, _play_journal),
-    Snapshot("journal-cuts", _journal_cuts),
-    Snapshot("journal-damage", _journal_damage),
-    Replay("journal-entries", _recall_script, _recall),
+    Snapshot("journal-cuts", _truncated_journals),
+    Snapshot("journal-damage", _damaged_journals),
+    Replay("journal-entries", _restore_script, _restore_entries),
     RUN_FILE,
     Snapshot("launch", _launch),
 )
--- a/tests/golden_fleet_leases.py
+++ b/tests/golden_fleet_leases.py
@@ -20,7 +20,7 @@
 from golden_folder import Meaning, Replay, packed, unpacked
 
 from stonecove.exchange import ClientRequest
-from stonecove.fleet.lender import SOCKET, Lender
+from stonecove.fleet.lender import LEASE_SOCKET_NAME, LessorServer
 from stonecove.operator_config.reader import read_text
 from stonecove.routing.actions import RequestLease, ReturnLease
 from stonecove.routing.events import LeaseGranted, LeaseTerms
@@ -28,7 +28,7 @@
 from stonecove.runtime.unix import bind_private, serve_connections
 from stonecove.server.leases import LeaseClient, LeaseFile
 
-QUIET = 0.01  # seconds without anything to do, after which all that a step leads to has happened
+SETTLE_S = 0.01  # time without activity after which a step counts as completed
 FLEET = """
 fleet: {
  folder: "/nowhere"
@@ -45,23 +45,24 @@
 
 
 class Time:
-    """A steady clock that stands still until it is set, for the program and for trio."""
+    """A monotonic clock that only advances when set, for the program and for trio."""
 
-    def __init__(self, began: float) -> None:
-        self.now = began
+    def __init__(self, start_s: float) -> None:
+        self.now = start_s
         self.trio = trio.testing.MockClock()
 
     def __call__(self) -> float:
+        """Return the present time."""
         return self.now
 
     def set(self, now: float) -> None:
-        """Let time pass."""
+        """Advance the clock to `now`."""
         self.trio.jump(now - self.now)
         self.now = now
 
 
-def _heard(sock: socket.socket) -> tuple[bytes, bool]:
-    """Return what has come, and whether the connection has been closed."""
+def _receive(sock: socket.socket) -> tuple[bytes, bool]:
+    """Return the bytes received, and whether the connection was closed."""
     data = b""
     try:
         while part := sock.recv(65_536):
@@ -85,17 +86,17 @@
         outputs: list[Any] = []
         connections: dict[str, socket.socket] = {}
         async with trio.open_nursery() as nursery:
-            lender = Lender(fleet, folder)
-            await nursery.start(lender.run)
+            lessor = LessorServer(fleet, folder)
+            await nursery.start(lessor.run)
             rights = (folder / "leases.sock").stat().st_mode & 0o777
-            assert (SOCKET, rights) == ("leases.sock", 0o600)
+            assert (LEASE_SOCKET_NAME, rights) == ("leases.sock", 0o600)
             for step in steps:
                 time.set(step["at_s"])
                 if step["do"] == "status":
-                    outputs.append({"status": lender.lending.status(time.now)})
+                    outputs.append({"status": lessor.lending.status(time.now)})
                     continue
                 if step["do"] == "lease file":
-                    text = lender.file(step["cooldown_s"]).dumps()
+                    text = lessor.lease_file(step["cooldown_s"]).dumps()
                     outputs.append({"lease_file": text.replace(str(folder), "<folder>")})
                     continue
                 sock = connections.get(step["connection"])
@@ -108,11 +109,11 @@
                     del connections[step["connection"]]
                 else:
                     sock.sendall(unpacked(step["bytes"]))
-                await trio.testing.wait_all_tasks_blocked(QUIET)
-                heard, closed = _heard(sock) if step["do"] == "send" else (b"", False)
+                await trio.testing.wait_all_tasks_blocked(SETTLE_S)
+                received_bytes, closed = _receive(sock) if step["do"] == "send" else (b"", False)
                 if step.get("any_reason"):
-                    heard = re.sub(rb'"why": ".*"', b'"why": "<text>"', heard)
-                outputs.append({"received": packed(heard), "closed": closed})
+                    received_bytes = re.sub(rb'"why": ".*"', b'"why": "<text>"', received_bytes)
+                outputs.append({"received": packed(received_bytes), "closed": closed})
             for sock in connections.values():
                 sock.close()
             nursery.cancel_scope.cancel()
@@ -123,7 +124,7 @@
 
 
 class _LessorScript:
-    """Writes the steps of a script."""
+    """Builds the steps of a script."""
 
     def __init__(self) -> None:
         self.steps: list[Meaning] = []
@@ -135,7 +136,7 @@
         self.raw(connection, lines, **more)
 
     def raw(self, connection: str, data: bytes, **more: Any) -> None:
-        """Add bytes; `any_reason`: they are rejected with words that are Python's own."""
+        """Add bytes to send; with `any_reason` they are rejected with a text of Python's own."""
         self.other("send", connection=connection, bytes=packed(data), **more)
 
     def other(self, what: str, **more: Any) -> None:
@@ -162,16 +163,16 @@
     script.other("lease file", cooldown_s=0.0)
     script.other("lease file", cooldown_s=1.5)
     script.say("a", _hello("r-0", 99.0))
-    script.say("a", _ask(1))  # the lessor grants nothing before it knows what was granted earlier
+    script.say("a", _ask(1))  # no grant until earlier grants have expired
     script.say("b", _hello("r-1", 99.5))
     script.other("status")
     script.now = 104.0
     script.say("a", _ask(2))
-    script.say("a", _ask(2))  # the same question, the same lease
+    script.say("a", _ask(2))  # a repeated request gets the same lease
     script.say("b", _ask(1, 5.0, rule=800.0), _ask(2, 1.0, node=-1, pool="fleet", rule=50.0, rises=0.0))
     script.say("a", {"do": "back", "number": 2, "left": 5.5})
     script.say("a", {"do": "back", "number": 2, "left": 5.5})
-    script.say("b", _ask(3, 900.0))  # more than there is
+    script.say("b", _ask(3, 900.0))  # more than available
     script.say("a", _take(4))
     script.say("a", _take(400, "edge-1", "confirm", "10.0.0.8"))
     script.say("b", _take(4), _take(1, "hub", "pictures", ""))
@@ -182,13 +183,13 @@
     script.raw("a", line[5:])
     script.now = 106.0
     script.other("disconnect", connection="a")
-    script.say("a", _hello("r-0", 105.5))  # started anew: it has no quota of its own for a while
+    script.say("a", _hello("r-0", 105.5))  # restarted: no unleased quota during the cooldown
     script.now = 110.5
     script.say("a", _ask(1, 2.0))
     script.other("disconnect", connection="a")
     script.say("a", _hello("r-0", 105.5))  # the same process
     script.other("status")
-    wrong: list[bytes] = [
+    malformed: list[bytes] = [
         b"nonsense\n",
         b"[]\n",
         b"5\n",
@@ -197,9 +198,9 @@
         b'{"do": "sing"}\n',
         b"x" * 5000,
     ]
-    for number, data in enumerate(wrong):
+    for number, data in enumerate(malformed):
         script.raw(f"w{number}", data, **({"any_reason": True} if number < 3 else {}))
-    unheeded: list[list[dict[str, Any]]] = [
+    rejected: list[list[dict[str, Any]]] = [
         [_ask(1)],
         [_hello("n", 100.0), _hello("n", 100.0)],
         [_hello("n", 100.0, window=3.5)],
@@ -215,7 +216,7 @@
         [_hello("n", 100.0), {"do": "take", "path": ["a"], "count": 1}],
         [_hello("n", 100.0), {"do": "back", "number": "x", "left": 0}],
     ]
-    for number, words in enumerate(unheeded):
+    for number, words in enumerate(rejected):
         script.say(f"u{number}", *words, **({"any_reason": True} if number in (5, 12, 13) else {}))
     script.other("status")
     return script.steps
@@ -224,8 +225,8 @@
 # -- a router --
 
 
-def describe_told(event: object) -> Meaning:
-    """Return the meaning of what the router's decisions are told."""
+def describe_event(event: object) -> Meaning:
+    """Return the meaning of an event passed to the router's decisions."""
     if isinstance(event, LeaseTerms):
         return {
             "event": "lease_terms",
@@ -250,19 +251,21 @@
 
 
 class _Router:
-    """A router's stages as the leases see them."""
+    """The interface of a router's stages that the leases use."""
 
     def __init__(self) -> None:
-        self.told: list[Meaning] = []
+        self.events: list[Meaning] = []
         self.recorder = SimpleNamespace(counts=Counter[str]())
         self.shared_limit_check: Callable[[ClientRequest], str] | None = None
         self.actions: dict[type, Callable[[Any], None]] = {}
 
     def set_action_handler(self, action: type, call: Callable[[Any], None]) -> None:
+        """Register the function for an action."""
         self.actions[action] = call
 
     def post(self, event: object) -> None:
-        self.told.append(describe_told(event))
+        """Record an event."""
+        self.events.append(describe_event(event))
 
 
 def _play_router(steps: list[Meaning]) -> list[Any]:
@@ -311,11 +314,15 @@
                         )
                     case "close":
                         connections[-1].socket.shutdown(trio.socket.SHUT_RDWR)
-                await trio.testing.wait_all_tasks_blocked(QUIET)
+                await trio.testing.wait_all_tasks_blocked(SETTLE_S)
                 lines = [line + b"\n" for line in bytes(received).split(b"\n") if line]
                 received.clear()
-                told, router.told = router.told, []
-                outcome: Meaning = {"sent": [packed(line) for line in lines], "told": told, "limits": limits}
+                events, router.events = router.events, []
+                outcome: Meaning = {
+                    "sent": [packed(line) for line in lines],
+                    "told": events,
+                    "limits": limits,
+                }
                 outcome["counts"] = dict(router.recorder.counts)
                 outputs.append({name: value for name, value in outcome.items() if value})
             nursery.cancel_scope.cancel()
@@ -346,11 +353,11 @@
         return {"is": "tokens", "path": path, "count": count, "limit": limit}
 
     do("connect")
-    want()  # before the lessor has said anything
+    want()  # before any message of the lessor
     answer({"is": "terms", "own": 0.3, "retries": 0.1, "rest": 0.0})
-    do("time passes", 0.5)  # the cooldown that the lease file states is over
+    do("time passes", 0.5)  # the cooldown of the lease file is over
     want()
-    want()  # while one is asked for
+    want()  # while a request is pending
     want(node=-1, work=1.0, fleet_limit=40.0, limit_growth=0.0, of_zone=False)
     answer({"is": "grant", "number": 1, "node": 161, "work": 44.5}, {"is": "none", "number": 2})
     answer({"is": "grant", "number": 1, "node": 161, "work": 44.5})  # twice
@@ -374,7 +381,7 @@
     want(node=162)
     want(node=163, limit_growth="inf")
     answer({"is": "wrong", "why": "n is here already"})
-    do("time passes", 0.0625)  # too soon to connect again: the wait doubles
+    do("time passes", 0.0625)  # too soon to connect again: the backoff doubles
     do("time passes", 0.0625)
     answer({"is": "grant"})
     do("time passes", 0.25)
--- a/tests/golden_fleet_logs.py
+++ b/tests/golden_fleet_logs.py
@@ -17,9 +17,9 @@
 LINES = [f"{1_764_576_000 + number}.000 served class=image number={number:02d}" for number in range(24)]
 
 
-def _rotation(most_bytes: int, keep: int, lines: list[str]) -> Meaning:
+def _rotation(max_bytes: int, max_rotated: int, lines: list[str]) -> Meaning:
     with temporary_folder() as folder:
-        file = logs.RotatingFile(folder / "log", most_bytes, keep)
+        file = logs.RotatingFile(folder / "log", max_bytes, max_rotated)
         for line in lines:
             file.write(line.encode() + b"\n")
         file.close()
@@ -29,9 +29,10 @@
 def _rotations() -> list[Meaning]:
     cases = [(1000, 3), (200, 3), (200, 1), (200, 0), (53, 2), (54, 2), (10, 2)]
     found = [
-        {"most_bytes": most, "kept": keep, "files": _rotation(most, keep, LINES)} for most, keep in cases
+        {"most_bytes": max_bytes, "kept": max_rotated, "files": _rotation(max_bytes, max_rotated, LINES)}
+        for max_bytes, max_rotated in cases
     ]
-    with temporary_folder() as folder:  # a file that is there is gone on with
+    with temporary_folder() as folder:  # an existing file is appended to
         (folder / "log").write_text(LINES[0] + "\n")
         (folder / "log.1").write_text("older\n")
         file = logs.RotatingFile(folder / "log", 120, 3)
@@ -55,10 +56,10 @@
 
 
 def _writer() -> Meaning:
-    """Return what is in a log of which some lines found no room."""
+    """Return the log after some of its writes have failed."""
     with temporary_folder() as folder:
         file = _FailingFile(folder / "log", 10_000, 1)
-        writer = logs.Writer()
+        writer = logs.LogWriter()
         for line in LINES[:6]:
             writer.put(file, line)
         writer.close(30.0)
@@ -66,9 +67,9 @@
         return {"dropped": writer.dropped, "files": files_in(folder)}
 
 
-def _line_feeds() -> list[Meaning]:
-    lines = logs.Lines()
-    parts = [
+def _split_lines() -> list[Meaning]:
+    splitter = logs.LineSplitter()
+    chunks = [
         b"one\ntwo",
         b" and more\n\n\nthree\n",
         b"",
@@ -78,7 +79,9 @@
         b"y\n",
         b"rest",
     ]
-    return [{"read": packed(part), "lines": [_short(line) for line in lines.feed(part)]} for part in parts]
+    return [
+        {"read": packed(chunk), "lines": [_short(line) for line in splitter.feed(chunk)]} for chunk in chunks
+    ]
 
 
 def _short(line: str) -> Any:
@@ -86,7 +89,7 @@
 
 
 def _merged() -> list[Any]:
-    """Return the lines of two instances in the order of their times."""
+    """Return the lines of two instances merged by time."""
     with temporary_folder() as folder:
         first, second = folder / "r-0", folder / "r-1"
         for one in (first, second):
@@ -98,11 +101,11 @@
         (second / "log").write_text('{"time": 1764576000.5, "event": "e"}\n{"event": "f"}\n')
         (second / "log.old").write_text("1764576000.600 never\n")
         folders = [("r-0", first), ("r-1", second), ("r-2", folder / "r-2")]
-        return [list(one) for one in logs.merged(folders)]
+        return [list(one) for one in logs.merge_logs(folders)]
 
 
 def _log_pipe() -> Meaning:
-    """Return how the named pipe of an instance is made, and what an instance writes into it."""
+    """Return how the named pipe of an instance is created, and what an instance writes to it."""
     events: list[tuple[str, dict[str, object]]] = [
         ("served", {"class": "image", "took": 12.345, "count": 7, "to": "10.0.0.4:6565"}),
         ("odd", {"text": "two words", "sign": "\u00e9", "line": "a\nb", "empty": "", "none": None}),
@@ -153,7 +156,7 @@
 
 
 def _notifications() -> Meaning:
-    with notified() as heard:
+    with notified() as received_messages:
         sent = [
             notify("READY=1"),
             notify("READY=1", "STATUS=2 of 3 instances ready"),
@@ -162,7 +165,7 @@
             notify("WATCHDOG=1"),
             notify_reloading(),
         ]
-        messages = heard()
+        messages = received_messages()
     abstract = f"stonecove-golden-{os.getpid()}"
     with socket.socket(socket.AF_UNIX, socket.SOCK_DGRAM) as sock:
         sock.bind(f"\0{abstract}")
@@ -193,7 +196,7 @@
 CASES = (
     Snapshot("log-rotation", _rotations),
     Snapshot("log-writer", _writer),
-    Snapshot("log-lines", _line_feeds),
+    Snapshot("log-lines", _split_lines),
     Snapshot("log-merged", _merged),
     Snapshot("log-pipe", _log_pipe),
     Snapshot("notifications", _notifications),
--- a/tests/golden_fleet_spans.py
+++ b/tests/golden_fleet_spans.py
@@ -20,7 +20,7 @@
 
 
 class _Stages:
-    """The places in a router that tracing wraps; nothing happens there."""
+    """The methods of a router that tracing wraps, without any behaviour."""
 
     def __init__(self) -> None:
         self.requests = [None, None]
@@ -62,7 +62,7 @@
 
 
 def _trace_file(data: bytes) -> str:
-    """Return the lines with times and random ids replaced by their order of appearance."""
+    """Return the lines with masked times, and random ids replaced by their order of appearance."""
     ids: dict[str, str] = {}
 
     def named(match: re.Match[str]) -> str:
@@ -74,7 +74,7 @@
 
 
 def _request_spans() -> Meaning:
-    """Return the file of spans of some requests that went through a router's stages."""
+    """Return the span file of requests that have passed through a router's stages."""
     stages = _Stages()
     with temporary_folder() as folder:
         config = SimpleNamespace(name="r-0")
@@ -101,7 +101,7 @@
 
 
 def _sampled() -> Meaning:
-    """Return which of some requests are traced at each ratio: the same at all instances."""
+    """Return the requests sampled at each ratio, which are the same at all instances."""
     from opentelemetry.sdk.trace import TracerProvider
     from opentelemetry.sdk.trace.sampling import TraceIdRatioBased
 
@@ -140,7 +140,7 @@
 
 
 def _span_files() -> Meaning:
-    """Return files of spans that have turned over, and what an operator is told of one request."""
+    """Return rotated span files, and the formatted spans of one request."""
     request = _span(
         "request", 0x11, 0, 0, 9_500_000, ("admitted", 100_000, {"open": 3}), txn="00000000000000aa",
         verdict="served",
@@ -151,19 +151,19 @@
         ("arrived", 9_300_000, {"word": "200", "bytes": 4}), number=1, node="s-000000a2", outcome="ok",
     )  # fmt: skip
     found: Meaning = {}
-    for most, keep in ((100_000, 2), (600, 2), (600, 0), (1, 1)):
+    for max_bytes, max_rotated in ((100_000, 2), (600, 2), (600, 0), (1, 1)):
         with temporary_folder() as folder:
             (folder / "r-0").mkdir()
-            exporter = SpanFileExporter(folder / "r-0" / "trace", most, keep)
+            exporter = SpanFileExporter(folder / "r-0" / "trace", max_bytes, max_rotated)
             for spans in ([first], [second, request], [], [first, second]):
                 exporter.export(spans)
-            found[f"most_bytes {most}, kept {keep}"] = files_in(folder / "r-0")
-            if most == 100_000:
+            found[f"most_bytes {max_bytes}, kept {max_rotated}"] = files_in(folder / "r-0")
+            if max_bytes == 100_000:
                 (folder / "r-0" / "trace").open("ab").write(b'{"trace": "00000000000000aa, broken\n')
-                spans_found = list(traces.spans(folder, "aa"))
+                spans_found = list(traces.read_spans(folder, "aa"))
                 found["spans of the request"] = len(spans_found)
-                found["told"] = list(traces.told(spans_found))
-                found["spans of another request"] = len(list(traces.spans(folder, "ab")))
+                found["told"] = list(traces.format_spans(spans_found))
+                found["spans of another request"] = len(list(traces.read_spans(folder, "ab")))
     return found
 
 
--- a/tests/golden_fleet_supervisor.py
+++ b/tests/golden_fleet_supervisor.py
@@ -23,7 +23,7 @@
 
 
 def _masked(value: Any, folder: str) -> Any:
-    """Return an answer with what differs from run to run replaced."""
+    """Return an answer with the values that differ between runs masked."""
     if isinstance(value, dict):
         return {
             name: MASKS[name]
@@ -38,8 +38,8 @@
     return value.replace(folder, "<folder>") if isinstance(value, str) else value
 
 
-def _question(folder: Path, data: bytes) -> Any:
-    """Return what the control socket answers to these bytes."""
+def _send(folder: Path, data: bytes) -> Any:
+    """Send bytes to the control socket and return its answer."""
     with socket.socket(socket.AF_UNIX) as sock:
         sock.settimeout(10.0)
         sock.connect(str(folder / "control.sock"))
@@ -70,19 +70,19 @@
 
 
 def _supervisor() -> Meaning:
-    """Return what a supervisor answers and leaves behind.
+    """Return a supervisor's answers and the files it leaves.
 
-    It finds `r-0` running (a program that only sleeps stands in for it), and can't start `r-1`. Its time
-    stands still until the end.
+    It adopts `r-0` (a sleeping process in place of a router) and can't start `r-1`. The clock is stopped
+    until the end.
     """
     clock = trio.testing.MockClock()
     found: Meaning = {}
 
-    async def asked(folder: Path, question: dict[str, Any]) -> Any:
+    async def ask(folder: Path, question: dict[str, Any]) -> Any:
         data = json.dumps(question).encode() + b"\n"
-        return await trio.to_thread.run_sync(_question, folder, data)
+        return await trio.to_thread.run_sync(_send, folder, data)
 
-    async def play(place: Path, heard: Callable[[], list[str]]) -> None:
+    async def play(place: Path, received_messages: Callable[[], list[str]]) -> None:
         folder = place / "fleet"
         operator = place / "operator.cue"
         instances = ", ".join(
@@ -95,7 +95,7 @@
         sleeping = subprocess.Popen(["sleep", "60"])
         try:
             (folder / "r-0").mkdir(parents=True)
-            start = runfile.start_of(sleeping.pid) or 0
+            start = runfile.start_ticks(sleeping.pid) or 0
             runfile.write(folder / "r-0", runfile.Run(sleeping.pid, start, runfile.boot_id()))
             supervisor = Supervisor(operator)
             async with trio.open_nursery() as nursery:
@@ -107,58 +107,58 @@
                     pipe.write(b"1764576000.000 stats served=7 open=3 share=0.25\n1764576000.100 later a=b\n")
                 await trio.testing.wait_all_tasks_blocked(0.02)
                 found["answers"] = [
-                    {"question": question, "answer": _masked(await asked(folder, question), str(place))}
+                    {"question": question, "answer": _masked(await ask(folder, question), str(place))}
                     for question in COMMANDS
                 ]
-                unreadable = await trio.to_thread.run_sync(_question, folder, b"no JSON\n")
+                unreadable = await trio.to_thread.run_sync(_send, folder, b"no JSON\n")
                 found["keys of the answer to what is no JSON"] = sorted(unreadable)
-                for _ in range(500):  # until the supervisor has seen the end of it
+                for _ in range(500):  # until the supervisor has seen its exit
                     if runfile.read(folder / "r-0") is None:
                         break
                     await trio.testing.wait_all_tasks_blocked(0.02)
                 clock.jump(0.06)
                 await trio.testing.wait_all_tasks_blocked(0.02)
-                found["last status"] = _masked(await asked(folder, {"do": "status"}), str(place))
+                found["last status"] = _masked(await ask(folder, {"do": "status"}), str(place))
                 clock.rate = 1.0
                 signal.raise_signal(signal.SIGTERM)
         finally:
             sleeping.kill()
             sleeping.wait()
-        found["notified"] = heard()
+        found["notified"] = received_messages()
         found["files"] = sorted(str(path.relative_to(folder)) for path in folder.rglob("*"))
         records, _ = journal.decode((folder / "journal").read_bytes())
         found["journal"] = [_masked(record, str(place)) for record in records]
 
-    with temporary_folder() as place, notified() as heard:
-        trio.run(play, place, heard, clock=clock)
+    with temporary_folder() as place, notified() as received_messages:
+        trio.run(play, place, received_messages, clock=clock)
     return found
 
 
 def _control_errors() -> Meaning:
-    """Return what the client of the control socket says where nobody answers, or oddly."""
+    """Return the client's errors for missing, failing and malformed answers of the control socket."""
     found: Meaning = {}
     with temporary_folder() as folder:
 
-        def said() -> str:
+        def status_error() -> str:
             try:
-                return str(control.ask(folder, "status", 1.0))
+                return str(control.send_command(folder, "status", 1.0))
             except control.ControlError as error:
                 return re.sub(r": Expecting.*", ": <no JSON>", str(error).replace(str(folder), "<folder>"))
 
-        found["no socket"] = said()
+        found["no socket"] = status_error()
         with socket.socket(socket.AF_UNIX) as sock:
-            sock.bind(str(folder / control.NAME))
-        found["nobody listens"] = said()
-        (folder / control.NAME).unlink()
+            sock.bind(str(folder / control.SOCKET_NAME))
+        found["nobody listens"] = status_error()
+        (folder / control.SOCKET_NAME).unlink()
         with socket.socket(socket.AF_UNIX) as sock:
-            sock.bind(str(folder / control.NAME))
+            sock.bind(str(folder / control.SOCKET_NAME))
             sock.listen()
             for name, data in (("an error", b'{"error": "no"}\n'), ("a list", b"[]\n"), ("no JSON", b"x\n")):
-                found[name] = _answered_by(sock, data, said)
+                found[name] = _call_with_answer(sock, data, status_error)
     return found
 
 
-def _answered_by(listener: socket.socket, data: bytes, call: Callable[[], str]) -> str:
+def _call_with_answer(listener: socket.socket, data: bytes, call: Callable[[], str]) -> str:
     import threading
 
     def answer() -> None:
--- a/tests/test_configuration_processes.py
+++ b/tests/test_configuration_processes.py
@@ -1,4 +1,4 @@
-"""Roll-outs over sockets: the commands as processes, a stand-in ensemble, keepers in this process."""
+"""Roll-outs over sockets: commands as processes, a stand-in ensemble, routers' keepers in this process."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 from keeper import CoordinationEnsemble
 from stand import WAIT_TIMEOUT_S, Stand
 
-from stonecove.fleet.rollout_controller import Controller, service_session
+from stonecove.fleet.rollout_controller import RolloutController, service_session
 from stonecove.operator_config.records import ConfigurationRecord
 from stonecove.protocols.zookeeper.session import Figures
 from stonecove.rollout.messages import Bounds, Report, RolloutState, Target
@@ -31,7 +31,7 @@
 
 
 class FakeRouter:
-    """Takes settings over, but for those that it was told to refuse."""
+    """Applies settings, except those listed in `refuses`."""
 
     def __init__(self) -> None:
         self.settings: Settings | None = None
@@ -39,16 +39,18 @@
         self.unreadable: list[tuple[int, str]] = []
 
     def apply(self, settings: Settings, version: int) -> None:
+        """Apply settings; raises SettingsRefused for the listed ones."""
         if settings.slow_start_ms in self.refuses:
             raise SettingsRefused(f"rules.warm_up: {settings.slow_start_ms:g} can't be taken over")
         self.settings = settings
 
-    def refuse(self, why: str, version: int) -> None:
-        self.unreadable.append((version, why))
+    def refuse(self, reason: str, version: int) -> None:
+        """Record an unreadable overlay."""
+        self.unreadable.append((version, reason))
 
 
 class Member:
-    """One router: its keeper and its session. It tells its health only once `run` is started."""
+    """One router's keeper and session; it reports its health only once the keeper's `run` is started."""
 
     def __init__(self, name: str, servers: list[str], start_wait: float = 5000.0) -> None:
         addresses = addresses_of(servers)
@@ -69,19 +71,22 @@
 
     @property
     def in_force(self) -> int:
+        """Return the version in force."""
         return self.keeper.follower.in_force
 
     @property
     def warm_up(self) -> float:
+        """Return the slow start of the applied settings in ms; -1 without settings."""
         return self.router.settings.slow_start_ms if self.router.settings is not None else -1.0
 
 
 def addresses_of(servers: list[str]) -> tuple[tuple[str, int], ...]:
+    """Return servers as pairs of host and port."""
     return tuple((one.rpartition(":")[0], int(one.rpartition(":")[2])) for one in servers)
 
 
 class Scene:
-    """Routers, a folder for changes, and the command."""
+    """Routers, a folder for change files, and the commands."""
 
     def __init__(self, ensemble: CoordinationEnsemble, folder: Path, nursery: trio.Nursery) -> None:
         self.ensemble, self.folder, self.nursery = ensemble, folder, nursery
@@ -89,47 +94,56 @@
         self.client.start(timeout=WAIT_TIMEOUT_S)
         self.members: list[Member] = []
 
-    def add(self, name: str, settles: bool = True, servers: list[str] | None = None, **more: Any) -> Member:
+    def add(
+        self, name: str, reports_health: bool = True, servers: list[str] | None = None, **more: Any
+    ) -> Member:
+        """Start a router, with its health reports if `reports_health`."""
         member = Member(name, servers or self.ensemble.servers, **more)
         self.members.append(member)
         self.nursery.start_soon(member.ensemble.run)
-        if settles:
+        if reports_health:
             self.nursery.start_soon(member.keeper.run)
         return member
 
     async def fleet(self, count: int, **more: Any) -> None:
+        """Start routers, and wait until all report."""
         for number in range(count):
             self.add(f"r{number}", **more)
         await self.wait(lambda: len(self.reports()) == count, "all report")
 
     def reports(self) -> dict[str, Report]:
+        """Return the stored reports by router."""
         if not self.client.exists(f"{PATH}/routers"):
             return {}
         names = self.client.get_children(f"{PATH}/routers")
         return {name: Report.decode(self.client.get(f"{PATH}/routers/{name}")[0]) for name in names}
 
     def target(self) -> Target:
+        """Return the stored target."""
         return Target.decode(self.client.get(f"{PATH}/target")[0])
 
     async def publish(self, warm_up: float, servers: list[str] | None = None) -> RolloutState:
-        """The command's controller in this process: to all at once."""
+        """Publish to all routers at once, with the controller in this process."""
         addresses = addresses_of(servers or self.ensemble.servers)
         async with service_session(addresses, FIGURES, WAIT_TIMEOUT_S) as session:
-            controller = Controller(PATH, session, WAIT_TIMEOUT_S)
+            controller = RolloutController(PATH, session, WAIT_TIMEOUT_S)
             return await controller.publish({"rules": {"warm_up": warm_up}}, (1.0,), Bounds())
 
-    async def wait(self, true: Callable[[], object], what: str) -> None:
-        with trio.move_on_after(WAIT_TIMEOUT_S) as waiting:
-            while not await trio.to_thread.run_sync(true):
+    async def wait(self, condition: Callable[[], object], what: str) -> None:
+        """Wait for a condition; fails with `what` after PATIENCE seconds."""
+        with trio.move_on_after(WAIT_TIMEOUT_S) as scope:
+            while not await trio.to_thread.run_sync(condition):
                 await trio.sleep(0.02)
-        assert not waiting.cancelled_caught, f"never came: {what}"
+        assert not scope.cancelled_caught, f"timed out: {what}"
 
     def change(self, warm_up: float, **more: Any) -> Path:
+        """Write a change file that sets the slow start."""
         file = self.folder / f"change-{warm_up:g}.json"
         file.write_text(json.dumps({"rules": {"warm_up": warm_up}, **more}))
         return file
 
     def start(self, *words: object, servers: list[str] | None = None) -> subprocess.Popen[str]:
+        """Start a command as a process."""
         return subprocess.Popen(
             [
                 *(sys.executable, "-m", "stonecove", "configuration", str(words[0])),
@@ -142,31 +156,33 @@
         )
 
     async def run(self, *words: object, **more: Any) -> tuple[int, str, str]:
-        """A command to its end: exit code, last line, what it said of errors."""
+        """Run a command; return its exit code, the last line of its output and its errors."""
         return await self.end(self.start(*words, **more))
 
     async def end(self, process: subprocess.Popen[str]) -> tuple[int, str, str]:
+        """Wait for a command's exit; returns the same as `run`."""
         out, error = await trio.to_thread.run_sync(lambda: process.communicate(timeout=WAIT_TIMEOUT_S))
         return process.returncode, (out.splitlines() or [""])[-1], error
 
 
 def values(line: str) -> dict[str, str]:
+    """Return the `name=value` fields of a line."""
     return dict(word.split("=", 1) for word in line.split())
 
 
 @pytest.fixture
 def play(tmp_path: Path) -> Iterator[Callable[[Callable[[Scene], Awaitable[None]]], None]]:
-    """Plays a scene against an ensemble of two servers."""
+    """Provide a function that plays a scene with an ensemble of two servers."""
     ensemble = CoordinationEnsemble(2)
 
     async def main(scene: Callable[[Scene], Awaitable[None]]) -> None:
         async with trio.open_nursery() as nursery:
-            made = Scene(ensemble, tmp_path, nursery)
+            created = Scene(ensemble, tmp_path, nursery)
             try:
-                await scene(made)
+                await scene(created)
             finally:
-                made.client.stop()
-                made.client.close()
+                created.client.stop()
+                created.client.close()
             nursery.cancel_scope.cancel()
 
     yield lambda scene: trio.run(main, scene)
@@ -176,13 +192,18 @@
 Play = Callable[[Callable[[Scene], Awaitable[None]]], None]
 
 
-def test_a_change_is_in_force_everywhere_and_a_bad_one_halts(play: Play) -> None:
+def test_a_change_is_applied_everywhere_and_a_rejected_one_halts(play: Play) -> None:
     async def scene(scene: Scene) -> None:
         await scene.fleet(6)
         code, line, error = await scene.run("publish", scene.change(1000.0))
         assert code == 0, error
-        told = values(line)
-        assert (told["version"], told["state"], told["live"], told["in_force"]) == ("1", "complete", "6", "6")
+        fields = values(line)
+        assert (fields["version"], fields["state"], fields["live"], fields["in_force"]) == (
+            "1",
+            "complete",
+            "6",
+            "6",
+        )
         assert [member.warm_up for member in scene.members] == [1000.0] * 6
         assert {report.in_force for report in scene.reports().values()} == {1}
 
@@ -209,9 +230,9 @@
     play(scene)
 
 
-def test_another_controller_goes_on_where_one_died(play: Play) -> None:
+def test_another_controller_continues_after_a_kill(play: Play) -> None:
     async def scene(scene: Scene) -> None:
-        await scene.fleet(5, settles=False)
+        await scene.fleet(5, reports_health=False)
         first = scene.start("publish", scene.change(1000.0), "--waves", "0.5,1", "--wave-timeout", 60_000)
         await scene.wait(lambda: any(member.in_force == 1 for member in scene.members), "the first wave")
         code, _, error = await scene.run("publish", scene.change(2000.0))
@@ -235,9 +256,9 @@
     play(scene)
 
 
-def test_a_halt_ends_the_controller_and_takes_all_back(play: Play) -> None:
+def test_a_halt_ends_the_controller_and_restores_the_previous_version(play: Play) -> None:
     async def scene(scene: Scene) -> None:
-        await scene.fleet(5, settles=False)
+        await scene.fleet(5, reports_health=False)
         first = scene.start("publish", scene.change(1000.0), "--waves", "0.5,1", "--wave-timeout", 60_000)
         await scene.wait(lambda: any(member.in_force == 1 for member in scene.members), "the first wave")
         assert (await scene.run("halt"))[0] == 0
@@ -251,7 +272,7 @@
     play(scene)
 
 
-def test_a_router_that_starts_takes_the_target_before_it_is_ready(play: Play) -> None:
+def test_a_starting_router_applies_the_target_before_it_is_ready(play: Play) -> None:
     async def scene(scene: Scene) -> None:
         await scene.fleet(2)
         assert await scene.publish(1000.0) is RolloutState.COMPLETE
@@ -259,42 +280,43 @@
         await late.keeper.ready()
         assert late.in_force == 1 and late.warm_up == 1000.0
 
-        alone = scene.add("alone", servers=["127.0.0.1:1"], start_wait=100.0)
-        await alone.keeper.ready()
-        assert alone.in_force == 0 and alone.router.settings is None
+        unconnected = scene.add("alone", servers=["127.0.0.1:1"], start_wait=100.0)
+        await unconnected.keeper.ready()
+        assert unconnected.in_force == 0 and unconnected.router.settings is None
 
     play(scene)
 
 
-def test_a_region_that_was_cut_off_takes_the_present_version_at_its_return(play: Play) -> None:
+def test_a_partitioned_region_applies_the_present_version_once_it_is_back(play: Play) -> None:
     async def scene(scene: Scene) -> None:
         near, far = scene.ensemble.servers
         await scene.fleet(3, servers=[near])
-        away = scene.add("away", servers=[far])
+        partitioned = scene.add("away", servers=[far])
         await scene.wait(lambda: len(scene.reports()) == 4, "all report")
         assert await scene.publish(1000.0, [near]) is RolloutState.COMPLETE
         scene.ensemble.do("partition 1")
         await scene.wait(lambda: "away" not in scene.reports(), "its session has expired")
         for warm_up in (2000.0, 3000.0):
             assert await scene.publish(warm_up, [near]) is RolloutState.COMPLETE
-        assert away.in_force == 1 and away.warm_up == 1000.0
+        assert partitioned.in_force == 1 and partitioned.warm_up == 1000.0
         scene.ensemble.do("heal 1")
-        await scene.wait(lambda: away.in_force == 3, "it has the present version")
+        await scene.wait(lambda: partitioned.in_force == 3, "it applies the present version")
         await scene.wait(lambda: scene.reports().get("away", Report()).in_force == 3, "it reports so")
-        assert away.warm_up == 3000.0
+        assert partitioned.warm_up == 3000.0
 
     play(scene)
 
 
-def test_the_service_is_lost_in_the_middle(play: Play) -> None:
+def test_the_service_is_lost_during_a_rollout(play: Play) -> None:
     async def scene(scene: Scene) -> None:
-        await scene.fleet(4, settles=False)
+        await scene.fleet(4, reports_health=False)
         change = scene.change(1000.0)
         process = scene.start("publish", change, "--waves", "0.5,1", "--wave-timeout", 60_000)
         await scene.wait(lambda: any(member.in_force == 1 for member in scene.members), "the first wave")
         scene.ensemble.do("partition")
         await scene.wait(
-            lambda: not any(member.ensemble.session.connected for member in scene.members), "all are away"
+            lambda: not any(member.ensemble.session.connected for member in scene.members),
+            "all are disconnected",
         )
         for member in scene.members:
             scene.nursery.start_soon(member.keeper.run)
@@ -308,7 +330,7 @@
     play(scene)
 
 
-def test_an_overlay_that_somebody_else_has_spoilt_is_refused(play: Play) -> None:
+def test_a_corrupt_overlay_is_rejected(play: Play) -> None:
     async def scene(scene: Scene) -> None:
         await scene.fleet(2)
         client = scene.client
@@ -321,9 +343,9 @@
         client.set(f"{PATH}/target", b"nonsense")
         code, _, error = await scene.run("status")
         assert code == 2 and f"{PATH}/target: target: not JSON" in error
-        whys = {report.refused.why for report in scene.reports().values() if report.refused is not None}
-        assert whys == {"version: 6 in the node of version 7"}
-        assert [member.router.unreadable for member in scene.members] == [[(7, whys.pop())]] * 2
+        reasons = {report.refused.why for report in scene.reports().values() if report.refused is not None}
+        assert reasons == {"version: 6 in the node of version 7"}
+        assert [member.router.unreadable for member in scene.members] == [[(7, reasons.pop())]] * 2
         assert {member.in_force for member in scene.members} == {0}
 
     play(scene)
@@ -340,7 +362,7 @@
         ('{"classes": null}', "FILE: settings can't be used: settings lack 'classes'"),
     ],
 )
-def test_input_that_cannot_be_used_is_told_in_one_line(tmp_path: Path, text: str, field: str) -> None:
+def test_invalid_input_is_reported_in_one_line(tmp_path: Path, text: str, field: str) -> None:
     from click.testing import CliRunner
 
     from stonecove.commands.main import cli
@@ -357,7 +379,7 @@
     assert field in done.output and len(done.output.splitlines()) == 1
 
 
-def test_nobody_to_publish_to_and_no_service(play: Play, tmp_path: Path) -> None:
+def test_commands_without_routers_and_without_the_service(play: Play, tmp_path: Path) -> None:
     async def scene(scene: Scene) -> None:
         assert (await scene.run("status"))[:2] == (3, "state=none live=0")
         code, _, error = await scene.run("publish", scene.change(1.0))
--- a/tests/test_fleet_daemon.py
+++ b/tests/test_fleet_daemon.py
@@ -1,4 +1,4 @@
-"""The supervisor with real instances: starts, rolls, adopts, holds, kills and ends them."""
+"""The supervisor with real instances: start, rolling restart, adoption, suspension, kill and stop."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 class Daemon:
-    """A supervisor over instances in front of the stand's caches."""
+    """A supervisor process whose instances use the stand's caches."""
 
     def __init__(
         self,
@@ -41,14 +41,14 @@
         self.host = ".".join(("127", *(str(random.randint(1, 250)) for _ in range(3))))
         self.operator = folder / "operator.cue"
         self.count, self.more = count, more
-        self.instances = folder / "instances.cue"  # their own operator's file
+        self.instances = folder / "instances.cue"  # the operator file of the instances
         self.instances.write_text(operator)
         self.write()
         self.errors = (folder / "errors").open("ab")
         self.process = self.start()
 
     def write(self, count: int = 0, more: str = "") -> None:
-        """The operator's file."""
+        """Write the operator file."""
         group = f'config: "{self.base}", host: "{self.host}", first_port: 7100, count: {count or self.count}'
         if self.instances.read_text():
             group += f', operator: "{self.instances}"'
@@ -59,13 +59,14 @@
         )
 
     def start(self) -> subprocess.Popen[bytes]:
+        """Start the supervisor process."""
         return subprocess.Popen(
             [sys.executable, "-m", "stonecove", "fleet", "--operator", str(self.operator), "run"],
             stderr=self.errors,
         )
 
     def do(self, *words: str, code: int = 0) -> str:
-        """A command, which must end with that code."""
+        """Run a command, assert its exit code and return its output."""
         done = subprocess.run(
             [sys.executable, "-m", "stonecove", "fleet", "--operator", str(self.operator), *words],
             capture_output=True,
@@ -77,49 +78,54 @@
         return done.stdout + done.stderr
 
     def begin(self, word: str) -> None:
-        """A command that nobody waits for; it ends with its supervisor at the latest."""
+        """Run a command without waiting for it; it ends with its supervisor at the latest."""
         command = [sys.executable, "-m", "stonecove", "fleet", "--operator", str(self.operator), word]
         call = partial(subprocess.run, command, capture_output=True, check=False)
         threading.Thread(target=call, daemon=True).start()
 
     def status(self) -> dict[str, dict[str, Any]]:
-        """All instances by name, asked without a program in between."""
-        from stonecove.fleet.control import ControlError, ask
+        """Return the status of all instances by name, read directly from the control socket."""
+        from stonecove.fleet.control import ControlError, send_command
 
         try:
-            return {unit["name"]: unit for unit in ask(self.folder, "status")["instances"]}
+            return {unit["name"]: unit for unit in send_command(self.folder, "status")["instances"]}
         except ControlError:
             return {}
 
     def leases(self) -> dict[str, Any]:
-        """What is lent, as the supervisor tells it; empty while there is none."""
-        from stonecove.fleet.control import ControlError, ask
+        """Return the status of the leases; without holders while no supervisor answers."""
+        from stonecove.fleet.control import ControlError, send_command
 
         try:
-            return dict(ask(self.folder, "status")["leases"])
+            return dict(send_command(self.folder, "status")["leases"])
         except ControlError:
             return {"holders": {}}
 
     def wait_phase(self, phase: str, *names: str) -> None:
-        def there() -> bool:
+        """Wait until the named instances, or all, are in a phase."""
+
+        def all_in_phase() -> bool:
             found = self.status()
             return bool(found) and all(found[name]["phase"] == phase for name in names or found)
 
-        Stand.wait(there, f"{names or 'all'} {phase}")
+        Stand.wait(all_in_phase, f"{names or 'all'} {phase}")
 
     def client(self, number: int = 0) -> Client:
+        """Connect a client to an instance."""
         return Client((self.host, 7100 + number))
 
     def lines(self, event: str) -> list[str]:
+        """Return the supervisor's log lines of an event."""
         assert event in set(LogEvent), event
         text = Path(self.errors.name).read_text()
         return [line for line in text.splitlines() if line.split(" ")[1:2] == [event]]
 
     def close(self) -> None:
+        """Stop the supervisor and its instances."""
         if self.process.poll() is None:
             self.process.terminate()
             self.process.wait(WAIT_TIMEOUT_S)
-        for path in self.folder.glob("*/run.json"):  # what a killed supervisor has left
+        for path in self.folder.glob("*/run.json"):  # processes left by a killed supervisor
             pid = int(json.loads(path.read_text())["pid"])
             if f"{path.parent}" in Path(f"/proc/{pid}/environ").read_text():
                 os.kill(pid, signal.SIGKILL)
@@ -129,13 +135,14 @@
 
 @pytest.fixture
 def daemon(tmp_path: Path) -> Iterator[Daemon]:
-    made = Daemon(tmp_path)
-    made.wait_phase("ready")
-    yield made
-    made.close()
+    """Provide a supervisor with two ready instances."""
+    started_daemon = Daemon(tmp_path)
+    started_daemon.wait_phase("ready")
+    yield started_daemon
+    started_daemon.close()
 
 
-def test_a_fleet_starts_answers_and_ends(daemon: Daemon) -> None:
+def test_a_fleet_starts_serves_and_stops(daemon: Daemon) -> None:
     shown = daemon.do("status")
     assert "r-0" in shown and "ready" in shown
     assert (daemon.folder / "control.sock").stat().st_mode & 0o777 == 0o600
@@ -144,20 +151,20 @@
     daemon.stand.command().reply(body=b"x")
     assert client.answer().body == b"x"
     assert "held" not in daemon.do("drain", "r-0") and daemon.status()["r-0"]["phase"] == "stopped"
-    daemon.do("status", code=0)  # what was stopped is not missed
+    daemon.do("status", code=0)  # an instance stopped by an operator is no failure
     daemon.do("start", "r-0")
     assert daemon.status()["r-0"]["phase"] == "ready"
     daemon.do("stop", "none", code=1)
     assert '"name": "r-0"' in daemon.do("--json", "logs", "r-0", "--lines", "5")
     assert daemon.do("logs", "--grep", " router_ready ").count(" router_ready ") >= 2
-    began = time.monotonic()
+    started = time.monotonic()
     daemon.process.terminate()
-    assert daemon.process.wait(WAIT_TIMEOUT_S) == 0 and time.monotonic() - began < 10
+    assert daemon.process.wait(WAIT_TIMEOUT_S) == 0 and time.monotonic() - started < 10
     daemon.do("status", code=2)
     assert not list(daemon.folder.glob("*/run.json"))
 
 
-def test_one_that_is_killed_takes_along_its_own_clients_only(daemon: Daemon) -> None:
+def test_a_killed_instance_disconnects_only_its_own_clients(daemon: Daemon) -> None:
     clients = [daemon.client(number) for number in (0, 1)]
     for client in clients:
         client.send()
@@ -178,7 +185,7 @@
     assert after["r-0"]["restarts"] == 1 and after["r-1"]["pid"] == before["r-1"]["pid"]
 
 
-def test_one_that_hangs_and_ignores_sigterm_is_ended_and_started_anew(daemon: Daemon) -> None:
+def test_a_hanging_instance_that_ignores_sigterm_is_killed_and_restarted(daemon: Daemon) -> None:
     before = daemon.status()["r-0"]["pid"]
     os.kill(before, signal.SIGSTOP)
     Stand.wait(lambda: daemon.status()["r-0"]["pid"] not in (None, before), "a new process")
@@ -186,7 +193,7 @@
     assert daemon.lines("instance_killed") and "health checks" in daemon.lines("instance_killed")[0]
 
 
-def test_a_supervisor_that_is_killed_in_a_roll_is_followed_by_one_that_goes_on(tmp_path: Path) -> None:
+def test_a_new_supervisor_continues_a_rolling_restart(tmp_path: Path) -> None:
     daemon = Daemon(tmp_path, count=3)
     try:
         daemon.wait_phase("ready")
@@ -198,7 +205,7 @@
         daemon.process.kill()
         daemon.process.wait()
         alive = [pid for pid in before.values() if Path(f"/proc/{pid}").exists()]
-        assert alive  # instances live on without it
+        assert alive  # instances run on without a supervisor
         client = daemon.client(2)
         daemon.process = daemon.start()
         Stand.wait(lambda: daemon.lines("rolling_restart_finished"), "the rest of the roll")
@@ -210,14 +217,14 @@
         daemon.close()
 
 
-def test_a_configuration_that_crashes_all_is_held_with_an_alarm_and_a_roll_stops(tmp_path: Path) -> None:
+def test_a_crashing_configuration_suspends_instances_and_stops_a_rolling_restart(tmp_path: Path) -> None:
     daemon = Daemon(tmp_path, more="restarts: {most: 2, within: 1min}")
     try:
         daemon.wait_phase("ready")
-        good = daemon.base.read_text()
-        daemon.base.write_text(json.dumps({**json.loads(good), "changelog": "nowhere"}))
-        said = daemon.do("roll", code=1)
-        assert "stopped" in said and "r-0" in said and daemon.status()["r-1"]["phase"] == "ready"
+        valid = daemon.base.read_text()
+        daemon.base.write_text(json.dumps({**json.loads(valid), "changelog": "nowhere"}))
+        output = daemon.do("roll", code=1)
+        assert "stopped" in output and "r-0" in output and daemon.status()["r-1"]["phase"] == "ready"
         daemon.do("restart", "r-1", code=1)
         daemon.wait_phase("held")
         assert len(daemon.lines("instance_suspended")) == 2 and "2 restarts" in daemon.status()["r-0"]["why"]
@@ -226,15 +233,15 @@
         daemon.process.kill()
         daemon.process.wait()
         daemon.process = daemon.start()
-        daemon.wait_phase("held")  # a new supervisor does not begin the loop anew
-        daemon.base.write_text(good)
+        daemon.wait_phase("held")  # a new supervisor does not restart the crash loop
+        daemon.base.write_text(valid)
         daemon.do("start")
         daemon.wait_phase("ready")
     finally:
         daemon.close()
 
 
-def test_two_supervisors_on_one_folder_and_files_that_can_not_be_used(daemon: Daemon) -> None:
+def test_a_second_supervisor_and_unusable_files_are_rejected(daemon: Daemon) -> None:
     assert "another supervisor runs here" in daemon.do("run", code=2)
     daemon.write(3)
     assert "done" in daemon.do("reload")
@@ -249,13 +256,13 @@
     assert daemon.status()["r-0"]["phase"] == "ready"
 
 
-def test_one_over_its_memory_is_ended_and_a_broken_journal_is_refused(tmp_path: Path) -> None:
+def test_excess_memory_suspends_an_instance_and_an_invalid_journal_is_rejected(tmp_path: Path) -> None:
     daemon = Daemon(tmp_path, count=1, more="restarts: {most: 1, within: 1min}")
     try:
         daemon.wait_phase("ready")
         text = daemon.operator.read_text().replace("first_port", "memory: 16MB, first_port")
         daemon.operator.write_text(text)
-        daemon.process.send_signal(signal.SIGHUP)  # a roll would race with the end of what it rolls
+        daemon.process.send_signal(signal.SIGHUP)  # a rolling restart would race with the exit
         daemon.wait_phase("held")
         assert daemon.lines("instance_limit_exceeded")
         daemon.process.terminate()
@@ -269,15 +276,15 @@
         daemon.close()
 
 
-def _told(manager: socket.socket, until: str) -> list[str]:
-    """What a service manager was told, up to and with a state."""
-    said: list[str] = []
-    while until not in said:
-        said += manager.recv(4096).decode().split("\n")
-    return said
+def _received_states(manager: socket.socket, until: str) -> list[str]:
+    """Return the states that a service manager has received, up to and including `until`."""
+    received: list[str] = []
+    while until not in received:
+        received += manager.recv(4096).decode().split("\n")
+    return received
 
 
-def test_a_service_manager_is_told_and_top_shows_ceilings_that_hold(
+def test_a_service_manager_is_notified_and_top_shows_enforced_limits(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     path = tmp_path / "notify"
@@ -288,7 +295,8 @@
         daemon = Daemon(tmp_path)
         try:
             ready = "STATUS=2 of 2 instances ready"
-            assert _told(manager, ready)[-2:] == ["READY=1", ready]  # in one word, once all are
+            # both in one message, once all instances are ready
+            assert _received_states(manager, ready)[-2:] == ["READY=1", ready]
             shown = daemon.do("top", "--times", "1")
             assert "r-0" in shown and "r-1" in shown and "/256" in shown
             for unit in daemon.status().values():
@@ -296,23 +304,23 @@
                 files = next(line for line in limits.splitlines() if line.startswith("Max open files"))
                 assert files.split()[3] == str(unit["descriptors_most"]) and 0 < unit["descriptors"] < 256
             daemon.process.send_signal(signal.SIGHUP)
-            _told(manager, "RELOADING=1")
+            _received_states(manager, "RELOADING=1")
             daemon.process.terminate()
-            _told(manager, "STOPPING=1")
+            _received_states(manager, "STOPPING=1")
             assert daemon.process.wait(WAIT_TIMEOUT_S) == 0
         finally:
             daemon.close()
 
 
-def test_an_instance_tells_its_own_service_manager(tmp_path: Path) -> None:
+def test_an_instance_notifies_its_own_service_manager(tmp_path: Path) -> None:
     path = tmp_path / "notify"
     with socket.socket(socket.AF_UNIX, socket.SOCK_DGRAM) as manager:
         manager.bind(str(path))
         manager.settimeout(WAIT_TIMEOUT_S)
         stand = Stand(env={"NOTIFY_SOCKET": str(path)})
         try:
-            _told(manager, "READY=1")
+            _received_states(manager, "READY=1")
             stand.process.terminate()
-            _told(manager, "STOPPING=1")
+            _received_states(manager, "STOPPING=1")
         finally:
             stand.close()
--- a/tests/test_fleet_failures.py
+++ b/tests/test_fleet_failures.py
@@ -1,4 +1,4 @@
-"""A real fleet through what takes all of it at once: a full disk, lost membership, a box that starts cold."""
+"""A real fleet during failures that affect all of it: a full disk, lost membership, a slow-starting cache."""
 
 from __future__ import annotations
 
@@ -15,33 +15,34 @@
 from stand import CacheCommand, Stand
 from test_fleet_daemon import Daemon
 
-from stonecove.fleet.control import ask
+from stonecove.fleet.control import send_command
 
-MANY = 20
+INSTANCES = 20
 
 
 @pytest.fixture
 def keeper() -> Iterator[CoordinationEnsemble]:
-    made = CoordinationEnsemble()
-    yield made
-    made.close()
+    """Provide a coordination server."""
+    started_keeper = CoordinationEnsemble()
+    yield started_keeper
+    started_keeper.close()
 
 
-def test_a_full_disk_drops_logs_and_what_is_wanted_stays_in_memory(tmp_path: Path) -> None:
-    """The supervisor can't make any file larger; a fleet that is told to do something does it."""
+def test_commands_work_while_the_disk_is_full_and_are_stored_later(tmp_path: Path) -> None:
+    """Limit the supervisor's file size, so that no file can grow: commands must still be executed."""
     daemon = Daemon(tmp_path)
     try:
         daemon.wait_phase("ready")
         hard = resource.getrlimit(resource.RLIMIT_FSIZE)[1]
         resource.prlimit(daemon.process.pid, resource.RLIMIT_FSIZE, (1, hard))
         daemon.do("drain", "r-0")
-        assert ask(daemon.folder, "status")["journal"]["failed"] > 0
+        assert send_command(daemon.folder, "status")["journal"]["failed"] > 0
         client = daemon.client(1)
         client.send()
         daemon.stand.command().reply(body=b"x")
         assert client.answer().body == b"x"
         resource.prlimit(daemon.process.pid, resource.RLIMIT_FSIZE, (hard, hard))
-        daemon.do("drain", "r-1")  # this is written, and what was not before
+        daemon.do("drain", "r-1")  # written together with the earlier entry
         daemon.process.kill()
         daemon.process.wait()
         daemon.process = daemon.start()
@@ -50,51 +51,54 @@
         daemon.close()
 
 
-def test_twenty_instances_lose_membership_at_once_and_serve_on(
+def test_instances_serve_on_after_losing_membership_at_once(
     tmp_path: Path, keeper: CoordinationEnsemble
 ) -> None:
-    """The coordination server falls silent for all; then one box drains, and all have to hear of it."""
+    """Partition the coordination server from all; once it is back, all must notice a draining cache."""
     members = tmp_path / "members.cue"
     members.write_text(
         f'sources: zookeeper: {{servers: ["{keeper.servers[0]}"], path: "{BOXES}", session_timeout: 1s\n'
         "back_off: {first: 20ms, longest: 200ms}}\n"
     )
-    daemon = Daemon(tmp_path, count=MANY)
+    daemon = Daemon(tmp_path, count=INSTANCES)
     try:
         daemon.wait_phase("ready")
-        boxes = [keeper.box(record(cache.ident, cache.listener.port)) for cache in daemon.stand.caches]
+        cache_nodes = [keeper.box(record(cache.ident, cache.listener.port)) for cache in daemon.stand.caches]
         group = daemon.operator.read_text().replace("first_port", f'operator: "{members}", first_port')
         daemon.operator.write_text(group)
         daemon.do("reload")
-        daemon.do("roll", "--out", str(MANY))
+        daemon.do("roll", "--out", str(INSTANCES))
         daemon.wait_phase("ready")
-        clients = [daemon.client(number) for number in range(MANY)]
+        clients = [daemon.client(number) for number in range(INSTANCES)]
 
         def all_served() -> set[int]:
-            """Each instance answers one request; the boxes that were asked."""
-            asked = set()
+            """Have each instance answer one request; return the caches that were used."""
+            used = set()
             for number, client in enumerate(clients):
                 client.send(1, X_ROW=f"{number * 7919 + 1:016x}")
                 fetch: CacheCommand = daemon.stand.command()
-                asked.add(fetch.cache.ident)
+                used.add(fetch.cache.ident)
                 fetch.reply(body=b"x")
                 assert client.answer().status == 200
-            return asked
+            return used
 
         def lines(event: str) -> int:
             return sum(path.read_text().count(f" {event} ") for path in daemon.folder.glob("r-*/log"))
 
         assert len(all_served()) == 2
         keeper.do("partition")
-        Stand.wait(lambda: lines("coordination_disconnected") >= MANY, "all have lost the server")
+        Stand.wait(lambda: lines("coordination_disconnected") >= INSTANCES, "all instances lost the server")
         all_served()
         keeper.do("heal")
-        Stand.wait(lambda: boxes[0].client is not None and boxes[0].client.connected, "the box is back")
-        boxes[0].say(state="draining")
-        gone = f"node=s-{daemon.stand.caches[0].ident:08x} state=draining"
         Stand.wait(
-            lambda: all(gone in path.read_text() for path in daemon.folder.glob("r-*/log")),
-            "all have heard of the drain",
+            lambda: cache_nodes[0].client is not None and cache_nodes[0].client.connected,
+            "the cache is connected again",
+        )
+        cache_nodes[0].say(state="draining")
+        drain_line = f"node=s-{daemon.stand.caches[0].ident:08x} state=draining"
+        Stand.wait(
+            lambda: all(drain_line in path.read_text() for path in daemon.folder.glob("r-*/log")),
+            "all instances noticed the drain",
         )
         time.sleep(0.25)
         assert all_served() == {daemon.stand.caches[1].ident}
@@ -103,8 +107,8 @@
         daemon.close()
 
 
-def _went_back(log: Path) -> bool:
-    """Whether the lines of a log tell that the clock was set back."""
+def _clock_went_back(log: Path) -> bool:
+    """Return whether the times of a log show a clock that was set back."""
     times = [float(line.split()[0]) for line in log.read_text().splitlines()]
     return any(later < earlier - 1.0 for earlier, later in zip(times, times[1:], strict=False))
 
@@ -119,12 +123,12 @@
 
 
 @pytest.mark.parametrize("back", [0.0, 5.0])
-def test_two_that_start_at_once_share_what_one_cold_box_bears(
+def test_two_instances_share_the_limit_of_a_slow_starting_cache(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, back: float
 ) -> None:
-    """Both start against a box that has just started; together they keep to the rule of it, book in hand.
+    """Start two instances with a cache that has just started; together they must stay below its limit.
 
-    `back`: the system's clock is set back by so many seconds on the way, for supervisor and instances alike.
+    With `back`, the system clock of the supervisor and the instances is set back by so many seconds.
     """
     shift = tmp_path / "shift"
     shift.write_text("0")
@@ -150,7 +154,7 @@
         daemon.do("restart")
         daemon.wait_phase("ready")
         Stand.wait(lambda: len(daemon.leases()["holders"]) == 2, "both holders")
-        book: list[float] = []
+        sent_ms: list[float] = []
         before = {name: unit["pid"] for name, unit in daemon.status().items()}
         until = time.monotonic() + 5.0
         clients = [daemon.client(number) for number in (0, 1)]
@@ -163,21 +167,25 @@
                 client.send(1, X_ROW=f"{number:016x}", X_WORKING_SET_KB="420")  # 100 ms of work
                 fetch = daemon.stand.command()
                 if fetch.cache.ident == 0x10:
-                    book.append(time.time() * 1000)
+                    sent_ms.append(time.time() * 1000)
                 fetch.reply(body=b"x")
                 served += client.answer().status == 200
-        rule = 4.0 * 0.25 * 3000.0 * 1.6  # ms of work; what it bears rises by less than that until then
-        worst = max(sum(at - 3000.0 < then <= at for then in book) * 100.0 for at in book) if book else 0.0
-        assert served == 2 * number and 0 < worst <= rule
-        assert {name: unit["pid"] for name, unit in daemon.status().items()} == before  # nobody was restarted
+        limit_ms = 4.0 * 0.25 * 3000.0 * 1.6  # of work; the limit grows by less than 1.6 during the test
+        max_work_ms = (
+            max(sum(at - 3000.0 < then <= at for then in sent_ms) * 100.0 for at in sent_ms)
+            if sent_ms
+            else 0.0
+        )
+        assert served == 2 * number and 0 < max_work_ms <= limit_ms
+        assert {name: unit["pid"] for name, unit in daemon.status().items()} == before  # no restarts
         if back:
-            Stand.wait(lambda: _went_back(daemon.folder / "r-0" / "log"), "a line by the new clock")
+            Stand.wait(lambda: _clock_went_back(daemon.folder / "r-0" / "log"), "a line with the new time")
     finally:
         daemon.close()
 
 
-def test_a_lessor_that_stops_answering_costs_no_answer(tmp_path: Path) -> None:
-    """The supervisor is there and silent (stopped): instances serve on by their own part."""
+def test_instances_serve_on_while_the_lessor_does_not_answer(tmp_path: Path) -> None:
+    """Stop the supervisor by SIGSTOP: instances must serve with their unleased share."""
     daemon = Daemon(tmp_path, more="leases: {}\n limits: {rate: 1000, burst: 1000}")
     try:
         daemon.wait_phase("ready")
