--- a/benchmarks/capacity_data.py
+++ b/benchmarks/capacity_data.py
@@ -87,7 +87,7 @@
             ("waited", "0"),
         ]
         body = bytes((item & HOLD - 1) >> KB_SHIFT) * 1000
-        answer = resp.encode(txn.encode(), b"200", resp.words(words), body)
+        answer = resp.encode(txn.encode(), b"200", resp.format_fields(words), body)
         if item & HOLD:
             sock.sendall(answer[:-3])
             self.release.wait()
--- a/benchmarks/capacity_days.py
+++ b/benchmarks/capacity_days.py
@@ -22,12 +22,12 @@
 )
 from stonecove.gossip.gossip import MAX_CLAIMS, PUSH_RATE
 from stonecove.gossip.swarm import JOIN_PINGS_PER_TICK, TICK_S
-from stonecove.protocols.gossip import FIXED
+from stonecove.protocols.gossip import FIXED_BYTES
 
 CUT_FIRST, CUT_ON = 25.0, 10.0  # seconds of the two phases of a cut: what it brings about, and what goes on
 UDP_HEADERS = 28  # IP and UDP
 WORD_BYTES = 18  # of a word in a datagram
-FULL = FIXED + MAX_CLAIMS * WORD_BYTES + UDP_HEADERS  # bytes of a datagram full of words
+FULL = FIXED_BYTES + MAX_CLAIMS * WORD_BYTES + UDP_HEADERS  # bytes of a datagram full of words
 CALM_DATAGRAMS = 4.0  # a second and router, at the most
 # The part of the fleet that asks all others to count it.
 ASKING = {"join": 1.0, "meet": 1.0, "tenth": 0.1, "zone_back": 1.0 / ZONES, "restart": 1.0 / ROUTERS}
--- a/benchmarks/capacity_router.py
+++ b/benchmarks/capacity_router.py
@@ -35,7 +35,7 @@
 from stonecove.discovery import Member, MembersUpdate, PurgeUpdate
 from stonecove.pipeline.route import Route
 from stonecove.protocols.buffer import Buffer
-from stonecove.protocols.change_log import _HEAD, _OBJECT, _RECORD, frames
+from stonecove.protocols.change_log import _HEADER, _OBJECT, _RECORD, frames
 from stonecove.protocols.upstream_channel import Channel, Owner
 from stonecove.routing.endpoints import NodeState
 from stonecove.routing.events import PurgeReceived
@@ -171,7 +171,7 @@
 def purge_frame(number: int) -> bytes:
     """The change log's frame of an object's purge."""
     payload = _OBJECT.pack(number, int(time.time() * 1000))
-    return _HEAD.pack(9 + len(payload), number, 3) + payload
+    return _HEADER.pack(9 + len(payload), number, 3) + payload
 
 
 def list_frame(number: int, members: tuple[Member, ...], whole: bool) -> bytes:
@@ -180,7 +180,7 @@
         _RECORD.pack(one.node.node_id, 0x7F000001, one.port, 0, one.node.zone, one.node.kind, 0, 1000, 0)
         for one in members
     )
-    return _HEAD.pack(9 + len(payload), number, 1 if whole else 2) + payload
+    return _HEADER.pack(9 + len(payload), number, 1 if whole else 2) + payload
 
 
 def parse(data: bytes) -> int:
--- a/benchmarks/fuzz.py
+++ b/benchmarks/fuzz.py
@@ -24,7 +24,7 @@
 from stonecove.access.grants import Request
 from stonecove.access.keys import KeyRing
 from stonecove.access.routes import Policy, Routes
-from stonecove.protocols.http import HttpError, HttpSession, State, byte_range, cookies_of
+from stonecove.protocols.http import HttpError, HttpSession, State, byte_range, parse_cookies
 
 NOW = 1_800_000_000.0
 RING = {
@@ -53,7 +53,7 @@
 
 def cookie(data: bytes) -> None:
     """A Cookie field."""
-    _never(Request("GET", "http", "e", "/svc/a/1/0", "::1", "z", "", cookies_of(data.decode("latin-1"))))
+    _never(Request("GET", "http", "e", "/svc/a/1/0", "::1", "z", "", parse_cookies(data.decode("latin-1"))))
 
 
 def path(data: bytes) -> None:
@@ -67,14 +67,14 @@
     """Bytes of a connection; each request that is taken is answered."""
     session = HttpSession()
     try:
-        session.feed(data)
-        while session.keep and session.next() is not None:
+        session.receive_data(data)
+        while session.keep_alive and session.next_request() is not None:
             if session.state is State.ANSWER and session.request is not None:
                 if "range" in session.request.fields:
                     byte_range(session.request.fields["range"], 10)
-                session.answer(200, [], b"x")
+                session.response(200, [], b"x")
     except HttpError as error:
-        session.refuse(error)
+        session.error_response(error)
 
 
 def _never(request: Request) -> None:
--- a/examples/toy_server.py
+++ b/examples/toy_server.py
@@ -74,7 +74,7 @@
             return resp.encode(words[1], b"alive", b"-", b"")
         if words[0] != b"fetch":
             return b""
-        asked = resp.fields_of(words[2])
+        asked = resp.parse_fields(words[2])
         copy = (name, asked["item"], asked["chunk"])
         write = self.settings["classes"][-1]["name"] == asked["cls"]
         note = "hit" if copy in self.held else "filled" if "from" in asked else ""
@@ -84,7 +84,7 @@
         tag, born = self.held.get(copy, (f"{hash(copy) & 0xFFFFFFFF:08x}", int(time.time() * 1000)))
         if not write and asked.get("rank", "0") != "0":
             self.held[copy] = tag, born
-        fields = resp.words(
+        fields = resp.format_fields(
             [("ver", tag), ("born", str(born)), ("tell", note), ("meter", "inflight:1;util:0.1")]
         )
         if asked.get("seen") == tag:
--- a/stonecove/commands/token.py
+++ b/stonecove/commands/token.py
@@ -113,7 +113,7 @@
     from urllib.parse import urlsplit
 
     from stonecove.access.grants import Request
-    from stonecove.protocols.http import cookies_of
+    from stonecove.protocols.http import parse_cookies
 
     parts = urlsplit(url)
     told = {name.strip().lower(): value.strip() for name, _, value in (one.partition(":") for one in fields)}
@@ -126,7 +126,7 @@
         source,
         depot,
         told.get("authorization", ""),
-        cookies_of(told.get("cookie", "")),
+        parse_cookies(told.get("cookie", "")),
     )
 
 
--- a/stonecove/explore/channels.py
+++ b/stonecove/explore/channels.py
@@ -109,9 +109,9 @@
         steps = [f"room {count}" for count in (0, 1, 99) if count != self.sock.room]
         if len(self.commands) < len(COMMANDS):
             steps.append("put")
-        steps.append("close" if not self.channel.over else "ended")
-        if not self.channel.up:
-            return [*steps, "up", "refused", "reset-at-connect"] if not self.channel.over else steps
+        steps.append("close" if not self.channel.is_closed else "ended")
+        if not self.channel.reached:
+            return [*steps, "up", "refused", "reset-at-connect"] if not self.channel.is_closed else steps
         if not self.sock.dead:
             steps.append("die")
         if not self.sock.ended and not self.sock.dead:
@@ -119,9 +119,9 @@
             steps += (
                 ["answer", "half"] if self.arrivals < 2 and not self.half else ["rest"] if self.half else []
             )
-        if (self.sock.ended or self.sock.dead) and not self.channel.over:
+        if (self.sock.ended or self.sock.dead) and not self.channel.is_closed:
             steps.append("ended")
-        if self.channel._full and (self.sock.room or self.sock.dead) and not self.channel.over:
+        if self.channel._write_blocked and (self.sock.room or self.sock.dead) and not self.channel.is_closed:
             steps.append("writable")
         return steps
 
@@ -132,7 +132,7 @@
         if word == "put":
             command = OneCommand(self, COMMANDS[len(self.commands)])
             self.commands.append(command)
-            self.channel.put(command)
+            self.channel.enqueue(command)
         elif word == "up":
             self.channel.opened(self.sock)
         elif word in ("refused", "reset-at-connect"):
@@ -200,12 +200,12 @@
                 len(self.told),
                 self.arrivals,
                 self.half,
-                channel.up,
-                channel.over,
-                channel._full,
-                bytes(channel._rest),
+                channel.reached,
+                channel.is_closed,
+                channel._write_blocked,
+                bytes(channel._pending_write),
                 len(channel._queue),
-                channel.halfway_at,
+                channel.partial_reply_at_ms,
                 len(channel.buffer),
                 tuple((command.state, command.begun) for command in self.commands),
             ),
--- a/stonecove/explore/codecs.py
+++ b/stonecove/explore/codecs.py
@@ -63,7 +63,7 @@
             buffer.feed(part)
             for array in decoder.arrays(buffer):
                 out.append(repr(array))
-            if len(buffer) > max(resp.MOST_LINE, decoder._bulk + 2) + len(part):
+            if len(buffer) > max(resp.MAX_LENGTH_LINE_BYTES, decoder._bulk_length + 2) + len(part):
                 return (*out,), "held too much"
     except (resp.RespError, BufferFullError) as error:
         return (*out,), type(error).__name__
@@ -82,7 +82,8 @@
             for event in decoder.events(buffer):
                 out.append(repr(event))
             if any(
-                taking.size() > fastcgi.MOST_PARAMS + fastcgi.MOST_BODY for taking in decoder._taking.values()
+                taking.size() > fastcgi.MAX_PARAMS_BYTES + fastcgi.MAX_BODY_BYTES
+                for taking in decoder._incoming.values()
             ):
                 error = "held too much"
                 break
@@ -91,7 +92,7 @@
     decoder.close()
     if budget._incomplete_bytes:
         error += f" and {budget._incomplete_bytes} bytes kept"
-    return (*out, f"open {sorted(decoder.open)} away {decoder.turned_away}"), error
+    return (*out, f"open {sorted(decoder.open)} away {decoder.rejected_in_a_row}"), error
 
 
 def _begin(ident: int, role: int = 1, flags: int = 1) -> bytes:
--- a/stonecove/explore/peers.py
+++ b/stonecove/explore/peers.py
@@ -65,7 +65,7 @@
             self._command = bytes(data)
         self._midway = bytes(data[count:])
         if first and (found := _TXN.match(bytes(data))):
-            self._observer.first_byte(self._channel, found[1].decode(), resp.fields_of(found[2]))
+            self._observer.first_byte(self._channel, found[1].decode(), resp.parse_fields(found[2]))
         if not self._midway and not self.dead:
             self._channel.whole(self._command)
         return count
@@ -115,11 +115,11 @@
             self.buffer.feed(data)
             self.received()
         except resp.RespError as error:
-            self.over = True
-            self._why = str(error)
+            self.is_closed = True
+            self._close_reason = str(error)
         except Exception as error:  # the program would tell of a bug, and end the connection
             self.observer.monitor.broken("no-slip", repr(error))
-            self.over = True
+            self.is_closed = True
 
 
 class ClientSocket:
@@ -171,7 +171,7 @@
         self.closing = True
 
     def _stop_reading(self) -> None:
-        if not self._full:
+        if not self._write_blocked:
             self.closing = True
 
     def feed(self, data: bytes) -> None:
--- a/stonecove/explore/reach.py
+++ b/stonecove/explore/reach.py
@@ -130,22 +130,22 @@
     ("protocols/change_log.py", "take", "empty frames and unknown kinds: tests/test_router.py"),
     (
         "protocols/upstream_channel.py",
-        "_pump",
+        "_flush",
         "a last look that leads to the next command: drain at full depth",
     ),
     (
         "protocols/fastcgi/session.py",
-        "_request|_pump",
+        "_dispatch_request|_flush",
         "bad requests, and clients that are gone: tests/test_router.py",
     ),
     (
         "protocols/change_log.py",
-        "member_from|_place|known_events|_accept_gap|frames|_members|_frame",
+        "parse_member|_index_of|known_events|_accept_gap|frames|_members|_frame",
         "the JSON of the start, and broken frames: tests/test_router.py",
     ),
     (
         "protocols/fastcgi/session.py",
-        "check|idle|quiet|_leave|received|_owe",
+        "expire_overdue|idle|has_no_open_work|_close_when_answered|received|_queue_control_record",
         "slow and bad clients: tests/test_router.py",
     ),
     ("frontends/fastcgi.py", "", "bad requests and /status/live: tests/test_router.py"),
--- a/stonecove/explore/simulation.py
+++ b/stonecove/explore/simulation.py
@@ -290,9 +290,9 @@
         """The router's own steps that are due before time may pass."""
         steps = []
         for channel in self.channels:
-            if channel.over or (channel.up and channel.sock.dead):
+            if channel.is_closed or (channel.reached and channel.sock.dead):
                 steps.append(f"end {self._name(channel)}")
-            elif not channel.up and self.t >= channel.until:
+            elif not channel.reached and self.t >= channel.until:
                 steps.append(f"notup {self._name(channel)}")
         if self.session.closing and not self.session.finished:
             steps.append("endsession")
@@ -306,7 +306,7 @@
 
     def _next_time(self) -> float:
         times = [self.timers.next_due(), self.term_at if not self.expired else math.inf]
-        times += [channel.until for channel in self.channels if not channel.up and not channel.over]
+        times += [channel.until for channel in self.channels if not channel.reached and not channel.is_closed]
         return min(times)
 
     def idle(self) -> bool:
@@ -362,10 +362,10 @@
         )
 
     def _on_channel(self, channel: ServerChannel, left: bool) -> list[str]:
-        if channel.over or channel.sock.dead:
+        if channel.is_closed or channel.sock.dead:
             return []
         name, kinds, steps = self._name(channel), self.scope.kinds, []
-        if not channel.up:
+        if not channel.reached:
             if not channel.silent:
                 steps.append(f"up {name}")
                 if left:
@@ -389,7 +389,7 @@
                 steps += [f"{kind} {name} {place}" for kind in ("spoil", "half", "trickle") if kind in kinds]
         if left and "choke" in kinds and channel.sock.room is None:
             steps += [f"choke{room} {name}" for room in (0, 20)]
-        if left and channel.up:
+        if left and channel.reached:
             steps += [f"{kind} {name}" for kind in ("reset", "hangup", "stray") if kind in kinds]
             if "second" in kinds:
                 steps += [f"second {name} {int(txn, 16) - 1}" for txn in dict.fromkeys(channel.done)]
@@ -495,9 +495,11 @@
                     "cancelled", f"attempt {attempt.number} of {attempt.request.client_request.cls} stays out"
                 )
         for channel in self.channels:
-            if not channel.over and not self.route.nodes.is_listed(channel.link.node_id):
+            if not channel.is_closed and not self.route.nodes.is_listed(channel.link.node_id):
                 broken("gone-closed", f"{self._name(channel)} stays open")
-            if channel.up and not (channel.over or channel.sock.dead or channel._full or channel._queue):
+            if channel.reached and not (
+                channel.is_closed or channel.sock.dead or channel._write_blocked or channel._queue
+            ):
                 for txn in channel.asked:
                     if txn not in channel.aborted and txn not in channel.link.attempts:
                         broken("cancelled", f"{self._name(channel)} was not told of an attempt given up")
@@ -533,12 +535,12 @@
     def _do_end(self, name: str) -> None:
         channel = self._channel(name)
         self.channels.remove(channel)
-        channel.ended("" if channel.over else f"{channel.sock.dead} by the server")
+        channel.ended("" if channel.is_closed else f"{channel.sock.dead} by the server")
 
     def _do_notup(self, name: str) -> None:
         channel = self._channel(name)
         self.channels.remove(channel)
-        channel.late = True
+        channel.connect_timed_out = True
         channel.ended("not up in time")
 
     def _do_endsession(self) -> None:
@@ -589,7 +591,7 @@
 
     def _do_unstall(self) -> None:
         self.session.sock.room = None
-        if self.session._full:
+        if self.session._write_blocked:
             self.session.writable()
 
     # connections
@@ -610,14 +612,14 @@
     def _do_lack(self, name: str) -> None:
         channel = self._channel(name)
         self.channels.remove(channel)
-        channel.lacking = True
+        channel.awaits_descriptor = True
         channel.failed(OSError(24, "too many open files"))
         channel.ended()
 
     def _do_flush(self, name: str) -> None:
         channel = self._channel(name)
         channel.sock.room = None
-        if channel._full:
+        if channel._write_blocked:
             channel.writable()
 
     def _do_reset(self, name: str) -> None:
@@ -639,7 +641,7 @@
         if code == "200":
             body = f"{name}|{born:.0f}".encode()
         fields += [("waited", "5"), ("meter", "busy:1;x0:0.5")]
-        return resp.encode(txn.encode(), code.encode(), resp.words(fields), body), body, born
+        return resp.encode(txn.encode(), code.encode(), resp.format_fields(fields), body), body, born
 
     def _answer(self, word: str, channel: ServerChannel, place: int) -> None:
         txn = self.txn(place)
@@ -819,7 +821,7 @@
             "ids of the client": 0 if self.session.finished else len(self.session._decoder.open),
             "answers unsent": 0
             if self.session.finished
-            else len(self.session._answers) + self.session._unsent,
+            else len(self.session._responses) + self.session._queued_bytes,
             "requests in the module": len(state.in_flight),
             "load in the module": sum(abs(load.in_flight) for load in loads)
             + round(sum(abs(load.in_flight_work_ms) for load in loads), 6),
--- a/stonecove/frontends/fastcgi.py
+++ b/stonecove/frontends/fastcgi.py
@@ -99,7 +99,7 @@
                 path, header_fields(params), body, partial(self._reply, connection, ident)
             )
             client_request.client = params.get("REMOTE_ADDR", "")[:64]
-            client_request.check_connection = connection.look_for_end
+            client_request.check_connection = connection.detect_disconnect
             if self._route.requests.is_open(client_request.txn):
                 raise BadRequestError(400, "X-Txn is in use by an open request")
             if self.token_checker is not None and not self._authorize(
--- a/stonecove/frontends/fastcgi_tokens.py
+++ b/stonecove/frontends/fastcgi_tokens.py
@@ -6,7 +6,7 @@
 from stonecove.access.grants import Request
 from stonecove.access.reasons import status_of
 from stonecove.exchange import ClientRequest
-from stonecove.protocols.http import cookies_of
+from stonecove.protocols.http import parse_cookies
 
 
 def token_request(params: dict[str, str], client_request: ClientRequest, depot: str) -> Request:
@@ -21,7 +21,7 @@
         params.get("REMOTE_ADDR", ""),
         depot,
         params.get("HTTP_AUTHORIZATION", ""),
-        cookies_of(params.get("HTTP_COOKIE", "")),
+        parse_cookies(params.get("HTTP_COOKIE", "")),
     )
 
 
--- a/stonecove/pipeline/send.py
+++ b/stonecove/pipeline/send.py
@@ -70,7 +70,7 @@
         fields.append(("seen", client_request.client_tag))
     if client_request.idempotency_key:
         fields.append(("nonce", client_request.idempotency_key))
-    return resp.encode(b"fetch", client_request.txn.encode(), resp.words(fields), client_request.body)
+    return resp.encode(b"fetch", client_request.txn.encode(), resp.format_fields(fields), client_request.body)
 
 
 class RecentIds(dict[str, None]):
@@ -123,7 +123,7 @@
         taken for that of the next one, which may run although the first response was a rejection.
         """
         if (
-            self.channel.over
+            self.channel.is_closed
             or self.suspect
             or len(self.attempts) >= max_attempts
             or txn in self.attempts
@@ -131,7 +131,7 @@
         ):
             return False
         if not self.attempts:
-            return not self.channel.halfway_at
+            return not self.channel.partial_reply_at_ms
         oldest_ms = min(
             (attempt.written_at_ms or attempt.decided_at_ms for attempt in self.attempts.values()),
             default=now_ms,
@@ -144,7 +144,7 @@
 
     Nothing is known about when, or whether, a connection that is not up will be.
     """
-    return not connection.channel.up, len(connection.attempts)
+    return not connection.channel.reached, len(connection.attempts)
 
 
 class FetchCommand:
@@ -243,7 +243,7 @@
     def _enqueue(self, attempt: Attempt, connection: NodeConnection) -> None:
         connection.attempts[attempt.request.client_request.txn] = attempt
         self._connection_by_attempt[attempt] = connection
-        connection.channel.put(FetchCommand(self, attempt, connection))
+        connection.channel.enqueue(FetchCommand(self, attempt, connection))
 
     def adopt_waiting(self, connection: NodeConnection) -> None:
         """Move an attempt that waits for another connection to the node onto this one, which is up and free.
@@ -251,7 +251,7 @@
         Otherwise a request could wait for a connection that opens late, or never, while this one is idle.
         """
         for other in list(self._connections.get(connection.node_id, ())):
-            for attempt in [] if other.channel.up else list(other.attempts.values()):
+            for attempt in [] if other.channel.reached else list(other.attempts.values()):
                 if (
                     not connection.attempts
                     and other.address == connection.address
@@ -322,7 +322,7 @@
     def _is_slow_to_open(self, connection: NodeConnection, now_ms: float) -> bool:
         """Return whether a connection has been opening for so long that nothing more should wait for it."""
         return (
-            not connection.channel.up
+            not connection.channel.reached
             and now_ms - connection.opened_at_ms >= SLOW_CONNECT_FRACTION * self._settings.connect_timeout_ms
         )
 
@@ -347,7 +347,7 @@
             connection
             for connections in self._connections.values()
             for connection in connections
-            if not connection.attempts and not connection.channel.over
+            if not connection.attempts and not connection.channel.is_closed
         ]
         if idle:
             min(idle, key=lambda connection: connection.last_used_ms).channel.close()
@@ -404,9 +404,9 @@
     def cancel(self, attempt: Attempt, outcome: Outcome = Outcome.CANCELLED) -> None:
         """End an attempt; if it was written, abort it by its transaction id."""
         connection = self._connection_by_attempt.get(attempt)
-        if attempt.written_at_ms and connection is not None and not connection.channel.over:
+        if attempt.written_at_ms and connection is not None and not connection.channel.is_closed:
             connection.cancelled_ids.add(attempt.request.client_request.txn)
-            connection.channel.put(AbortCommand(attempt.request.client_request.txn))
+            connection.channel.enqueue(AbortCommand(attempt.request.client_request.txn))
             silent_ms = self._clock.now() - max(attempt.written_at_ms, connection.last_received_ms)
             connection.last_used_ms = self._clock.now()
             # A connection without any response must not get the next attempt, too.
@@ -435,7 +435,7 @@
             raise resp.RespError(f"an answer of {len(array)} parts")
         txn, reply = (
             array[0].decode("latin-1"),
-            Reply(array[1].decode("latin-1"), resp.fields_of(array[2]), array[3]),
+            Reply(array[1].decode("latin-1"), resp.parse_fields(array[2]), array[3]),
         )
         attempt = connection.attempts.get(txn)
         if attempt is None or not attempt.written_at_ms:
@@ -477,7 +477,9 @@
                 self._detach(attempt)
                 self._assign(attempt)
             else:
-                never_reached = connection.channel.lacking or (inconclusive and not connection.channel.up)
+                never_reached = connection.channel.awaits_descriptor or (
+                    inconclusive and not connection.channel.reached
+                )
                 unsent_outcome = Outcome.EXPIRED_UNSENT if never_reached else Outcome.CONNECT_FAILED
                 self._finish(attempt, Outcome.RESET if attempt.written_at_ms else unsent_outcome)
 
@@ -487,12 +489,12 @@
         That is so if it was up and was reset, if the router closed it, or if another connection to the cache
         has received data since it was opened. Otherwise one failed connection would eject a cache that works.
         """
-        if connection.channel.late:
+        if connection.channel.connect_timed_out:
             return any(
-                other.channel.up and other.last_received_ms >= connection.opened_at_ms
+                other.channel.reached and other.last_received_ms >= connection.opened_at_ms
                 for other in self._connections.get(connection.node_id, ())
             )
-        return not connection.channel.refused
+        return not connection.channel.connect_failed
 
     def handle_restart(self, node_id: NodeId, started_ms: float) -> None:
         """Close the connections to a node that were opened before it was restarted.
@@ -519,9 +521,9 @@
         self._timers.call_at(now_ms + SWEEP_INTERVAL_MS, self._sweep)
         for connections in list(self._connections.values()):
             for connection in list(connections):
-                if self._is_slow_to_open(connection, now_ms) and not connection.channel.over:
+                if self._is_slow_to_open(connection, now_ms) and not connection.channel.is_closed:
                     self._move_waiting(connection, now_ms)
-                incomplete_since_ms = connection.channel.halfway_at
+                incomplete_since_ms = connection.channel.partial_reply_at_ms
                 since_ms = (
                     incomplete_since_ms
                     if connection.attempts
--- a/stonecove/protocols/change_log.py
+++ b/stonecove/protocols/change_log.py
@@ -1,4 +1,7 @@
-"""The change log: numbered events, as JSON at the start and as binary frames from then on. Knows no I/O."""
+"""Codec and follower of the change log, without I/O.
+
+The log is a sequence of numbered events: JSON in the configuration at the start, binary frames afterwards.
+"""
 
 from __future__ import annotations
 
@@ -13,33 +16,33 @@
 from stonecove.runtime.log import log_limited
 from stonecove.runtime.log_events import LogEvent
 
-MOST_FRAME = 4 << 20
+MAX_FRAME_BYTES = 4 << 20
 
-_HEAD = struct.Struct(">IQB")
+_HEADER = struct.Struct(">IQB")
 _RECORD = struct.Struct(">IIHBBBHIQ")
 _OBJECT = struct.Struct(">QQ")
 _GROUP = struct.Struct(">HQ")
-_NOTHING, _WHOLE, _CHANGES, _OBJECT_PURGE, _GROUP_PURGE = range(5)
+_KEEP_ALIVE, _COMPLETE_LIST, _CHANGES, _OBJECT_PURGE, _GROUP_PURGE = range(5)
 _STATES = {0: NodeState.READY, 1: NodeState.DRAINING, 2: NodeState.REMOVED}
-_WORDS = {"up": NodeState.READY, "draining": NodeState.DRAINING, "removed": NodeState.REMOVED}
+_STATE_NAMES = {"up": NodeState.READY, "draining": NodeState.DRAINING, "removed": NodeState.REMOVED}
 
 
 class ChangeLogError(Exception):
-    """A frame or a list that cannot be read."""
+    """A malformed frame or JSON list."""
 
 
 class Frame(NamedTuple):
-    """One frame: its number, whether it is an event, and what that tells, if its kind is known."""
+    """One frame; `update` is the decoded event, None if it is unreadable or its type is unknown."""
 
     number: int
-    event: bool
-    told: MembershipEvent | None
-    wrong: str = ""  # why the payload can't be read
+    is_event: bool
+    update: MembershipEvent | None
+    error: str = ""  # why the payload is unreadable
 
 
 def _members(payload: bytes) -> tuple[Member, ...]:
     if len(payload) % _RECORD.size:
-        raise ChangeLogError(f"a list of {len(payload)} bytes")
+        raise ChangeLogError(f"endpoint list of {len(payload)} bytes is not a multiple of the record size")
     found = []
     for ident, address, port, state, zone, kind, cell, weight, started in _RECORD.iter_unpack(payload):
         node = Node(
@@ -51,36 +54,39 @@
 
 
 def _frame(number: int, kind: int, payload: bytes) -> Frame:
-    told: MembershipEvent | None = None
-    wrong = ""
+    update: MembershipEvent | None = None
+    problem = ""
     try:
-        if kind in (_WHOLE, _CHANGES):
-            told = MembersUpdate(kind == _WHOLE, _members(payload))
+        if kind in (_COMPLETE_LIST, _CHANGES):
+            update = MembersUpdate(kind == _COMPLETE_LIST, _members(payload))
         elif kind == _OBJECT_PURGE:
             key, time = _OBJECT.unpack(payload)
-            told = PurgeUpdate(float(time), 0, key)
+            update = PurgeUpdate(float(time), 0, key)
         elif kind == _GROUP_PURGE:
             group, time = _GROUP.unpack(payload)
-            told = PurgeUpdate(float(time), group, 0)
-    except (struct.error, ChangeLogError) as error:  # only this event: the next frame begins where it says
-        wrong = f"a frame of kind {kind}: {error}"
-    return Frame(number, kind != _NOTHING, told, wrong)
+            update = PurgeUpdate(float(time), group, 0)
+    except (
+        struct.error,
+        ChangeLogError,
+    ) as error:  # only this event is lost: the length tells where the next frame starts
+        problem = f"frame of type {kind}: {error}"
+    return Frame(number, kind != _KEEP_ALIVE, update, problem)
 
 
 def frames(buffer: Buffer) -> Iterator[Frame]:
-    """All frames that are whole."""
-    while len(buffer) >= _HEAD.size:
-        length, number, kind = buffer.unpack(_HEAD)
-        if not _HEAD.size - 4 <= length <= MOST_FRAME:
-            raise ChangeLogError(f"a frame of {length} bytes")
+    """Consume and yield all complete frames; raise ChangeLogError if a length is out of range."""
+    while len(buffer) >= _HEADER.size:
+        length, number, kind = buffer.unpack(_HEADER)
+        if not _HEADER.size - 4 <= length <= MAX_FRAME_BYTES:
+            raise ChangeLogError(f"frame length {length} is out of range")
         if len(buffer) < length + 4:
             return
-        buffer.skip(_HEAD.size)
-        yield _frame(number, kind, buffer.take(length + 4 - _HEAD.size))
+        buffer.skip(_HEADER.size)
+        yield _frame(number, kind, buffer.take(length + 4 - _HEADER.size))
 
 
-def _place(names: tuple[str, ...], value: Any) -> int:
-    """A zone or kind, by its name or its place."""
+def _index_of(names: tuple[str, ...], value: Any) -> int:
+    """Return the index of a zone or kind that is given by its name or its index."""
     if isinstance(value, int):
         return value
     if value not in names:
@@ -88,78 +94,83 @@
     return names.index(value)
 
 
-def member_from(entry: dict[str, Any], settings: Settings) -> Member:
-    """An instance of the JSON list."""
+def parse_member(entry: dict[str, Any], settings: Settings) -> Member:
+    """Return an instance of the JSON list; raise KeyError, TypeError, ValueError or ChangeLogError."""
     host, _, port = str(entry["hostPort"]).rpartition(":")
     ident = int(str(entry["instanceId"]).removeprefix("s-"), 16)
     node = Node(
         ident,
-        _place(settings.kinds, entry["machineType"]),
+        _index_of(settings.kinds, entry["machineType"]),
         float(entry.get("startedAtMs") or 0.0),
-        _WORDS.get(entry["lifecycle"], NodeState.DRAINING),
+        _STATE_NAMES.get(entry["lifecycle"], NodeState.DRAINING),
         int(entry.get("cell") or 0),
-        _place(settings.zones, entry["zone"]),
+        _index_of(settings.zones, entry["zone"]),
         float(entry.get("weight") or 0.0),
     )
     return Member(node, host, int(port))
 
 
 def known_events(known: dict[str, Any], settings: Settings) -> list[MembershipEvent]:
-    """The events of the start, given as JSON."""
-    told: list[MembershipEvent] = []
+    """Return the events that the configuration lists as JSON; raise ChangeLogError if it is malformed."""
+    updates: list[MembershipEvent] = []
     try:
         for event in known.get("results", []):
             if fleet := event.get("fleet"):
-                members = tuple(member_from(entry, settings) for entry in fleet["instances"])
-                told.append(MembersUpdate(bool(fleet.get("reset")) or not told, members))
+                members = tuple(parse_member(entry, settings) for entry in fleet["instances"])
+                updates.append(MembersUpdate(bool(fleet.get("reset")) or not updates, members))
             if purge := event.get("invalidate"):
                 key = int(str(purge["object"]), 16) if "object" in purge else 0
-                told.append(PurgeUpdate(float(purge["time"]), int(purge.get("bucket", 0)), key))
+                updates.append(PurgeUpdate(float(purge["time"]), int(purge.get("bucket", 0)), key))
     except (KeyError, TypeError, ValueError) as error:
         raise ChangeLogError(f"'known' cannot be read: {error!r}") from error
-    return told
+    return updates
 
 
 class Follower:
-    """Keeps count of the numbers: what came already is passed over, a gap is noticed.
+    """Tracks the event numbers: duplicates are ignored, gaps are detected.
 
-    What is wrong with the next event is asked for again, once, and then borne: an event that never comes,
-    can't be read or can't be worked off must not keep all later ones away.
+    A missing, unreadable or unprocessable event is requested again once and then skipped: a permanent fault
+    of one event must not hold back all later ones.
     """
 
     def __init__(self, last: int) -> None:
         self.last = last
-        self._jumped = -1  # the last number after which the log was asked again
+        self._requested_again_after = -1  # the last number after which the events were requested again
 
     def hello(self) -> bytes:
-        """What is written at the start of a connection."""
+        """Return what is written at the start of a connection: the number of the last event."""
         return struct.pack(">Q", self.last)
 
     def take(self, frame: Frame, sink: MembershipSink) -> bool:
-        """Passes a frame on; False if it can't be read or events before it were missed, and the log should be
-        asked again. What the sink raises comes out, and the event with it once more.
+        """Pass a frame to the sink; return False if the events are to be requested again.
+
+        That is the case for an unreadable event and for a gap before it. An exception of the sink is
+        propagated, and the event is delivered once more.
         """
-        if not frame.event:
+        if not frame.is_event:
             return frame.number <= self.last or self._accept_gap()
         if frame.number <= self.last:
             return True
-        if (frame.number > self.last + 1 or frame.wrong) and not self._accept_gap():
+        if (frame.number > self.last + 1 or frame.error) and not self._accept_gap():
             return False
-        if frame.told is not None:
+        if frame.update is not None:
             try:
-                sink.handle_membership_event(frame.told)
+                sink.handle_membership_event(frame.update)
             except Exception:
                 if self._accept_gap():
                     self.last = frame.number
                 raise
-        else:  # guards against asking for ever for an event that a newer log tells and we don't know
+        else:  # unknown types of a newer log are skipped, as requesting them again would never end
             log_limited(
-                LogEvent.CHANGE_LOG_EVENT_SKIPPED, number=frame.number, reason=frame.wrong or "its kind"
+                LogEvent.CHANGE_LOG_EVENT_SKIPPED, number=frame.number, reason=frame.error or "unknown type"
             )
         self.last = frame.number
         return True
 
     def _accept_gap(self) -> bool:
-        """Whether the log was asked again after the last number already: it has nothing better, so go on."""
-        again, self._jumped = self._jumped == self.last, self.last
-        return again
+        """Return whether the events after the last number were requested again before, and note the request.
+
+        If they were, the log has nothing better, and the follower continues.
+        """
+        repeated, self._requested_again_after = self._requested_again_after == self.last, self.last
+        return repeated
--- a/stonecove/protocols/fastcgi/__init__.py
+++ b/stonecove/protocols/fastcgi/__init__.py
@@ -1,1 +1,1 @@
-"""FastCGI towards web servers, without I/O."""
+"""FastCGI for connections from web servers, without I/O."""
--- a/stonecove/protocols/fastcgi/codec.py
+++ b/stonecove/protocols/fastcgi/codec.py
@@ -1,4 +1,4 @@
-"""FastCGI 1.0, role Responder; a codec that knows no I/O."""
+"""FastCGI 1.0 codec without I/O, for the role Responder."""
 
 from __future__ import annotations
 
@@ -16,11 +16,11 @@
 RESPONDER = 1
 KEEP_CONN = 1
 
-MOST_OPEN = 32  # requests at once on a connection
-MOST_PARAMS = 32_768
-MOST_BODY = 65_536
-MOST_CONTROL = 4096  # bytes of a record that is no part of a stream
-PIECE = 16_384  # bytes of an answer in one record, so that answers take turns
+MAX_OPEN_REQUESTS = 32  # at once on a connection
+MAX_PARAMS_BYTES = 32_768
+MAX_BODY_BYTES = 65_536
+MAX_CONTROL_BYTES = 4096  # content of a record that is not part of a stream
+STDOUT_RECORD_BYTES = 16_384  # content of one record of an answer, so that answers interleave
 
 _HEADER = struct.Struct(">BBHHBB")
 _BEGIN = struct.Struct(">HB5x")
@@ -28,60 +28,60 @@
 
 
 class FastCgiError(Exception):
-    """Records that break the protocol; the connection can't go on."""
+    """Records that break the protocol; the connection cannot be used any further."""
 
 
-class Arrived(NamedTuple):
-    """A request that is whole. `bad` tells what is wrong with it, if anything."""
+class RequestReceived(NamedTuple):
+    """A request that is complete, or rejected early; `error` is what is wrong with it, or empty."""
 
     ident: int
     params: dict[str, str]
     body: bytes
-    bad: str
+    error: str
 
 
 class Aborted(NamedTuple):
-    """The client no longer waits for this request."""
+    """The client has aborted this request."""
 
     ident: int
 
 
-class Reply(NamedTuple):
-    """Bytes that the protocol itself owes the client."""
+class ControlReply(NamedTuple):
+    """A record to be sent to the client by the protocol's own rules."""
 
     data: bytes
 
 
 @dataclass(slots=True)
-class _Taking:
-    """A request that is still coming in."""
+class _IncomingRequest:
+    """A request that is not received completely."""
 
-    since: float
+    started_ms: float
     params: bytearray = field(default_factory=bytearray)
     body: bytearray = field(default_factory=bytearray)
     params_done: bool = False
-    no_room: bool = False
+    over_budget: bool = False
 
     def size(self) -> int:
         return len(self.params) + len(self.body)
 
 
 def record(kind: int, ident: int, content: bytes = b"") -> bytes:
-    """One record, without padding."""
+    """Return one record without padding."""
     return _HEADER.pack(1, kind, ident, len(content), 0, 0) + content
 
 
 def end_record(ident: int, status: int = COMPLETE, app: int = 0) -> bytes:
-    """The record that ends a request."""
+    """Return the record that ends a request."""
     return record(END, ident, _END.pack(app, status))
 
 
-def answer_records(ident: int, head: bytes, body: bytes) -> deque[bytes]:
-    """A whole answer, record by record."""
-    first = max(0, PIECE - len(head))
+def response_records(ident: int, head: bytes, body: bytes) -> deque[bytes]:
+    """Return a complete answer as a sequence of records."""
+    first = max(0, STDOUT_RECORD_BYTES - len(head))
     records = deque((record(STDOUT, ident, head + body[:first]),))
-    for at in range(first, len(body), PIECE):
-        records.append(record(STDOUT, ident, body[at : at + PIECE]))
+    for at in range(first, len(body), STDOUT_RECORD_BYTES):
+        records.append(record(STDOUT, ident, body[at : at + STDOUT_RECORD_BYTES]))
     records.append(record(STDOUT, ident) + end_record(ident))
     return records
 
@@ -92,211 +92,214 @@
     return int.from_bytes(data[at : at + 4], "big") & 0x7FFFFFFF, at + 4
 
 
-def pairs(data: bytes) -> dict[str, str]:
-    """Name-value pairs; raises ValueError if they are cut short."""
+def parse_pairs(data: bytes) -> dict[str, str]:
+    """Return decoded name-value pairs; raise ValueError if they are truncated."""
     found, at = {}, 0
     while at < len(data):
         try:
             name, at = _length(data, at)
             value, at = _length(data, at)
         except IndexError:
-            raise ValueError("a length is cut short") from None
+            raise ValueError("a length is truncated") from None
         end = at + name + value
         if end > len(data):
-            raise ValueError("a pair is cut short")
+            raise ValueError("a pair is truncated")
         found[data[at : at + name].decode("latin-1")] = data[at + name : end].decode("latin-1")
         at = end
     return found
 
 
-def _values_result(asked: bytes) -> bytes:
+def _values_result(content: bytes) -> bytes:
     known = {"FCGI_MAX_CONNS": "300", "FCGI_MAX_REQS": "9600", "FCGI_MPXS_CONNS": "1"}
     try:
-        names = pairs(asked)
+        names = parse_pairs(content)
     except ValueError as error:
-        raise FastCgiError(f"values asked for: {error}") from error
-    out = b"".join(
+        raise FastCgiError(f"GET_VALUES: {error}") from error
+    result = b"".join(
         bytes((len(name), len(known[name]))) + name.encode() + known[name].encode()
         for name in names
         if name in known
     )
-    return record(GET_VALUES_RESULT, 0, out)
+    return record(GET_VALUES_RESULT, 0, result)
 
 
 class Decoder:
-    """Requests out of records, however the bytes were split."""
+    """Incremental decoder of requests; it does not depend on how the bytes were split."""
 
     def __init__(self, budget: MemoryBudget, clock: Callable[[], float]) -> None:
         self._budget = budget
         self._clock = clock
-        self._taking: dict[int, _Taking] = {}
-        self.open: set[int] = set()  # ids in use, until their end was written
-        self.turned_away = 0  # requests in a row that could not be taken
-        self.keep = True  # whether the client wants the connection kept once all is answered
-        self._part = PARAMS, 0  # kind and id of the record under way, if one is
-        self._left = self._padding = 0  # bytes of it that are to come
-        self.part_since = 0.0  # when that record began to come in; 0: there is none
-        self.closing = False  # nothing that begins is taken any more
-
-    def events(self, buffer: Buffer) -> Iterator[Arrived | Aborted | Reply]:
-        """What the records amount to; those of a stream, which may be long, before they are whole.
-
-        Guards against many records that are never whole, which would be held without a bound.
+        self._incoming: dict[int, _IncomingRequest] = {}
+        self.open: set[int] = set()  # request ids in use, until their end is written
+        self.rejected_in_a_row = 0  # requests that were not acceptable
+        self.keep_conn = True  # the client wants the connection kept open after the last answer
+        self._current_record = PARAMS, 0  # type and request id
+        self._remaining = self._padding = 0  # bytes of it not yet received
+        self.record_started_ms = 0.0  # 0: no record is partly received
+        self.closing = False  # new requests are ignored
+
+    def events(self, buffer: Buffer) -> Iterator[RequestReceived | Aborted | ControlReply]:
+        """Consume the buffer and yield its events; raise FastCgiError if it breaks the protocol.
+
+        Records of a stream are processed before they are complete. Buffered until then, many long records
+        that never end would use memory outside the budget.
         """
         while True:
-            if self._left:
-                content = buffer.take(self._left)
+            if self._remaining:
+                content = buffer.take(self._remaining)
                 if not content:
                     return
-                self._left -= len(content)
-                yield from self._one(*self._part, content)
+                self._remaining -= len(content)
+                yield from self._handle_record(*self._current_record, content)
                 continue
             if self._padding:
                 self._padding -= (count := min(self._padding, len(buffer)))
                 buffer.skip(count)
                 if self._padding:
                     return
-            self.part_since = 0.0
+            self.record_started_ms = 0.0
             if len(buffer) < _HEADER.size:
                 return
             version, kind, ident, length, padding, _ = buffer.unpack(_HEADER)
             if version != 1:
-                raise FastCgiError(f"version {version}")
+                raise FastCgiError(f"unknown version {version}")
             streamed = ident and kind in (PARAMS, STDIN)
-            if not streamed and length > MOST_CONTROL:
-                raise FastCgiError(f"a record of kind {kind} with {length} bytes")
+            if not streamed and length > MAX_CONTROL_BYTES:
+                raise FastCgiError(f"record of type {kind} with {length} bytes of content")
             if len(buffer) < _HEADER.size + length + padding:
                 if not streamed or not length:
                     return
                 buffer.skip(_HEADER.size)
-                self._part, self._left, self._padding = (kind, ident), length, padding
-                self.part_since = self._clock()
+                self._current_record, self._remaining, self._padding = (kind, ident), length, padding
+                self.record_started_ms = self._clock()
                 continue
             buffer.skip(_HEADER.size)
             content = buffer.take(length)
             buffer.skip(padding)
-            yield from self._one(kind, ident, content)
+            yield from self._handle_record(kind, ident, content)
 
-    def _one(self, kind: int, ident: int, content: bytes) -> Iterator[Arrived | Aborted | Reply]:
+    def _handle_record(
+        self, kind: int, ident: int, content: bytes
+    ) -> Iterator[RequestReceived | Aborted | ControlReply]:
         if kind == GET_VALUES:
-            yield Reply(_values_result(content))
+            yield ControlReply(_values_result(content))
         elif not ident or kind > GET_VALUES_RESULT:
-            yield Reply(record(UNKNOWN, 0, bytes((kind, 0, 0, 0, 0, 0, 0, 0))))
+            yield ControlReply(record(UNKNOWN, 0, bytes((kind, 0, 0, 0, 0, 0, 0, 0))))
         elif kind == BEGIN:
             yield from self._begin(ident, content)
         elif kind == ABORT:
             if ident in self.open:
-                if ident not in self._taking:
+                if ident not in self._incoming:
                     yield Aborted(ident)
                 else:
-                    self._taken(ident)
+                    self._stop_receiving(ident)
                     self.open.discard(ident)
-                    yield Reply(end_record(ident, COMPLETE, 1))
-        elif taking := self._taking.get(ident):  # of an unknown id: passed over, as the standard asks
+                    yield ControlReply(end_record(ident, COMPLETE, 1))
+        elif request := self._incoming.get(ident):  # records of unknown ids are ignored, as specified
             if (
                 kind in (PARAMS, STDIN)
                 and content
-                and (taking.no_room or not self._budget.can_receive(len(content), self))
+                and (request.over_budget or not self._budget.can_receive(len(content), self))
             ):
-                self._forget(taking)
+                self._discard_content(request)
             elif kind == PARAMS:
-                yield from self._params(ident, taking, content)
+                yield from self._params(ident, request, content)
             elif kind == STDIN and content:
-                if len(taking.body) + len(content) > MOST_BODY:
-                    yield self._ill(ident, "the body is too long")
+                if len(request.body) + len(content) > MAX_BODY_BYTES:
+                    yield self._reject_incomplete(ident, "the body is too long")
                 else:
-                    taking.body += content
+                    request.body += content
                     self._budget.add_incomplete(len(content), self)
             elif kind == STDIN:
-                self._taken(ident)
-                if taking.no_room:
-                    self.open.discard(ident)  # our own lack, for which no client is left
-                    yield Reply(end_record(ident, OVERLOADED))
+                self._stop_receiving(ident)
+                if request.over_budget:
+                    self.open.discard(ident)  # not the client's fault: not counted as a rejection
+                    yield ControlReply(end_record(ident, OVERLOADED))
                 else:
-                    yield self._whole(ident, taking)
+                    yield self._complete(ident, request)
 
-    def _taken(self, ident: int) -> None:
-        """The request comes in no more."""
-        if size := self._taking.pop(ident).size():
+    def _stop_receiving(self, ident: int) -> None:
+        """Forget an incomplete request and release its memory."""
+        if size := self._incoming.pop(ident).size():
             self._budget.add_incomplete(-size, self)
 
     def discard_incomplete(self) -> None:
-        """Keeps nothing of what is coming in: there is no room for it."""
-        for taking in self._taking.values():
-            self._forget(taking)
+        """Drop the content of all incomplete requests: the memory budget is exhausted."""
+        for request in self._incoming.values():
+            self._discard_content(request)
 
-    def _forget(self, taking: _Taking) -> None:
-        """What came in of a request is not kept until its end, with which it is refused."""
-        if size := taking.size():
+    def _discard_content(self, request: _IncomingRequest) -> None:
+        """Drop the content of a request, which is rejected as overloaded once it is complete."""
+        if size := request.size():
             self._budget.add_incomplete(-size, self)
-        taking.params, taking.body, taking.no_room = bytearray(), bytearray(), True
+        request.params, request.body, request.over_budget = bytearray(), bytearray(), True
 
-    def _ill(self, ident: int, why: str) -> Arrived:
-        """A request is answered before it is whole; the rest of it is passed over.
+    def _reject_incomplete(self, ident: int, why: str) -> RequestReceived:
+        """Reject a request before it is complete; its remaining records are ignored.
 
-        Guards against taking in 60 MB, or what never ends, in order to say no.
+        Receiving the rest first would mean reading 60 MB, or an endless body, only to reject it.
         """
-        self._taken(ident)
-        return Arrived(ident, {}, b"", why)
+        self._stop_receiving(ident)
+        return RequestReceived(ident, {}, b"", why)
 
-    def _turn_away(self, ident: int, status: int) -> Reply:
+    def _reject_begin(self, ident: int, status: int) -> ControlReply:
         self.open.discard(ident)
-        self.turned_away += 1
-        return Reply(end_record(ident, status))
+        self.rejected_in_a_row += 1
+        return ControlReply(end_record(ident, status))
 
-    def overdue(self, before: float) -> Iterator[Arrived]:
-        """The requests that began to come in before then and still do, ended."""
-        for ident in [ident for ident, taking in self._taking.items() if taking.since < before]:
-            yield self._ill(ident, "not whole in time")
+    def overdue(self, before: float) -> Iterator[RequestReceived]:
+        """Reject and yield the incomplete requests that started before that time, in Unix ms."""
+        for ident in [ident for ident, request in self._incoming.items() if request.started_ms < before]:
+            yield self._reject_incomplete(ident, "not complete in time")
 
-    def take_no_more(self) -> None:
-        """What has begun is forgotten and what begins is passed over; aborts still count."""
+    def stop_accepting(self) -> None:
+        """Forget incomplete requests and ignore new ones; aborts are still reported."""
         self.closing = True
-        self.open -= self._taking.keys()
+        self.open -= self._incoming.keys()
         self.close()
 
     def close(self) -> None:
-        """Nothing more comes in."""
-        for ident in list(self._taking):
-            self._taken(ident)
+        """Release the memory of all incomplete requests."""
+        for ident in list(self._incoming):
+            self._stop_receiving(ident)
 
-    def _begin(self, ident: int, content: bytes) -> Iterator[Reply]:
+    def _begin(self, ident: int, content: bytes) -> Iterator[ControlReply]:
         if len(content) < _BEGIN.size:
-            raise FastCgiError("BEGIN_REQUEST is cut short")
+            raise FastCgiError("BEGIN_REQUEST is truncated")
         if self.closing:
             return
         if ident in self.open:
             raise FastCgiError(f"id {ident} is open already")
         role, flags = _BEGIN.unpack_from(content)
-        self.keep = bool(flags & KEEP_CONN)
+        self.keep_conn = bool(flags & KEEP_CONN)
         if role != RESPONDER:
-            yield self._turn_away(ident, UNKNOWN_ROLE)
-        elif len(self.open) >= MOST_OPEN:
-            yield self._turn_away(ident, OVERLOADED)
+            yield self._reject_begin(ident, UNKNOWN_ROLE)
+        elif len(self.open) >= MAX_OPEN_REQUESTS:
+            yield self._reject_begin(ident, OVERLOADED)
         else:
             self.open.add(ident)
-            self._taking[ident] = _Taking(self._clock())
+            self._incoming[ident] = _IncomingRequest(self._clock())
 
-    def taken(self) -> int:
-        """How many requests have come in whole and are not answered."""
-        return len(self.open) - len(self._taking)
+    def unanswered(self) -> int:
+        """Return the number of complete requests without an answer."""
+        return len(self.open) - len(self._incoming)
 
-    def coming(self) -> int:
-        """How many requests have begun to come in and are not whole."""
-        return len(self._taking)
+    def incomplete(self) -> int:
+        """Return the number of incomplete requests."""
+        return len(self._incoming)
 
-    def _params(self, ident: int, taking: _Taking, content: bytes) -> Iterator[Arrived]:
+    def _params(self, ident: int, request: _IncomingRequest, content: bytes) -> Iterator[RequestReceived]:
         if not content:
-            taking.params_done = True
-        elif taking.params_done or len(taking.params) + len(content) > MOST_PARAMS:
-            yield self._ill(ident, "the parameters are too long")
+            request.params_done = True
+        elif request.params_done or len(request.params) + len(content) > MAX_PARAMS_BYTES:
+            yield self._reject_incomplete(ident, "the parameters are too long")
         else:
-            taking.params += content
+            request.params += content
             self._budget.add_incomplete(len(content), self)
 
     @staticmethod
-    def _whole(ident: int, taking: _Taking) -> Arrived:
+    def _complete(ident: int, request: _IncomingRequest) -> RequestReceived:
         try:
-            return Arrived(ident, pairs(bytes(taking.params)), bytes(taking.body), "")
+            return RequestReceived(ident, parse_pairs(bytes(request.params)), bytes(request.body), "")
         except ValueError as error:
-            return Arrived(ident, {}, b"", f"parameters: {error}")
+            return RequestReceived(ident, {}, b"", f"parameters: {error}")
--- a/stonecove/protocols/fastcgi/session.py
+++ b/stonecove/protocols/fastcgi/session.py
@@ -1,8 +1,8 @@
-"""The life of one client connection, without its I/O: requests in, answers out by turns.
+"""State machine of one FastCGI client connection, without I/O: requests in, interleaved answers out.
 
-Whoever does the I/O makes a `Session`, tells it what happens (`received`, `writable`, `ended`) and does
-what `_blocked`, `_stop_reading`, `_stop_writing` and `close` ask for. `transport/client_connection.py` does
-so with trio.
+A transport subclasses `Session`, reports what happens on the socket (`received`, `writable`, `ended`) and
+implements `_on_write_blocked`, `_stop_reading`, `_stop_writing` and `close`.
+`transport/client_connection.py` does so with trio.
 """
 
 from __future__ import annotations
@@ -16,38 +16,38 @@
 from stonecove.protocols.fastcgi.codec import (
     COMPLETE,
     Aborted,
-    Arrived,
     Decoder,
     FastCgiError,
-    answer_records,
+    RequestReceived,
     end_record,
+    response_records,
 )
 from stonecove.protocols.upstream_channel import Socket
 from stonecove.state.budget import MemoryBudget
 
-MOST_UNREAD = 2 * (65_536 + 256 + 8)
-MOST_OWED = 1000  # protocol records that wait to be written
-MOST_TURNED_AWAY = 20  # requests in a row that can't be taken, after which a connection is ended
-MOST_UNWANTED = 1 << 20  # bytes that a client which we leave may go on sending while it is owed answers
-TAKE_IN = 2000.0  # ms within which what has begun to come in is whole; a bad client is owed an end within 3 s
-GULP = 65_536  # bytes handed to the socket at once
+MAX_UNREAD_BYTES = 2 * (65_536 + 256 + 8)
+MAX_CONTROL_RECORDS = 1000  # control records queued for writing
+MAX_REJECTED_IN_A_ROW = 20  # rejected requests in a row after which the connection is closed
+MAX_DISCARDED_BYTES = 1 << 20  # bytes accepted from a client while its connection waits to be closed
+RECEIVE_TIMEOUT_MS = 2000.0  # for a started record or request; a bad client is answered within 3 s
+WRITE_CHUNK_BYTES = 65_536  # bytes passed to the socket at once
 
 
 class Handler(Protocol):
-    """Who takes the requests of all connections."""
+    """Handles the requests of all connections."""
 
     def request(self, connection: Session, ident: int, params: dict[str, str], body: bytes, bad: str) -> bool:
-        """A request has come in, or is ended for what is bad with it; exactly one answer or an end is owed.
+        """Handle a request; `bad` is what is wrong with one that is rejected before it is complete, or empty.
 
-        Says whether it was one that can be taken.
+        Exactly one `Session.answer` or `Session.end` must follow. Return whether the request was acceptable.
         """
 
     def aborted(self, connection: Session, ident: int) -> None:
-        """The client has left this request, or with it the whole connection."""
+        """Handle the abort of a request, alone or with its whole connection."""
 
 
 class Session:
-    """One client connection: requests in, answers out by turns, record by record."""
+    """One client connection: requests in, answers out, interleaved record by record."""
 
     def __init__(
         self, sock: Socket, handler: Handler, clock: Callable[[], float], budget: MemoryBudget
@@ -57,219 +57,234 @@
         self._clock = clock
         self._budget = budget
         self._decoder = Decoder(budget, clock)
-        self._buffer = Buffer(MOST_UNREAD)
-        self._leaving = ""  # why the connection ends once all that is open on it is answered
-        self._unwanted = 0  # bytes that came in since
-        self._partial_since = clock()  # when a record began to come in that is not whole; 0: there is none
-        self.mute = True  # not a byte has come so far
-        self._urgent: deque[bytes] = deque()
-        self._answers: deque[tuple[int, deque[bytes]]] = deque()
-        self._unsent = 0  # bytes of answers that wait to be written
-        self._rest = memoryview(b"")  # of what was begun to be written
-        self._full = False  # the socket takes no more
-        self._broken = False
+        self._buffer = Buffer(MAX_UNREAD_BYTES)
+        self._closing_reason = ""  # why it closes once all open requests are answered; empty: it does not
+        self._discarded_bytes = 0  # received since `_closing_reason` was set
+        self._partial_since_ms = clock()  # when an incomplete record started; 0: there is none
+        self.nothing_received = True  # since the connection was accepted
+        self._control_records: deque[bytes] = deque()
+        self._responses: deque[tuple[int, deque[bytes]]] = deque()
+        self._queued_bytes = 0  # bytes of answers queued for writing
+        self._pending_write = memoryview(b"")  # of the chunk that is partly written
+        self._write_blocked = False  # the socket accepts no more bytes
+        self._client_stalled = False
         self.last_used = clock()
 
-    # -- what whoever does the I/O carries out --
+    # -- implemented by the transport --
 
     def close(self) -> None:
-        """The connection is to be ended."""
+        """End the connection."""
 
-    def _blocked(self) -> None:
-        """The socket takes no more: `writable` is to be called once it does."""
+    def _on_write_blocked(self) -> None:
+        """Arrange for `writable` to be called once the socket accepts bytes again."""
 
     def _stop_reading(self) -> None:
-        """Nothing more is to be taken in."""
+        """Stop reading from the socket."""
 
     def _stop_writing(self) -> None:
-        """Nothing more is to be written, and the client is to be told so."""
+        """Shut down the writing side of the connection."""
 
-    def _look(self) -> bool:
-        """What has come in so far is to be taken in at once; says whether that is done."""
+    def _read_available(self) -> bool:
+        """Read what the socket holds at once; return whether all of it was read."""
         return True
 
-    def look_for_end(self) -> None:
-        """Takes in what has come so far; if the client has ended the connection, `left` is to be called."""
+    def detect_disconnect(self) -> None:
+        """Read what the socket holds; call `client_disconnected` if the client has ended the connection."""
 
-    # -- what whoever does the I/O tells --
+    # -- called by the transport --
 
     def received(self) -> None:
-        """More bytes are in the buffer; raises FastCgiError if they can't be read.
+        """Process the bytes in the buffer; raise FastCgiError if they break the protocol.
 
-        Guards against a request that is sent on though it can't be answered any more: once we leave, aborts
-        alone count.
+        Once the connection is closing, only aborts are processed: a request that is dispatched then could
+        not be answered any more.
         """
-        if self._leaving:
-            self._overhear()
+        if self._closing_reason:
+            self._receive_while_closing()
             return
-        self.mute = False
+        self.nothing_received = False
         now = self.last_used = self._clock()
-        held = len(self._buffer)
+        unread = len(self._buffer)
         for event in self._decoder.events(self._buffer):
-            if isinstance(event, Arrived):
-                self._request(event)
+            if isinstance(event, RequestReceived):
+                self._dispatch_request(event)
             elif isinstance(event, Aborted):
                 self._handler.aborted(self, event.ident)
             else:
-                self._owe(event.data)
-            if self._leaving:
+                self._queue_control_record(event.data)
+            if self._closing_reason:
                 return
-        if self._decoder.part_since:
-            self._partial_since = self._decoder.part_since
+        if self._decoder.record_started_ms:
+            self._partial_since_ms = self._decoder.record_started_ms
         elif not len(self._buffer):
-            self._partial_since = 0.0
-        elif len(self._buffer) < held or not self._partial_since:
-            self._partial_since = now
-        if self._decoder.turned_away > MOST_TURNED_AWAY:
-            self._leave("turned away too often")
-
-    def _overhear(self) -> None:
-        """Bytes of a client that is being left: aborts alone count, and the rest has a bound."""
-        held = len(self._buffer)
+            self._partial_since_ms = 0.0
+        elif len(self._buffer) < unread or not self._partial_since_ms:
+            self._partial_since_ms = now
+        if self._decoder.rejected_in_a_row > MAX_REJECTED_IN_A_ROW:
+            self._close_when_answered("too many rejected requests in a row")
+
+    def _receive_while_closing(self) -> None:
+        """Process aborts alone, and close at once when the client sends more than MAX_DISCARDED_BYTES."""
+        unread = len(self._buffer)
         try:
             for event in self._decoder.events(self._buffer):
                 if isinstance(event, Aborted):
                     self._handler.aborted(self, event.ident)
         except FastCgiError:
             self._buffer.skip(len(self._buffer))
-        self._unwanted += held - len(self._buffer)
-        if self._unwanted > MOST_UNWANTED:
+        self._discarded_bytes += unread - len(self._buffer)
+        if self._discarded_bytes > MAX_DISCARDED_BYTES:
             self.close()
 
     def writable(self) -> None:
-        """The socket takes more again."""
-        self._full = False
-        self._pump()
+        """Resume writing: the socket accepts bytes again."""
+        self._write_blocked = False
+        self._flush()
 
-    def left(self) -> None:
-        """The client has ended the connection: nobody waits for what is open on it."""
+    def client_disconnected(self) -> None:
+        """Abort all open requests: the client has ended the connection."""
         for ident in sorted(self._decoder.open):
             self._handler.aborted(self, ident)
 
     def ended(self) -> None:
-        """The connection is over; to be called once, as the last."""
+        """Release everything that the connection holds; called once, as the last event."""
         self._decoder.close()
-        self._budget.release(self._unsent)
-        self._unsent = 0
-        self.left()
+        self._budget.release(self._queued_bytes)
+        self._queued_bytes = 0
+        self.client_disconnected()
 
-    # -- for those who use it --
+    # -- called by the users of the connection --
 
-    def quiet(self) -> bool:
-        """Whether no request that came in whole is open, and nothing waits to be written."""
-        return not (self._decoder.taken() or self._urgent or self._answers or self._rest)
+    def has_no_open_work(self) -> bool:
+        """Return whether no complete request is open and nothing is queued for writing."""
+        return not (
+            self._decoder.unanswered() or self._control_records or self._responses or self._pending_write
+        )
 
     def idle(self) -> bool:
-        """Whether it is quiet and nothing is coming in either."""
-        return self.resting() and not self.mute
+        """Return whether it is resting and has received something before."""
+        return self.resting() and not self.nothing_received
 
     def resting(self) -> bool:
-        """Whether it is quiet and nothing is coming in, be it that nothing ever came."""
-        return self.quiet() and not self._decoder.coming() and (self.mute or not self._partial_since)
-
-    def leaving(self) -> bool:
-        """Whether it is ended once what is open on it is answered; nothing more is taken in."""
-        return bool(self._leaving)
-
-    def unread(self) -> bool:
-        """Whether bytes have come that were not read so far."""
+        """Return whether it has no open work and no record or request is incomplete, used before or not."""
+        return (
+            self.has_no_open_work()
+            and not self._decoder.incomplete()
+            and (self.nothing_received or not self._partial_since_ms)
+        )
+
+    def is_closing(self) -> bool:
+        """Return whether it closes once all open requests are answered, and accepts no more."""
+        return bool(self._closing_reason)
+
+    def has_unread(self) -> bool:
+        """Return whether the socket holds bytes that were not read."""
         try:
             return bool(self._sock.recv(1, socket.MSG_PEEK))
         except OSError:
             return False
 
-    def check(self, now: float) -> None:
-        """Ends what has been coming in for too long.
+    def expire_overdue(self, now: float) -> None:
+        """End requests and records that were started more than RECEIVE_TIMEOUT_MS before `now`, in Unix ms.
 
-        Guards against clients that connect and say nothing, or begin and never end. What has come by now
-        counts, read or not.
+        Otherwise clients that connect and send nothing, or never finish a request, would stay forever. What
+        the socket holds is read first, so that a request completed in time counts even if it was not read.
         """
-        late = now - TAKE_IN
-        if 0.0 < self._partial_since < late or self._decoder.coming():
-            self._look()
-        for event in self._decoder.overdue(late):
+        started_before = now - RECEIVE_TIMEOUT_MS
+        if 0.0 < self._partial_since_ms < started_before or self._decoder.incomplete():
+            self._read_available()
+        for event in self._decoder.overdue(started_before):
             self._handler.request(self, *event)
-        if 0.0 < self._partial_since < late:
-            self._leave("says nothing" if self.mute else "a record is not whole in time")
+        if 0.0 < self._partial_since_ms < started_before:
+            self._close_when_answered(
+                "sent no data" if self.nothing_received else "a record is not whole in time"
+            )
 
-    def _leave(self, why: str) -> None:
-        """Takes no request more, and ends the connection once all that is open on it is answered.
+    def _close_when_answered(self, why: str) -> None:
+        """Accept no more requests, and close the connection once all open ones are answered.
 
-        It is read on: guards against not noticing that the client has left what waits here, too.
+        Reading goes on: an abort or a disconnect of the client has to be noticed for the open requests.
         """
-        self._leaving = self._leaving or why
-        self._decoder.take_no_more()
-        self._pump()
+        self._closing_reason = self._closing_reason or why
+        self._decoder.stop_accepting()
+        self._flush()
 
     def answer(self, ident: int, head: bytes, body: bytes) -> None:
-        """Queues the whole answer to a request."""
-        records = answer_records(ident, head, body)
+        """Queue the complete answer to a request."""
+        records = response_records(ident, head, body)
         size = sum(map(len, records))
-        self._unsent += size
+        self._queued_bytes += size
         self._budget.reserve(size)
-        self._answers.append((ident, records))
-        self._pump()
+        self._responses.append((ident, records))
+        self._flush()
 
     def end(self, ident: int, status: int) -> None:
-        """Ends a request without an answer."""
+        """End a request without an answer, by a protocol status."""
         self._decoder.open.discard(ident)
-        self._owe(end_record(ident, status, 1 if status == COMPLETE else 0))
+        self._queue_control_record(end_record(ident, status, 1 if status == COMPLETE else 0))
 
-    def _owe(self, data: bytes) -> None:
-        """Guards against a client that asks on and on and reads nothing."""
-        if len(self._urgent) >= MOST_OWED:
-            self._broken = True
+    def _queue_control_record(self, data: bytes) -> None:
+        """Queue a control record, and close the connection if a client that reads nothing caused too many."""
+        if len(self._control_records) >= MAX_CONTROL_RECORDS:
+            self._client_stalled = True
             self.close()
-        self._urgent.append(data)
-        self._pump()
+        self._control_records.append(data)
+        self._flush()
 
-    def _request(self, event: Arrived) -> None:
-        """Hands a request on. Guards against one that is sent again whenever it is turned away."""
+    def _dispatch_request(self, event: RequestReceived) -> None:
+        """Pass a request to the handler, and count rejections in a row.
+
+        A client that repeats each rejected request at once is disconnected by this count.
+        """
         if self._handler.request(self, *event):
-            self._decoder.turned_away = 0
+            self._decoder.rejected_in_a_row = 0
         else:
-            self._decoder.turned_away += 1
+            self._decoder.rejected_in_a_row += 1
 
-    def _gulp(self) -> bytes:
-        """The next bytes to write: what the protocol owes first, then one record of each answer by turns."""
-        parts: list[bytes] = []
+    def _next_chunk(self) -> bytes:
+        """Return the next bytes to write: control records first, then one record of each answer in turn."""
+        chunk: list[bytes] = []
         size = 0
-        while size < GULP and (self._urgent or self._answers):
-            if self._urgent:
-                part = self._urgent.popleft()
+        while size < WRITE_CHUNK_BYTES and (self._control_records or self._responses):
+            if self._control_records:
+                record = self._control_records.popleft()
             else:
-                ident, records = self._answers.popleft()
-                part = records.popleft()
-                self._unsent -= len(part)
-                self._budget.release(len(part))
+                ident, records = self._responses.popleft()
+                record = records.popleft()
+                self._queued_bytes -= len(record)
+                self._budget.release(len(record))
                 if records:
-                    self._answers.append((ident, records))
+                    self._responses.append((ident, records))
                 else:
-                    self._decoder.open.discard(ident)  # before the client sees the end and uses the id again
-            parts.append(part)
-            size += len(part)
-        return b"".join(parts)
-
-    def _pump(self) -> None:
-        """Writes until the socket takes no more; once all is written and no more is owed, ends the rest."""
-        while not self._full:
-            if not self._rest and not (data := self._gulp()):
-                left = self._decoder.taken() if self._leaving else self._decoder.keep or self._decoder.open
-                if not left:
-                    self._leaving = self._leaving or "closed by us"
+                    self._decoder.open.discard(ident)  # before the client sees the end and reuses the id
+            chunk.append(record)
+            size += len(record)
+        return b"".join(chunk)
+
+    def _flush(self) -> None:
+        """Write until the socket accepts no more; end a closing connection once all is written."""
+        while not self._write_blocked:
+            if not self._pending_write and not (data := self._next_chunk()):
+                in_use = (
+                    self._decoder.unanswered()
+                    if self._closing_reason
+                    else self._decoder.keep_conn or self._decoder.open
+                )
+                if not in_use:
+                    self._closing_reason = self._closing_reason or "closed by us"
                     self._stop_writing()
                     self._stop_reading()
                 return
-            self._rest = self._rest or memoryview(data)
+            self._pending_write = self._pending_write or memoryview(data)
             try:
-                sent = self._sock.send(self._rest)
+                sent = self._sock.send(self._pending_write)
             except BlockingIOError:
                 sent = 0
             except OSError:
                 self.close()
                 return
             self.last_used = self._clock()
-            self._rest = self._rest[sent:]
-            if self._rest:
-                self._full = True
-                self._blocked()
+            self._pending_write = self._pending_write[sent:]
+            if self._pending_write:
+                self._write_blocked = True
+                self._on_write_blocked()
--- a/stonecove/protocols/upstream_channel.py
+++ b/stonecove/protocols/upstream_channel.py
@@ -1,7 +1,8 @@
-"""The life of one connection to a server, without its I/O: connecting, up, half written, over.
+"""State machine of one connection to an upstream server, without I/O: connecting, up, partly written, over.
 
-Whoever does the I/O makes a `Channel`, tells it what happens (`opened`, `received`, `writable`, `failed`,
-`ended`) and carries out `_blocked` and `_stop`. `transport/upstream_connection.py` does so with trio.
+A transport subclasses `Channel`, reports what happens on the socket (`opened`, `received`, `writable`,
+`failed`, `ended`) and implements `_on_write_blocked` and `_stop`. `transport/upstream_connection.py` does so
+with trio.
 """
 
 from __future__ import annotations
@@ -12,46 +13,46 @@
 from typing import Protocol
 
 from stonecove.protocols.buffer import Buffer
-from stonecove.protocols.resp import MOST_BULK, Decoder
+from stonecove.protocols.resp import MAX_BULK_BYTES, Decoder
 
 
 class Socket(Protocol):
-    """What of a non-blocking socket is used here."""
+    """The part of a non-blocking socket that sessions and channels use."""
 
     def send(self, data: bytes | memoryview, /) -> int:
-        """Writes what there is room for; raises BlockingIOError if none, OSError if it is broken."""
+        """Write as many bytes as fit; raise BlockingIOError if none do, OSError if the socket is broken."""
 
     def recv(self, count: int, flags: int, /) -> bytes:
-        """Reads; empty at the end."""
+        """Read up to `count` bytes; an empty result is the end of the stream."""
 
 
 class Command(Protocol):
-    """Something to be written, which decides in the last moment whether it still goes out."""
+    """A queued command, which decides right before it is written whether it is still sent."""
 
     def begin(self) -> bytes | None:
-        """Called right before the first byte is written; None: it does not go."""
+        """Return the bytes to write, right before the first one is written; None cancels the command."""
 
     def unwritten(self) -> None:
-        """Not one byte of it was written after all."""
+        """Undo `begin`: the socket took no byte, and the command is queued again."""
 
 
 class Owner(Protocol):
-    """Who is told of what a connection does."""
+    """Receives the events of a connection."""
 
     def opened(self, connection: Channel) -> None:
-        """It is up, and nothing has been written on it. What is put now is written."""
+        """Handle an established connection; commands enqueued from now on are written."""
 
     def arrived(self, connection: Channel, array: list[bytes]) -> None:
-        """An array came in; raises RespError if it can't be read, which ends the connection."""
+        """Handle a received array; raise RespError if it is malformed, which ends the connection."""
 
     def closed(self, connection: Channel, why: str) -> None:
-        """The connection has ended, or never came up. Told once."""
+        """Handle the end of the connection, established or not; called exactly once."""
 
 
 class Channel:
-    """One connection to a server, from its opening to its end.
+    """One connection to an upstream server, from connecting to its end.
 
-    What is put is written at once as far as the socket takes it, the rest as room comes.
+    Commands are written at once as far as the socket accepts them, and the remainder when it is writable.
     """
 
     def __init__(self, owner: Owner, clock: Callable[[], float]) -> None:
@@ -59,124 +60,129 @@
         self._clock = clock
         self._sock: Socket
         self._queue: deque[Command] = deque()
-        self._rest = b""  # of the command under way
-        self._pumping = False
-        self._full = False  # the socket takes no more
-        self._why = "closed by us"
-        self.buffer = Buffer(MOST_BULK + 4096)
+        self._pending_write = b""  # of the command that is partly written
+        self._flushing = False
+        self._write_blocked = False  # the socket accepts no more bytes
+        self._close_reason = "closed by us"
+        self.buffer = Buffer(MAX_BULK_BYTES + 4096)
         self.decoder = Decoder()
-        self.lacking = False  # there was no descriptor for it
-        self.up = False  # somebody was there: it came up or was reset, whatever became of it
-        self.refused = False  # connecting failed: nobody is there, or there was no descriptor
-        self.late = False  # it did not come up in time
-        self.over = False
-        self.halfway_at = 0.0  # when the last byte of an answer that is not whole came in; 0: none has begun
+        self.awaits_descriptor = False  # waits for a file descriptor
+        self.reached = False  # the server was reached: the connection was established or reset
+        self.connect_failed = False  # connecting failed: nothing listens there, or no descriptor was free
+        self.connect_timed_out = False  # not established within the connect timeout
+        self.is_closed = False
+        self.partial_reply_at_ms = 0.0  # when an incomplete answer last received bytes; 0: there is none
 
-    # -- for those who use it --
+    # -- called by the users of the connection --
 
-    def put(self, command: Command) -> None:
-        """Queues a command."""
+    def enqueue(self, command: Command) -> None:
+        """Queue a command, and write it at once if the socket accepts it."""
         self._queue.append(command)
-        if self.up and not self._full:
-            self._pump()
+        if self.reached and not self._write_blocked:
+            self._flush()
 
     def close(self) -> None:
-        """Ends the connection and gives up everything open on it; the owner is told by and by."""
-        self.over = True
+        """End the connection and abandon what is open on it; `Owner.closed` follows later."""
+        self.is_closed = True
         self._stop()
 
-    # -- what whoever does the I/O carries out --
+    # -- implemented by the transport --
 
-    def _blocked(self) -> None:
-        """The socket takes no more: `writable` is to be called once it does."""
+    def _on_write_blocked(self) -> None:
+        """Arrange for `writable` to be called once the socket accepts bytes again."""
 
     def _stop(self) -> None:
-        """The connection is to be ended, and `ended` called."""
+        """End the connection, and have `ended` called."""
 
-    # -- what whoever does the I/O tells --
+    # -- called by the transport --
 
     def opened(self, sock: Socket) -> None:
-        """The connection is up."""
+        """Start using the established connection: notify the owner and write what is queued."""
         self._sock = sock
-        self.up = True
+        self.reached = True
         self._owner.opened(self)
-        self._pump()
+        self._flush()
 
     def received(self) -> None:
-        """More bytes are in the buffer; raises RespError if they can't be read."""
+        """Pass on the arrays that the buffer completes; raise RespError if it is malformed."""
         for array in self.decoder.arrays(self.buffer):
             self._owner.arrived(self, array)
-        self.halfway_at = self._clock() if self.decoder.midway() or len(self.buffer) else 0.0
+        self.partial_reply_at_ms = (
+            self._clock() if self.decoder.has_partial_array() or len(self.buffer) else 0.0
+        )
 
     def writable(self) -> None:
-        """The socket takes more again."""
-        self._full = False
-        self._pump()
+        """Resume writing: the socket accepts bytes again."""
+        self._write_blocked = False
+        self._flush()
 
     def failed(self, error: OSError) -> None:
-        """Connecting or setting up failed. A reset shows that somebody is there."""
-        self._why = str(error) or type(error).__name__
-        self.up = self.up or isinstance(error, ConnectionResetError)
-        self.refused = not self.up
+        """Record that connecting failed; a reset still shows that the server is there."""
+        self._close_reason = str(error) or type(error).__name__
+        self.reached = self.reached or isinstance(error, ConnectionResetError)
+        self.connect_failed = not self.reached
 
     def ended(self, why: str = "") -> None:
-        """It is over; to be called once, as the last."""
-        self.over = True
-        self._owner.closed(self, why or self._why)
+        """Report the end to the owner; called once, as the last event."""
+        self.is_closed = True
+        self._owner.closed(self, why or self._close_reason)
 
     # -- writing --
 
-    def _pump(self) -> None:
-        """Writes until the socket takes no more.
+    def _flush(self) -> None:
+        """Write queued commands until the socket accepts no more.
 
-        Guards against a command judged now and written much later: each is judged when its turn comes, and
-        once more if not a byte of it could be written.
+        Each command decides whether it is sent when its turn comes, and again if none of its bytes could be
+        written. Decided at queueing time, it could be written long after it had become pointless.
         """
-        if self._pumping:  # a command's last look may lead to the next one
+        if self._flushing:  # `Command.begin` may enqueue the next command
             return
-        self._pumping = True
+        self._flushing = True
         try:
-            while (self._rest or self._queue) and not self.over and not self._full:
-                self._pump_one()
+            while (self._pending_write or self._queue) and not self.is_closed and not self._write_blocked:
+                self._write_command()
         finally:
-            self._pumping = False
+            self._flushing = False
 
-    def _ended(self) -> bool:
-        """Guards against writing into a connection that the server has ended, which we have not read yet."""
+    def _peer_has_closed(self) -> bool:
+        """Return whether the server has ended the connection, and close it if so.
+
+        Without this check a command could be written after an end of stream that has not been read yet.
+        """
         try:
-            ended = not self._sock.recv(1, socket.MSG_PEEK)
+            peer_closed = not self._sock.recv(1, socket.MSG_PEEK)
         except BlockingIOError:
             return False
         except OSError:
-            ended = True
-        if ended:
-            self._why = "closed by the server"
+            peer_closed = True
+        if peer_closed:
+            self._close_reason = "closed by the server"
             self.close()
-        return ended
+        return peer_closed
 
-    def _pump_one(self) -> None:
+    def _write_command(self) -> None:
         command = None
-        if not self._rest:
-            if self._ended():
+        if not self._pending_write:
+            if self._peer_has_closed():
                 return
             command = self._queue.popleft()
-            self._rest = command.begin() or b""
-            if not self._rest:
+            self._pending_write = command.begin() or b""
+            if not self._pending_write:
                 return
         sent = 0
         try:
-            sent = self._sock.send(self._rest)
+            sent = self._sock.send(self._pending_write)
         except BlockingIOError:
             pass
         except OSError as error:
-            self._why = str(error)
+            self._close_reason = str(error)
             self.close()
         if sent or command is None:
-            self._rest = self._rest[sent:]
+            self._pending_write = self._pending_write[sent:]
         else:
             command.unwritten()
-            self._rest = b""
+            self._pending_write = b""
             self._queue.appendleft(command)
-        if self._rest or not sent:
-            self._full = True
-            self._blocked()
+        if self._pending_write or not sent:
+            self._write_blocked = True
+            self._on_write_blocked()
--- a/stonecove/scale/faults.py
+++ b/stonecove/scale/faults.py
@@ -17,7 +17,7 @@
 
 from stonecove.discovery import MembershipEvent
 from stonecove.protocols.buffer import Buffer, BufferFullError
-from stonecove.protocols.change_log import MOST_FRAME, ChangeLogError, Follower, frames
+from stonecove.protocols.change_log import MAX_FRAME_BYTES, ChangeLogError, Follower, frames
 from stonecove.scale.control_machine import FIRST_NUMBER
 from stonecove.scale.ledger import Life, Published, level_at, purge_delays
 from stonecove.scale.options import (
@@ -249,7 +249,7 @@
             self._over.wait(SLOW_EVERY)
 
     def _read(self, sock: socket.socket) -> None:
-        buffer = Buffer(2 * MOST_FRAME)
+        buffer = Buffer(2 * MAX_FRAME_BYTES)
         while not self._over.wait(self.pause):
             try:
                 piece = sock.recv(self.piece)
--- a/stonecove/server/http.py
+++ b/stonecove/server/http.py
@@ -56,7 +56,7 @@
         """Serve requests until either side ends the connection."""
         session = self._session
         try:
-            while session.keep:
+            while session.keep_alive:
                 request = await self._next_request()
                 if request is None:
                     return
@@ -67,7 +67,7 @@
                     self._owner.requests_in_flight -= 1
         except HttpError as error:
             log_limited(LogEvent.REQUEST_MALFORMED, status=error.status, reason=str(error), front="http")
-            await self._send(session.refuse(error))
+            await self._send(session.error_response(error))
         finally:
             if self._open is not None:
                 self._front.client_disconnected(self._open)
@@ -76,18 +76,18 @@
         """Return the next request's head; None if the client has disconnected or was idle too long."""
         session = self._session
         deadline = trio.current_time() + IDLE_TIMEOUT_S
-        while (request := session.next()) is None:
-            if session.began:
+        while (request := session.next_request()) is None:
+            if session.has_partial_request:
                 deadline = min(deadline, trio.current_time() + REQUEST_TIMEOUT_S)
             with trio.move_on_at(deadline) as scope:
                 data = await self._receive()
             if scope.cancelled_caught:
-                if session.began:
+                if session.has_partial_request:
                     raise HttpError(408, "the head of the request did not arrive in time")
                 return None
             if not data:
                 return None
-            session.feed(data)
+            session.receive_data(data)
         return request
 
     async def _receive(self) -> bytes:
@@ -102,20 +102,20 @@
         decision = front.check_token(request, self._source)
         if decision is not None and not decision.good:
             status, fields = front.rejection_response(decision)
-            if not request.length:
-                session.next()
-            await self._send(session.answer(status, fields, b"", self._owner.draining))
+            if not request.content_length:
+                session.next_request()
+            await self._send(session.response(status, fields, b"", self._owner.draining))
             return
         try:
-            if request.expects:
-                await self._send(session.go_on())
+            if request.expects_continue:
+                await self._send(session.continue_response())
             with trio.move_on_after(REQUEST_TIMEOUT_S) as scope:
-                while session.state is State.BODY and session.next() is None:
+                while session.state is State.BODY and session.next_request() is None:
                     data = await self._receive()
                     if not data:
                         front.release(decision, ran=False)
                         return self._disable_keep_alive()
-                    session.feed(data)
+                    session.receive_data(data)
             if scope.cancelled_caught:
                 raise HttpError(408, "the body of the request did not arrive in time")
         except HttpError:
@@ -124,7 +124,7 @@
         await self._forward(request, decision)
 
     def _disable_keep_alive(self) -> None:
-        self._session.keep = False
+        self._session.keep_alive = False
 
     async def _forward(self, request: HttpRequest, decision: Decision | None) -> None:
         """Forward a complete request, and wait for its answer or for the client to disconnect."""
@@ -139,7 +139,7 @@
             opened = self._front.handle_request(request, decision, self._source, reply)
         except BadRequestError as error:
             self._front.release(decision, ran=False)
-            await self._send(self._session.answer(log_malformed(error), [], b"", self._owner.draining))
+            await self._send(self._session.response(log_malformed(error), [], b"", self._owner.draining))
             return
         if opened is not None and not answers:
             self._open = opened
@@ -151,7 +151,7 @@
                 return self._disable_keep_alive()  # the client has disconnected: `run` reports it
             self._open = None
         status, fields, body = answers[0]
-        await self._send(self._session.answer(status, fields, body, self._owner.draining))
+        await self._send(self._session.response(status, fields, body, self._owner.draining))
 
     async def _watch_client(self, scope: trio.CancelScope) -> None:
         """Read pipelined data; a client that closes its side while it waits counts as disconnected."""
@@ -161,7 +161,7 @@
                 scope.cancel()
                 return
             try:
-                self._session.feed(data)
+                self._session.receive_data(data)
             except HttpError:
                 scope.cancel()
                 return
--- a/stonecove/server/serve.py
+++ b/stonecove/server/serve.py
@@ -521,7 +521,8 @@
             return False
         recent = self._clock.now() - FIRST_BYTE_TIMEOUT_MS
         return not any(not request.answered for request in self._route.requests) and all(
-            client.resting() and not (client.mute and client.last_used > recent) for client in self._clients
+            client.resting() and not (client.nothing_received and client.last_used > recent)
+            for client in self._clients
         )
 
     async def _run_statistics(self) -> None:
@@ -548,7 +549,7 @@
         while True:
             await trio.sleep(CLIENT_CHECK_INTERVAL_S)
             for client in list(self._clients):
-                client.check(self._clock.now())
+                client.expire_overdue(self._clock.now())
 
     def _evict_clients(self) -> bool:
         """Close the clients longest without activity, to admit others; return whether there were any.
@@ -566,30 +567,30 @@
         silent = [
             client
             for client in self._clients
-            if client.mute and client.last_used <= now - FIRST_BYTE_TIMEOUT_MS
+            if client.nothing_received and client.last_used <= now - FIRST_BYTE_TIMEOUT_MS
         ]
         candidates = silent or [
             client
             for client in self._clients
-            if not client.leaving() and client.idle() and client.last_used <= now - IDLE_RETENTION_MS
+            if not client.is_closing() and client.idle() and client.last_used <= now - IDLE_RETENTION_MS
         ]
         candidates = candidates or [
             client
             for client in self._clients
-            if not client.leaving()
-            and client.quiet()
+            if not client.is_closing()
+            and client.has_no_open_work()
             and client.last_used <= now - PARTIAL_REQUEST_TIMEOUT_MS
         ]
         for client in heapq.nsmallest(places, candidates, key=lambda client: client.last_used):
-            if client.leaving():
+            if client.is_closing():
                 client.close()
-            elif client.mute:
+            elif client.nothing_received:
                 client.close_if_idle(0.0)
             elif client.resting():
                 client.close_if_idle(EVICTION_LINGER_S)
-                if client.leaving():  # not so if a request has begun to arrive
+                if client.is_closing():  # not so if a request has begun to arrive
                     self._evicting.add(client)
-            elif not client.unread():
+            elif not client.has_unread():
                 client.close()
         return bool(candidates)
 
--- a/stonecove/server/swarm.py
+++ b/stonecove/server/swarm.py
@@ -24,7 +24,7 @@
 from stonecove.gossip.swarm import Swarm
 from stonecove.operator_config.records import SwarmRecord
 from stonecove.pipeline.route import Route
-from stonecove.protocols.gossip import MOST_BYTES, GossipError, decode, encode, number_of
+from stonecove.protocols.gossip import MAX_DATAGRAM_BYTES, GossipError, decode, encode, parse_number
 from stonecove.routing.events import FleetSizeChanged, LeaseTerms
 from stonecove.routing.settings import Settings
 from stonecove.runtime.clock import Clock
@@ -211,7 +211,7 @@
             self._read_refusals()
             for _ in range(READ_BATCH):
                 try:
-                    data, address = self._socket.recvfrom(MOST_BYTES + 1)
+                    data, address = self._socket.recvfrom(MAX_DATAGRAM_BYTES + 1)
                 except BlockingIOError:
                     break
                 except OSError as error:  # an error of an earlier datagram, reported again
@@ -246,10 +246,12 @@
     def _read_refusals(self) -> None:
         for _ in range(READ_BATCH):
             try:
-                data, ancillary, _, address = self._socket.recvmsg(MOST_BYTES, 512, socket.MSG_ERRQUEUE)
+                data, ancillary, _, address = self._socket.recvmsg(
+                    MAX_DATAGRAM_BYTES, 512, socket.MSG_ERRQUEUE
+                )
             except OSError:
                 return
-            number, slot = number_of(data), self._slots.get(address)
+            number, slot = parse_number(data), self._slots.get(address)
             for level, kind, record in ancillary:
                 if level != socket.IPPROTO_IP or kind != IP_RECVERR or len(record) < _EXTENDED_ERROR.size:
                     continue
--- a/stonecove/standins/depot.py
+++ b/stonecove/standins/depot.py
@@ -95,7 +95,7 @@
                 self._fetch(sock, command)
 
     def _fetch(self, sock: socket.socket, command: list[bytes]) -> None:
-        fields = resp.fields_of(command[2])
+        fields = resp.parse_fields(command[2])
         self.fetches += 1
         self._depot.seen.append(
             Fetched(
@@ -138,19 +138,19 @@
 def confirmed(txn: str) -> bytes:
     """The answer to a write."""
     words = [("tell", "filled"), ("ver", "c0"), ("born", f"{time.time() * 1000:.0f}")]
-    return resp.encode(txn.encode(), b"200", resp.words(words), b"confirmed")
+    return resp.encode(txn.encode(), b"200", resp.format_fields(words), b"confirmed")
 
 
 def copied(txn: str, fields: dict[str, str], born: float, tell: str, waited: float) -> bytes:
     """The answer to a read: a copy that was born then, and how it came. `waited`: ms."""
     item = int(fields["item"], 16)
     words = [("tell", tell), ("ver", f"v{item:x}"), ("born", f"{born:.0f}"), ("waited", f"{waited:.0f}")]
-    return resp.encode(txn.encode(), b"200", resp.words(words), f"{item:x}:".encode() + bytes(2000))
+    return resp.encode(txn.encode(), b"200", resp.format_fields(words), f"{item:x}:".encode() + bytes(2000))
 
 
 def failed(txn: str, status: bytes, tell: str) -> bytes:
     """An answer without a copy."""
-    return resp.encode(txn.encode(), status, resp.words([("tell", tell)]), b"")
+    return resp.encode(txn.encode(), status, resp.format_fields([("tell", tell)]), b"")
 
 
 def event_frame(number: int, kind: int, payload: bytes = b"") -> bytes:
--- a/stonecove/transport/change_log_follower.py
+++ b/stonecove/transport/change_log_follower.py
@@ -11,7 +11,7 @@
 
 from stonecove.discovery import MembershipSink
 from stonecove.protocols.buffer import Buffer, BufferFullError
-from stonecove.protocols.change_log import MOST_FRAME, ChangeLogError, Follower, frames
+from stonecove.protocols.change_log import MAX_FRAME_BYTES, ChangeLogError, Follower, frames
 from stonecove.runtime.log import log, log_limited
 from stonecove.runtime.log_events import LogEvent
 from stonecove.runtime.timers import no_op
@@ -159,7 +159,7 @@
             log_limited(LogEvent.CHANGE_LOG_CONNECTED, last=self._follower.last)
             silence_s = SILENCE_TIMEOUT_S if self._was_silent else FIRST_FRAME_TIMEOUT_S
             self._is_responsive = self._was_silent = True
-            buffer = Buffer(MOST_FRAME + 4096)
+            buffer = Buffer(MAX_FRAME_BYTES + 4096)
             # Only complete frames reset the time-out: a log that is partitioned, or stops in the middle of a
             # frame, leaves the connection open, and bytes may still trickle in.
             self._close_reason, self._error = "", None
@@ -178,19 +178,19 @@
     def _receive_frames(self, sock: socket.socket, buffer: Buffer, sink: MembershipSink) -> str:
         """Process all that is available; return why the connection must be closed, or an empty text."""
         while True:
-            with buffer.room(4096) as view:
+            with buffer.reserve(4096) as view:
                 try:
                     count = sock.recv_into(view)
                 except BlockingIOError:
                     return ""
             if not count:
                 return "closed by the log"
-            buffer.filled(count)
+            buffer.commit(count)
             for frame in frames(buffer):
                 self.last_frame_at_s, self._was_silent = trio.current_time(), False
                 self._silence_scope.deadline = self.last_frame_at_s + SILENCE_TIMEOUT_S
                 if not self._follower.take(frame, sink):
-                    return frame.wrong or f"a gap before {frame.number}"
-                if not frame.event:
+                    return frame.error or f"a gap before {frame.number}"
+                if not frame.is_event:
                     self._caught_up.set()
             self._complete_at_s = math.inf if len(buffer) else self.last_frame_at_s
--- a/stonecove/transport/client_connection.py
+++ b/stonecove/transport/client_connection.py
@@ -10,13 +10,13 @@
 
 from stonecove.protocols.buffer import BufferFullError
 from stonecove.protocols.fastcgi.codec import FastCgiError
-from stonecove.protocols.fastcgi.session import GULP, Handler, Session
+from stonecove.protocols.fastcgi.session import WRITE_CHUNK_BYTES, Handler, Session
 from stonecove.state.budget import MemoryBudget
 
 # Seconds and bytes for which a client may go on sending while it is being disconnected.
 LINGER_LIMITS = 1.0, 1 << 20
 MAX_READS_PER_CHECK = 32  # a client that sends faster than that is not idle
-_DISCARDED = bytearray(GULP)  # shared by all connections, as hundreds may linger at once
+_DISCARDED = bytearray(WRITE_CHUNK_BYTES)  # shared by all connections, as hundreds may linger at once
 STALL_TIMEOUT_S = 10.0  # for a client that receives nothing
 
 
@@ -28,7 +28,7 @@
     ) -> None:
         super().__init__(sock, handler, clock, budget)
         self._sock: socket.socket = sock
-        self._write_blocked = trio.Event()
+        self._write_blocked_event = trio.Event()
         self._scope = trio.CancelScope()
         self._read_scope = trio.CancelScope()
         self._write_scope = trio.CancelScope()
@@ -46,12 +46,12 @@
         Pending data is read first. A request that has just arrived is accepted, and the connection stays
         open.
         """
-        if not self._leaving and self._look() and self.resting():
+        if not self._closing_reason and self._read_available() and self.resting():
             self._linger_s = linger_s
-            self._leave("closed by us")
+            self._close_when_answered("closed by us")
 
-    def _blocked(self) -> None:
-        self._write_blocked.set()
+    def _on_write_blocked(self) -> None:
+        self._write_blocked_event.set()
         self._start_writer()
 
     def _stop_reading(self) -> None:
@@ -62,7 +62,7 @@
         with contextlib.suppress(OSError):
             self._sock.shutdown(socket.SHUT_WR)
 
-    def _look(self) -> bool:
+    def _read_available(self) -> bool:
         """Read what is pending; return whether all of it was read.
 
         Nothing is read before `run` has started, as responses could not be written yet.
@@ -71,7 +71,7 @@
             return False
         for _ in range(MAX_READS_PER_CHECK):
             try:
-                if self._leaving or not self._receive():
+                if self._closing_reason or not self._receive():
                     return True
             except BlockingIOError:
                 return True
@@ -79,12 +79,12 @@
                 return True
         return False
 
-    def check(self, now: float) -> None:
+    def expire_overdue(self, now: float) -> None:
         """End what has been incomplete for too long; not before `run` has started, which alone can read."""
         if self._nursery is not None:
-            super().check(now)
+            super().expire_overdue(now)
 
-    def look_for_end(self) -> None:
+    def detect_disconnect(self) -> None:
         """Read pending data, and cancel the open requests if the client has closed the connection.
 
         Otherwise an attempt could be started for a client whose close has arrived but is unread. That happens
@@ -94,12 +94,12 @@
             self._sock.recv(1, socket.MSG_PEEK)  # usually there is nothing, and this is the cheapest check
             for _ in range(MAX_READS_PER_CHECK):
                 if not self._receive():
-                    self.left()
+                    self.client_disconnected()
                     break
         except BlockingIOError:
             pass
         except OSError:
-            self.left()
+            self.client_disconnected()
 
     async def run(self) -> str:
         """Serve until either side closes the connection; return why it ended.
@@ -113,15 +113,15 @@
                     with self._read_scope:
                         reason = await self._read()
                         self._write_scope.cancel()
-                    if self._leaving:
-                        reason = self._leaving
+                    if self._closing_reason:
+                        reason = self._closing_reason
                         self._start_writer()
-                if self._leaving:
+                if self._closing_reason:
                     await self._linger()
         finally:
             self._writer_started = True  # no writing task may be started any more
             self.ended()
-        return "the client takes in nothing" if self._broken else reason
+        return "the client takes in nothing" if self._client_stalled else reason
 
     async def _linger(self) -> None:
         """Read until the client closes its side, within limits.
@@ -142,13 +142,13 @@
         Malformed data ends the connection once the complete requests before it are answered.
         """
         try:
-            with self._buffer.room() as view:
+            with self._buffer.reserve() as view:
                 count = self._sock.recv_into(view)
             if count:
-                self._buffer.filled(count)
+                self._buffer.commit(count)
                 self.received()
         except (BufferFullError, FastCgiError) as error:
-            self._leave(str(error))
+            self._close_when_answered(str(error))
             return 1
         return count
 
@@ -162,7 +162,7 @@
                 continue
             except OSError as error:
                 return str(error) or type(error).__name__
-            if self._leaving:
+            if self._closing_reason:
                 await trio.lowlevel.checkpoint()
 
     def _start_writer(self) -> None:
@@ -175,13 +175,13 @@
         """Write what the socket did not accept at once, until the connection ends."""
         with self._write_scope:
             while True:
-                await self._write_blocked.wait()
+                await self._write_blocked_event.wait()
                 # A client that reads nothing would hold responses in memory for good.
                 with trio.move_on_after(STALL_TIMEOUT_S) as stall_scope:
                     await trio.lowlevel.wait_writable(self._sock)
                 if stall_scope.cancelled_caught:
-                    self._broken = True
+                    self._client_stalled = True
                     break
-                self._write_blocked = trio.Event()
+                self._write_blocked_event = trio.Event()
                 self.writable()
         self._read_scope.cancel()
--- a/stonecove/transport/upstream_connection.py
+++ b/stonecove/transport/upstream_connection.py
@@ -37,24 +37,24 @@
         self._timeout_s = timeout_s
         self._on_shortage = on_shortage
         self._sock: socket.socket
-        self._write_blocked = trio.Event()
+        self._write_blocked_event = trio.Event()
         self._scope = trio.CancelScope()
 
     def _stop(self) -> None:
         self._scope.cancel()
 
-    def _blocked(self) -> None:
-        self._write_blocked.set()
+    def _on_write_blocked(self) -> None:
+        self._write_blocked_event.set()
 
     async def run(self) -> None:
         """Connect, then read and write until either side closes the connection. No error is raised."""
         reason = ""
         try:
-            self.lacking = True
+            self.awaits_descriptor = True
             with self._scope:
                 deadline_s = trio.current_time() + self._timeout_s
                 self._sock = await self._new_socket(deadline_s)
-                self.lacking = False
+                self.awaits_descriptor = False
                 with trio.socket.from_stdlib_socket(self._sock) as sock:
                     reason = await self._serve(sock, deadline_s)
         except OSError as error:
@@ -78,7 +78,7 @@
         with trio.move_on_at(deadline_s) as connect_scope:
             await sock.connect(self._address)
         if connect_scope.cancelled_caught:
-            self.late = True
+            self.connect_timed_out = True
             return "not up in time"
         self.opened(self._sock)
         async with trio.open_nursery() as nursery:
@@ -92,21 +92,21 @@
         try:
             while True:
                 await trio.lowlevel.wait_readable(self._sock)
-                with buffer.room(max(4096, decoder.wanted(len(buffer)))) as view:
+                with buffer.reserve(max(4096, decoder.bytes_missing(len(buffer)))) as view:
                     try:
                         count = self._sock.recv_into(view)
                     except BlockingIOError:
                         continue
                 if not count:
                     return "closed by the server"
-                buffer.filled(count)
+                buffer.commit(count)
                 self.received()
         except (OSError, RespError, BufferFullError) as error:
             return str(error) or type(error).__name__
 
     async def _write(self) -> None:
         while True:
-            await self._write_blocked.wait()
+            await self._write_blocked_event.wait()
             await trio.lowlevel.wait_writable(self._sock)
-            self._write_blocked = trio.Event()
+            self._write_blocked_event = trio.Event()
             self.writable()
--- a/stonecove/trial/model.py
+++ b/stonecove/trial/model.py
@@ -19,7 +19,7 @@
 from stonecove.gossip.figures import GossipConfig
 from stonecove.gossip.shares import Shares
 from stonecove.gossip.swarm import TICK_S, Swarm
-from stonecove.protocols.gossip import decode, encode, number_of
+from stonecove.protocols.gossip import decode, encode, parse_number
 
 EPOCH = 1_700_000_000_000.0  # Unix ms at the start
 
@@ -209,7 +209,7 @@
 
     def _take(self, router: SimulatedRouter, life: Swarm, slot: int, data: bytes, refused: bool) -> None:
         if refused:
-            number = number_of(data)
+            number = parse_number(data)
             if number is not None:
                 life.receive_refusal(slot, number, self.now)
         else:
--- a/tests/golden_formats_depot.py
+++ b/tests/golden_formats_depot.py
@@ -1,4 +1,4 @@
-"""A router's core before caches that answer by a script, without sockets: for golden data of exchanges."""
+"""A router's core connected to scripted caches, without sockets: for golden data of exchanges."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 NOW_MS = 1764576000000.0
 SEED = 7
-MAX_TIMERS = 100  # that are run for one exchange
+MAX_TIMERS = 100  # timer rounds of one exchange
 
 
 def exchange_settings() -> Settings:
@@ -31,51 +31,51 @@
     return read_settings(input_bytes("exchange-settings.in.json"))
 
 
-def describe_request(one: ClientRequest) -> dict[str, object]:
-    """Return a client's request under neutral keys, whatever front it came by."""
+def describe_request(request: ClientRequest) -> dict[str, object]:
+    """Return a client's request under neutral keys, whichever front end received it."""
     return {
-        "transaction": one.txn,
-        "class": one.cls,
-        "class_index": one.class_index,
-        "object": one.item,
-        "object_number": str(one.object_key),
-        "segment": one.chunk,
-        "segment_number": one.chunk_index,
-        "group": one.group,
-        "size_kb": one.size_kb,
-        "timeout_ms": one.timeout_ms,
-        "client_tag": one.client_tag,
-        "body": shown(one.body),
-        "idempotency_key": one.idempotency_key,
-        "client": one.client,
+        "transaction": request.txn,
+        "class": request.cls,
+        "class_index": request.class_index,
+        "object": request.item,
+        "object_number": str(request.object_key),
+        "segment": request.chunk,
+        "segment_number": request.chunk_index,
+        "group": request.group,
+        "size_kb": request.size_kb,
+        "timeout_ms": request.timeout_ms,
+        "client_tag": request.client_tag,
+        "body": shown(request.body),
+        "idempotency_key": request.idempotency_key,
+        "client": request.client,
     }
 
 
 @contextmanager
 def quiet_log() -> Iterator[None]:
-    """Keep the log off standard error, and fail if it tells of a bug."""
-    bugs: list[Mapping[str, object]] = []
-    set_log_sink(lambda event, fields: bugs.append(fields) if event == "internal_error" else None)
+    """Keep the log off standard error, and fail if it reports an internal error."""
+    errors: list[Mapping[str, object]] = []
+    set_log_sink(lambda event, fields: errors.append(fields) if event == "internal_error" else None)
     try:
         yield
     finally:
         set_log_sink(None)
-    assert not bugs
+    assert not errors
 
 
 class PlainSocket:
-    """A socket that takes everything, and keeps it."""
+    """A socket that accepts and records all bytes."""
 
     def __init__(self) -> None:
         self.written = bytearray()
 
     def send(self, data: bytes | memoryview, /) -> int:
-        """Take all bytes."""
+        """Record all bytes."""
         self.written += data
         return len(data)
 
     def recv(self, count: int, flags: int, /) -> bytes:
-        """Raise: nothing has come, and the other side is there."""
+        """Raise BlockingIOError: the connection is open and nothing was received."""
         raise BlockingIOError
 
 
@@ -88,33 +88,33 @@
         self.ended = False
 
     def open(self) -> None:
-        """Let the connection come up, once."""
-        if not self.channel.up and not self.ended:
+        """Establish the connection, once."""
+        if not self.channel.reached and not self.ended:
             self.channel.opened(self.sock)
 
-    def answer(self, txn: bytes, word: str, fields: str, body: str) -> None:
-        """Let the cache answer."""
-        items = (txn, word.encode("latin-1"), fields.encode(), body.encode("latin-1"))
-        text = b"".join(b"$%d\r\n%b\r\n" % (len(item), item) for item in items)
-        self.channel.buffer.feed(b"*4\r\n" + text)
+    def answer(self, txn: bytes, status: str, fields: str, body: str) -> None:
+        """Answer a fetch as the cache."""
+        items = (txn, status.encode("latin-1"), fields.encode(), body.encode("latin-1"))
+        encoded = b"".join(b"$%d\r\n%b\r\n" % (len(item), item) for item in items)
+        self.channel.buffer.feed(b"*4\r\n" + encoded)
         try:
             self.channel.received()
         except RespError as error:
             self.end(str(error))
 
     def end(self, why: str = "") -> None:
-        """Let the connection end, once."""
+        """End the connection, once."""
         if not self.ended:
             self.ended = True
             self.channel.ended(why)
 
 
 class Depot:
-    """The router's core, before caches that answer by a script. Time stands still but for timers."""
+    """The router's core, connected to scripted caches; time advances only to the next timer."""
 
     def __init__(self, answers: Iterable[list[str]], endpoints: int = 3) -> None:
         self.settings = exchange_settings()
-        self.taken: list[dict[str, object]] = []  # requests that a front has handed on, in order
+        self.taken: list[dict[str, object]] = []  # requests that a front end passed on, in order
         self.sent: list[dict[str, object]] = []  # commands to caches, in order
         self._now = NOW_MS
         self._answers = iter(answers)
@@ -125,22 +125,22 @@
         self.budget.limit_bytes = 1e9
         self.route = Route(self.settings, SEED, self.clock, self._timers, self.budget, 4.3e6, self._connect)
         self.route.send.max_connections = 100
-        self.route.shared_limit_check = self._note
+        self.route.shared_limit_check = self._record
         for update in known_events(known_list(endpoints), self.settings):
             self.route.handle_membership_event(update)
 
-    def _note(self, asked: ClientRequest) -> str:
-        """Note a request, and have no limit refuse it."""
-        self.taken.append(describe_request(asked))
+    def _record(self, request: ClientRequest) -> str:
+        """Record a request, and reject none."""
+        self.taken.append(describe_request(request))
         return ""
 
-    def _connect(self, owner: Owner, address: tuple[str, int], patience: float) -> Channel:
+    def _connect(self, owner: Owner, address: tuple[str, int], timeout: float) -> Channel:
         channel = Channel(owner, self.clock.now)
         self._links.append(CacheLink(channel, address))
         return channel
 
     def _take_commands(self, link: CacheLink) -> bool:
-        """Note what a cache was sent, and let it answer a fetch; return whether there was anything."""
+        """Record the commands sent to a cache and answer its fetches; return whether there were any."""
         data, link.sock.written = bytes(link.sock.written), bytearray()
         if not data:
             return False
@@ -151,18 +151,18 @@
         return True
 
     def settle(self) -> None:
-        """Decide, send and answer until nothing more happens, without any time passing."""
+        """Decide, send and answer until nothing is left to do at the present time."""
         busy = True
         while busy:
             busy = self.route.decide()
             for link in list(self._links):
                 link.open()
                 busy |= self._take_commands(link)
-                if link.channel.over:
+                if link.channel.is_closed:
                     link.end()
 
     def run(self) -> None:
-        """Settle; while requests are open, let time pass until the next timer."""
+        """Settle; while requests are open, advance to the next timer."""
         self.settle()
         for _ in range(MAX_TIMERS):
             if all(request.answered for request in self.route.requests):
@@ -173,7 +173,7 @@
 
 
 def known_list(endpoints: int) -> dict[str, Any]:
-    """Return so many endpoints as the change log's JSON has them: a cache, the parent, the origin."""
+    """Return up to three endpoints as JSON of the change log: a cache, the parent, the origin."""
     instances = [
         {
             "instanceId": f"s-000000{number}1",
--- a/tests/golden_gossip_cases.py
+++ b/tests/golden_gossip_cases.py
@@ -22,7 +22,7 @@
 from stonecove.gossip.shares import Shares, ShareState
 from stonecove.gossip.status import answer
 from stonecove.gossip.swarm import Swarm
-from stonecove.protocols.gossip import decode, encode, number_of
+from stonecove.protocols.gossip import decode, encode, parse_number
 
 EPOCH_MS = 1_700_000_000_000.0
 CONFIG = GossipConfig(
@@ -248,7 +248,7 @@
 
     def _refuse(self, router: Router, to: int, data: bytes) -> None:
         """Notify the sender, if it runs, that no process has that address."""
-        number = number_of(data[:8])
+        number = parse_number(data[:8])
         if router.swarm is not None and number is not None and router.stopped_until <= self._now:
             slot = to if to < router.index else to - 1
             router.swarm.receive_refusal(slot, number, self._now)
--- a/tests/test_attempt_crossings.py
+++ b/tests/test_attempt_crossings.py
@@ -67,7 +67,7 @@
 
     def has_fetch(self, txn: str) -> bool:
         """Return whether the fetch of that transaction was written completely."""
-        return b"fetch\r\n$16\r\n" + txn.encode() in self.written and not self._rest
+        return b"fetch\r\n$16\r\n" + txn.encode() in self.written and not self._pending_write
 
 
 class RouterHarness:
@@ -249,7 +249,7 @@
         harness.advance(100.0)
         channel.buffer.feed(b"x")
         channel.received()
-    assert channel.over
+    assert channel.is_closed
 
 
 # -- connections that open late, or never --
@@ -269,7 +269,7 @@
     txn = harness.submit_and_decide()
     harness.advance(10.0)
     harness.route.handle_membership_event(changed_members(harness, started_ms=harness.clock.now()))
-    assert harness.channels[0].over
+    assert harness.channels[0].is_closed
     harness.channels[0].ended()
     assert len(next(iter(harness.route.requests)).attempts) == 1 and "ejected" not in capsys.readouterr().err
     harness.channels[1].open()
@@ -284,7 +284,7 @@
     first, second = harness.submit_and_decide(), harness.submit_and_decide()
     harness.channels[0].open()
     harness.advance(300.0)
-    harness.channels[1].late = True
+    harness.channels[1].connect_timed_out = True
     harness.channels[1].ended("not up in time")
     assert "ejected" not in capsys.readouterr().err
     harness.channels[2].open()
@@ -298,7 +298,7 @@
 ) -> None:
     harness = RouterHarness(caches=1)
     harness.submit_and_decide()
-    harness.channels[0].late = True
+    harness.channels[0].connect_timed_out = True
     harness.channels[0].ended("not up in time")
     assert "ejected" in capsys.readouterr().err
 
--- a/tests/test_capacity_control.py
+++ b/tests/test_capacity_control.py
@@ -25,7 +25,7 @@
 )
 from stonecove.discovery import MembershipEvent
 from stonecove.protocols.change_log import Follower
-from stonecove.protocols.gossip import FIXED
+from stonecove.protocols.gossip import FIXED_BYTES
 from stonecove.runtime.log import set_log_sink
 from stonecove.transport.change_log_follower import ChangeLogClient
 
@@ -62,7 +62,7 @@
     calm = observe(model, lambda: None, lambda: model.run(10.0))
     # Nothing is told in calm: each datagram is as short as can be. Some are under way at either end.
     assert calm.datagrams > 6 * 10 * 3
-    assert calm.bytes == pytest.approx(calm.datagrams * 2 * (FIXED + UDP_HEADERS), abs=6 * 200)
+    assert calm.bytes == pytest.approx(calm.datagrams * 2 * (FIXED_BYTES + UDP_HEADERS), abs=6 * 200)
     assert calm.peak * 6 <= calm.bytes
     assert calm.decision_s > 0.0
 
--- a/tests/test_capacity_router.py
+++ b/tests/test_capacity_router.py
@@ -153,7 +153,7 @@
     data = capacity_router.purge_frame(1) + capacity_router.list_frame(2, members, True)
     buffer = Buffer(1 << 20)
     buffer.feed(data)
-    purge, whole = (frame.told for frame in frames(buffer))
+    purge, whole = (frame.update for frame in frames(buffer))
     assert isinstance(purge, PurgeUpdate) and purge.key == 1
     assert isinstance(whole, MembersUpdate) and whole.is_snapshot and len(whole.members) == len(members)
     assert capacity_router.parse(data) == 2
--- a/tests/test_client_crossings.py
+++ b/tests/test_client_crossings.py
@@ -67,7 +67,7 @@
     def close(self) -> None:
         self.closed = True
 
-    def _look(self) -> bool:
+    def _read_available(self) -> bool:
         sock: Any = self._sock
         data, sock.unread = sock.unread, b""
         self.feed(data)
@@ -210,8 +210,8 @@
     client = harness.client()
     client.feed(request(1) + request(2)[:-8] + HEADER)
     harness.time_s += 2.2
-    client.check(harness.clock.now())
-    assert client._leaving and not client.closed
+    client.expire_overdue(harness.clock.now())
+    assert client._closing_reason and not client.closed
     client.feed(bytes(65_535) + record(5, 2) + request(3) + ABORT)
     assert not len(harness.route.requests) and not harness.budget._reserved_bytes
 
@@ -230,7 +230,7 @@
         if state == "full":
             channel.opened(sock)
         elif state == "moved":
-            channel.up = True  # it opened and was reset before anything was written
+            channel.reached = True  # it opened and was reset before anything was written
             channel.ended("reset")
         elif state == "tried again":
             channel.ended("refused")
@@ -241,7 +241,7 @@
     harness.route.decide()
     for channel in harness.channels:
         sock.accepts = True
-        if channel.up:
+        if channel.reached:
             channel.writable()
         else:
             channel.opened(sock)
@@ -268,7 +268,7 @@
     client, sock = harness.client(), ClientSocket()
     client._sock = sock
     client.feed(b"".join(request(1, body=bytes(1000)) for _ in range(30)))
-    assert not client._leaving and sock.written.count(struct.pack(">IB3x", 0, 2)) == 30
+    assert not client._closing_reason and sock.written.count(struct.pack(">IB3x", 0, 2)) == 30
     harness.budget.limit_bytes = 48e6
     client.feed(request(1))
     assert len(harness.route.requests) == 1
@@ -310,8 +310,8 @@
     if by == "room":
         Server._evict_clients(server)
     else:
-        client.check(harness.clock.now())
-    assert bool(client._leaving) is not bool(unread) and not client.closed
+        client.expire_overdue(harness.clock.now())
+    assert bool(client._closing_reason) is not bool(unread) and not client.closed
 
 
 def test_stalled_incomplete_requests_make_room() -> None:
@@ -418,7 +418,7 @@
     for at in range(0, len(data), step):
         client.feed(data[at : at + step])
     assert [open_request.client_request.body for open_request in harness.route.requests] == [body, b""]
-    assert not harness.budget._incomplete_bytes and client._partial_since == 0 == len(client._buffer)
+    assert not harness.budget._incomplete_bytes and client._partial_since_ms == 0 == len(client._buffer)
 
 
 def test_a_record_that_drips_is_ended_in_time() -> None:
@@ -428,8 +428,8 @@
     for _ in range(25):
         harness.time_s += 0.1
         client.feed(b"x")
-    client.check(harness.clock.now())
-    assert client._leaving == "a record is not whole in time"
+    client.expire_overdue(harness.clock.now())
+    assert client._closing_reason == "a record is not whole in time"
 
 
 def test_cancelled_timers_do_not_pile_up() -> None:
@@ -490,7 +490,7 @@
     checked_at: list[float] = []
 
     async def play() -> None:
-        client = SimpleNamespace(check=checked_at.append)
+        client = SimpleNamespace(expire_overdue=checked_at.append)
         server: Any = SimpleNamespace(_clients=[client], _clock=Clock(trio.current_time))
         async with trio.open_nursery() as nursery:
             nursery.start_soon(Server._check_clients, server)
@@ -535,5 +535,5 @@
         client = ClientConnection(near, harness.front, harness.clock.now, harness.budget)
         far.sendall(request())
         harness.time_s += 3.0
-        client.check(harness.clock.now())
-        assert not client.leaving()
+        client.expire_overdue(harness.clock.now())
+        assert not client.is_closing()
--- a/tests/test_corpus.py
+++ b/tests/test_corpus.py
@@ -1,4 +1,4 @@
-"""Plays the corpus that `benchmarks/fuzz.py` has kept: nothing breaks, no stranger gets in."""
+"""Replays the inputs that `benchmarks/fuzz.py` has saved: no parser crashes, no forged token is accepted."""
 
 from __future__ import annotations
 
@@ -14,8 +14,9 @@
 
 @pytest.mark.parametrize("name", sorted(TARGETS))
 def test_the_corpus_breaks_nothing(name: str) -> None:
-    target, first = TARGETS[name]
+    """Run a fuzz target on its saved inputs, of which there are at least as many as it starts from."""
+    target, initial_inputs = TARGETS[name]
     lines = (CORPUS / f"{name}.b64").read_text().split()
-    assert len(lines) >= len(first)
+    assert len(lines) >= len(initial_inputs)
     for line in lines:
         target(base64.b64decode(line))
--- a/tests/test_golden_exchanges.py
+++ b/tests/test_golden_exchanges.py
@@ -206,7 +206,7 @@
     attempt = Attempt(request, 0, action, NOW_MS - 30.0, written_at_ms=NOW_MS - 20.0)
     request.attempts.append(attempt)
     status, fields, body = case["answer"]
-    reply = Reply(status, resp.fields_of(fields.encode()), body.encode("latin-1"))
+    reply = Reply(status, resp.parse_fields(fields.encode()), body.encode("latin-1"))
     if relay.corruption_reason(attempt, reply):
         return {"ends_connection": True, "answers": [], "ends": []}
     relay.handle_reply(attempt, reply)
@@ -277,12 +277,12 @@
     else:
         client.feed(fastcgi_request(case["params"], case["body"].encode("latin-1"), case.get("keep", True)))
     if "look_after_ms" in case:
-        client.check(NOW_MS + case["look_after_ms"])
+        client.expire_overdue(NOW_MS + case["look_after_ms"])
     if case.get("abort"):
         depot.settle()
         client.feed(fastcgi_record(2))
     depot.run()
-    return {**exchanged(depot, sock.written), "ends": client.leaving()}
+    return {**exchanged(depot, sock.written), "ends": client.is_closing()}
 
 
 def fastcgi_exchanges() -> bytes:
@@ -349,7 +349,7 @@
     client.answer(2, b"head of 2", bytes(100_000))
     client.answer(1, b"head of 1", bytes(40_000))
     client.end(3, 0)
-    while not client.leaving():
+    while not client.is_closing():
         sock.capacity = 9_999
         client.writable()
     records, at = [], 0
@@ -367,10 +367,10 @@
     client = Client(sock, taken, lambda: NOW_MS, ample_budget())
     if data:
         client.feed(data)
-    client.check(NOW_MS + check_after_ms)
+    client.expire_overdue(NOW_MS + check_after_ms)
     if disconnect:
         client.ended()
-    return {"taken": taken.taken, "ends": client.leaving(), "written": shown(bytes(sock.written))}
+    return {"taken": taken.taken, "ends": client.is_closing(), "written": shown(bytes(sock.written))}
 
 
 def fastcgi_sessions() -> bytes:
--- a/tests/test_golden_wire.py
+++ b/tests/test_golden_wire.py
@@ -1,6 +1,6 @@
-"""Golden data of the protocols' codecs: the change log, FastCGI, RESP and HTTP.
+"""Golden data of the protocol codecs: the change log, FastCGI, RESP and HTTP.
 
-What an error of a codec says reaches the log alone: recorded is that there is one, and its HTTP status.
+The text of a codec's error reaches only the log, so the data records that there is one and its HTTP status.
 """
 
 from __future__ import annotations
@@ -32,36 +32,36 @@
 
 NOW_MS = 1764576000000.0
 MAX_UNREAD = 1 << 23
-PIECES = (1 << 30, 1000, 7, 1)  # bytes at once in which the same input is given
-LONG = 5000  # bytes of input from which on it is given in large pieces alone
+SPLIT_SIZES = (1 << 30, 1000, 7, 1)  # bytes fed at once, for the same input
+LONG_INPUT_BYTES = 5000  # from this size on, only the larger split sizes are used
 
 Meaning = dict[str, object]
 
 
-def pieces(data: bytes, size: int) -> Iterator[bytes]:
-    """Yield the bytes in pieces of that size."""
+def split(data: bytes, size: int) -> Iterator[bytes]:
+    """Yield the bytes in chunks of that size."""
     for at in range(0, len(data), size):
         yield data[at : at + size]
 
 
-def same_however_split(data: bytes, decode: Callable[[Iterator[bytes]], Meaning]) -> Meaning:
-    """Return what bytes mean, after a check that it does not depend on how they are split."""
-    sizes = [size for size in PIECES if size > 7 or len(data) < LONG]
-    found = [decode(pieces(data, size)) for size in sizes]
-    assert all(each == found[0] for each in found)
-    return found[0]
+def decode_all_splits(data: bytes, decode: Callable[[Iterator[bytes]], Meaning]) -> Meaning:
+    """Return the decoded bytes, after a check that the result does not depend on how they are split."""
+    sizes = [size for size in SPLIT_SIZES if size > 7 or len(data) < LONG_INPUT_BYTES]
+    results = [decode(split(data, size)) for size in sizes]
+    assert all(result == results[0] for result in results)
+    return results[0]
 
 
 # -- the change log --
 
 
-def describe_frame(one: Frame) -> Meaning:
+def describe_frame(frame: Frame) -> Meaning:
     """Return a frame of the change log under neutral keys."""
     return {
-        "number": one.number,
-        "is_event": one.event,
-        "update": None if one.told is None else describe_update(one.told),
-        "unreadable": bool(one.wrong),
+        "number": frame.number,
+        "is_event": frame.is_event,
+        "update": None if frame.update is None else describe_update(frame.update),
+        "unreadable": bool(frame.error),
     }
 
 
@@ -69,8 +69,8 @@
     """Return the frames of a stream, and the error that ends it."""
     buffer, found = Buffer(MAX_UNREAD), []
     try:
-        for piece in data:
-            buffer.feed(piece)
+        for chunk in data:
+            buffer.feed(chunk)
             for frame in frames(buffer):
                 found.append(describe_frame(frame))
     except ChangeLogError:
@@ -79,11 +79,12 @@
 
 
 def changelog_frames() -> bytes:
+    """Return the frames of each stream, which are the same if all streams are concatenated."""
     streams = input_hex("changelog-frames.in.hex")
-    everything = b"".join(streams.values())
-    found = {name: same_however_split(data, decode_frames) for name, data in streams.items()}
-    whole = same_however_split(everything, decode_frames)
-    assert whole["frames"] == [frame for each in found.values() for frame in as_list(each["frames"])]
+    concatenated = b"".join(streams.values())
+    found = {name: decode_all_splits(data, decode_frames) for name, data in streams.items()}
+    together = decode_all_splits(concatenated, decode_frames)
+    assert together["frames"] == [frame for each in found.values() for frame in as_list(each["frames"])]
     return as_json(found)
 
 
@@ -94,8 +95,9 @@
 
 
 def changelog_broken() -> bytes:
+    """Return the frames and the error of each malformed stream."""
     streams = input_hex("changelog-broken.in.hex")
-    return as_json({name: same_however_split(data, decode_frames) for name, data in streams.items()})
+    return as_json({name: decode_all_splits(data, decode_frames) for name, data in streams.items()})
 
 
 def changelog_hello() -> bytes:
@@ -105,35 +107,35 @@
 
 
 class Sink:
-    """Takes updates in; the one with the given number among them is refused."""
+    """Collects updates; raises for the one with the given index."""
 
-    def __init__(self, refused: int = -1) -> None:
+    def __init__(self, rejected: int = -1) -> None:
         self.updates: list[MembershipEvent] = []
-        self._refused = refused
+        self._updates_until_error = rejected
 
     def handle_membership_event(self, event: MembershipEvent) -> None:
-        """Note an update, or raise for the one that is refused."""
-        self._refused -= 1
-        if self._refused == -1:
+        """Record an update, or raise for the one to be rejected."""
+        self._updates_until_error -= 1
+        if self._updates_until_error == -1:
             raise RuntimeError("refused")
         self.updates.append(event)
 
 
-def follow(last: int, data: bytes, refused: int = -1) -> list[Meaning]:
+def follow(last: int, data: bytes, rejected: int = -1) -> list[Meaning]:
     """Return what a follower does with each frame of a stream."""
-    follower, sink, buffer = Follower(last), Sink(refused), Buffer(MAX_UNREAD)
+    follower, sink, buffer = Follower(last), Sink(rejected), Buffer(MAX_UNREAD)
     found: list[Meaning] = []
     buffer.feed(data)
     for frame in frames(buffer):
         count = len(sink.updates)
         try:
-            goes_on: bool | str = follower.take(frame, sink)
+            accepted: bool | str = follower.take(frame, sink)
         except RuntimeError:
-            goes_on = "the sink's error"
+            accepted = "the sink's error"
         found.append(
             {
                 "number": frame.number,
-                "goes_on": goes_on,
+                "goes_on": accepted,
                 "updates": len(sink.updates) - count,
                 "resume_after": int.from_bytes(follower.hello(), "big"),
             }
@@ -152,7 +154,7 @@
             "gap": follow(5, streams["changes"] * 2 + streams["unknown-state"]),
             "unreadable-event": follow(13, streams["list-cut-short"] * 2 + streams["object-purge-cut-short"]),
             "keep-alive-ahead": follow(4, streams["keep-alive"] * 2),
-            "update-refused-by-sink": follow(5, streams["complete-list"] * 3, refused=0),
+            "update-refused-by-sink": follow(5, streams["complete-list"] * 3, rejected=0),
         }
     finally:
         set_log_sink(None)
@@ -162,19 +164,25 @@
 # -- FastCGI --
 
 
-def describe_event(one: object) -> Meaning:
+def describe_event(event: object) -> Meaning:
     """Return an event of the FastCGI decoder under neutral keys."""
-    if isinstance(one, fastcgi.Arrived):
-        body = shown(one.body) if len(one.body) < 100 else hashlib.sha256(one.body).hexdigest()
-        return {"event": "request", "id": one.ident, "params": one.params, "body": body, "bad": bool(one.bad)}
-    if isinstance(one, fastcgi.Aborted):
-        return {"event": "aborted", "id": one.ident}
-    assert isinstance(one, fastcgi.Reply)
-    return {"event": "reply", "bytes": one.data.hex(" ", -8)}
+    if isinstance(event, fastcgi.RequestReceived):
+        body = shown(event.body) if len(event.body) < 100 else hashlib.sha256(event.body).hexdigest()
+        return {
+            "event": "request",
+            "id": event.ident,
+            "params": event.params,
+            "body": body,
+            "bad": bool(event.error),
+        }
+    if isinstance(event, fastcgi.Aborted):
+        return {"event": "aborted", "id": event.ident}
+    assert isinstance(event, fastcgi.ControlReply)
+    return {"event": "reply", "bytes": event.data.hex(" ", -8)}
 
 
 def fastcgi_decoder(memory: float = 1e9) -> fastcgi.Decoder:
-    """Return a decoder with a fixed clock and so much memory for requests."""
+    """Return a decoder with a fixed clock and a memory budget in bytes."""
     budget = MemoryBudget()
     budget.limit_bytes = memory
     return fastcgi.Decoder(budget, lambda: NOW_MS)
@@ -185,8 +193,8 @@
     buffer, decoder, found = Buffer(MAX_UNREAD), fastcgi_decoder(memory), []
     ends = False
     try:
-        for piece in data:
-            buffer.feed(piece)
+        for chunk in data:
+            buffer.feed(chunk)
             for event in decoder.events(buffer):
                 found.append(describe_event(event))
     except FastCgiError:
@@ -194,33 +202,35 @@
     return {
         "events": found,
         "ends_connection": ends,
-        "keep_connection": decoder.keep,
+        "keep_connection": decoder.keep_conn,
         "open_ids": sorted(decoder.open),
-        "rejected": decoder.turned_away,
+        "rejected": decoder.rejected_in_a_row,
     }
 
 
 def fastcgi_records() -> bytes:
+    """Return the events of each stream of records."""
     streams = input_hex("fastcgi-records.in.hex")
-    return as_json({name: same_however_split(data, decode_records) for name, data in streams.items()})
+    return as_json({name: decode_all_splits(data, decode_records) for name, data in streams.items()})
 
 
 def fastcgi_without_memory() -> bytes:
+    """Return the events of requests that the memory budget has no room for."""
     streams = input_hex("fastcgi-records.in.hex")
     names = ("request", "interleaved", "request-without-anything")
-    return as_json({name: decode_records(pieces(streams[name], 1000), 0.0) for name in names})
+    return as_json({name: decode_records(split(streams[name], 1000), 0.0) for name in names})
 
 
 def fastcgi_ended_early() -> bytes:
-    """Return what is told of requests that are coming in when their time is over, or the end comes."""
-    begun = input_hex("fastcgi-records.in.hex")["request"][:200]
+    """Return the events of incomplete requests that are overdue, or when no more requests are accepted."""
+    request_start = input_hex("fastcgi-records.in.hex")["request"][:200]
     found: Meaning = {}
     for name in ("overdue", "not-overdue", "taken-no-more"):
         buffer, decoder = Buffer(MAX_UNREAD), fastcgi_decoder()
-        buffer.feed(begun)
+        buffer.feed(request_start)
         events = list(decoder.events(buffer))
         if name == "taken-no-more":
-            decoder.take_no_more()
+            decoder.stop_accepting()
             buffer.feed(input_hex("fastcgi-records.in.hex")["request-without-anything"])
             events += list(decoder.events(buffer))
         else:
@@ -230,7 +240,7 @@
 
 
 def fastcgi_written() -> bytes:
-    """Return the records that are written: each type, each status, answers of several sizes."""
+    """Return encoded records: each type, each status, answers of several sizes."""
     head = b"Status: 200 OK\r\n\r\n"
     found: Meaning = {
         "stdout": fastcgi.record(fastcgi.STDOUT, 1, b"abc").hex(" ", -8),
@@ -243,7 +253,7 @@
     }
     for size in (0, 1, 16365, 16366, 16367, 32768, 100_000, 240_000):
         body = bytes(at * 7 % 251 for at in range(size))
-        records = fastcgi.answer_records(9, head, body)
+        records = fastcgi.response_records(9, head, body)
         found[f"answer-of-{size}"] = {
             "records": [
                 {
@@ -265,20 +275,21 @@
     """Return the arrays of a stream, and the error that ends it."""
     buffer, decoder, found = Buffer(MAX_UNREAD), resp.Decoder(), []
     try:
-        for piece in data:
-            buffer.feed(piece)
+        for chunk in data:
+            buffer.feed(chunk)
             for array in decoder.arrays(buffer):
                 found.append([shown(item) for item in array])
     except resp.RespError:
         return {"arrays": found, "ends_connection": True, "midway": None}
-    return {"arrays": found, "ends_connection": False, "midway": decoder.midway()}
+    return {"arrays": found, "ends_connection": False, "midway": decoder.has_partial_array()}
 
 
 def resp_decoded() -> bytes:
+    """Return the arrays of each stream."""
     streams = input_json("resp-decode.in.json")
     return as_json(
         {
-            name: same_however_split(text.encode("latin-1"), decode_arrays)
+            name: decode_all_splits(text.encode("latin-1"), decode_arrays)
             if "without-end" not in name and "line-feed" not in name
             else decode_arrays(iter([text.encode("latin-1")]))
             for name, text in streams.items()
@@ -287,11 +298,11 @@
 
 
 def resp_fields() -> bytes:
-    """Return the tables that field lists make; null for what is none."""
+    """Return the decoded field lists; null for malformed ones."""
 
     def table(text: str) -> dict[str, str] | None:
         try:
-            return resp.fields_of(text.encode("latin-1"))
+            return resp.parse_fields(text.encode("latin-1"))
         except resp.RespError:
             return None
 
@@ -299,13 +310,14 @@
 
 
 def resp_written() -> bytes:
+    """Return encoded arrays and field lists."""
     found = {
         "one-item": resp.encode(b"abc"),
         "empty-item": resp.encode(b"a", b""),
         "bytes": resp.encode(b"fetch", b"\x00\r\n\xff", b"x" * 12),
-        "no-fields": resp.encode(resp.words([])),
-        "one-field": resp.encode(resp.words([("cls", "picture")])),
-        "fields": resp.encode(resp.words([("b", "2"), ("a", ""), ("b", "3")])),
+        "no-fields": resp.encode(resp.format_fields([])),
+        "one-field": resp.encode(resp.format_fields([("cls", "picture")])),
+        "fields": resp.encode(resp.format_fields([("b", "2"), ("a", ""), ("b", "3")])),
     }
     return as_json({name: shown(data) for name, data in found.items()})
 
@@ -313,17 +325,17 @@
 # -- HTTP --
 
 
-def describe_http_request(one: HttpRequest) -> Meaning:
+def describe_http_request(request: HttpRequest) -> Meaning:
     """Return an HTTP request under neutral keys."""
     return {
-        "method": one.method,
-        "target": one.target,
-        "path": one.path,
-        "fields": dict(one.fields),
-        "body": shown(one.body),
-        "body_length": one.length,
-        "expects_continue": one.expects,
-        "cookies": [list(pair) for pair in one.cookies],
+        "method": request.method,
+        "target": request.target,
+        "path": request.path,
+        "fields": dict(request.fields),
+        "body": shown(request.body),
+        "body_length": request.content_length,
+        "expects_continue": request.expects_continue,
+        "cookies": [list(pair) for pair in request.cookies],
     }
 
 
@@ -332,34 +344,40 @@
     session, found = HttpSession(), []
     answers = b""
     try:
-        for piece in data:
-            session.feed(piece)
-            while session.keep and (request := session.next()) is not None:
-                if session.state is not State.ANSWER and request.length > len(request.body):
+        for chunk in data:
+            session.receive_data(chunk)
+            while session.keep_alive and (request := session.next_request()) is not None:
+                if session.state is not State.ANSWER and request.content_length > len(request.body):
                     continue
                 while session.state is State.BODY:
-                    session.next()
+                    session.next_request()
                 found.append(describe_http_request(request))
-                answers += session.answer(200, [("X-A", "1")], b"ok")
+                answers += session.response(200, [("X-A", "1")], b"ok")
     except HttpError as error:
-        answers += session.refuse(error)
+        answers += session.error_response(error)
         return {
             "requests": found,
             "error_status": error.status,
             "answers": shown(answers),
             "midway": None,
         }
-    return {"requests": found, "error_status": None, "answers": shown(answers), "midway": session.began}
+    return {
+        "requests": found,
+        "error_status": None,
+        "answers": shown(answers),
+        "midway": session.has_partial_request,
+    }
 
 
 def http_requests() -> bytes:
+    """Return the requests of each stream and the responses to them."""
     streams = input_json("http-requests.in.json")
-    found = {name: same_however_split(text.encode("latin-1"), decode_http) for name, text in streams.items()}
+    found = {name: decode_all_splits(text.encode("latin-1"), decode_http) for name, text in streams.items()}
     return as_json(found)
 
 
 class HttpAnswer(NamedTuple):
-    """An answer to be written, and to what."""
+    """A response to be encoded, and the request that it answers."""
 
     request: str
     status: int
@@ -369,15 +387,15 @@
 
 
 def http_answers() -> bytes:
-    """Return answers as bytes: each status, to GET and HEAD, with and without a body, the last or not."""
+    """Return encoded responses: each status, to GET and HEAD, with and without a body, the last or not."""
     get, head = "GET / HTTP/1.1\r\nHost: e\r\n\r\n", "HEAD / HTTP/1.1\r\nHost: e\r\n\r\n"
-    old = "GET / HTTP/1.0\r\n\r\n"
+    version_1_0 = "GET / HTTP/1.0\r\n\r\n"
     fields = [("Cache-Control", "public, max-age=20"), ("ETag", '"v1"')]
     cases = {
         "ok": HttpAnswer(get, 200, fields, b"body"),
         "ok-empty": HttpAnswer(get, 200, [], b""),
         "ok-to-head": HttpAnswer(head, 200, fields, b"body"),
-        "ok-to-version-1-0": HttpAnswer(old, 200, fields, b"body"),
+        "ok-to-version-1-0": HttpAnswer(version_1_0, 200, fields, b"body"),
         "ok-last": HttpAnswer(get, 200, fields, b"body", True),
         "not-modified": HttpAnswer(get, 304, fields, b""),
         "unusual-status": HttpAnswer(get, 299, [], b""),
@@ -387,39 +405,39 @@
     found: Meaning = {}
     for name, case in cases.items():
         session = HttpSession()
-        session.feed(case.request.encode())
+        session.receive_data(case.request.encode())
         while session.state is not State.ANSWER:
-            assert session.next() is not None
-        sent = session.answer(case.status, case.fields, case.body, case.last)
-        found[name] = {"bytes": shown(sent), "keeps_connection": session.keep}
+            assert session.next_request() is not None
+        sent = session.response(case.status, case.fields, case.body, case.last)
+        found[name] = {"bytes": shown(sent), "keeps_connection": session.keep_alive}
     for status in (*statuses, 299):
-        refused = HttpSession().refuse(HttpError(status, "a reason that is not sent"))
-        found[f"refused-{status}"] = {"bytes": shown(refused), "keeps_connection": False}
+        rejection = HttpSession().error_response(HttpError(status, "a reason that is not sent"))
+        found[f"refused-{status}"] = {"bytes": shown(rejection), "keeps_connection": False}
     return as_json(found)
 
 
 def http_before_the_body() -> bytes:
-    """Return what is sent to a client that waits for 100 (Continue), and an answer before its body came."""
+    """Return the responses to a client that waits for 100 (Continue), also to one whose body is missing."""
     text = "POST / HTTP/1.1\r\nHost: e\r\nContent-Length: 3\r\nExpect: 100-continue\r\n\r\n"
     session = HttpSession()
-    session.feed(text.encode())
-    assert session.next() is not None
-    found: Meaning = {"continue": shown(session.go_on())}
-    session.feed(b"abc")
-    request = session.next()
+    session.receive_data(text.encode())
+    assert session.next_request() is not None
+    found: Meaning = {"continue": shown(session.continue_response())}
+    session.receive_data(b"abc")
+    request = session.next_request()
     assert request is not None
     found["request"] = describe_http_request(request)
-    found["answer"] = shown(session.answer(200, [], b"x"))
+    found["answer"] = shown(session.response(200, [], b"x"))
     early = HttpSession()
-    early.feed(text.encode())
-    assert early.next() is not None
-    found["answer-before-the-body"] = shown(early.answer(403, [], b""))
-    found["keeps_connection_then"] = early.keep
+    early.receive_data(text.encode())
+    assert early.next_request() is not None
+    found["answer-before-the-body"] = shown(early.response(403, [], b""))
+    found["keeps_connection_then"] = early.keep_alive
     return as_json(found)
 
 
 def http_ranges() -> bytes:
-    """Return the ranges that are read of objects of several sizes."""
+    """Return the parsed ranges of objects of several sizes."""
 
     def read_range(text: str, size: int) -> object:
         try:
@@ -454,6 +472,7 @@
 
 @pytest.mark.parametrize("name", CASES)
 def test_protocols_read_and_write_as_recorded(name: str) -> None:
+    """Compare each codec's results with the recorded ones."""
     check(CASES, name)
 
 
--- a/tests/test_http.py
+++ b/tests/test_http.py
@@ -1,4 +1,4 @@
-"""The HTTP front: what it takes apart purely, then tokens on the real program, over HTTP, TLS and FastCGI."""
+"""The HTTP front end: its session without I/O, then tokens on a real router, over HTTP, TLS and FastCGI."""
 
 from __future__ import annotations
 
@@ -24,12 +24,12 @@
 
 from stonecove.access import formats
 from stonecove.access.keys import KeyRing, generate
-from stonecove.protocols.http import MOST_BODY, HttpError, HttpSession, State, byte_range
+from stonecove.protocols.http import MAX_BODY_BYTES, HttpError, HttpSession, State, byte_range
 
 OBJECT = "7f3a9c21e0b4d655"
 HEAD = b"GET /svc/image/7f3a9c21e0b4d655/3 HTTP/1.1\r\nHost: e\r\n"
 
-# -- purely --
+# -- the session without I/O --
 
 
 @pytest.mark.parametrize(
@@ -61,48 +61,51 @@
     ],
 )
 @pytest.mark.parametrize("step", [1, 1 << 20])
-def test_what_two_readers_could_read_in_two_ways_is_refused(head: bytes, status: int, step: int) -> None:
+def test_ambiguous_requests_are_rejected(head: bytes, status: int, step: int) -> None:
+    """Guards against request smuggling: heads that two parsers could interpret differently."""
     session = HttpSession()
     with pytest.raises(HttpError) as error:
         for at in range(0, len(head), step if len(head) < 5000 else 4096):
-            session.feed(head[at : at + (step if len(head) < 5000 else 4096)])
-            while session.next() is not None and session.state is not State.ANSWER:
+            session.receive_data(head[at : at + (step if len(head) < 5000 else 4096)])
+            while session.next_request() is not None and session.state is not State.ANSWER:
                 pass
-        raise AssertionError("it was taken")
+        raise AssertionError("the request was accepted")
     assert error.value.status == status
-    assert session.refuse(error.value).startswith(b"HTTP/1.1 %d " % status) and not session.keep
+    assert session.error_response(error.value).startswith(b"HTTP/1.1 %d " % status) and not session.keep_alive
 
 
 def test_pipelined_requests_come_in_order_one_at_a_time() -> None:
+    """Guards against a pipelined request that is returned before the one ahead of it is answered."""
     session = HttpSession()
     post = b"POST /svc/confirm/1/0 HTTP/1.1\r\nHost: e\r\nContent-Length: 3\r\n\r\nabc"
-    session.feed(HEAD + b"Cookie: a=1; b=2\r\n\r\n" + post + HEAD + b"Connection: close\r\n\r\n")
-    first = session.next()
-    assert first is not None and first.cookies == (("a", "1"), ("b", "2")) and session.next() is first
-    assert session.next() is None and session.state is State.ANSWER
-    assert b"ETag" in session.answer(200, [("ETag", '"t"')], b"x")
-    second = session.next()
-    assert second is not None and session.next() is second and second.body == b"abc"
-    assert session.answer(200, [], b"y").endswith(b"\r\n\r\ny")
-    third = session.next()
-    assert third is not None and session.next() is third
-    assert b"close" in session.answer(200, [], b"") and not session.keep
-
-
-def test_what_waits_is_bounded_and_a_head_has_no_bytes() -> None:
+    session.receive_data(HEAD + b"Cookie: a=1; b=2\r\n\r\n" + post + HEAD + b"Connection: close\r\n\r\n")
+    first = session.next_request()
+    assert first is not None and first.cookies == (("a", "1"), ("b", "2")) and session.next_request() is first
+    assert session.next_request() is None and session.state is State.ANSWER
+    assert b"ETag" in session.response(200, [("ETag", '"t"')], b"x")
+    second = session.next_request()
+    assert second is not None and session.next_request() is second and second.body == b"abc"
+    assert session.response(200, [], b"y").endswith(b"\r\n\r\ny")
+    third = session.next_request()
+    assert third is not None and session.next_request() is third
+    assert b"close" in session.response(200, [], b"") and not session.keep_alive
+
+
+def test_pending_bytes_are_bounded_and_a_response_to_head_has_no_body() -> None:
+    """Guards against unlimited pipelined bytes, and a body in the response to HEAD."""
     session = HttpSession()
-    session.feed(HEAD.replace(b"GET", b"HEAD") + b"\r\n")
-    session.next()
-    session.next()
-    out = session.answer(200, [], b"12345")
-    assert b"Content-Length: 5" in out and out.endswith(b"\r\n\r\n")
+    session.receive_data(HEAD.replace(b"GET", b"HEAD") + b"\r\n")
+    session.next_request()
+    session.next_request()
+    response = session.response(200, [], b"12345")
+    assert b"Content-Length: 5" in response and response.endswith(b"\r\n\r\n")
     with pytest.raises(HttpError):
         for _ in range(3):
-            session.feed(b"x" * MOST_BODY)
+            session.receive_data(b"x" * MAX_BODY_BYTES)
 
 
 @pytest.mark.parametrize(
-    ("text", "size", "found"),
+    ("text", "size", "expected"),
     [
         ("bytes=0-0", 10, (0, 0)), ("bytes=5-", 10, (5, 9)), ("bytes=-3", 10, (7, 9)),
         ("bytes=-30", 10, (0, 9)), ("bytes=2-99", 10, (2, 9)), ("bytes=5-2", 10, None),
@@ -110,23 +113,25 @@
         ("bytes=-", 10, None), ("bytes=10-", 10, 416), ("bytes=-0", 10, 416), ("bytes=0-", 0, 416),
     ],
 )  # fmt: skip
-def test_ranges(text: str, size: int, found: Any) -> None:
-    if found == 416:
+def test_ranges(text: str, size: int, expected: Any) -> None:
+    """Compare parsed Range fields with what RFC 9110 says of them."""
+    if expected == 416:
         with pytest.raises(HttpError):
             byte_range(text, size)
     else:
-        assert byte_range(text, size) == found
+        assert byte_range(text, size) == expected
 
 
-# -- on the real program --
+# -- on a running router --
 
 
 def ring(*more: dict[str, Any], retired: str = "") -> dict[str, Any]:
+    """Return a key ring as JSON with two keys and more, of which one may be retired."""
     base: list[dict[str, Any]] = [
         {"id": "k1", "algorithm": "HS256", "secret": "00112233445566778899aabbccddeeff"},
         {"id": "e1", "algorithm": "HMAC-SHA256", "use": ["edge-auth"], "secret": "ff" * 16},
     ]
-    return {"keys": [{**one, "retired": one["id"] == retired} for one in (*base, *more)]}
+    return {"keys": [{**key, "retired": key["id"] == retired} for key in (*base, *more)]}
 
 
 POLICIES = """policies: [
@@ -135,8 +140,8 @@
     {prefix: "/svc/page", depot: true, formats: ["bearer"], skew: 0ms}]"""
 
 
-class Fronted:
-    """A stand whose router has an HTTP front and asks for tokens; every fetch is answered and noted."""
+class HttpStand:
+    """A stand whose router has an HTTP front end and requires tokens; fetches are answered and counted."""
 
     def __init__(self, folder: Path, tls: str = "", more: str = "", answer: bool = True) -> None:
         self.ring_file = folder / "ring.json"
@@ -149,57 +154,63 @@
         )
         self.stand = Stand(env={"STONECOVE_OPERATOR": str(operator)})
         self.fetched: Counter[str] = Counter()
-        self._over = threading.Event()
+        self._stopping = threading.Event()
         self._thread = threading.Thread(target=self._answer, daemon=True)
         if answer:
             self._thread.start()
 
     def write(self, table: dict[str, Any]) -> None:
+        """Write the key ring's file, readable by the owner alone."""
         self.ring_file.touch(mode=0o600)
         self.ring_file.write_text(json.dumps(table))
 
     def _answer(self) -> None:
-        while not self._over.is_set():
+        while not self._stopping.is_set():
             if (fetch := self.stand.maybe_command(0.05)) is not None and fetch.word == "fetch":
                 self.fetched[fetch.fields["cls"]] += 1
                 fetch.reply(body=b"0123456789")
 
     def token(self, key: str = "k1", table: dict[str, Any] | None = None, **claims: Any) -> str:
-        found = KeyRing.read(table or ring()).keys[key]
-        return formats.sign_jwt(found, {"exp": time.time() + 60, "sub": "picker", **claims})
+        """Return a signed token that is valid for a minute."""
+        signing_key = KeyRing.read(table or ring()).keys[key]
+        return formats.sign_jwt(signing_key, {"exp": time.time() + 60, "sub": "picker", **claims})
 
     def connect(self) -> http.client.HTTPConnection:
+        """Return a client of the front end."""
         return http.client.HTTPConnection(*self.address, timeout=WAIT_TIMEOUT_S)
 
     def ask(self, path: str, token: str = "", method: str = "GET", client: Any = None, **fields: str) -> Any:
-        """Status, fields and body."""
-        own = client or self.connect()
+        """Send a request and return status, fields and body of the response."""
+        connection = client or self.connect()
         headers = {name.replace("_", "-"): value for name, value in fields.items()}
         if token:
             headers["Authorization"] = f"Bearer {token}"
-        own.request(method, path, b"abc" if method == "POST" else None, headers)
-        answer = own.getresponse()
+        connection.request(method, path, b"abc" if method == "POST" else None, headers)
+        answer = connection.getresponse()
         body = answer.read()
         if client is None:
-            own.close()
+            connection.close()
         return answer.status, answer.headers, body
 
     def close(self) -> None:
-        self._over.set()
+        """Stop answering, and the router."""
+        self._stopping.set()
         self.stand.close()
 
 
 @pytest.fixture
-def fronted(tmp_path: Path) -> Iterator[Fronted]:
-    made = Fronted(tmp_path)
-    yield made
-    made.close()
+def fronted(tmp_path: Path) -> Iterator[HttpStand]:
+    """Return a stand that is closed after the test."""
+    stand = HttpStand(tmp_path)
+    yield stand
+    stand.close()
 
 
 IMAGE = f"/svc/image/{OBJECT}"
 
 
-def test_an_object_in_parts_by_get_head_range_and_etag(fronted: Fronted) -> None:
+def test_an_object_in_parts_by_get_head_range_and_etag(fronted: HttpStand) -> None:
+    """Guards against wrong status, fields or body of GET, HEAD and Range requests for chunks of an object."""
     assert fronted.ask("/status/live")[0] == 200
     token, client = fronted.token(), fronted.connect()
     status, answer, body = fronted.ask(f"{IMAGE}/0", token, client=client)
@@ -215,42 +226,47 @@
     assert fronted.ask(IMAGE, token, client=client)[0] == 200  # part 0
 
 
-def test_a_forged_write_is_refused_once_and_no_cache_sees_it(fronted: Fronted) -> None:
-    good = fronted.token(jti="one", mth=["POST"])
-    forged = good[:-3] + ("AAA" if not good.endswith("AAA") else "BBB")
+def test_a_forged_write_is_refused_once_and_no_cache_sees_it(fronted: HttpStand) -> None:
+    """Guards against writes by a forged, repeated, missing or wrong token, and a token in the log."""
+    valid = fronted.token(jti="one", mth=["POST"])
+    forged = valid[:-3] + ("AAA" if not valid.endswith("AAA") else "BBB")
     status, answer, _ = fronted.ask("/svc/confirm/0000000000000001/0", forged, "POST")
     assert status == 403 and "token_rejected" in str(fronted.stand.lines("token_rejected"))
     assert not fronted.fetched and forged not in str(fronted.stand.lines("token_rejected"))
-    assert fronted.ask("/svc/confirm/0000000000000001/0", good, "POST")[0] == 200
-    assert fronted.ask("/svc/confirm/0000000000000001/0", good, "POST")[0] == 403  # a token for one request
+    assert fronted.ask("/svc/confirm/0000000000000001/0", valid, "POST")[0] == 200
+    assert fronted.ask("/svc/confirm/0000000000000001/0", valid, "POST")[0] == 403  # a token for one request
     assert fronted.fetched["confirm"] == 1
     assert fronted.ask("/svc/confirm/0000000000000001/0", fronted.token(mth=["HEAD"]), "POST")[0] == 403
     assert fronted.ask("/svc/confirm/0000000000000001/0", method="POST")[0] == 401
     assert fronted.fetched["confirm"] == 1
 
 
-def test_replay_on_two_connections_in_one_instant_lets_one_in(fronted: Fronted) -> None:
+def test_replay_on_two_connections_in_one_instant_lets_one_in(fronted: HttpStand) -> None:
+    """Guards against a single-use token that is accepted twice when both requests arrive together."""
     statuses: Counter[int] = Counter()
     for number in range(10):
         token = fronted.token(jti=f"twice-{number}")
-        begin = threading.Barrier(2)
+        start = threading.Barrier(2)
 
-        def ask(begin: threading.Barrier = begin, token: str = token) -> None:
+        def ask(start: threading.Barrier = start, token: str = token) -> None:
             client = fronted.connect()
             client.connect()
-            begin.wait()
+            start.wait()
             statuses[fronted.ask("/svc/confirm/0000000000000002/0", token, "POST", client)[0]] += 1
             client.close()
 
-        both = [threading.Thread(target=ask) for _ in range(2)]
-        for one in both:
-            one.start()
-        for one in both:
-            one.join()
+        threads = [threading.Thread(target=ask) for _ in range(2)]
+        for thread in threads:
+            thread.start()
+        for thread in threads:
+            thread.join()
     assert statuses == {200: 10, 403: 10} and fronted.fetched["confirm"] == 10
 
 
-def test_a_token_that_expires_in_the_middle_of_an_object_is_good_for_the_rest(fronted: Fronted) -> None:
+def test_a_token_that_expires_in_the_middle_of_an_object_is_valid_for_its_remainder(
+    fronted: HttpStand,
+) -> None:
+    """Guards against a transfer cut off between the chunks of one object, and against access to another."""
     token, client = fronted.token(exp=time.time() + 1.2), fronted.connect()
     assert fronted.ask(f"{IMAGE}/0", token, client=client)[0] == 200
     Stand.wait(lambda: time.time() > json.loads(_claims(token))["exp"] + 0.1, "the token has expired")
@@ -264,33 +280,35 @@
     return base64.urlsafe_b64decode(token.split(".")[1] + "==")
 
 
-def test_a_depot_is_asked_for_where_the_policy_says_so(fronted: Fronted) -> None:
+def test_the_depot_claim_is_required_by_a_policy_with_depot(fronted: HttpStand) -> None:
+    """Guards against tokens of another depot, or of none, where the policy requires this one."""
     assert fronted.ask("/svc/page/1/0".replace("1", OBJECT), fronted.token(depot="edge-2"))[0] == 403
     assert fronted.ask("/svc/page/1/0".replace("1", OBJECT), fronted.token())[0] == 403
     assert fronted.ask("/svc/page/1/0".replace("1", OBJECT), fronted.token(depot="edge-1"))[0] == 200
 
 
-def _wait_lines(fronted: Fronted, event: str, count: int) -> None:
+def _wait_lines(fronted: HttpStand, event: str, count: int) -> None:
     Stand.wait(lambda: len(fronted.stand.lines(event)) >= count, f"{count} lines {event}")
 
 
-def test_keys_are_rotated_and_retired_under_load_without_a_refused_good_request(fronted: Fronted) -> None:
+def test_keys_are_rotated_and_retired_under_load_without_a_refused_valid_request(fronted: HttpStand) -> None:
+    """Guards against valid requests rejected during a reload, and a ring file readable by others."""
     second = generate("k2", "ES256", [], 0.0)
     both = ring(second)
     current = {"key": "k1"}
     statuses: Counter[int] = Counter()
-    over = threading.Event()
+    stopping = threading.Event()
 
     def load() -> None:
         client = fronted.connect()
-        while not over.is_set():
+        while not stopping.is_set():
             token = fronted.token(current["key"], both)
             statuses[fronted.ask(f"{IMAGE}/0", token, client=client)[0]] += 1
         client.close()
 
     workers = [threading.Thread(target=load) for _ in range(3)]
-    for one in workers:
-        one.start()
+    for worker in workers:
+        worker.start()
     try:
         for table, key in ((both, "k2"), (ring(second, retired="k1"), "k2")):
             count = len(fronted.stand.lines("access_config_reloaded")) + 1
@@ -302,12 +320,12 @@
         fronted.ring_file.chmod(0o644)
         fronted.stand.process.send_signal(signal.SIGHUP)
         Stand.wait(
-            lambda: fronted.stand.lines("access_config_rejected"), "a ring that others may read is refused"
+            lambda: fronted.stand.lines("access_config_rejected"), "a ring readable by others is rejected"
         )
     finally:
-        over.set()
-        for one in workers:
-            one.join()
+        stopping.set()
+        for worker in workers:
+            worker.join()
     assert set(statuses) == {200} and statuses[200] > 20
     assert fronted.ask(f"{IMAGE}/0", fronted.token("k1"))[0] == 403
 
@@ -328,20 +346,24 @@
         (b"GET /svc/image/1/0 HTTP/1.1\r\nHost: e\r\n", 408),
     ],
 )
-def test_bad_clients_get_one_answer_and_others_are_served(fronted: Fronted, data: bytes, status: int) -> None:
+def test_bad_clients_get_one_answer_and_others_are_served(
+    fronted: HttpStand, data: bytes, status: int
+) -> None:
+    """Guards against a malformed, oversized or unfinished request that is not answered by its status."""
     with socket.create_connection(fronted.address, WAIT_TIMEOUT_S) as sock:
         with contextlib.suppress(OSError):
-            sock.sendall(data)  # it may be left while it still sends
-        got = b""
+            sock.sendall(data)  # the router may close while data is still sent
+        received = b""
         with contextlib.suppress(OSError):
-            while b"\r\n\r\n" not in got and (part := sock.recv(65_536)):
-                got += part
-    assert got.startswith(b"HTTP/1.1 %d " % status), got
+            while b"\r\n\r\n" not in received and (chunk := sock.recv(65_536)):
+                received += chunk
+    assert received.startswith(b"HTTP/1.1 %d " % status), received
     assert fronted.ask(f"{IMAGE}/0", fronted.token())[0] == 200
 
 
-def test_a_client_that_leaves_and_one_that_expects(tmp_path: Path) -> None:
-    fronted = Fronted(tmp_path, answer=False)
+def test_a_client_that_disconnects_and_one_that_expects_continue(tmp_path: Path) -> None:
+    """Guards against a late answer for a closed connection, and a wrong use of 100 (Continue)."""
+    fronted = HttpStand(tmp_path, answer=False)
     try:
         head = f"GET {IMAGE}/0 HTTP/1.1\r\nHost: e\r\nAuthorization: Bearer {fronted.token()}\r\n\r\n"
         with socket.create_connection(fronted.address, WAIT_TIMEOUT_S) as sock:
@@ -362,18 +384,18 @@
             assert sock.recv(1000).startswith(b"HTTP/1.1 200 ")
             forged = head.replace(fronted.token(jti="x")[:20], "AAAA")
         with socket.create_connection(fronted.address, WAIT_TIMEOUT_S) as sock:
-            sock.sendall(forged.encode())  # refused by its head alone: no 100
+            sock.sendall(forged.encode())  # rejected by its head alone, without 100 (Continue)
             assert sock.recv(1000).startswith(b"HTTP/1.1 40")
     finally:
         fronted.close()
 
 
 def certificate(folder: Path, name: str) -> tuple[Path, Path]:
-    """A certificate of its own for 127.0.0.0/8, and its key."""
+    """Write a self-signed certificate with that common name; return the paths of it and of its key."""
     key = ec.generate_private_key(ec.SECP256R1())
     subject = x509.Name([x509.NameAttribute(x509.NameOID.COMMON_NAME, name)])
     now = datetime.datetime.now(datetime.UTC)
-    made = (
+    signed = (
         x509.CertificateBuilder()
         .subject_name(subject)
         .issuer_name(subject)
@@ -384,7 +406,7 @@
         .sign(key, hashes.SHA256())
     )
     cert, private = folder / "cert.pem", folder / "key.pem"
-    cert.write_bytes(made.public_bytes(serialization.Encoding.PEM))
+    cert.write_bytes(signed.public_bytes(serialization.Encoding.PEM))
     private.write_bytes(
         key.private_bytes(
             serialization.Encoding.PEM, serialization.PrivateFormat.PKCS8, serialization.NoEncryption()
@@ -394,8 +416,9 @@
 
 
 def test_tls_and_a_new_certificate_in_service(tmp_path: Path) -> None:
+    """Guards against a reload that drops connections, or that applies an unusable certificate."""
     cert, key = certificate(tmp_path, "first")
-    fronted = Fronted(tmp_path, tls=f'tls: {{certificate: "{cert}", key: "{key}"}}')
+    fronted = HttpStand(tmp_path, tls=f'tls: {{certificate: "{cert}", key: "{key}"}}')
     context = ssl.SSLContext(ssl.PROTOCOL_TLS_CLIENT)
     context.check_hostname, context.verify_mode = False, ssl.CERT_NONE
 
@@ -420,11 +443,13 @@
         certificate(tmp_path, "second")
         fronted.stand.process.send_signal(signal.SIGHUP)
         Stand.wait(lambda: fronted.stand.lines("http_reloaded"), "the new certificate")
-        assert fronted.ask(f"{IMAGE}/1", fronted.token(), client=old)[0] == 200  # it goes on
+        assert (
+            fronted.ask(f"{IMAGE}/1", fronted.token(), client=old)[0] == 200
+        )  # an open connection stays usable
         assert common_name(connect()) == "second"
         cert.write_text("nonsense")
         fronted.stand.process.send_signal(signal.SIGHUP)
-        Stand.wait(lambda: fronted.stand.lines("certificate_rejected"), "a refusal")
+        Stand.wait(lambda: fronted.stand.lines("certificate_rejected"), "the certificate is rejected")
         assert common_name(connect()) == "second"
         with socket.create_connection(fronted.address, WAIT_TIMEOUT_S) as plain:
             plain.sendall(b"GET / HTTP/1.1\r\nHost: e\r\n\r\n")
@@ -434,8 +459,9 @@
         fronted.close()
 
 
-def test_tokens_over_fastcgi_where_the_file_says_so(tmp_path: Path) -> None:
-    fronted = Fronted(tmp_path, more="fastcgi: true")
+def test_tokens_over_fastcgi_where_the_operator_file_requires_them(tmp_path: Path) -> None:
+    """Guards against FastCGI requests that bypass the token check where the operator file enables it."""
+    fronted = HttpStand(tmp_path, more="fastcgi: true")
     try:
         client = fronted.stand.client()
         cgi = {"REMOTE_ADDR": "10.0.0.1", "REQUEST_METHOD": "GET"}
@@ -455,8 +481,9 @@
         fronted.close()
 
 
-def test_a_drain_answers_what_is_open_and_ends(tmp_path: Path) -> None:
-    fronted = Fronted(tmp_path, answer=False)
+def test_a_drain_answers_open_requests_and_ends(tmp_path: Path) -> None:
+    """Guards against a shutdown that drops an open HTTP request or does not end."""
+    fronted = HttpStand(tmp_path, answer=False)
     try:
         client = fronted.connect()
         client.request("GET", f"{IMAGE}/0", headers={"Authorization": f"Bearer {fronted.token()}"})
@@ -471,18 +498,19 @@
         fronted.close()
 
 
-@pytest.mark.parametrize("wrong", ["rights", "ring", "policies"])
-def test_what_can_not_be_used_is_told_before_the_start(tmp_path: Path, wrong: str) -> None:
+@pytest.mark.parametrize("fault", ["rights", "ring", "policies"])
+def test_an_unusable_access_configuration_prevents_the_start(tmp_path: Path, fault: str) -> None:
+    """Guards against a router that starts with an unusable key ring or policy list."""
     import os
     import subprocess
     import sys
 
     ring_file, operator = tmp_path / "ring.json", tmp_path / "operator.cue"
     ring_file.write_text(
-        json.dumps(ring()) if wrong != "ring" else '{"keys": [{"id": "k", "algorithm": "x"}]}'
+        json.dumps(ring()) if fault != "ring" else '{"keys": [{"id": "k", "algorithm": "x"}]}'
     )
-    ring_file.chmod(0o644 if wrong == "rights" else 0o600)
-    twice = 'policies: [{prefix: "/a"}, {prefix: "/a/"}]' if wrong == "policies" else "policies: []"
+    ring_file.chmod(0o644 if fault == "rights" else 0o600)
+    twice = 'policies: [{prefix: "/a"}, {prefix: "/a/"}]' if fault == "policies" else "policies: []"
     operator.write_text(f'access: {{ring: "{ring_file}"\n{twice}}}\n')
     config = tmp_path / "config.json"
     config.write_text(json.dumps(Stand.plain_config()))
@@ -495,4 +523,4 @@
         env={**os.environ, "RELAY_CONFIG": str(config), "STONECOVE_OPERATOR": str(operator)},
     )
     assert done.returncode == 2 and len(done.stderr.splitlines()) == 1
-    assert {"rights": "rights 644", "ring": "no algorithm", "policies": "two policies"}[wrong] in done.stderr
+    assert {"rights": "rights 644", "ring": "no algorithm", "policies": "two policies"}[fault] in done.stderr
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -113,7 +113,7 @@
 def test_a_look_at_a_connections_earlier_ids_does_not_compare_them_all(busy: bool) -> None:
     """It is taken for each attempt at each connection to a cache: hundreds of ids cost CPU for nothing."""
     link = NodeConnection(11, cast(Any, None), ("127.0.0.1", 1), 0.0)
-    link.channel = cast(Any, SimpleNamespace(over=False, halfway_at=0.0))
+    link.channel = cast(Any, SimpleNamespace(is_closed=False, partial_reply_at_ms=0.0))
     for number in range(300):
         link.cancelled_ids.add(f"{number:016x}")
         link.answered_ids.add(f"{number + 1000:016x}")
--- a/tests/test_stop_crossings.py
+++ b/tests/test_stop_crossings.py
@@ -20,7 +20,7 @@
 import trio.testing
 from stand import SETTINGS, WAIT_TIMEOUT_S, ChangeLog, Client, Stand, UnresponsiveAddress, resp
 
-from stonecove.protocols.fastcgi.session import TAKE_IN, Session
+from stonecove.protocols.fastcgi.session import RECEIVE_TIMEOUT_MS, Session
 from stonecove.state.budget import MemoryBudget
 from stonecove.transport.client_connection import ClientConnection
 
@@ -323,7 +323,7 @@
         client = ClientConnection(near, handler, lambda: 1.0, BUDGET)
 
         def close_connection() -> None:
-            client.check(TAKE_IN + 2.0) if close == "check" else client.close_if_idle()
+            client.expire_overdue(RECEIVE_TIMEOUT_MS + 2.0) if close == "check" else client.close_if_idle()
 
         with near, far:
             async with trio.open_nursery() as nursery:
@@ -331,7 +331,7 @@
                 await trio.testing.wait_all_tasks_blocked()
                 far.sendall(request)
                 close_connection()
-                assert handler.idents == [7] and not client._leaving
+                assert handler.idents == [7] and not client._closing_reason
                 client.answer(7, b"\r\n", b"")
                 assert far.recv(4096)
                 far.sendall(request[:20])
@@ -349,7 +349,7 @@
     request = Client.request(Client.__new__(Client), 7)
     with near, far:
         session = Session(near, handler, lambda: 1.0, BUDGET)
-        session.check(TAKE_IN + 2.0)
+        session.expire_overdue(RECEIVE_TIMEOUT_MS + 2.0)
         session._buffer.feed(request)
         session.received()
         assert handler.idents == []
--- a/tests/test_swarm.py
+++ b/tests/test_swarm.py
@@ -15,7 +15,7 @@
 from stonecove.gossip.shares import Shares
 from stonecove.gossip.table import Table
 from stonecove.gossip.view import Views
-from stonecove.protocols.gossip import MOST_BYTES, GossipError, decode, encode, number_of
+from stonecove.protocols.gossip import MAX_DATAGRAM_BYTES, GossipError, decode, encode, parse_number
 from stonecove.trial.model import NetworkConditions, SwarmModel
 
 CLAIM = Claim(7, 1_700_000_000_000, 3, MemberState.SUSPECT, 2)
@@ -58,9 +58,9 @@
 )
 def test_a_datagram_is_read_as_it_was_written(datagram: Datagram) -> None:
     data = encode(datagram)
-    assert len(data) <= MOST_BYTES
+    assert len(data) <= MAX_DATAGRAM_BYTES
     assert decode(data) == datagram
-    assert number_of(data[:8]) == datagram.number
+    assert parse_number(data[:8]) == datagram.number
 
 
 def test_a_datagram_that_was_changed_anywhere_is_not_read() -> None:
