--- a/benchmarks/capacity_coordination.py
+++ b/benchmarks/capacity_coordination.py
@@ -16,8 +16,8 @@
 from benchmarks.capacity_log import Segments
 from stonecove.protocols.zookeeper.messages import Stat
 from stonecove.protocols.zookeeper.registration import Registrar
-from stonecove.protocols.zookeeper.session import Figures as SessionFigures
-from stonecove.protocols.zookeeper.tree_watch import Tree
+from stonecove.protocols.zookeeper.session import SessionConfig
+from stonecove.protocols.zookeeper.tree_watch import TreeWatch
 from stonecove.runtime.log import set_log_sink
 from stonecove.transport.zookeeper import ZooKeeperClient
 
@@ -36,7 +36,7 @@
     def removed(self, names: Iterable[str]) -> None:
         """Nodes are gone."""
 
-    def whole(self, names: frozenset[str], confirmed: bool) -> None:
+    def list_complete(self, names: frozenset[str], confirmed: bool) -> None:
         """The list was read."""
         self.complete = True
 
@@ -50,7 +50,7 @@
     CACHES_PATH, ROUTERS_PATH = "/stonecove/boxes", "/stonecove/routers"
 
     def __init__(self, servers: tuple[tuple[str, int], ...], number: int, recursive: bool) -> None:
-        self.ensemble = ZooKeeperClient(servers, number, SessionFigures(), lambda: None)
+        self.ensemble = ZooKeeperClient(servers, number, SessionConfig(), lambda: None)
         self.caches, self.routers = CountingSink(), CountingSink()
         record = json.dumps(
             {"name": f"router-{number:04}", "zone": "edge-1", "state": "ready",
@@ -61,8 +61,8 @@
             lambda: self.ensemble.session.session, lambda data: False, lambda *what, **more: None,
         )  # fmt: skip
         trees = (
-            Tree(self.CACHES_PATH, self.ensemble.request, self.caches, recursive),
-            Tree(self.ROUTERS_PATH, self.ensemble.request, self.routers, recursive),
+            TreeWatch(self.CACHES_PATH, self.ensemble.request, self.caches, recursive),
+            TreeWatch(self.ROUTERS_PATH, self.ensemble.request, self.routers, recursive),
         )
         for feed in (trees[0].feed, self.registrar.feed, trees[1].feed):
             self.ensemble.add_listener(feed)
@@ -70,7 +70,7 @@
     @property
     def settled(self) -> bool:
         """Whether all is read and its own node stands."""
-        return self.caches.complete and self.routers.complete and self.registrar.settled
+        return self.caches.complete and self.routers.complete and self.registrar.is_current
 
 
 class Standin:
--- a/benchmarks/membership.py
+++ b/benchmarks/membership.py
@@ -30,7 +30,7 @@
 from stonecove.discovery.merge import EndpointMerger, EndpointSource, RecordedClaim, merge_all_claims
 from stonecove.discovery.records import TopologyNames, parse_member
 from stonecove.discovery.roster import Claim
-from stonecove.protocols.zookeeper.session import Figures
+from stonecove.protocols.zookeeper.session import SessionConfig
 from stonecove.routing.endpoints import NodeState
 from stonecove.runtime.log import set_log_sink
 from stonecove.standins.depot import Depot
@@ -411,7 +411,7 @@
     took: dict[str, float] = {}
 
     async def play() -> float:
-        figures = Figures(timeout=1.0)
+        figures = SessionConfig(session_timeout_s=1.0)
         ensembles = [ZooKeeperClient(servers, seed, figures, lambda: None) for seed in range(instances)]
 
         async def all_up(name: str, began: float) -> None:
--- a/benchmarks/rollout.py
+++ b/benchmarks/rollout.py
@@ -19,7 +19,7 @@
 
 from stonecove.fleet.rollout_controller import RolloutController, service_session
 from stonecove.operator_config.records import ConfigurationRecord
-from stonecove.protocols.zookeeper.session import Figures, Server, Session
+from stonecove.protocols.zookeeper.session import Server, Session, SessionConfig
 from stonecove.rollout.messages import DEFAULT_WAVES, Bounds, RolloutState
 from stonecove.routing.settings import Settings
 from stonecove.runtime.clock import Clock
@@ -30,7 +30,7 @@
 from stonecove.transport.zookeeper import ZooKeeperClient
 
 PATH = "/stonecove/configuration"
-SESSION = Figures(timeout=10.0)
+SESSION = SessionConfig(session_timeout_s=10.0)
 PATIENCE = 30.0
 CHANGES = 3  # the first one of a fleet is not counted: sessions and tables are still being made
 WAVE_TIMEOUT_MS = 5000.0
@@ -110,7 +110,7 @@
             nursery.start_soon(router.ensemble.run)
             nursery.start_soon(router.keeper.run)
         slowest, most_bytes = 0.0, 0.0
-        async with service_session(servers, Figures(), PATIENCE) as service:
+        async with service_session(servers, SessionConfig(), PATIENCE) as service:
             controller = RolloutController(PATH, service, PATIENCE)
             with trio.fail_after(PATIENCE):
                 while len(controller.reports.by_name) < count:
--- a/stonecove/commands/configuration.py
+++ b/stonecove/commands/configuration.py
@@ -149,10 +149,12 @@
         ServiceError,
         service_session,
     )
-    from stonecove.protocols.zookeeper.session import Figures
+    from stonecove.protocols.zookeeper.session import SessionConfig
 
     async def session() -> tuple[Target | None, dict[str, Any]]:
-        async with service_session(access.servers, Figures(auth=access.auth), access.patience) as service:
+        async with service_session(
+            access.servers, SessionConfig(auth=access.auth), access.patience
+        ) as service:
             controller = RolloutController(access.path, service, access.patience)
             try:
                 await work(controller)
--- a/stonecove/explore/coordination.py
+++ b/stonecove/explore/coordination.py
@@ -1,4 +1,4 @@
-"""The machine of sessions, lists and the merge: the program's own `Session`, `Tree`, `Roster`,
+"""The machine of sessions, lists and the merge: the program's own `Session`, `TreeWatch`, `Roster`,
 `EndpointMerger`, `Registrar`.
 
 Made up are the servers (one that orders and answers, one that may lag), the caches and the change log. What a
@@ -26,8 +26,16 @@
 from stonecove.protocols.zookeeper.jute import Reader
 from stonecove.protocols.zookeeper.messages import Acl, Err, EventType, Op
 from stonecove.protocols.zookeeper.registration import Registrar
-from stonecove.protocols.zookeeper.session import Expired, Figures, Reply, Session, SessionEvent, State, Up
-from stonecove.protocols.zookeeper.tree_watch import Tree
+from stonecove.protocols.zookeeper.session import (
+    Expired,
+    Reply,
+    Session,
+    SessionConfig,
+    SessionEvent,
+    State,
+    Up,
+)
+from stonecove.protocols.zookeeper.tree_watch import TreeWatch
 from stonecove.routing.endpoints import NodeId, NodeState
 from stonecove.standins.zkdata import Leader, Replica, Wanted, ZkError, parent_of, watch_event
 
@@ -281,7 +289,7 @@
         self.servers = Servers()
         self.owners: dict[str, int] = {}  # by cache: its session
         self.next_owner = 1
-        self.session = Session((("s", 0), ("s", 1)), 1, Figures(timeout=10.0, jitter=0.0))
+        self.session = Session((("s", 0), ("s", 1)), 1, SessionConfig(session_timeout_s=10.0, jitter=0.0))
         self.session._servers = [
             ("s", 0),
             ("s", 1),
@@ -293,7 +301,7 @@
         self.number = 0
         self.log_says = True
         self.roster = Roster(NAMES, RULES, self._emit, self._confirm, self._say)
-        self.tree = Tree(CACHES, self._ask, self, bounds.recursive)
+        self.tree = TreeWatch(CACHES, self._ask, self, bounds.recursive)
         self.registrar = Registrar(ROUTERS, ME, b"starting", self._ask, self._session, self._ours, self._say)
         self.own_record = b"starting"
         # For the checks: what the frames that were heard have said.
@@ -310,7 +318,7 @@
     def _ask(self, what: zk.Request, call: Callable[[Reply], None]) -> None:
         self.token += 1
         self.calls[self.token] = call
-        self.session.ask(self.token, what, self.now / 1000)
+        self.session.send_request(self.token, what, self.now / 1000)
 
     def _session(self) -> int:
         return self.session.session
@@ -345,7 +353,7 @@
         """As `TreeSink`."""
         self.roster.remove(names, self.now)
 
-    def whole(self, names: frozenset[str], confirmed: bool) -> None:
+    def list_complete(self, names: frozenset[str], confirmed: bool) -> None:
         """As `TreeSink`; the first list tells all claims."""
         first = not self.roster.snapshot_received
         self.roster.apply_snapshot(names, confirmed, self.now)
@@ -355,7 +363,7 @@
 
     def absent(self, confirmed: bool) -> None:
         """As `TreeSink`."""
-        self.whole(frozenset(), confirmed)
+        self.list_complete(frozenset(), confirmed)
 
     def broken(self, prop: str, why: str) -> None:
         """Notes a violation."""
@@ -475,7 +483,7 @@
 
     def _on_other(self) -> None:
         """The next attempt goes to the other server."""
-        self.session._next += 1
+        self.session._next_server += 1
 
     def _on_serve(self) -> None:
         while self.servers.link is not None and self.servers.link.requests:
@@ -570,7 +578,7 @@
 
     def _on_state(self) -> None:
         self.own_record = b"ready"
-        self.registrar.tell(b"ready")
+        self.registrar.update_record(b"ready")
 
     def _on_wait(self) -> None:
         self.now = max(self.now, self.roster.next_tick_ms())
@@ -810,16 +818,18 @@
             self.session.state.value,
             self.session.session,
             self.session.last_zxid,
-            self.session._next % 2,
+            self.session._next_server % 2,
             self.session._had_session,
             [sorted(kind) for kind in self.session.watches.all_kinds()],
-            [_canon(one.what) for one in self.session._sent],
+            [_canon(one.request) for one in self.session._pending],
             [
                 _canon(getattr(call, "args", ()) or getattr(call, "__name__", ""))
                 for call in self.calls.values()
             ],
-            self._state_of(self.tree, ("_ask", "_sink", "path")),
-            self._state_of(self.registrar, ("_ask", "_session", "_ours", "_say", "_heard")),
+            self._state_of(self.tree, ("_send_request", "_sink", "path")),
+            self._state_of(
+                self.registrar, ("_send_request", "_session_id", "_is_own_record", "_log", "_on_stored")
+            ),
             self._state_of(
                 self.roster,
                 ("_names", "rules", "_emit_claim", "_request_confirmation", "_log_alarm", "_claims"),
--- a/stonecove/fleet/rollout_controller.py
+++ b/stonecove/fleet/rollout_controller.py
@@ -18,8 +18,8 @@
 
 from stonecove.protocols.zookeeper import messages as zk
 from stonecove.protocols.zookeeper.messages import Err, Stat
-from stonecove.protocols.zookeeper.session import Figures, Reply, Server, Up
-from stonecove.protocols.zookeeper.tree_watch import Tree
+from stonecove.protocols.zookeeper.session import Reply, Server, SessionConfig, Up
+from stonecove.protocols.zookeeper.tree_watch import TreeWatch
 from stonecove.rollout.controller import (
     Finished,
     RolloutError,
@@ -76,7 +76,7 @@
 class ServiceSession:
     """One session with the coordination service, with requests that wait for their reply."""
 
-    def __init__(self, servers: tuple[Server, ...], figures: Figures, timeout_s: float) -> None:
+    def __init__(self, servers: tuple[Server, ...], figures: SessionConfig, timeout_s: float) -> None:
         """Create the session; `timeout_s` is the time to wait for a connection, also after a loss."""
         self.ensemble = ZooKeeperClient(servers, secrets.randbits(32), figures, lambda: None)
         self._timeout_s = timeout_s
@@ -124,7 +124,7 @@
 
 @asynccontextmanager
 async def service_session(
-    servers: tuple[Server, ...], figures: Figures, timeout_s: float
+    servers: tuple[Server, ...], figures: SessionConfig, timeout_s: float
 ) -> AsyncIterator[ServiceSession]:
     """Open a session, and close it on exit."""
     session = ServiceSession(servers, figures, timeout_s)
@@ -147,7 +147,7 @@
         self.by_name: dict[str, Report] = {}
         self.changed = trio.Event()
         self._list_read = trio.Event()
-        tree = Tree(routers_path(path), ensemble.request, self, recursive=True)
+        tree = TreeWatch(routers_path(path), ensemble.request, self, recursive=True)
         ensemble.add_listener(tree.feed)
         if ensemble.session.connected:
             tree.feed(Up(ensemble.session.session, False))
@@ -166,14 +166,14 @@
             self.by_name.pop(name, None)
         self.changed.set()
 
-    def whole(self, names: frozenset[str], confirmed: bool) -> None:
+    def list_complete(self, names: frozenset[str], confirmed: bool) -> None:
         """Record that the list of routers was read."""
         self._list_read.set()
         self.changed.set()
 
     def absent(self, confirmed: bool) -> None:
         """Record that the node of the reports does not exist yet."""
-        self.whole(frozenset(), confirmed)
+        self.list_complete(frozenset(), confirmed)
 
     async def wait_until_read(self, timeout_s: float) -> None:
         """Wait until all reports were read once; raises ServiceError after `timeout_s`."""
--- a/stonecove/protocols/zookeeper/__init__.py
+++ b/stonecove/protocols/zookeeper/__init__.py
@@ -1,1 +1,1 @@
-"""ZooKeeper's protocol, sessions and recipes, without I/O."""
+"""ZooKeeper client protocol, sessions, watches and registration, without I/O."""
--- a/stonecove/protocols/zookeeper/messages.py
+++ b/stonecove/protocols/zookeeper/messages.py
@@ -1,8 +1,9 @@
-"""ZooKeeper's client protocol: frames, requests and replies of 3.4 to 3.9. Knows no I/O and no session.
+"""ZooKeeper's client protocol: frames, requests and replies of versions 3.4 to 3.9, without I/O.
 
 Source: Apache ZooKeeper, `zookeeper.jute`, `ZooDefs.OpCode`, `KeeperException.Code` and the programmer's
-guide. A frame is its length as an int and that many bytes. The first frame each way is a ConnectRequest and a
-ConnectResponse without header; then every request starts with (xid, type), every reply with (xid, zxid, err).
+guide. A frame is its length as an int, then that many bytes. The first frame in each direction is a
+ConnectRequest or ConnectResponse without header; every later request starts with (xid, type), every reply
+with (xid, zxid, err).
 """
 
 from __future__ import annotations
@@ -17,7 +18,7 @@
 from stonecove.protocols.zookeeper import jute
 from stonecove.protocols.zookeeper.jute import JuteError, Reader
 
-MOST_FRAME = 1 << 20  # bytes: `jute.maxbuffer` of server and client, as shipped
+MAX_FRAME_BYTES = 1 << 20  # the default of `jute.maxbuffer` in server and client
 XID_EVENT, XID_PING, XID_AUTH, XID_SET_WATCHES = -1, -2, -4, -8
 ANY_VERSION = -1
 _LENGTH = struct.Struct(">i")
@@ -25,11 +26,11 @@
 
 
 class ZooKeeperError(Exception):
-    """A frame that can't be what a server sends; the connection is of no use any more."""
+    """A frame violates the protocol; the connection cannot be used any more."""
 
 
 class Op(IntEnum):
-    """Types of requests."""
+    """Request types."""
 
     EVENT = 0
     CREATE = 1
@@ -61,7 +62,7 @@
 
 
 class Err(IntEnum):
-    """Error codes of a reply. Codes that are not known are read as SYSTEM_ERROR."""
+    """Error codes of a reply; an unknown code is read as SYSTEM_ERROR."""
 
     OK = 0
     SYSTEM_ERROR = -1
@@ -102,7 +103,7 @@
 
 
 class EventType(IntEnum):
-    """What a watch tells."""
+    """Types of watch events."""
 
     NONE = -1
     CREATED = 1
@@ -115,7 +116,7 @@
 
 
 class CreateMode(IntEnum):
-    """Flags of create."""
+    """Modes of create."""
 
     PERSISTENT = 0
     EPHEMERAL = 1
@@ -132,7 +133,7 @@
 
 
 class Stat(NamedTuple):
-    """What a server keeps of a node: transaction ids, Unix milliseconds, versions, the owner's session."""
+    """Metadata of a node: transaction ids, times in Unix milliseconds, versions, the owning session."""
 
     czxid: int = 0
     mzxid: int = 0
@@ -147,24 +148,24 @@
     pzxid: int = 0
 
     def encode(self) -> bytes:
-        """The record."""
+        """Return the encoded record."""
         return _STAT.pack(*self)
 
     @classmethod
     def read(cls, reader: Reader) -> Stat:
-        """From its record."""
+        """Read a stat record; raise JuteError if it is truncated."""
         return cls(*reader.take(_STAT))
 
 
 class Acl(NamedTuple):
-    """An entry of an access list; perms are read 1, write 2, create 4, delete 8, admin 16."""
+    """An access control entry; perms are the bits read 1, write 2, create 4, delete 8, admin 16."""
 
     perms: int
     scheme: str
     ident: str
 
     def encode(self) -> bytes:
-        """The record."""
+        """Return the encoded record."""
         return jute.int_(self.perms) + jute.string(self.scheme) + jute.string(self.ident)
 
 
@@ -177,7 +178,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Create:
-    """create: the reply is the path that was made, with create2 also its stat."""
+    """create: the reply is the path that was created, with create2 also its stat."""
 
     path: str
     data: bytes = b""
@@ -187,11 +188,11 @@
 
     @property
     def op(self) -> Op:
-        """create or create2."""
+        """The request type, create2 if the stat is requested."""
         return Op.CREATE2 if self.with_stat else Op.CREATE
 
     def encode(self) -> bytes:
-        """The record without header."""
+        """Return the encoded record, without header."""
         return (
             jute.string(self.path)
             + jute.buffer(self.data)
@@ -202,59 +203,59 @@
 
 @dataclass(frozen=True, slots=True)
 class Delete:
-    """delete, if the version is that of the node; the reply is empty."""
+    """delete, if the version matches that of the node; the reply is empty."""
 
     path: str
     version: int = ANY_VERSION
     op = Op.DELETE
 
     def encode(self) -> bytes:
-        """The record without header."""
+        """Return the encoded record, without header."""
         return jute.string(self.path) + jute.int_(self.version)
 
 
 @dataclass(frozen=True, slots=True)
 class Exists:
-    """exists: the reply is the stat. A watch is left also where there is no node."""
+    """exists: the reply is the stat. The watch is set even if the node does not exist."""
 
     path: str
     watch: bool = False
     op = Op.EXISTS
 
     def encode(self) -> bytes:
-        """The record without header."""
+        """Return the encoded record, without header."""
         return jute.string(self.path) + jute.boolean(self.watch)
 
 
 @dataclass(frozen=True, slots=True)
 class GetData:
-    """getData: the reply is data and stat."""
+    """getData: the reply is the data and the stat."""
 
     path: str
     watch: bool = False
     op = Op.GET_DATA
 
     def encode(self) -> bytes:
-        """The record without header."""
+        """Return the encoded record, without header."""
         return jute.string(self.path) + jute.boolean(self.watch)
 
 
 @dataclass(frozen=True, slots=True)
 class GetChildren2:
-    """getChildren2: the reply is the names below the node, in no order, and its stat."""
+    """getChildren2: the reply is the unordered names of the children and the stat of the node."""
 
     path: str
     watch: bool = False
     op = Op.GET_CHILDREN2
 
     def encode(self) -> bytes:
-        """The record without header."""
+        """Return the encoded record, without header."""
         return jute.string(self.path) + jute.boolean(self.watch)
 
 
 @dataclass(frozen=True, slots=True)
 class SetData:
-    """setData, if the version is that of the node; the reply is the stat."""
+    """setData, if the version matches that of the node; the reply is the stat."""
 
     path: str
     data: bytes
@@ -262,64 +263,64 @@
     op = Op.SET_DATA
 
     def encode(self) -> bytes:
-        """The record without header."""
+        """Return the encoded record, without header."""
         return jute.string(self.path) + jute.buffer(self.data) + jute.int_(self.version)
 
 
 @dataclass(frozen=True, slots=True)
 class Sync:
-    """sync: what is read after its reply is at least as new as the leader was when it came there."""
+    """sync: reads after its reply are at least as recent as the leader was when it received the sync."""
 
     path: str
     op = Op.SYNC
 
     def encode(self) -> bytes:
-        """The record without header."""
+        """Return the encoded record, without header."""
         return jute.string(self.path)
 
 
 @dataclass(frozen=True, slots=True)
 class Check:
-    """check of a version, within multi."""
+    """check: verify the version of a node, as part of a multi."""
 
     path: str
     version: int
     op = Op.CHECK
 
     def encode(self) -> bytes:
-        """The record without header."""
+        """Return the encoded record, without header."""
         return jute.string(self.path) + jute.int_(self.version)
 
 
 @dataclass(frozen=True, slots=True)
 class AddWatch:
-    """addWatch: a watch that stays until it is removed."""
+    """addWatch: set a watch that remains until it is removed."""
 
     path: str
     mode: AddWatchMode = AddWatchMode.PERSISTENT_RECURSIVE
     op = Op.ADD_WATCH
 
     def encode(self) -> bytes:
-        """The record without header."""
+        """Return the encoded record, without header."""
         return jute.string(self.path) + jute.int_(self.mode)
 
 
 @dataclass(frozen=True, slots=True)
 class CloseSession:
-    """closeSession: the session and its ephemeral nodes end at once."""
+    """closeSession: end the session and remove its ephemeral nodes at once."""
 
     op = Op.CLOSE_SESSION
 
     def encode(self) -> bytes:
-        """The record without header: nothing."""
+        """Return the empty record."""
         return b""
 
 
 @dataclass(frozen=True, slots=True)
 class SetWatches:
-    """setWatches, or setWatches2 where there are persistent ones: sets watches again on another server.
+    """setWatches, or setWatches2 if there are persistent watches: set watches again on another connection.
 
-    What changed after `zxid` is told at once. Sent under the xid -8; the reply is empty.
+    Changes after `zxid` are reported at once. It is sent with the xid -8; the reply is empty.
     """
 
     zxid: int
@@ -331,11 +332,11 @@
 
     @property
     def op(self) -> Op:
-        """The newer form is used only where it says more: servers before 3.6 do not know it."""
+        """The type; setWatches2 only with persistent watches, as servers before 3.6 do not support it."""
         return Op.SET_WATCHES2 if self.persistent or self.recursive else Op.SET_WATCHES
 
     def encode(self) -> bytes:
-        """The record without header."""
+        """Return the encoded record, without header."""
         parts = [self.data, self.exist, self.child]
         if self.op is Op.SET_WATCHES2:
             parts += [self.persistent, self.recursive]
@@ -347,14 +348,17 @@
 
 @dataclass(frozen=True, slots=True)
 class Multi:
-    """multi: all of it is done or nothing; the reply is a result for each operation."""
+    """multi: apply all operations or none; the reply has a result for each operation."""
 
     ops: tuple[Single, ...]
     op = Op.MULTI
 
     def encode(self) -> bytes:
-        """The record without header."""
-        parts = [jute.int_(one.op) + jute.boolean(False) + jute.int_(-1) + one.encode() for one in self.ops]
+        """Return the encoded record, without header."""
+        parts = [
+            jute.int_(operation.op) + jute.boolean(False) + jute.int_(-1) + operation.encode()
+            for operation in self.ops
+        ]
         return b"".join(parts) + jute.int_(-1) + jute.boolean(True) + jute.int_(-1)
 
 
@@ -375,16 +379,16 @@
 
 
 def frame(payload: bytes) -> bytes:
-    """A frame; raises ValueError if a server would refuse it for its size."""
-    if len(payload) > MOST_FRAME:
-        raise ValueError(f"a request of {len(payload)} bytes, {MOST_FRAME} at most")
+    """Return a frame with `payload`; raise ValueError if it exceeds the size that a server accepts."""
+    if len(payload) > MAX_FRAME_BYTES:
+        raise ValueError(f"a request of {len(payload)} bytes, {MAX_FRAME_BYTES} at most")
     return _LENGTH.pack(len(payload)) + payload
 
 
 def connect_request(
     last_zxid: int, timeout: int, session: int, password: bytes, read_only: bool = False
 ) -> bytes:
-    """The first frame of a connection; the time-out is in milliseconds, session 0 asks for a new one."""
+    """Return the first frame of a connection; `timeout` is in milliseconds, session 0 requests a new one."""
     return frame(
         jute.int_(0)
         + jute.long(last_zxid)
@@ -395,18 +399,18 @@
     )
 
 
-def request(xid: int, what: Request) -> bytes:
-    """A request with its header."""
-    return frame(jute.int_(xid) + jute.int_(what.op) + what.encode())
+def request(xid: int, operation: Request) -> bytes:
+    """Return the frame of a request with its header."""
+    return frame(jute.int_(xid) + jute.int_(operation.op) + operation.encode())
 
 
 def ping() -> bytes:
-    """A sign of life; the server answers with one."""
+    """Return the frame of a ping, which the server answers with one."""
     return frame(jute.int_(XID_PING) + jute.int_(Op.PING))
 
 
 def auth(scheme: str, credentials: bytes) -> bytes:
-    """Tells who we are; the reply comes under the xid -4."""
+    """Return the frame that presents credentials; its reply has the xid -4."""
     return frame(
         jute.int_(XID_AUTH)
         + jute.int_(Op.AUTH)
@@ -420,7 +424,7 @@
 
 
 class Connected(NamedTuple):
-    """A ConnectResponse; a time-out of 0 or less says that the session has expired."""
+    """A ConnectResponse; the timeout is in milliseconds, 0 or less means that the session has expired."""
 
     timeout: int
     session: int
@@ -429,7 +433,7 @@
 
 
 class ReplyHeader(NamedTuple):
-    """What every reply begins with; zxid is the server's newest transaction, or not positive."""
+    """Header of every reply; zxid is the newest transaction of the server, or not positive."""
 
     xid: int
     zxid: int
@@ -437,7 +441,7 @@
 
 
 class WatchEvent(NamedTuple):
-    """A change that was watched for; state 3 means connected."""
+    """A watch event; state 3 means connected."""
 
     kind: EventType
     state: int
@@ -466,7 +470,7 @@
 
 
 class Failed(NamedTuple):
-    """An operation of a multi that was not done."""
+    """Result of an operation of a multi that was not applied."""
 
     error: Err
 
@@ -475,11 +479,11 @@
 
 
 def frames(buffer: Buffer) -> Iterator[bytes]:
-    """All frames that are whole."""
+    """Yield the payloads of all complete frames; raise ZooKeeperError for an invalid length."""
     while len(buffer) >= _LENGTH.size:
         (length,) = buffer.unpack(_LENGTH)
-        if not 0 <= length <= MOST_FRAME:
-            raise ZooKeeperError(f"a frame of {length} bytes, {MOST_FRAME} at most")
+        if not 0 <= length <= MAX_FRAME_BYTES:
+            raise ZooKeeperError(f"frame of {length} bytes, {MAX_FRAME_BYTES} at most")
         if len(buffer) < length + _LENGTH.size:
             return
         buffer.skip(_LENGTH.size)
@@ -487,91 +491,91 @@
 
 
 def read_connected(payload: bytes) -> Connected:
-    """The first frame from a server; raises ZooKeeperError."""
+    """Read the first frame of a server; raise ZooKeeperError if it is malformed."""
     reader = Reader(payload)
     try:
         reader.int_()
         timeout, session, password = reader.int_(), reader.long(), reader.buffer() or b""
-        return Connected(timeout, session, password, reader.boolean() if reader.left else False)
+        return Connected(timeout, session, password, reader.boolean() if reader.remaining else False)
     except JuteError as error:
-        raise ZooKeeperError(f"no ConnectResponse: {error}") from error
+        raise ZooKeeperError(f"malformed ConnectResponse: {error}") from error
 
 
 def read_header(payload: bytes) -> tuple[ReplyHeader, Reader]:
-    """The header of a reply, and what follows it; raises ZooKeeperError."""
+    """Return the header of a reply and a reader of its body; raise ZooKeeperError if it is malformed."""
     reader = Reader(payload)
     try:
         return ReplyHeader(reader.int_(), reader.long(), Err(reader.int_())), reader
     except JuteError as error:
-        raise ZooKeeperError(f"no reply header: {error}") from error
+        raise ZooKeeperError(f"malformed reply header: {error}") from error
 
 
 def read_event(reader: Reader) -> WatchEvent:
-    """What follows the header of a watch's event; raises ZooKeeperError."""
+    """Read the body of a watch event; raise ZooKeeperError if it is malformed."""
     try:
         kind, state, path = reader.int_(), reader.int_(), reader.string()
         return WatchEvent(EventType(kind), state, path)
     except (JuteError, ValueError) as error:
-        raise ZooKeeperError(f"no watch event: {error}") from error
+        raise ZooKeeperError(f"malformed watch event: {error}") from error
 
 
-def _data(reader: Reader) -> Result:
+def _read_data(reader: Reader) -> Result:
     data = reader.buffer() or b""
     return Data(data, Stat.read(reader))
 
 
-def _children(reader: Reader) -> Result:
+def _read_children(reader: Reader) -> Result:
     names = tuple(reader.strings())
     return Children(names, Stat.read(reader))
 
 
-def _created(reader: Reader) -> Result:
+def _read_created(reader: Reader) -> Result:
     return Created(reader.string(), None)
 
 
-def _created2(reader: Reader) -> Result:
+def _read_created2(reader: Reader) -> Result:
     return Created(reader.string(), Stat.read(reader))
 
 
-def _multi(reader: Reader) -> Result:
-    found: list[Result] = []
+def _read_multi(reader: Reader) -> Result:
+    results: list[Result] = []
     while True:
         op, done, _ = reader.int_(), reader.boolean(), reader.int_()
         if done:
-            return tuple(found)
+            return tuple(results)
         if op == Op.ERROR:
-            found.append(Failed(Err(reader.int_())))
+            results.append(Failed(Err(reader.int_())))
         elif op in (Op.CREATE, Op.CREATE2, Op.SET_DATA, Op.DELETE, Op.CHECK):
-            found.append(_RESULTS[Op(op)](reader))
+            results.append(_RESULT_READERS[Op(op)](reader))
         else:
-            raise JuteError(f"a result of type {op} in a multi")
+            raise JuteError(f"unexpected result of type {op} in a multi")
 
 
-def _nothing(reader: Reader) -> Result:
+def _read_empty(reader: Reader) -> Result:
     return None
 
 
-_RESULTS: dict[Op, Callable[[Reader], Result]] = {
-    Op.CREATE: _created,
-    Op.CREATE2: _created2,
-    Op.DELETE: _nothing,
+_RESULT_READERS: dict[Op, Callable[[Reader], Result]] = {
+    Op.CREATE: _read_created,
+    Op.CREATE2: _read_created2,
+    Op.DELETE: _read_empty,
     Op.EXISTS: Stat.read,
-    Op.GET_DATA: _data,
+    Op.GET_DATA: _read_data,
     Op.SET_DATA: Stat.read,
-    Op.SYNC: _nothing,
-    Op.GET_CHILDREN2: _children,
-    Op.CHECK: _nothing,
-    Op.MULTI: _multi,
-    Op.ADD_WATCH: _nothing,
-    Op.CLOSE_SESSION: _nothing,
-    Op.SET_WATCHES: _nothing,
-    Op.SET_WATCHES2: _nothing,
+    Op.SYNC: _read_empty,
+    Op.GET_CHILDREN2: _read_children,
+    Op.CHECK: _read_empty,
+    Op.MULTI: _read_multi,
+    Op.ADD_WATCH: _read_empty,
+    Op.CLOSE_SESSION: _read_empty,
+    Op.SET_WATCHES: _read_empty,
+    Op.SET_WATCHES2: _read_empty,
 }
 
 
 def read_result(op: Op, reader: Reader) -> Result:
-    """What follows the header of a good reply to a request of that type; raises ZooKeeperError."""
+    """Read the body of a successful reply to an `op` request; raise ZooKeeperError if it is malformed."""
     try:
-        return _RESULTS[op](reader)
+        return _RESULT_READERS[op](reader)
     except JuteError as error:
-        raise ZooKeeperError(f"no reply to {op.name}: {error}") from error
+        raise ZooKeeperError(f"malformed reply to {op.name}: {error}") from error
--- a/stonecove/protocols/zookeeper/registration.py
+++ b/stonecove/protocols/zookeeper/registration.py
@@ -1,4 +1,4 @@
-"""Keeps the router's own ephemeral node: made in each session, with the newest record. Knows no I/O."""
+"""Maintains the router's ephemeral node: creates it in each session, with the latest record. Does no I/O."""
 
 from __future__ import annotations
 
@@ -8,16 +8,16 @@
 from stonecove.protocols.zookeeper import messages as zk
 from stonecove.protocols.zookeeper.messages import Err
 from stonecove.protocols.zookeeper.session import Down, Expired, Reply, SessionEvent, Up
-from stonecove.protocols.zookeeper.tree_watch import Ask
+from stonecove.protocols.zookeeper.tree_watch import SendRequest
 from stonecove.runtime.log_events import LogEvent
 
 
 class Registrar:
-    """One node below a path that may have to be made first.
+    """Registers one ephemeral node below a path, which is created if it does not exist.
 
-    A node of our name that another session owns is that of our process before its restart, if its record
-    says so (`ours`): it is deleted. Else the name is taken, and `say` tells so; the owner calls `again`
-    after a while.
+    A node of the same name that another session owns belongs to this process before its restart if
+    `is_own_record` accepts its record: it is deleted. Otherwise the name is taken, which is logged by `log`;
+    the owner calls `retry_name` after a delay.
     """
 
     def __init__(
@@ -25,142 +25,141 @@
         path: str,
         name: str,
         record: bytes,
-        ask: Ask,
-        session: Callable[[], int],
-        ours: Callable[[bytes], bool],
-        say: Callable[..., None],
+        send_request: SendRequest,
+        session_id: Callable[[], int],
+        is_own_record: Callable[[bytes], bool],
+        log: Callable[..., None],
     ) -> None:
         self._path = path.rstrip("/")
         self._node = f"{self._path}/{name}"
         self._record = record
-        self._ask = ask
-        self._session = session
-        self._ours = ours
-        self._say = say
-        self._up = False
-        self._busy = False  # a request of ours is out
-        self._told: bytes | None = (
-            None  # the record that the node is known to hold; None: there is none of ours
-        )
-        self.taken = False  # the name is somebody else's
+        self._send_request = send_request
+        self._session_id = session_id
+        self._is_own_record = is_own_record
+        self._log = log
+        self._connected = False
+        self._in_flight = False  # a request is in flight
+        # Record that the node is known to hold; None if this session has no node.
+        self._stored: bytes | None = None
+        self.name_taken = False  # another process owns the name, or a write was rejected
         self._retired = False
-        self._heard: list[Callable[[], None]] = []
+        self._on_stored: list[Callable[[], None]] = []
 
     def feed(self, event: SessionEvent) -> None:
-        """One event of the session."""
+        """Process an event of the session."""
         if isinstance(event, Up):
-            self._up = True
+            self._connected = True
             if not event.resumed:
-                self._told, self._busy = None, False
-            self._go_on()
+                self._stored, self._in_flight = None, False
+            self._advance()
         elif isinstance(event, (Down, Expired)):
-            self._up = False
+            self._connected = False
 
-    def tell(self, record: bytes, heard: Callable[[], None] | None = None) -> None:
-        """Another record; `heard` is called once the node holds it, or at once if it does."""
+    def update_record(self, record: bytes, on_stored: Callable[[], None] | None = None) -> None:
+        """Set the record; call `on_stored` once the node holds it, at once if it already does."""
         self._record = record
-        if heard is not None:
-            self._heard.append(heard)
-        self._go_on()
+        if on_stored is not None:
+            self._on_stored.append(on_stored)
+        self._advance()
 
-    def vanished(self) -> None:
-        """Our node is gone, though nobody but its session should end it: it is made again."""
-        if not self._busy:
-            self._told = None
-            self._go_on()
+    def recreate_node(self) -> None:
+        """Create the node again after somebody other than its session has deleted it."""
+        if not self._in_flight:
+            self._stored = None
+            self._advance()
 
     def retire(self) -> None:
-        """Another session keeps our node from now on: this one leaves it alone, and ends it with itself."""
+        """Stop maintaining the node, which another session now does; a node of this session ends with it."""
         self._retired = True
 
-    def again(self) -> None:
-        """Another try for a name that was taken."""
-        self.taken = False
-        self._go_on()
+    def retry_name(self) -> None:
+        """Try again to register a name that was taken."""
+        self.name_taken = False
+        self._advance()
 
     @property
-    def settled(self) -> bool:
-        """Whether the node holds the newest record."""
-        return self._told == self._record
+    def is_current(self) -> bool:
+        """Whether the node holds the latest record."""
+        return self._stored == self._record
 
-    def _go_on(self) -> None:
-        if not self._up or self._busy or self.taken or self._retired:
+    def _advance(self) -> None:
+        if not self._connected or self._in_flight or self.name_taken or self._retired:
             return
-        if self._told == self._record:
-            heard, self._heard = self._heard, []
-            for call in heard:
-                call()
+        if self._stored == self._record:
+            callbacks, self._on_stored = self._on_stored, []
+            for callback in callbacks:
+                callback()
             return
-        self._busy = True
+        self._in_flight = True
         record = self._record
-        if self._told is None:
-            self._ask(
+        if self._stored is None:
+            self._send_request(
                 zk.Create(self._node, record, mode=zk.CreateMode.EPHEMERAL),
-                partial(self._created, record),
+                partial(self._handle_create, record),
             )
         else:
-            self._ask(zk.SetData(self._node, record), partial(self._set, record))
+            self._send_request(zk.SetData(self._node, record), partial(self._handle_set_data, record))
 
-    def _created(self, record: bytes, reply: Reply) -> None:
-        self._busy = False
+    def _handle_create(self, record: bytes, reply: Reply) -> None:
+        self._in_flight = False
         if reply.error is Err.OK:
-            self._told = record
-            self._go_on()
+            self._stored = record
+            self._advance()
         elif reply.error is Err.NO_NODE:
-            self._busy = True
-            self._make_parents(self._path)
+            self._in_flight = True
+            self._create_parents(self._path)
         elif reply.error is Err.NODE_EXISTS:
-            self._busy = True
-            self._ask(zk.GetData(self._node), self._looked)
+            self._in_flight = True
+            self._send_request(zk.GetData(self._node), self._handle_get_data)
         elif reply.error is not Err.CONNECTION_LOSS:
-            self._say(LogEvent.PRESENCE_WRITE_REJECTED, node=self._node, reason=reply.error.name)
-            self.taken = True
+            self._log(LogEvent.PRESENCE_WRITE_REJECTED, node=self._node, reason=reply.error.name)
+            self.name_taken = True
 
-    def _make_parents(self, path: str) -> None:
-        """From the deepest upwards until one can be made, then down again."""
-        self._ask(zk.Create(path), partial(self._made, path))
+    def _create_parents(self, path: str) -> None:
+        """Create the parents: upwards from the deepest until one can be created, then down again."""
+        self._send_request(zk.Create(path), partial(self._handle_create_parent, path))
 
-    def _made(self, path: str, reply: Reply) -> None:
-        above = path.rpartition("/")[0]
-        if reply.error is Err.NO_NODE and above:
-            self._make_parents(above)
+    def _handle_create_parent(self, path: str, reply: Reply) -> None:
+        parent = path.rpartition("/")[0]
+        if reply.error is Err.NO_NODE and parent:
+            self._create_parents(parent)
             return
-        self._busy = False
+        self._in_flight = False
         if reply.error in (Err.OK, Err.NODE_EXISTS):
-            self._go_on()
+            self._advance()
         elif reply.error is not Err.CONNECTION_LOSS:
-            self._say(LogEvent.PRESENCE_WRITE_REJECTED, node=path, reason=reply.error.name)
-            self.taken = True
+            self._log(LogEvent.PRESENCE_WRITE_REJECTED, node=path, reason=reply.error.name)
+            self.name_taken = True
 
-    def _looked(self, reply: Reply) -> None:
-        self._busy = False
+    def _handle_get_data(self, reply: Reply) -> None:
+        self._in_flight = False
         if not isinstance(reply.result, zk.Data):
             if reply.error is not Err.CONNECTION_LOSS:
-                self._go_on()
+                self._advance()
             return
         data, stat = reply.result
-        if stat.ephemeral_owner == self._session():
-            self._told = data  # our own create, whose reply was lost
-            self._go_on()
-        elif self._ours(data):
-            self._busy = True
-            self._ask(zk.Delete(self._node, stat.version), self._cleared)
+        if stat.ephemeral_owner == self._session_id():
+            self._stored = data  # created by this session; the reply was lost
+            self._advance()
+        elif self._is_own_record(data):
+            self._in_flight = True
+            self._send_request(zk.Delete(self._node, stat.version), self._handle_delete)
         else:
-            self._say(LogEvent.PRESENCE_NAME_CONFLICT, node=self._node, owner=f"{stat.ephemeral_owner:#x}")
-            self.taken = True
+            self._log(LogEvent.PRESENCE_NAME_CONFLICT, node=self._node, owner=f"{stat.ephemeral_owner:#x}")
+            self.name_taken = True
 
-    def _cleared(self, reply: Reply) -> None:
-        self._busy = False
+    def _handle_delete(self, reply: Reply) -> None:
+        self._in_flight = False
         if reply.error is not Err.CONNECTION_LOSS:
-            self._go_on()
+            self._advance()
 
-    def _set(self, record: bytes, reply: Reply) -> None:
-        self._busy = False
+    def _handle_set_data(self, record: bytes, reply: Reply) -> None:
+        self._in_flight = False
         if reply.error is Err.OK:
-            self._told = record
+            self._stored = record
         elif reply.error is Err.NO_NODE:
-            self._told = None
+            self._stored = None
         elif reply.error is not Err.CONNECTION_LOSS:
-            self._say(LogEvent.PRESENCE_WRITE_REJECTED, node=self._node, reason=reply.error.name)
+            self._log(LogEvent.PRESENCE_WRITE_REJECTED, node=self._node, reason=reply.error.name)
             return
-        self._go_on()
+        self._advance()
--- a/stonecove/protocols/zookeeper/tree_watch.py
+++ b/stonecove/protocols/zookeeper/tree_watch.py
@@ -1,8 +1,8 @@
-"""Follows the nodes below one path of ZooKeeper, with their data; loses no change. Knows no I/O.
+"""Follows the children of one ZooKeeper path and their data without missing a change. Does no I/O.
 
-A one-time watch is set again by the very read that fetches what has changed, so nothing can slip between.
-With `recursive`, one persistent recursive watch (3.6 and later) stands for all of them; a server that does
-not know it is asked in the plain way. Reads that were lost with a connection are asked again on the next one.
+The read that fetches a change also sets the one-time watch again, so no change falls between the two. With
+`recursive`, one persistent recursive watch (3.6 and later) replaces all one-time watches; if the server does
+not support it, one-time watches are used. Reads lost with a connection are repeated on the next one.
 """
 
 from __future__ import annotations
@@ -16,219 +16,228 @@
 from stonecove.protocols.zookeeper.messages import Err, EventType, Stat
 from stonecove.protocols.zookeeper.session import Expired, Reply, SessionEvent, Up, Watched
 
-MOST_READS = 256  # that are out at a time: a long list must not fill the server's queue for us
+MAX_READS_IN_FLIGHT = 256  # so that a long list does not fill the server's queue for this session
 
-Ask = Callable[[zk.Request, Callable[[Reply], None]], None]
+SendRequest = Callable[[zk.Request, Callable[[Reply], None]], None]
 
 
 class TreeSink(Protocol):
-    """Who takes in what is below the path."""
+    """Receives the children of the path and their changes."""
 
     def put(self, name: str, data: bytes, stat: Stat) -> None:
-        """A node is there, or its data has changed. One that was deleted and made again is removed first."""
+        """Add a node or update its data; a recreated node is removed first."""
 
     def removed(self, names: Iterable[str]) -> None:
-        """Nodes are gone, all told at once."""
+        """Remove nodes, all of one change in one call."""
 
-    def whole(self, names: frozenset[str], confirmed: bool) -> None:
-        """The list was read, and the data of all in it; `confirmed`: after a sync that was asked for."""
+    def list_complete(self, names: frozenset[str], confirmed: bool) -> None:
+        """Accept the complete list, all data read; `confirmed` if it was read after a requested sync."""
 
     def absent(self, confirmed: bool) -> None:
-        """The path itself does not exist."""
+        """Note that the path itself does not exist; `confirmed` as in `list_complete`."""
 
 
-class Tree:
-    """Keeps one path in step with the servers, over reconnects and sessions."""
+class TreeWatch:
+    """Keeps a sink synchronised with the children of one path, across reconnects and sessions."""
 
-    def __init__(self, path: str, ask: Ask, sink: TreeSink, recursive: bool = False) -> None:
+    def __init__(self, path: str, send_request: SendRequest, sink: TreeSink, recursive: bool = False) -> None:
         self.path = path.rstrip("/")
-        self._ask = ask
+        self._send_request = send_request
         self._sink = sink
         self._recursive = recursive
-        self._up = False
-        self._known: dict[str, int] = {}  # by name: the transaction that made the node whose data was told
+        self._connected = False
+        self._czxids: dict[str, int] = {}  # by name: czxid of the node whose data the sink has
         self._listed: set[str] | None = None
-        self._watched_once = False  # the watch of the whole is set, in this session
-        self._list_out = False
-        self._list_again = False
-        self._confirming = False  # a sync was asked for
-        self._confirmed = False  # the next list that is asked for comes after a sync
-        self._list_confirmed = False  # so does the one whose data is being read
-        self._waiting: deque[str] = deque()  # names to be read
-        self._wanted: set[str] = set()  # those of them that are not out yet
-        self._out: set[str] = set()
-        self._complete = False  # `whole` was told of the present list
+        self._path_watched = False  # the path itself is watched, in this session
+        self._list_in_flight = False
+        self._list_stale = False
+        self._confirming = False  # a sync is in flight
+        self._confirmed = False  # the next list request follows a completed sync
+        self._list_confirmed = False  # the list whose data is being read followed a sync
+        self._read_queue: deque[str] = deque()  # queue of names to read
+        self._unsent_reads: set[str] = set()  # names in the queue whose read has not been sent
+        self._reads_in_flight: set[str] = set()
+        self._list_complete = False  # the sink has received the current list by `list_complete`
 
     def feed(self, event: SessionEvent) -> None:
-        """One event of the session; replies come by their own calls."""
+        """Process an event of the session; replies arrive by the callbacks of their requests."""
         if isinstance(event, Up):
-            self._up = True
-            if not event.resumed or not self._watched_once:
-                self._begin()
+            self._connected = True
+            if not event.resumed or not self._path_watched:
+                self._start_session()
             else:
-                self._go_on()
+                self._resume_session()
         elif isinstance(event, Expired):
-            self._listed, self._complete, self._watched_once = None, False, False
+            self._listed, self._list_complete, self._path_watched = None, False, False
         elif isinstance(event, Watched):
-            self._watched(event.event)
+            self._handle_watch_event(event.event)
         elif not isinstance(event, Reply):
-            self._up = False
+            self._connected = False
 
     def confirm(self) -> None:
-        """Has the list read anew after a sync; `whole` or `absent` will say that it is confirmed."""
-        if self._up and not self._confirming:
+        """Read the list again after a sync; `list_complete` or `absent` then reports it as confirmed."""
+        if self._connected and not self._confirming:
             self._confirming = True
-            self._ask(zk.Sync(self.path), self._synced)
+            self._send_request(zk.Sync(self.path), self._handle_sync)
 
     # -- reads --
 
-    def _begin(self) -> None:
-        """A new session: all watches are to be set."""
-        self._list_out = self._list_again = self._confirming = False
+    def _start_session(self) -> None:
+        """Set all watches in a new session."""
+        self._list_in_flight = self._list_stale = self._confirming = False
         self._confirmed = self._list_confirmed = False
-        self._waiting.clear()
-        self._wanted.clear()
-        self._out.clear()
-        self._complete = False
-        for name in self._known:  # their watches are gone with the session: each is read again
-            self._want(name)
-        self._watched_once = not self._recursive
+        self._read_queue.clear()
+        self._unsent_reads.clear()
+        self._reads_in_flight.clear()
+        self._list_complete = False
+        for name in self._czxids:  # their watches ended with the session: read each again
+            self._queue_read(name)
+        self._path_watched = not self._recursive
         if self._recursive:
-            self._ask(zk.AddWatch(self.path), self._watching)
+            self._send_request(zk.AddWatch(self.path), self._handle_add_watch)
         else:
-            self._list()
+            self._request_list()
 
-    def _go_on(self) -> None:
-        """The same session on a new connection: what was lost is asked again.
+    def _resume_session(self) -> None:
+        """Repeat lost reads in the same session on a new connection.
 
-        The list is read in any case: its reply comes after all that the watches have to tell, so with `whole`
-        the news is as new as the connection. A persistent watch is set again without a word of what was
-        missed: then all data is read anew.
+        The list is always read: its reply follows all pending watch events, so that after `list_complete` the
+        sink is as recent as the connection. Setting a persistent watch again does not report missed changes,
+        so in recursive mode all data is read again.
         """
-        self._complete = False
+        self._list_complete = False
         if self._recursive:
-            for name in self._known:
-                self._want(name)
-        self._list()
-        self._read_some()
+            for name in self._czxids:
+                self._queue_read(name)
+        self._request_list()
+        self._send_reads()
 
-    def _watching(self, reply: Reply) -> None:
+    def _handle_add_watch(self, reply: Reply) -> None:
         if reply.error is Err.CONNECTION_LOSS:
             return
         if reply.error is not Err.OK:
             self._recursive = False
-        self._watched_once = True
-        self._list()
+        self._path_watched = True
+        self._request_list()
 
-    def _list(self) -> None:
-        if self._list_out:
-            self._list_again = True
+    def _request_list(self) -> None:
+        if self._list_in_flight:
+            self._list_stale = True
             return
-        self._list_out, self._list_again = True, False
+        self._list_in_flight, self._list_stale = True, False
         confirmed, self._confirmed = self._confirmed, False
-        self._ask(zk.GetChildren2(self.path, watch=not self._recursive), partial(self._list_came, confirmed))
+        self._send_request(
+            zk.GetChildren2(self.path, watch=not self._recursive), partial(self._handle_list, confirmed)
+        )
 
-    def _synced(self, reply: Reply) -> None:
+    def _handle_sync(self, reply: Reply) -> None:
         self._confirming = False
         if reply.error is Err.OK or reply.error is Err.NO_NODE:
             self._confirmed = True
-            self._list()
+            self._request_list()
 
-    def _list_came(self, confirmed: bool, reply: Reply) -> None:
-        """`confirmed`: it was asked for after the reply to a sync."""
-        self._list_out = False
+    def _handle_list(self, confirmed: bool, reply: Reply) -> None:
+        """Process the list; `confirmed` if it was requested after the reply to a sync."""
+        self._list_in_flight = False
         if reply.error is Err.CONNECTION_LOSS:
-            self._list_again = True
+            self._list_stale = True
             return
         if not isinstance(reply.result, zk.Children):
-            self._listed, self._complete = set(), True
-            self._forget(self._known)
+            self._listed, self._list_complete = set(), True
+            self._remove(self._czxids)
             self._sink.absent(confirmed)
-            self._ask(zk.Exists(self.path, watch=True), self._exists)
+            self._send_request(zk.Exists(self.path, watch=True), self._handle_exists)
             return
-        self._listed, self._complete = set(reply.result.names), False
-        self._forget(name for name in self._known if name not in self._listed)
+        self._listed, self._list_complete = set(reply.result.names), False
+        self._remove(name for name in self._czxids if name not in self._listed)
         for name in reply.result.names:
-            if name not in self._known:
-                self._want(name)
-        self._list_confirmed |= confirmed  # one that came before, and waits for its data, is no older
-        self._read_some()
-        if self._list_again:
-            self._list()
-
-    def _exists(self, reply: Reply) -> None:
+            if name not in self._czxids:
+                self._queue_read(name)
+        # A confirmed list that still awaits its data was read earlier: this one is no older.
+        self._list_confirmed |= confirmed
+        self._send_reads()
+        if self._list_stale:
+            self._request_list()
+
+    def _handle_exists(self, reply: Reply) -> None:
         if reply.error is Err.OK:
-            self._list()
+            self._request_list()
         elif reply.error is Err.CONNECTION_LOSS:
-            self._complete = False
-
-    def _want(self, name: str) -> None:
-        """Has a node read. If that is out already, its reply is newer than any word that came before it."""
-        if name not in self._out and name not in self._wanted:
-            self._wanted.add(name)
-            self._waiting.append(name)
-
-    def _read_some(self) -> None:
-        while self._up and self._waiting and len(self._out) < MOST_READS:
-            name = self._waiting.popleft()
-            if name in self._wanted:
-                self._wanted.discard(name)
-                self._out.add(name)
-                self._ask(
-                    zk.GetData(f"{self.path}/{name}", watch=not self._recursive), partial(self._came, name)
+            self._list_complete = False
+
+    def _queue_read(self, name: str) -> None:
+        """Queue a read of a node; a read in flight suffices, as its reply is newer than any earlier event."""
+        if name not in self._reads_in_flight and name not in self._unsent_reads:
+            self._unsent_reads.add(name)
+            self._read_queue.append(name)
+
+    def _send_reads(self) -> None:
+        while self._connected and self._read_queue and len(self._reads_in_flight) < MAX_READS_IN_FLIGHT:
+            name = self._read_queue.popleft()
+            if name in self._unsent_reads:
+                self._unsent_reads.discard(name)
+                self._reads_in_flight.add(name)
+                self._send_request(
+                    zk.GetData(f"{self.path}/{name}", watch=not self._recursive),
+                    partial(self._handle_data, name),
                 )
-        if self._listed is not None and not self._complete and not self._out and not self._waiting:
-            self._complete = True
+        if (
+            self._listed is not None
+            and not self._list_complete
+            and not self._reads_in_flight
+            and not self._read_queue
+        ):
+            self._list_complete = True
             confirmed, self._list_confirmed = self._list_confirmed, False
-            self._sink.whole(frozenset(self._listed), confirmed)
+            self._sink.list_complete(frozenset(self._listed), confirmed)
 
-    def _came(self, name: str, reply: Reply) -> None:
-        self._out.discard(name)
+    def _handle_data(self, name: str, reply: Reply) -> None:
+        self._reads_in_flight.discard(name)
         if reply.error is Err.CONNECTION_LOSS:
-            self._want(name)
+            self._queue_read(name)
             return
         if isinstance(reply.result, zk.Data):
             stat = reply.result.stat
-            if self._known.get(name, stat.czxid) != stat.czxid:
-                self._sink.removed((name,))  # it was deleted, and made again, between two reads
-            self._known[name] = stat.czxid
+            if self._czxids.get(name, stat.czxid) != stat.czxid:
+                self._sink.removed((name,))  # deleted and created again between two reads
+            self._czxids[name] = stat.czxid
             self._sink.put(name, reply.result.data, stat)
         elif reply.error is Err.NO_NODE:
-            self._forget((name,))
+            self._remove((name,))
             if self._listed is not None:
                 self._listed.discard(name)
-        self._read_some()
+        self._send_reads()
 
-    def _forget(self, names: Iterable[str]) -> None:
-        gone = []
+    def _remove(self, names: Iterable[str]) -> None:
+        removed = []
         for name in list(names):
-            self._wanted.discard(name)
-            if self._known.pop(name, None) is not None:
-                gone.append(name)
-        if gone:
-            self._sink.removed(gone)
+            self._unsent_reads.discard(name)
+            if self._czxids.pop(name, None) is not None:
+                removed.append(name)
+        if removed:
+            self._sink.removed(removed)
 
     # -- watches --
 
-    def _watched(self, event: zk.WatchEvent) -> None:
+    def _handle_watch_event(self, event: zk.WatchEvent) -> None:
         if event.path == self.path:
             if event.kind is EventType.PERSISTENT_WATCH_REMOVED:
-                self._begin()
+                self._start_session()
             elif not (self._recursive and event.kind is EventType.DATA_CHANGED):
-                self._list()
+                self._request_list()
             return
         parent, _, name = event.path.rpartition("/")
         if parent != self.path:
             return
         if event.kind is EventType.DELETED:
-            self._forget((name,))
+            self._remove((name,))
             if self._listed is not None:
                 self._listed.discard(name)
         elif event.kind in (EventType.CREATED, EventType.DATA_CHANGED):
             if self._listed is not None:
                 self._listed.add(name)
-            self._want(name)
-            self._read_some()
+            self._queue_read(name)
+            self._send_reads()
         elif event.kind is EventType.DATA_WATCH_REMOVED:
-            self._want(name)
-            self._read_some()
+            self._queue_read(name)
+            self._send_reads()
--- a/stonecove/scale/configuration.py
+++ b/stonecove/scale/configuration.py
@@ -24,7 +24,7 @@
     ServiceError,
     service_session,
 )
-from stonecove.protocols.zookeeper.session import Figures, Server
+from stonecove.protocols.zookeeper.session import Server, SessionConfig
 from stonecove.rollout.controller import RolloutError
 from stonecove.rollout.messages import DEFAULT_WAVES, Bounds, RolloutState
 from stonecove.scale.hollow_process import CONFIGURATION_PATH
@@ -96,7 +96,7 @@
         self._process.wait(END_WAIT)
 
     async def _publish_all(self, routers: int, every: float) -> None:
-        async with service_session(self.servers, Figures(), PATIENCE) as session:
+        async with service_session(self.servers, SessionConfig(), PATIENCE) as session:
             controller = RolloutController(CONFIGURATION_PATH, session, PATIENCE)
             with trio.move_on_after(PATIENCE):
                 while len(controller.reports.by_name) < routers and not self._over.is_set():
--- a/stonecove/scale/hollow_configuration.py
+++ b/stonecove/scale/hollow_configuration.py
@@ -7,7 +7,7 @@
 
 from stonecove.operator_config.records import ConfigurationRecord
 from stonecove.pipeline.route import Route
-from stonecove.protocols.zookeeper.session import Figures, Server, Session
+from stonecove.protocols.zookeeper.session import Server, Session, SessionConfig
 from stonecove.routing.settings import Settings
 from stonecove.runtime.clock import Clock
 from stonecove.scale.hollow import HEADER_BYTES, Traffic
@@ -16,13 +16,13 @@
 from stonecove.server.reconfigure import ActiveSettings
 from stonecove.transport.zookeeper import ZooKeeperClient
 
-SESSION = Figures(timeout=10.0)
+SESSION = SessionConfig(session_timeout_s=10.0)
 
 
 class _CountedSession(Session):
     """A session that counts its bytes, and takes each read and each write for a segment and its ACK."""
 
-    def __init__(self, servers: tuple[Server, ...], seed: int, figures: Figures) -> None:
+    def __init__(self, servers: tuple[Server, ...], seed: int, figures: SessionConfig) -> None:
         super().__init__(servers, seed, figures)
         self.traffic = Traffic()
 
--- a/stonecove/server/configuration.py
+++ b/stonecove/server/configuration.py
@@ -236,17 +236,17 @@
 
     def publish(self, report: Report) -> None:
         """Write the report, if it differs from the last one."""
-        self._registrar.tell(report.encode())
+        self._registrar.update_record(report.encode())
 
     def retry_name(self) -> None:
         """Retry registration under a name that was taken, after a delay."""
-        if not self._registrar.taken:
+        if not self._registrar.name_taken:
             self._name_taken_at = None
         elif self._name_taken_at is None:
             self._name_taken_at = trio.current_time()
         elif trio.current_time() >= self._name_taken_at + NAME_RETRY_S:
             self._name_taken_at = None
-            self._registrar.again()
+            self._registrar.retry_name()
 
     def fetch(self, version: int) -> None:
         """Read a version's overlay, unless one is being read: only one is read at a time."""
--- a/stonecove/server/coordination.py
+++ b/stonecove/server/coordination.py
@@ -14,8 +14,8 @@
 from stonecove.operator_config.records import Presence, ZooKeeperSource
 from stonecove.protocols.zookeeper.messages import Stat
 from stonecove.protocols.zookeeper.registration import Registrar
-from stonecove.protocols.zookeeper.session import Down, Expired, Figures, SessionEvent
-from stonecove.protocols.zookeeper.tree_watch import Tree
+from stonecove.protocols.zookeeper.session import Down, Expired, SessionConfig, SessionEvent
+from stonecove.protocols.zookeeper.tree_watch import TreeWatch
 from stonecove.routing.endpoints import NodeId
 from stonecove.runtime.clock import Clock
 from stonecove.runtime.log import log, log_limited
@@ -71,9 +71,9 @@
     return tuple((entry.scheme, Path(entry.file).read_bytes().rstrip(b"\r\n")) for entry in source.auth)
 
 
-def session_parameters(source: ZooKeeperSource) -> Figures:
+def session_parameters(source: ZooKeeperSource) -> SessionConfig:
     """Return the parameters of a session, in seconds; raises OSError for an unreadable credential."""
-    return Figures(
+    return SessionConfig(
         source.session_timeout / 1000,
         source.connect_timeout / 1000,
         (source.back_off.first / 1000, source.back_off.longest / 1000),
@@ -98,7 +98,7 @@
         """Handle the removal of nodes."""
         self._roster.remove(names, self._clock.now())
 
-    def whole(self, names: frozenset[str], confirmed: bool) -> None:
+    def list_complete(self, names: frozenset[str], confirmed: bool) -> None:
         """Handle a complete list; `confirmed` if it was read after a sync with the leader."""
         self._roster.apply_snapshot(names, confirmed, self._clock.now())
         self._on_list_read()
@@ -106,7 +106,7 @@
     def absent(self, confirmed: bool) -> None:
         """Handle a missing path as an empty list."""
         log_limited(LogEvent.ENDPOINT_PATH_MISSING)
-        self.whole(frozenset(), confirmed)
+        self.list_complete(frozenset(), confirmed)
 
 
 class PeerSink:
@@ -138,7 +138,7 @@
         if self._local_name in removed:
             self._on_local_removed()
 
-    def whole(self, names: frozenset[str], confirmed: bool) -> None:
+    def list_complete(self, names: frozenset[str], confirmed: bool) -> None:
         """Handle a complete list."""
         self._fleet.source_read(self._clock.now())
 
@@ -167,7 +167,7 @@
             source.servers, owner.seed, session_parameters(source), owner.apply_changes
         )
         self.roster = Roster(names, roster_rules(source), emit, self._confirm, log)
-        self.tree = Tree(
+        self.tree = TreeWatch(
             source.path,
             self.ensemble.request,
             CacheSink(self.roster, owner.clock, self._on_list_read),
@@ -197,10 +197,10 @@
                 lambda data: _is_same_process(data, names, peer),
                 log,
             )
-            self.peers = Tree(
+            self.peers = TreeWatch(
                 presence_record.path,
                 self.ensemble.request,
-                PeerSink(self.fleet, names, owner.clock, peer.name, self.registrar.vanished),
+                PeerSink(self.fleet, names, owner.clock, peer.name, self.registrar.recreate_node),
                 source.watches == "recursive",
             )
             # The registrar sends its request first, so that the router's node exists before the list is read.
--- a/stonecove/server/members.py
+++ b/stonecove/server/members.py
@@ -438,13 +438,13 @@
                 self.on_fleet_size(self._fleet_size)
 
     def _retry_name(self, coordination: Coordination) -> None:
-        if coordination.registrar is None or not coordination.registrar.taken:
+        if coordination.registrar is None or not coordination.registrar.name_taken:
             self._name_taken_at = 0.0
         elif not self._name_taken_at:
             self._name_taken_at = trio.current_time()
         elif trio.current_time() >= self._name_taken_at + NAME_RETRY_S:
             self._name_taken_at = 0.0
-            coordination.registrar.again()
+            coordination.registrar.retry_name()
 
     def _log_availability(self) -> None:
         """Log once when no source is available any more, and when one is again."""
@@ -463,7 +463,7 @@
         self._state = state
         for coordination in (self._coordination, self._replacement):
             if coordination is not None and coordination.registrar is not None:
-                coordination.registrar.tell(
+                coordination.registrar.update_record(
                     presence.encode_peer(self._local_peer(self.operator), self.names), on_acknowledged
                 )
 
--- a/stonecove/standins/zookeeper.py
+++ b/stonecove/standins/zookeeper.py
@@ -134,7 +134,7 @@
                 await self._wake.wait()
 
     async def _read(self) -> None:
-        buffer = Buffer(zk.MOST_FRAME * 2)
+        buffer = Buffer(zk.MAX_FRAME_BYTES * 2)
         greeted = False
         while data := await self.stream.receive_some(65_536):
             await self.server.open()
@@ -286,7 +286,7 @@
         """ConnectRequest; False if the connection is to be closed."""
         reader.int_()
         zxid, timeout, ident, password = reader.long(), reader.int_(), reader.long(), reader.buffer() or b""
-        reader_knows = reader.left > 0
+        reader_knows = reader.remaining > 0
         ensemble = self.ensemble
         if zxid > self.replica.applied:
             ensemble.note("refused-behind", server=self.number, seen=zxid, has=self.replica.applied)
--- a/stonecove/transport/zookeeper.py
+++ b/stonecove/transport/zookeeper.py
@@ -11,10 +11,10 @@
 from stonecove.protocols.zookeeper.session import (
     Down,
     Expired,
-    Figures,
     Reply,
     Server,
     Session,
+    SessionConfig,
     SessionEvent,
     State,
     Up,
@@ -30,7 +30,7 @@
     """Keeps one session open while it runs, and delivers replies and events in order."""
 
     def __init__(
-        self, servers: tuple[Server, ...], seed: int, figures: Figures, on_batch_end: Callable[[], None]
+        self, servers: tuple[Server, ...], seed: int, figures: SessionConfig, on_batch_end: Callable[[], None]
     ) -> None:
         """Create a client; `on_batch_end` is called after each batch of events was delivered."""
         self.session = Session(servers, seed, figures)
@@ -49,7 +49,7 @@
         """Send a request; `callback` gets its one reply, which may report that the connection was lost."""
         self._last_token += 1
         self._callbacks[self._last_token] = callback
-        self.session.ask(self._last_token, operation, trio.current_time())
+        self.session.send_request(self._last_token, operation, trio.current_time())
         self._changed.set()
 
     def close(self) -> None:
@@ -169,6 +169,10 @@
             )
         elif isinstance(event, Down):
             server = self.session.server
-            log(LogEvent.COORDINATION_DISCONNECTED, server=":".join(map(str, server or ())), reason=event.why)
+            log(
+                LogEvent.COORDINATION_DISCONNECTED,
+                server=":".join(map(str, server or ())),
+                reason=event.reason,
+            )
         elif isinstance(event, Expired):
             log(LogEvent.COORDINATION_SESSION_EXPIRED, session=f"{event.session:#x}")
--- a/tests/golden_coordination_sessions.py
+++ b/tests/golden_coordination_sessions.py
@@ -30,15 +30,15 @@
 from stonecove.protocols.zookeeper.session import (
     Down,
     Expired,
-    Figures,
     Reply,
     Session,
+    SessionConfig,
     SessionEvent,
     State,
     Up,
     Watched,
 )
-from stonecove.protocols.zookeeper.tree_watch import Tree
+from stonecove.protocols.zookeeper.tree_watch import TreeWatch
 
 SESSION_STATES = {
     "waiting": State.WAITING,
@@ -61,7 +61,7 @@
     "behind": "server behind",
 }
 SERVERS = (("10.0.0.1", 2181), ("10.0.0.2", 2181), ("10.0.0.3", 2181))
-FIGURES = Figures(10.0, 1.0, (0.05, 5.0), 0.5, (("digest", b"router:secret"),))
+FIGURES = SessionConfig(10.0, 1.0, (0.05, 5.0), 0.5, (("digest", b"router:secret"),))
 
 
 def _disconnect(why: str) -> str:
@@ -73,7 +73,7 @@
     if isinstance(event, Up):
         return {"event": "connected", "session": event.session, "resumed": event.resumed}
     if isinstance(event, Down):
-        return {"event": "disconnected", "reason": _disconnect(event.why)}
+        return {"event": "disconnected", "reason": _disconnect(event.reason)}
     if isinstance(event, Expired):
         return {"event": "session_expired", "session": event.session}
     if isinstance(event, Watched):
@@ -116,7 +116,7 @@
         """Send a request whose reply goes to `call`."""
         self._token += 1
         self._calls[self._token] = call
-        self.session.ask(self._token, what, self.now)
+        self.session.send_request(self._token, what, self.now)
 
     def play(self, step: Meaning) -> Meaning:
         """Do one step, and return what came of it."""
@@ -137,7 +137,7 @@
             case "move":
                 session.move(tuple((host, port) for host, port in step["servers"]), self.now)
             case "ask":
-                session.ask(step["token"], build_operation(step["request"]), self.now)
+                session.send_request(step["token"], build_operation(step["request"]), self.now)
             case command:
                 self.commands[command](step)
         return self._outcome(list(self._hand_over()))
@@ -348,12 +348,12 @@
     client.feeds.append(registrar.feed)
 
     def change(step: Meaning) -> None:
-        registrar.tell(unpacked(step["record"]), lambda: tell({"record": "stored"}))
+        registrar.update_record(unpacked(step["record"]), lambda: tell({"record": "stored"}))
 
     client.commands = {
         "change_record": change,
-        "retry_name": lambda step: registrar.again(),
-        "node_vanished": lambda step: registrar.vanished(),
+        "retry_name": lambda step: registrar.retry_name(),
+        "node_vanished": lambda step: registrar.recreate_node(),
         "retire": lambda step: registrar.retire(),
     }
     return [client.play(step) for step in steps]
@@ -452,7 +452,7 @@
     def removed(self, names: Iterable[str]) -> None:
         self._told({"removed": sorted(names)})
 
-    def whole(self, names: frozenset[str], confirmed: bool) -> None:
+    def list_complete(self, names: frozenset[str], confirmed: bool) -> None:
         self._told({"list_read": sorted(names), "after_sync": confirmed})
 
     def absent(self, confirmed: bool) -> None:
@@ -462,7 +462,7 @@
 def _play_tree(recursive: bool) -> Callable[[list[Meaning]], list[Any]]:
     def play(steps: list[Meaning]) -> list[Any]:
         client = Client()
-        tree = Tree("/caches", client.ask, _TreeNotes(client.told.append), recursive)
+        tree = TreeWatch("/caches", client.ask, _TreeNotes(client.told.append), recursive)
         client.feeds.append(tree.feed)
         client.commands = {"confirm": lambda step: tree.confirm()}
         return [client.play(step) for step in steps]
--- a/tests/golden_fleet_control.py
+++ b/tests/golden_fleet_control.py
@@ -24,7 +24,7 @@
 from stonecove.protocols.change_log import Follower
 from stonecove.protocols.gossip import encode
 from stonecove.protocols.zookeeper import messages as zk
-from stonecove.protocols.zookeeper.session import Figures, Reply
+from stonecove.protocols.zookeeper.session import Reply, SessionConfig
 from stonecove.rollout.messages import Overlay
 from stonecove.routing.endpoints import NodeState
 from stonecove.routing.events import FleetSizeChanged
@@ -151,7 +151,7 @@
 
     def __init__(self, server: str, nursery: trio.Nursery) -> None:
         host, _, port = server.rpartition(":")
-        self.ensemble = ZooKeeperClient(((host, int(port)),), 1, Figures(), lambda: None)
+        self.ensemble = ZooKeeperClient(((host, int(port)),), 1, SessionConfig(), lambda: None)
         nursery.start_soon(self.ensemble.run)
 
     async def ask(self, request: zk.Request) -> Reply:
--- a/tests/test_configuration_processes.py
+++ b/tests/test_configuration_processes.py
@@ -17,7 +17,7 @@
 
 from stonecove.fleet.rollout_controller import RolloutController, service_session
 from stonecove.operator_config.records import ConfigurationRecord
-from stonecove.protocols.zookeeper.session import Figures
+from stonecove.protocols.zookeeper.session import SessionConfig
 from stonecove.rollout.messages import Bounds, Report, RolloutState, Target
 from stonecove.routing.settings import Settings
 from stonecove.runtime.clock import Clock
@@ -27,7 +27,7 @@
 from stonecove.transport.zookeeper import ZooKeeperClient
 
 PATH = "/stonecove/configuration"
-FIGURES = Figures(timeout=1.0, connect_wait=0.5, back_off=(0.02, 0.1))
+FIGURES = SessionConfig(session_timeout_s=1.0, connect_timeout_s=0.5, backoff_range_s=(0.02, 0.1))
 
 
 class FakeRouter:
--- a/tests/test_zookeeper.py
+++ b/tests/test_zookeeper.py
@@ -21,9 +21,9 @@
 from stonecove.protocols.zookeeper.session import (
     Down,
     Expired,
-    Figures,
     Reply,
     Session,
+    SessionConfig,
     SessionEvent,
     State,
     Up,
@@ -126,14 +126,14 @@
         zk.read_result(op, jute.Reader(bytes.fromhex(text)))
 
 
-@pytest.mark.parametrize("length", [-1, zk.MOST_FRAME + 1])
+@pytest.mark.parametrize("length", [-1, zk.MAX_FRAME_BYTES + 1])
 def test_frames_are_bounded(length: int) -> None:
     buffer = Buffer(4096)
     buffer.feed(struct.pack(">i", length))
     with pytest.raises(ZooKeeperError, match="frame"):
         list(zk.frames(buffer))
     with pytest.raises(ValueError, match="at most"):
-        zk.request(1, zk.SetData("/a", bytes(zk.MOST_FRAME)))
+        zk.request(1, zk.SetData("/a", bytes(zk.MAX_FRAME_BYTES)))
 
 
 def test_every_error_code_has_a_name_and_an_unknown_one_is_a_system_error() -> None:
@@ -159,7 +159,7 @@
     def __init__(self, servers: int = 2, auth: tuple[tuple[str, bytes], ...] = ()) -> None:
         self.now = 100.0
         ports = tuple(("10.0.0.1", port) for port in range(servers))
-        self.session = Session(ports, 7, Figures(timeout=6.0, auth=auth))
+        self.session = Session(ports, 7, SessionConfig(session_timeout_s=6.0, auth=auth))
         self.seen: list[SessionEvent] = []
 
     def connect(self, data: bytes = greeting()) -> list[SessionEvent]:  # noqa: B008
@@ -185,7 +185,7 @@
 def test_a_session_comes_up_with_servers_old_and_new(old: bool) -> None:
     played = Played()
     assert played.connect(greeting(old=old)) == [Up(0x77, False)]
-    assert played.hello[-1] == 0 and played.session.timeout == 6.0
+    assert played.hello[-1] == 0 and played.session.timeout_s == 6.0
     played.session.lost("cut", played.now)
     assert played.events() == [Down("cut")]
     assert played.connect(greeting(old=old)) == [Up(0x77, True)]
@@ -209,14 +209,14 @@
     played = Played()
     assert played.connect(greeting(read_only=True)) == [Down("read-only")]
     played.connect()
-    played.session.ask(1, zk.Sync("/a"), played.now)
+    played.session.send_request(1, zk.Sync("/a"), played.now)
     assert isinstance(played.hear(reply(1, 50, 0, jute.string("/a")))[0], Reply)
     played.session.lost("cut", played.now)
     played.connect()
-    played.session.ask(2, zk.Sync("/a"), played.now)
+    played.session.send_request(2, zk.Sync("/a"), played.now)
     first, down = played.hear(reply(2, 49, 0, jute.string("/a")))
     assert first == Reply(2, Err.CONNECTION_LOSS, None, 0)
-    assert isinstance(down, Down) and down.why.startswith("behind")
+    assert isinstance(down, Down) and down.reason.startswith("behind")
     assert played.session.last_zxid == 50
 
 
@@ -235,7 +235,7 @@
 def test_what_can_not_be_heeded_leads_to_a_new_connection(data: bytes) -> None:
     played = Played()
     played.connect()
-    played.session.ask(1, zk.GetData("/a"), played.now)
+    played.session.send_request(1, zk.GetData("/a"), played.now)
     events = played.hear(data)
     assert [type(event) for event in events] == [Reply, Down]
     assert played.session.state is State.WAITING
@@ -246,7 +246,7 @@
     played = Played()
     played.connect()
     for number in range(3000):
-        played.session.ask(number, zk.GetData(f"/boxes/{'x' * 90}{number:04}", True), played.now)
+        played.session.send_request(number, zk.GetData(f"/boxes/{'x' * 90}{number:04}", True), played.now)
         played.hear(reply(number + 1, number + 1, 0, jute.buffer(b"") + STAT.encode()))
     played.session.lost("cut", played.now)
     played.connect()
@@ -309,7 +309,7 @@
     played = Played()
     played.connect()
     for number in range(3):
-        played.session.ask(
+        played.session.send_request(
             number, (zk.GetData("/a"), zk.GetChildren2("/a"), zk.Sync("/a"))[number], played.now
         )
     for part in parts:
