--- a/stonecove/commands/config.py
+++ b/stonecove/commands/config.py
@@ -11,7 +11,7 @@
 from stonecove.commands.options import operator_option
 
 if TYPE_CHECKING:
-    from stonecove.operator_config.reader import Read
+    from stonecove.operator_config.reader import LoadedFile
 
 GOOD, NONE, UNUSABLE = 0, 1, 2
 _file = operator_option(parameter="file")
@@ -22,7 +22,7 @@
     """The operator's file. Ends with 0: good, 1: no such path, 2: the file can't be used."""
 
 
-def _read(file: Path) -> Read:
+def _read(file: Path) -> LoadedFile:
     from stonecove.operator_config.grammar import OperatorError
     from stonecove.operator_config.reader import read
 
--- a/stonecove/operator_config/__init__.py
+++ b/stonecove/operator_config/__init__.py
@@ -1,6 +1,7 @@
-"""The operator's own file: CUE-like typed records, checked against the schema that ships here. Off on the
-platform.
+"""Reader of the operator file: CUE-like typed records, validated against the schema in this package.
 
-`grammar` parses, `values` unifies, `evaluate` joins both, `records` are what the program gets, `reader` is
-the way in.
+The platform does not use an operator file; this package is not loaded there.
+
+`grammar` parses the text into a syntax tree, `values` defines values and their unification, `evaluate`
+evaluates syntax trees to values, `records` holds the typed result, and `reader` is the entry point.
 """
--- a/stonecove/operator_config/grammar.py
+++ b/stonecove/operator_config/grammar.py
@@ -1,8 +1,8 @@
-"""The subset of CUE that the operator's file is written in, parsed by lark into a small syntax tree.
+"""Grammar and syntax tree of the operator file's language, a subset of CUE parsed with lark.
 
-Source: the CUE language specification; `docs/operator-file.md` states what is in the subset, and what
-differs: numbers may have the unit of a duration (`ms`, `s`, `min`, `h`, `d`) or of a size (`B`, `KB`, `MB`,
-`GB`, `KiB`, `MiB`, `GiB`).
+Source: the CUE language specification; `docs/operator-file.md` defines the subset. It extends CUE by units:
+a number may have the unit of a duration (`ms`, `s`, `min`, `h`, `d`) or of a size (`B`, `KB`, `MB`, `GB`,
+`KiB`, `MiB`, `GiB`).
 """
 
 from __future__ import annotations
@@ -55,7 +55,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Pos:
-    """A place in a file; lines and columns from 1."""
+    """A source position; lines and columns count from 1."""
 
     file: str
     line: int
@@ -67,7 +67,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Problem:
-    """Something wrong: where, at which path of the record, and what."""
+    """A diagnostic: its source position, the path of the value concerned, and a message."""
 
     at: Pos
     path: str
@@ -78,7 +78,7 @@
 
 
 class OperatorError(Exception):
-    """An operator's file that can't be used, with all that is wrong in it."""
+    """Raised for an invalid operator file; `problems` lists every diagnostic."""
 
     def __init__(self, problems: list[Problem]) -> None:
         super().__init__("\n".join(map(str, problems)))
@@ -87,7 +87,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Literal:
-    """A text or a number as written."""
+    """A string literal, or the source text of a number with an optional unit."""
 
     value: str
     quantity: bool
@@ -96,15 +96,15 @@
 
 @dataclass(frozen=True, slots=True)
 class Reference:
-    """A name, or names joined by dots."""
+    """An identifier, or a selector of identifiers joined by dots."""
 
     names: tuple[str, ...]
     at: Pos
 
 
 @dataclass(frozen=True, slots=True)
-class Bounded:
-    """An operator before a value."""
+class BoundExpr:
+    """A unary comparison operator and its operand."""
 
     operator: str
     operand: Expr
@@ -113,7 +113,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Conjunction:
-    """Values that must hold together."""
+    """Expressions joined by `&`, whose values are unified."""
 
     parts: tuple[Expr, ...]
     at: Pos
@@ -121,15 +121,15 @@
 
 @dataclass(frozen=True, slots=True)
 class Disjunction:
-    """Values of which one is meant; marked ones are defaults."""
+    """Alternatives joined by `|`, each with a flag that is true for a default."""
 
     parts: tuple[tuple[bool, Expr], ...]
     at: Pos
 
 
 @dataclass(frozen=True, slots=True)
-class ListOf:
-    """A list; `rest` is what further members must be, None for a closed one."""
+class ListExpr:
+    """A list; `rest` constrains further elements of an open list, None if it has no constraint."""
 
     items: tuple[Expr, ...]
     rest: Expr | None
@@ -138,8 +138,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class FieldOf:
-    """A field as written; a pattern has no name."""
+class FieldDecl:
+    """The declaration of a named field."""
 
     name: str
     optional: bool
@@ -148,16 +148,16 @@
 
 
 @dataclass(frozen=True, slots=True)
-class StructOf:
-    """Fields between braces, or a whole file."""
+class StructExpr:
+    """A struct in braces, or a complete file: fields, pattern constraints, and whether it has an ellipsis."""
 
-    fields: tuple[FieldOf, ...]
+    fields: tuple[FieldDecl, ...]
     patterns: tuple[tuple[Expr, Expr], ...]
     open: bool
     at: Pos
 
 
-Expr = Literal | Reference | Bounded | Conjunction | Disjunction | ListOf | StructOf
+Expr = Literal | Reference | BoundExpr | Conjunction | Disjunction | ListExpr | StructExpr
 
 
 @lru_cache(1)
@@ -166,21 +166,21 @@
 
 
 class _Builder:
-    """Makes the syntax tree of lark's."""
+    """Converts lark's parse tree into the syntax tree, collecting problems."""
 
     def __init__(self, file: str) -> None:
         self._file = file
         self.problems: list[Problem] = []
 
     def at(self, node: Tree[Token] | Token) -> Pos:
-        """Where something stands."""
+        """Return the source position of a node or token."""
         if isinstance(node, Token):
             return Pos(self._file, node.line or 1, node.column or 1)
         meta = node.meta
         return Pos(self._file, getattr(meta, "line", 1), getattr(meta, "column", 1))
 
     def text(self, token: Token) -> str:
-        """The text between quotes."""
+        """Return the decoded value of a string token; an invalid escape is reported as a problem."""
         try:
             return str(json.loads(token))
         except ValueError:
@@ -188,19 +188,19 @@
             return ""
 
     def expr(self, node: Any) -> Expr:
-        """An expression."""
+        """Return the expression of a parse tree node."""
         at = self.at(node)
         kind = node.data
         parts = node.children
         if kind == "disjunction":
-            found = [(len(part.children) > 1, self.expr(part.children[-1])) for part in parts]
-            if len(found) == 1 and not found[0][0]:
-                return found[0][1]
-            return Disjunction(tuple(found), at)
+            alternatives = [(len(part.children) > 1, self.expr(part.children[-1])) for part in parts]
+            if len(alternatives) == 1 and not alternatives[0][0]:
+                return alternatives[0][1]
+            return Disjunction(tuple(alternatives), at)
         if kind == "conjunction":
             return self.expr(parts[0]) if len(parts) == 1 else Conjunction(tuple(map(self.expr, parts)), at)
         if kind == "bound":
-            return Bounded(str(parts[0]), self.expr(parts[1]), at)
+            return BoundExpr(str(parts[0]), self.expr(parts[1]), at)
         if kind == "quantity":
             return Literal(str(parts[0]), True, at)
         if kind == "text":
@@ -208,77 +208,83 @@
         if kind == "reference":
             return Reference(tuple(map(str, parts)), at)
         if kind == "list":
-            return ListOf(tuple(map(self.expr, parts)), None, False, at)
+            return ListExpr(tuple(map(self.expr, parts)), None, False, at)
         if kind == "open_list":
-            # The last member is what follows the dots, if it stands behind them; the count of commas tells.
+            # The grammar drops the ellipsis; the last child is taken as the constraint on further elements.
             return self._open_list(node, at)
         return self.struct(parts, at)
 
-    def _open_list(self, node: Tree[Token], at: Pos) -> ListOf:
+    def _open_list(self, node: Tree[Token], at: Pos) -> ListExpr:
         parts = list(node.children)
         rest = self.expr(parts.pop()) if parts else None
-        return ListOf(tuple(map(self.expr, parts)), rest, True, at)
+        return ListExpr(tuple(map(self.expr, parts)), rest, True, at)
 
-    def struct(self, decls: list[Any], at: Pos) -> StructOf:
-        """The fields of a struct or a file."""
-        fields: list[FieldOf] = []
+    def struct(self, decls: list[Any], at: Pos) -> StructExpr:
+        """Return the struct of the declarations of a pair of braces or of a file."""
+        fields: list[FieldDecl] = []
         patterns: list[tuple[Expr, Expr]] = []
         is_open = False
-        last = None
+        previous = None
         for decl in decls:
-            if last is not None and last.end_line == decl.meta.line and not self._comma(last, decl):
+            if (
+                previous is not None
+                and previous.end_line == decl.meta.line
+                and not self._has_comma_between(previous, decl)
+            ):
                 self.problems.append(Problem(self.at(decl), "", "fields on one line are parted by a comma"))
-            last = decl.meta
+            previous = decl.meta
             if decl.data == "ellipsis":
                 is_open = True
                 continue
             label, value = decl.children[0], decl.children[-1]
             optional = len(decl.children) > 2
             if value.data == "shorthand":
-                inner: Expr = self.struct(value.children, self.at(value))
+                value_expr: Expr = self.struct(value.children, self.at(value))
             else:
-                inner = self.expr(value)
+                value_expr = self.expr(value)
             if label.data == "pattern":
-                patterns.append((self.expr(label.children[0]), inner))
+                patterns.append((self.expr(label.children[0]), value_expr))
                 continue
             token = label.children[0]
             name = self.text(token) if token.type == "STRING" else str(token)
-            fields.append(FieldOf(name, optional, inner, self.at(token)))
-        return StructOf(tuple(fields), tuple(patterns), is_open, at)
+            fields.append(FieldDecl(name, optional, value_expr, self.at(token)))
+        return StructExpr(tuple(fields), tuple(patterns), is_open, at)
 
-    def _comma(self, before: Any, after: Any) -> bool:
-        text = self.source[before.end_pos : after.meta.start_pos]
+    def _has_comma_between(self, previous: Any, following: Any) -> bool:
+        text = self.source[previous.end_pos : following.meta.start_pos]
         return "," in text
 
     source = ""
 
 
-def parse(text: str, file: str) -> StructOf:
-    """The syntax tree of a file; raises OperatorError."""
+def parse(text: str, file: str) -> StructExpr:
+    """Return the syntax tree of a source text; raises OperatorError if it is invalid."""
     builder = _Builder(file)
     builder.source = text
     try:
         tree = _parser().parse(text)
     except UnexpectedInput as error:
-        raise OperatorError([_unexpected(error, text, file)]) from None
+        raise OperatorError([_syntax_problem(error, text, file)]) from None
     except RecursionError:
         raise OperatorError([Problem(Pos(file, 1), "", "nested too deeply")]) from None
     try:
-        found = builder.struct(tree.children, Pos(file, 1))
+        struct = builder.struct(tree.children, Pos(file, 1))
     except RecursionError:
         raise OperatorError([Problem(Pos(file, 1), "", "nested too deeply")]) from None
     if builder.problems:
         raise OperatorError(builder.problems)
-    return found
+    return struct
 
 
-def _unexpected(error: UnexpectedInput, text: str, file: str) -> Problem:
+def _syntax_problem(error: UnexpectedInput, text: str, file: str) -> Problem:
     line = error.line if isinstance(error.line, int) and error.line > 0 else text.count("\n") + 1
     column = error.column if isinstance(error.column, int) and error.column > 0 else 1
     if isinstance(error, UnexpectedToken):
-        what = "the end of the file" if error.token.type == "$END" else repr(str(error.token)[:30])
+        unexpected = "the end of the file" if error.token.type == "$END" else repr(str(error.token)[:30])
     elif isinstance(error, UnexpectedCharacters):
-        what = repr(text[error.pos_in_stream or 0 :][:1])
+        unexpected = repr(text[error.pos_in_stream or 0 :][:1])
     else:
-        what = "this"
-    return Problem(Pos(file, line, column), "", f"{what} at column {column} is not of the language's subset")
+        unexpected = "this"
+    return Problem(
+        Pos(file, line, column), "", f"{unexpected} at column {column} is not of the language's subset"
+    )
--- a/stonecove/operator_config/reader.py
+++ b/stonecove/operator_config/reader.py
@@ -1,4 +1,7 @@
-"""The way in: an operator's file, checked whole against the schema, as records."""
+"""Entry point: read an operator file, validate it against the schema and return its records.
+
+Values are also formatted and explained here, for the `config` commands.
+"""
 
 from __future__ import annotations
 
@@ -9,14 +12,14 @@
 from pathlib import Path
 from typing import Any, NamedTuple
 
-from stonecove.operator_config.evaluate import Evaluator, Scope, at_path, plain, settled
+from stonecove.operator_config.evaluate import Evaluator, Scope, resolve_default, to_plain, value_at_path
 from stonecove.operator_config.grammar import OperatorError, Pos, Problem, parse
-from stonecove.operator_config.records import Operator, operator_of
+from stonecove.operator_config.records import Operator, operator_from_table
 from stonecove.operator_config.values import (
     Bottom,
-    Choice,
+    Diagnostics,
+    DisjunctionValue,
     ListValue,
-    Notes,
     Scalar,
     Struct,
     Type,
@@ -24,31 +27,31 @@
     unify,
 )
 
-SCHEMA = "schema.cue"
-MOST_BYTES = 1 << 20
+SCHEMA_FILE = "schema.cue"
+MAX_FILE_BYTES = 1 << 20
 
 
-class Read(NamedTuple):
-    """A file that was read: its records, and its value for those who ask where a setting comes from."""
+class LoadedFile(NamedTuple):
+    """A valid operator file: its records, and its value, which holds the source position of each setting."""
 
     operator: Operator
     value: Value
 
 
-def read(path: Path) -> Read:
-    """Reads and checks a file; raises OperatorError with all that is wrong."""
-    return read_text(text_of(path), str(path))
+def read(path: Path) -> LoadedFile:
+    """Read and validate an operator file; raises OperatorError with all problems."""
+    return read_text(read_source_text(path), str(path))
 
 
-def text_of(path: Path) -> str:
-    """A file's text; raises OperatorError for one that can't be read, or is none."""
+def read_source_text(path: Path) -> str:
+    """Return the text of a file; raises OperatorError if it is unreadable, too large or not UTF-8."""
     name = str(path)
     try:
         data = path.read_bytes()
     except OSError as error:
         raise OperatorError([Problem(Pos(name, 1), "", error.strerror or "can't be read")]) from None
-    if len(data) > MOST_BYTES:
-        raise OperatorError([Problem(Pos(name, 1), "", f"{len(data)} bytes, {MOST_BYTES} at most")])
+    if len(data) > MAX_FILE_BYTES:
+        raise OperatorError([Problem(Pos(name, 1), "", f"{len(data)} bytes, {MAX_FILE_BYTES} at most")])
     try:
         return data.decode()
     except UnicodeDecodeError as error:
@@ -56,161 +59,166 @@
         raise OperatorError([Problem(Pos(name, line), "", "not UTF-8")]) from None
 
 
-def read_text(text: str, name: str) -> Read:
-    """The same for a text that is at hand; raises OperatorError."""
-    schema = resources.files("stonecove.operator_config").joinpath(SCHEMA).read_text()
-    table, value = checked(text, name, schema, "#Operator", _check)
-    return Read(operator_of(table), value)
+def read_text(text: str, name: str) -> LoadedFile:
+    """Validate the text of an operator file; raises OperatorError with all problems."""
+    schema = resources.files("stonecove.operator_config").joinpath(SCHEMA_FILE).read_text()
+    table, value = validate_against_schema(text, name, schema, "#Operator", _check_constraints)
+    return LoadedFile(operator_from_table(table), value)
 
 
-def checked(
+def validate_against_schema(
     text: str,
     name: str,
     schema_text: str,
     definition: str,
-    check: Callable[[dict[str, Any], Value, Notes], None] | None = None,
+    check: Callable[[dict[str, Any], Value, Diagnostics], None] | None = None,
 ) -> tuple[dict[str, Any], Value]:
-    """The table and the value of a text that a definition of a schema passes; raises OperatorError.
+    """Return a text unified with a definition of a schema, as a plain table and as a value.
 
-    `check` looks for what one field alone can't show, and notes it.
+    `check` reports violations of constraints between fields; it runs only if unification succeeds. Raises
+    OperatorError with all problems.
     """
-    given = parse(text, name)
-    schema = parse(schema_text, SCHEMA)
-    notes = Notes()
-    evaluator = Evaluator(notes)
-    wanted = next(one.value for one in schema.fields if one.name == definition)
+    source = parse(text, name)
+    schema = parse(schema_text, SCHEMA_FILE)
+    diagnostics = Diagnostics()
+    evaluator = Evaluator(diagnostics)
+    definition_expr = next(decl.value for decl in schema.fields if decl.name == definition)
     try:
-        mine: Value = evaluator.struct(given, None, "")
-        ours = evaluator.value(wanted, Scope(schema, None), "", True)
-        value = unify(mine, ours, "", notes)
-        table = plain(value, "", notes)
+        source_value: Value = evaluator.struct(source, None, "")
+        schema_value = evaluator.value(definition_expr, Scope(schema, None), "", True)
+        value = unify(source_value, schema_value, "", diagnostics)
+        table = to_plain(value, "", diagnostics)
     except RecursionError:
         raise OperatorError([Problem(Pos(name, 1), "", "nested too deeply")]) from None
-    if not notes.problems and check is not None:
-        check(table, value, notes)
-    if notes.problems:
-        raise OperatorError(_sorted(notes.problems))
+    if not diagnostics.problems and check is not None:
+        check(table, value, diagnostics)
+    if diagnostics.problems:
+        raise OperatorError(_sort_unique(diagnostics.problems))
     return table, value
 
 
-def _sorted(problems: list[Problem]) -> list[Problem]:
-    """In the order of the file, each once; the schema's own places last."""
-    once = dict.fromkeys(problems)
-    return sorted(once, key=lambda one: (one.at.file == SCHEMA, one.at.line, one.at.column))
+def _sort_unique(problems: list[Problem]) -> list[Problem]:
+    """Return the problems without duplicates, in source order, those at schema positions last."""
+    unique = dict.fromkeys(problems)
+    return sorted(
+        unique, key=lambda problem: (problem.at.file == SCHEMA_FILE, problem.at.line, problem.at.column)
+    )
 
 
-def _check(table: dict[str, object], value: Value, notes: Notes) -> None:
-    """What one field alone can't show."""
+def _check_constraints(table: dict[str, object], value: Value, diagnostics: Diagnostics) -> None:
+    """Check the constraints between fields, which the schema cannot express."""
 
-    def fault(path: str, text: str) -> None:
-        found = at_path(value, path)
-        notes.add(found.at if found is not None else (), path, text)
+    def report(path: str, text: str) -> None:
+        located = value_at_path(value, path)
+        diagnostics.add(located.at if located is not None else (), path, text)
 
-    _check_fleet(table.get("fleet"), fault)
+    _check_fleet_constraints(table.get("fleet"), report)
     swarm = table.get("swarm")
     if isinstance(swarm, dict) and swarm["answer"] * 2 > swarm["period"]:
-        fault("swarm.answer", "is more than half of swarm.period: nobody else could be asked in time")
+        report("swarm.answer", "is more than half of swarm.period: nobody else could be asked in time")
     sources = table["sources"]
     assert isinstance(sources, dict)
     zookeeper = sources.get("zookeeper")
     configuration = table.get("configuration")
     if isinstance(configuration, dict) and "path" in configuration:
         if zookeeper is None:
-            fault("configuration.path", "needs sources.zookeeper, whose session follows it")
+            report("configuration.path", "needs sources.zookeeper, whose session follows it")
         elif configuration["path"] == zookeeper["path"]:
-            fault("configuration.path", "is also that of the boxes, sources.zookeeper.path")
+            report("configuration.path", "is also that of the boxes, sources.zookeeper.path")
         if not configuration["settings"]:
-            fault("configuration.path", "needs configuration.settings: true")
+            report("configuration.path", "needs configuration.settings: true")
     if zookeeper is None:
         if "presence" in table:
-            fault("presence", "needs sources.zookeeper, whose session keeps the node")
+            report("presence", "needs sources.zookeeper, whose session keeps the node")
         return
     if zookeeper["rank"] == sources["changelog"]["rank"]:
-        fault("sources.zookeeper.rank", "is also that of sources.changelog; one source is trusted more")
-    for place, server in enumerate(zookeeper["servers"]):
+        report("sources.zookeeper.rank", "is also that of sources.changelog; one source is trusted more")
+    for index, server in enumerate(zookeeper["servers"]):
         host, _, port = server.rpartition(":")
         try:
             ipaddress.IPv4Address(host)
-            good = 0 < int(port) < 65_536
+            valid = 0 < int(port) < 65_536
         except ValueError:
-            good = False
-        if not good:
-            fault(f"sources.zookeeper.servers[{place}]", f'"{server}" is no address')
+            valid = False
+        if not valid:
+            report(f"sources.zookeeper.servers[{index}]", f'"{server}" is no address')
     if zookeeper["back_off"]["first"] > zookeeper["back_off"]["longest"]:
-        fault("sources.zookeeper.back_off.first", "is longer than back_off.longest")
+        report("sources.zookeeper.back_off.first", "is longer than back_off.longest")
     if zookeeper["flap"]["hold"] > zookeeper["flap"]["longest"]:
-        fault("sources.zookeeper.flap.hold", "is longer than flap.longest")
+        report("sources.zookeeper.flap.hold", "is longer than flap.longest")
     presence = table.get("presence")
     if isinstance(presence, dict) and presence["path"] == zookeeper["path"]:
-        fault("presence.path", "is also that of the boxes, sources.zookeeper.path")
+        report("presence.path", "is also that of the boxes, sources.zookeeper.path")
 
 
-def _check_fleet(fleet: object, fault: Callable[[str, str], None]) -> None:
-    """Names that can be folders, and addresses of one instance each."""
+def _check_fleet_constraints(fleet: object, report: Callable[[str, str], None]) -> None:
+    """Check that instance names are valid folder names, and that no two instances share an address."""
     if not isinstance(fleet, dict):
         return
-    seen: dict[str, str] = {}
+    path_by_address: dict[str, str] = {}
     for kind in ("instances", "groups"):
-        for name, one in fleet.get(kind, {}).items():
+        for name, entry in fleet.get(kind, {}).items():
             path = f"fleet.{kind}.{name}"
             if not re.fullmatch(r"[A-Za-z0-9][A-Za-z0-9_-]{0,63}", name):
-                fault(path, "is no name: letters, digits, - and _")
-            listens = (
-                [one["listen"]]
-                if "listen" in one
-                else [f"{one['host']}:{one['first_port'] + number}" for number in range(one["count"])]
+                report(path, "is no name: letters, digits, - and _")
+            addresses = (
+                [entry["listen"]]
+                if "listen" in entry
+                else [f"{entry['host']}:{entry['first_port'] + number}" for number in range(entry["count"])]
             )
-            for listen in listens:
-                if int(listen.rpartition(":")[2]) > 65_535:
-                    fault(path, f"{listen} is no address")
-                elif listen in seen:
-                    fault(path, f"{listen} is also that of {seen[listen]}")
-                seen[listen] = path
-    if not seen:
-        fault("fleet", "names no instance")
+            for address in addresses:
+                if int(address.rpartition(":")[2]) > 65_535:
+                    report(path, f"{address} is no address")
+                elif address in path_by_address:
+                    report(path, f"{address} is also that of {path_by_address[address]}")
+                path_by_address[address] = path
+    if not path_by_address:
+        report("fleet", "names no instance")
 
 
 def show(value: Value, indent: int = 0) -> list[str]:
-    """The settled value, as a file would say it; a line each."""
-    value = settled(value)
-    pad = "\t" * indent
+    """Return the source lines of a value, with defaults resolved; parsing them gives the same records."""
+    value = resolve_default(value)
+    indentation = "\t" * indent
     if not isinstance(value, Struct):
-        return [pad + brief(value)]
+        return [indentation + format_inline(value)]
     lines = []
-    for name, one in value.fields.items():
-        if one.optional:
+    for name, field in value.fields.items():
+        if field.optional:
             continue
-        inner = settled(one.value)
-        if isinstance(inner, Struct):
-            lines += [f"{pad}{name}: {{", *show(inner, indent + 1), f"{pad}}}"]
+        resolved = resolve_default(field.value)
+        if isinstance(resolved, Struct):
+            lines += [f"{indentation}{name}: {{", *show(resolved, indent + 1), f"{indentation}}}"]
         else:
-            lines.append(f"{pad}{name}: {brief(inner)}")
+            lines.append(f"{indentation}{name}: {format_inline(resolved)}")
     return lines
 
 
-def brief(value: Value) -> str:
-    """A value on one line."""
-    value = settled(value)
+def format_inline(value: Value) -> str:
+    """Return a value on one line, with defaults resolved."""
+    value = resolve_default(value)
     if isinstance(value, ListValue):
-        return f"[{', '.join(brief(item) for item in value.items)}]"
+        return f"[{', '.join(format_inline(item) for item in value.items)}]"
     if isinstance(value, Struct):
         inner = ", ".join(
-            f"{name}: {brief(one.value)}" for name, one in value.fields.items() if not one.optional
+            f"{name}: {format_inline(field.value)}"
+            for name, field in value.fields.items()
+            if not field.optional
         )
         return f"{{{inner}}}"
     return str(value)
 
 
 def explain(value: Value, path: str) -> list[str] | None:
-    """What holds at a path, and all places that say something of it; None if there is no such path."""
-    found = at_path(value, path) if path else value
-    if found is None:
+    """Return lines with the value at a path and its source positions, None if there is no such path."""
+    located = value_at_path(value, path) if path else value
+    if located is None:
         return None
-    inner = settled(found)
-    lines = [f"{path or '(all)'}: {brief(inner)}"]
-    if isinstance(found, Choice):
-        lines.append(f"  one of {found}; the default, as nothing else is said")
-    if isinstance(inner, (Scalar, ListValue, Struct, Type, Bottom)):
-        for place in {str(place): place for place in found.at + inner.at}.values():
-            lines.append(f"  {'allowed by' if place.file == SCHEMA else 'given in'} {place}")
+    resolved = resolve_default(located)
+    lines = [f"{path or '(all)'}: {format_inline(resolved)}"]
+    if isinstance(located, DisjunctionValue):
+        lines.append(f"  one of {located}; the default, as nothing else is said")
+    if isinstance(resolved, (Scalar, ListValue, Struct, Type, Bottom)):
+        for pos in {str(pos): pos for pos in located.at + resolved.at}.values():
+            lines.append(f"  {'allowed by' if pos.file == SCHEMA_FILE else 'given in'} {pos}")
     return lines
--- a/stonecove/operator_config/records.py
+++ b/stonecove/operator_config/records.py
@@ -1,4 +1,7 @@
-"""The operator's settings as frozen records. Durations are in milliseconds, sizes in bytes."""
+"""Typed records of the operator file. Durations are in milliseconds, sizes in bytes.
+
+Fields have the names of the operator file, since most records are built from its tables by keyword.
+"""
 
 from __future__ import annotations
 
@@ -8,15 +11,18 @@
 
 @dataclass(frozen=True, slots=True)
 class ChangeLogSource:
-    """The platform's change log as one source."""
+    """The platform's change log as a source of endpoints.
+
+    After `silent_for` without an event, its claims are no longer taken into account.
+    """
 
     rank: int
     silent_for: float
 
 
 @dataclass(frozen=True, slots=True)
-class BackOff:
-    """Waits between attempts to connect."""
+class ReconnectBackOff:
+    """First and longest delay between connection attempts, and their jitter."""
 
     first: float
     longest: float
@@ -25,15 +31,15 @@
 
 @dataclass(frozen=True, slots=True)
 class Credential:
-    """Who we are to the servers; the secret stays in its file until it is used."""
+    """A credential for the ZooKeeper servers; the secret stays in its file until it is used."""
 
     scheme: str
     file: str
 
 
 @dataclass(frozen=True, slots=True)
-class Mass:
-    """How many may depart without being confirmed."""
+class MassDeparture:
+    """Limits on departures within a window; a larger departure must be confirmed first."""
 
     share: float
     least: int
@@ -41,8 +47,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Flap:
-    """How often a node may come back before it is damped."""
+class FlapDamping:
+    """The number of returns of a node within a window above which it is suppressed."""
 
     most: int
     window: float
@@ -52,7 +58,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ZooKeeperSource:
-    """An ensemble, and the path below which boxes keep their nodes."""
+    """A ZooKeeper ensemble as a source of endpoints, and the path below which caches register."""
 
     rank: int
     servers: tuple[tuple[str, int], ...]
@@ -60,19 +66,19 @@
     watches: str
     session_timeout: float
     connect_timeout: float
-    back_off: BackOff
+    back_off: ReconnectBackOff
     auth: tuple[Credential, ...]
     stale_for: float
     linger: float
     return_within: float
-    mass: Mass
-    flap: Flap
+    mass: MassDeparture
+    flap: FlapDamping
     most_bytes: int
 
 
 @dataclass(frozen=True, slots=True)
 class Presence:
-    """The router's own node; an empty name: the one of the platform's configuration."""
+    """The router's own registration; an empty name stands for that of the platform's configuration."""
 
     path: str
     name: str
@@ -83,7 +89,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Members:
-    """What is done with the merged list; an empty socket: none."""
+    """Handling of the merged endpoint list; an empty `socket` opens no socket."""
 
     socket: str
     keep: bool
@@ -93,7 +99,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FleetInstance:
-    """One instance of a fleet; the configuration is a file as the platform gives one."""
+    """One instance of a fleet; `config` is the path of a configuration file in the platform's format."""
 
     config: str
     listen: tuple[str, int]
@@ -104,16 +110,16 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Waits:
-    """Waits between two starts."""
+class RestartBackOff:
+    """First and longest delay between restarts of an instance."""
 
     first: float
     longest: float
 
 
 @dataclass(frozen=True, slots=True)
-class Restarts:
-    """How many within a window, before an instance is held."""
+class RestartLimit:
+    """The number of restarts within a window after which an instance is suspended."""
 
     most: int
     within: float
@@ -121,7 +127,7 @@
 
 @dataclass(frozen=True, slots=True)
 class HealthChecks:
-    """How often an instance is asked, and how often in a row it may not answer."""
+    """Interval and time-out of health checks, and the consecutive misses that are allowed."""
 
     every: float
     within: float
@@ -130,7 +136,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FleetLog:
-    """Log files of the instances."""
+    """Size, rotation and format of the instances' log files."""
 
     most_bytes: int
     keep: int
@@ -139,7 +145,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FleetLeases:
-    """Budgets that the instances of a host share; `own`: the part that stays with each, 0 for the usual."""
+    """Budgets shared by the instances of a host; `own` is the fraction each retains, 0 for the default."""
 
     window: float
     own: float
@@ -147,7 +153,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Tracing:
-    """Traces of requests; `ratio` of them, chosen by their ids."""
+    """Request tracing; `ratio` is the fraction of requests traced, sampled by their ids."""
 
     ratio: float
     most_bytes: int
@@ -156,7 +162,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Fleet:
-    """Instances that one supervisor runs."""
+    """The instances that one supervisor runs."""
 
     folder: str
     instances: dict[str, FleetInstance]
@@ -165,19 +171,19 @@
     memory: int
     ready_within: float
     stop_within: float
-    back_off: Waits
-    restarts: Restarts
+    back_off: RestartBackOff
+    restarts: RestartLimit
     health: HealthChecks
     roll_out: int
     log: FleetLog
     leases: FleetLeases | None = None
-    limits: dict[str, Any] | None = None  # as `fleet.lender.plan_of` reads it
+    limits: dict[str, Any] | None = None  # parsed by `fleet.lender.plan_of`
     tracing: Tracing | None = None
 
 
 @dataclass(frozen=True, slots=True)
 class Access:
-    """Signed URLs and tokens; policies as `lifecycle.access` reads them."""
+    """Signed URLs and tokens; `policies` are tables that `server.access` parses."""
 
     ring: str
     revoked: str
@@ -189,7 +195,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Http:
-    """The HTTP front; without a certificate, in the clear."""
+    """The HTTP listener; without a certificate, it serves plain HTTP."""
 
     listen: tuple[str, int]
     certificate: str
@@ -199,7 +205,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SwarmRecord:
-    """Membership among the routers; an empty name: the one of the platform's configuration."""
+    """Gossip membership of the routers; an empty name stands for that of the platform's configuration."""
 
     name: str
     counted: bool
@@ -214,7 +220,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ConfigurationRecord:
-    """Changes of the settings while the router runs; an empty path: none are rolled out to it."""
+    """Reloading of settings at run time; with an empty path, the router takes part in no roll-out."""
 
     settings: bool
     path: str = ""
@@ -223,7 +229,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Operator:
-    """The whole file."""
+    """A complete operator file."""
 
     changelog: ChangeLogSource
     zookeeper: ZooKeeperSource | None
@@ -236,25 +242,25 @@
     configuration: ConfigurationRecord | None = None
 
 
-def _address(text: str) -> tuple[str, int]:
+def _parse_address(text: str) -> tuple[str, int]:
     host, _, port = text.rpartition(":")
     return host, int(port)
 
 
-def _zookeeper(table: dict[str, Any]) -> ZooKeeperSource:
+def _zookeeper_source(table: dict[str, Any]) -> ZooKeeperSource:
     return ZooKeeperSource(
         **{
             **table,
-            "servers": tuple(map(_address, table["servers"])),
-            "back_off": BackOff(**table["back_off"]),
-            "auth": tuple(Credential(**one) for one in table["auth"]),
-            "mass": Mass(**table["mass"]),
-            "flap": Flap(**table["flap"]),
+            "servers": tuple(map(_parse_address, table["servers"])),
+            "back_off": ReconnectBackOff(**table["back_off"]),
+            "auth": tuple(Credential(**credential) for credential in table["auth"]),
+            "mass": MassDeparture(**table["mass"]),
+            "flap": FlapDamping(**table["flap"]),
         }
     )
 
 
-def _instance(table: dict[str, Any], listen: tuple[str, int]) -> FleetInstance:
+def _fleet_instance(table: dict[str, Any], listen: tuple[str, int]) -> FleetInstance:
     return FleetInstance(
         table["config"], listen, table["cores"], table["memory"], table["sockets"], table.get("operator", "")
     )
@@ -262,18 +268,19 @@
 
 def _fleet(table: dict[str, Any]) -> Fleet:
     instances = {
-        name: _instance(one, _address(one["listen"])) for name, one in table.get("instances", {}).items()
+        name: _fleet_instance(instance, _parse_address(instance["listen"]))
+        for name, instance in table.get("instances", {}).items()
     }
     for name, group in table.get("groups", {}).items():
         for number in range(group["count"]):
             listen = (group["host"], group["first_port"] + number)
-            instances[f"{name}-{number}"] = _instance(group, listen)
+            instances[f"{name}-{number}"] = _fleet_instance(group, listen)
     return Fleet(
         **{
             **{field: value for field, value in table.items() if field not in ("instances", "groups")},
             "instances": instances,
-            "back_off": Waits(**table["back_off"]),
-            "restarts": Restarts(**table["restarts"]),
+            "back_off": RestartBackOff(**table["back_off"]),
+            "restarts": RestartLimit(**table["restarts"]),
             "health": HealthChecks(**table["health"]),
             "log": FleetLog(**table["log"]),
             "leases": FleetLeases(**table["leases"]) if "leases" in table else None,
@@ -282,7 +289,7 @@
     )
 
 
-def _swarm(table: dict[str, Any]) -> SwarmRecord:
+def _swarm_record(table: dict[str, Any]) -> SwarmRecord:
     return SwarmRecord(
         table.get("name", ""),
         table["shares"] == "counted",
@@ -296,16 +303,16 @@
     )
 
 
-def _configuration(table: dict[str, Any]) -> ConfigurationRecord:
+def _configuration_record(table: dict[str, Any]) -> ConfigurationRecord:
     return ConfigurationRecord(table["settings"], table.get("path", ""), float(table["start_wait"]))
 
 
-def operator_of(table: dict[str, Any]) -> Operator:
-    """The records of a table that the schema has passed."""
+def operator_from_table(table: dict[str, Any]) -> Operator:
+    """Return the records of a table that has been validated against the schema."""
     sources, presence, members = table["sources"], table.get("presence"), table["members"]
     return Operator(
         changelog=ChangeLogSource(**sources["changelog"]),
-        zookeeper=_zookeeper(sources["zookeeper"]) if "zookeeper" in sources else None,
+        zookeeper=_zookeeper_source(sources["zookeeper"]) if "zookeeper" in sources else None,
         presence=None
         if presence is None
         else Presence(
@@ -326,15 +333,15 @@
         if "access" in table
         else None,
         http=Http(
-            _address(table["http"]["listen"]),
+            _parse_address(table["http"]["listen"]),
             table["http"].get("tls", {}).get("certificate", ""),
             table["http"].get("tls", {}).get("key", ""),
             table["http"]["connections"],
         )
         if "http" in table
         else None,
-        swarm=_swarm(table["swarm"]) if "swarm" in table else None,
-        configuration=_configuration(table["configuration"]) if "configuration" in table else None,
+        swarm=_swarm_record(table["swarm"]) if "swarm" in table else None,
+        configuration=_configuration_record(table["configuration"]) if "configuration" in table else None,
         members=Members(
             members.get("socket", ""), members["nobody"] == "keep", members["trace"], members["batch"]
         ),
--- a/stonecove/operator_config/values.py
+++ b/stonecove/operator_config/values.py
@@ -1,8 +1,8 @@
-"""Values of the operator's file and their unification: the greatest value that is an instance of both.
+"""Values of the operator file and their unification: the greatest lower bound in the value lattice.
 
 Source: the CUE language specification, "Values" and "Unification". A value is a scalar, a type with bounds,
-a struct, a list or a disjunction; what can't be unified is noted as a problem that names both places, and
-all of them are found in one go.
+a struct, a list or a disjunction. A conflict is reported as a problem that names both source positions, and
+unification continues after it, so that one pass reports all conflicts.
 """
 
 from __future__ import annotations
@@ -18,33 +18,37 @@
 
 NUMBERS = frozenset(("int", "float"))
 KINDS = frozenset(("int", "float", "string", "bool", "null", "duration", "size"))
-Plain = str | int | float | bool | None
-_COMPARE: dict[str, Callable[[Any, Any], bool]] = {
+PlainScalar = str | int | float | bool | None
+_COMPARISONS: dict[str, Callable[[Any, Any], bool]] = {
     ">=": operator.ge,
     "<=": operator.le,
     ">": operator.gt,
     "<": operator.lt,
 }
-_UNITS = (("h", 3_600_000.0), ("min", 60_000.0), ("s", 1000.0), ("ms", 1.0))
-_SIZES = (("GiB", 1 << 30), ("MiB", 1 << 20), ("KiB", 1 << 10), ("B", 1))
+_DURATION_UNITS_MS = (("h", 3_600_000.0), ("min", 60_000.0), ("s", 1000.0), ("ms", 1.0))
+_SIZE_UNITS_BYTES = (("GiB", 1 << 30), ("MiB", 1 << 20), ("KiB", 1 << 10), ("B", 1))
 
 
 @dataclass(frozen=True, slots=True)
 class Scalar:
-    """One value: durations are in milliseconds, sizes in bytes."""
+    """A concrete scalar; durations are in milliseconds, sizes in bytes."""
 
     kind: str
-    value: Plain
+    value: PlainScalar
     at: tuple[Pos, ...]
 
     def __str__(self) -> str:
         value = self.value
         if self.kind == "duration" and isinstance(value, float):
-            unit, of = next((pair for pair in _UNITS if value and value % pair[1] == 0), ("ms", 1.0))
-            return f"{value / of:g}{unit}"
+            unit, unit_ms = next(
+                (pair for pair in _DURATION_UNITS_MS if value and value % pair[1] == 0), ("ms", 1.0)
+            )
+            return f"{value / unit_ms:g}{unit}"
         if self.kind == "size" and isinstance(value, int):
-            unit, size = next((pair for pair in _SIZES if value and value % pair[1] == 0), ("B", 1))
-            return f"{value // size}{unit}"
+            unit, unit_bytes = next(
+                (pair for pair in _SIZE_UNITS_BYTES if value and value % pair[1] == 0), ("B", 1)
+            )
+            return f"{value // unit_bytes}{unit}"
         if isinstance(value, bool) or value is None:
             return {True: "true", False: "false", None: "null"}[value]
         return (
@@ -58,7 +62,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Bound:
-    """An operator and what it compares with."""
+    """A constraint on a scalar: a comparison operator and its operand."""
 
     operator: str
     operand: Scalar
@@ -66,22 +70,22 @@
     def __str__(self) -> str:
         return f"{self.operator}{self.operand}"
 
-    def holds(self, one: Scalar) -> bool:
-        """Whether a value is within; values of another kind are not."""
-        mine, theirs = self.operand, one
+    def admits(self, candidate: Scalar) -> bool:
+        """Return whether a scalar satisfies the bound; an order or pattern never admits another kind."""
+        operand, scalar = self.operand, candidate
         if self.operator in ("=~", "!~"):
-            return isinstance(theirs.value, str) and (
-                bool(re.search(str(mine.value), theirs.value)) == (self.operator == "=~")
+            return isinstance(scalar.value, str) and (
+                bool(re.search(str(operand.value), scalar.value)) == (self.operator == "=~")
             )
         if self.operator == "!=":
-            return mine.value != theirs.value or mine.kind != theirs.kind
-        same = mine.kind == theirs.kind or {mine.kind, theirs.kind} <= NUMBERS
-        return same and _COMPARE[self.operator](theirs.value, mine.value)
+            return operand.value != scalar.value or operand.kind != scalar.kind
+        same_kind = operand.kind == scalar.kind or {operand.kind, scalar.kind} <= NUMBERS
+        return same_kind and _COMPARISONS[self.operator](scalar.value, operand.value)
 
 
 @dataclass(frozen=True, slots=True)
 class Type:
-    """Any value of these kinds within these bounds."""
+    """Any scalar of the given kinds that satisfies all bounds."""
 
     kinds: frozenset[str]
     bounds: tuple[Bound, ...]
@@ -102,7 +106,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FieldValue:
-    """A field of a struct."""
+    """The value of a struct field, whether it is optional, and its source position."""
 
     value: Value
     optional: bool
@@ -111,7 +115,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Struct:
-    """Fields by name; a closed one has no others than those, and those that its patterns allow."""
+    """Fields by name; a closed struct admits only these, and those that match its patterns."""
 
     fields: dict[str, FieldValue]
     patterns: tuple[Value, ...]
@@ -124,7 +128,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ListValue:
-    """Members, and what further ones must be; None: there are no further ones."""
+    """The elements of a list, and the constraint on further elements; None for a closed list."""
 
     items: tuple[Value, ...]
     rest: Value | None
@@ -136,8 +140,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Choice:
-    """A disjunction: alternatives, those first that are defaults."""
+class DisjunctionValue:
+    """A disjunction: alternatives, each with a flag that is true for a default."""
 
     parts: tuple[tuple[bool, Value], ...]
     at: tuple[Pos, ...]
@@ -148,7 +152,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Bottom:
-    """What could not be unified; its problem is noted already."""
+    """The result of a failed unification, whose problem has been reported."""
 
     at: tuple[Pos, ...] = ()
 
@@ -156,172 +160,188 @@
         return "_|_"
 
 
-Value = Scalar | Type | Struct | ListValue | Choice | Bottom
+Value = Scalar | Type | Struct | ListValue | DisjunctionValue | Bottom
 
 
 @dataclass
-class Notes:
-    """Problems as they are found."""
+class Diagnostics:
+    """Collects the problems that evaluation and unification report."""
 
     problems: list[Problem] = field(default_factory=list)
 
     def add(self, at: tuple[Pos, ...], path: str, text: str) -> Bottom:
-        """Notes one, at the first place; the others are named in its text."""
-        places = list({str(place): place for place in reversed(at)}.values())[::-1]
-        others = [str(place) for place in places[1:]]
-        also = f" ({', '.join(others)})" if others else ""
-        self.problems.append(Problem(places[0] if places else Pos("?", 1), path, text + also))
+        """Report a problem at the first source position; its text names the other positions."""
+        unique = list({str(pos): pos for pos in reversed(at)}.values())[::-1]
+        related = [str(pos) for pos in unique[1:]]
+        suffix = f" ({', '.join(related)})" if related else ""
+        self.problems.append(Problem(unique[0] if unique else Pos("?", 1), path, text + suffix))
         return Bottom(at)
 
 
 def top(at: Pos) -> Type:
-    """`_`: anything."""
+    """Return the top of the lattice, `_`, which admits any value."""
     return Type(KINDS, (), (at,))
 
 
-def join(path: str, name: str) -> str:
-    """The path of a field."""
+def join_path(path: str, name: str) -> str:
+    """Return the path of a field within the value at `path`."""
     return f"{path}.{name}" if path else name
 
 
-def unify(one: Value, other: Value, path: str, notes: Notes) -> Value:
-    """The value that is an instance of both; problems go to the notes. `one` is named first in a problem."""
-    if isinstance(one, Bottom) or isinstance(other, Bottom):
-        return Bottom(one.at + other.at)
-    if isinstance(one, Type) and one.kinds == KINDS and not one.bounds:
-        return other
-    if isinstance(other, Type) and other.kinds == KINDS and not other.bounds:
-        return one
-    if isinstance(one, Choice) or isinstance(other, Choice):
-        return _unify_choices(one, other, path, notes)
-    if isinstance(one, Struct) and isinstance(other, Struct):
-        return _unify_structs(one, other, path, notes)
-    if isinstance(one, ListValue) and isinstance(other, ListValue):
-        return _unify_lists(one, other, path, notes)
-    if isinstance(one, Scalar) and isinstance(other, Scalar):
+def unify(left: Value, right: Value, path: str, diagnostics: Diagnostics) -> Value:
+    """Return the greatest lower bound of two values, Bottom if there is none.
+
+    Conflicts are reported to the diagnostics; their texts name `left` before `right`.
+    """
+    if isinstance(left, Bottom) or isinstance(right, Bottom):
+        return Bottom(left.at + right.at)
+    if isinstance(left, Type) and left.kinds == KINDS and not left.bounds:
+        return right
+    if isinstance(right, Type) and right.kinds == KINDS and not right.bounds:
+        return left
+    if isinstance(left, DisjunctionValue) or isinstance(right, DisjunctionValue):
+        return _unify_disjunctions(left, right, path, diagnostics)
+    if isinstance(left, Struct) and isinstance(right, Struct):
+        return _unify_structs(left, right, path, diagnostics)
+    if isinstance(left, ListValue) and isinstance(right, ListValue):
+        return _unify_lists(left, right, path, diagnostics)
+    if isinstance(left, Scalar) and isinstance(right, Scalar):
         if (
-            one.value == other.value
-            and (one.kind == other.kind or {one.kind, other.kind} <= NUMBERS)
-            and (isinstance(one.value, bool) == isinstance(other.value, bool))
+            left.value == right.value
+            and (left.kind == right.kind or {left.kind, right.kind} <= NUMBERS)
+            and (isinstance(left.value, bool) == isinstance(right.value, bool))
         ):
-            return replace(one, at=one.at + other.at)
-        return notes.add(one.at + other.at, path, f"{one} is not {other}")
-    if isinstance(one, Type) and isinstance(other, Type):
-        kinds = one.kinds & other.kinds
+            return replace(left, at=left.at + right.at)
+        return diagnostics.add(left.at + right.at, path, f"{left} is not {right}")
+    if isinstance(left, Type) and isinstance(right, Type):
+        kinds = left.kinds & right.kinds
         if kinds:
-            return Type(kinds, one.bounds + other.bounds, one.at + other.at)
-    elif isinstance(one, Scalar) and isinstance(other, Type):
-        return _within(one, other, path, notes)
-    elif isinstance(one, Type) and isinstance(other, Scalar):
-        return _within(other, one, path, notes)
-    return notes.add(one.at + other.at, path, f"{one} and {other} have nothing in common")
-
-
-def _within(one: Scalar, kind: Type, path: str, notes: Notes) -> Value:
-    at = one.at + kind.at
-    kinds = kind.kinds | {"int"} if "float" in kind.kinds and kind.kinds != NUMBERS else kind.kinds
-    if one.kind not in kinds:
-        return notes.add(at, path, f"{one} is no {Type(kind.kinds, (), ())}")
-    for bound in kind.bounds:
-        if not bound.holds(one):
-            return notes.add(one.at + bound.operand.at, path, f"{one} is not {bound}")
-    return replace(one, at=at)
-
-
-def _unify_choices(one: Value, other: Value, path: str, notes: Notes) -> Value:
-    """Each alternative with each. A default is what is one on both sides, or on one where the other has
-    none.
+            return Type(kinds, left.bounds + right.bounds, left.at + right.at)
+    elif isinstance(left, Scalar) and isinstance(right, Type):
+        return _unify_scalar_with_type(left, right, path, diagnostics)
+    elif isinstance(left, Type) and isinstance(right, Scalar):
+        return _unify_scalar_with_type(right, left, path, diagnostics)
+    return diagnostics.add(left.at + right.at, path, f"{left} and {right} have nothing in common")
+
+
+def _unify_scalar_with_type(scalar: Scalar, constraint: Type, path: str, diagnostics: Diagnostics) -> Value:
+    at = scalar.at + constraint.at
+    kinds = (
+        constraint.kinds | {"int"}
+        if "float" in constraint.kinds and constraint.kinds != NUMBERS
+        else constraint.kinds
+    )
+    if scalar.kind not in kinds:
+        return diagnostics.add(at, path, f"{scalar} is no {Type(constraint.kinds, (), ())}")
+    for bound in constraint.bounds:
+        if not bound.admits(scalar):
+            return diagnostics.add(scalar.at + bound.operand.at, path, f"{scalar} is not {bound}")
+    return replace(scalar, at=at)
+
+
+def _unify_disjunctions(first: Value, second: Value, path: str, diagnostics: Diagnostics) -> Value:
+    """Unify each alternative of one side with each of the other.
+
+    A result is a default if at least one side has a default, and each side that has any contributes one.
     """
-    lefts = one.parts if isinstance(one, Choice) else ((False, one),)
-    rights = other.parts if isinstance(other, Choice) else ((False, other),)
-    left_marks, right_marks = any(mark for mark, _ in lefts), any(mark for mark, _ in rights)
-    found: list[tuple[bool, Value]] = []
-    failed: list[Problem] = []
-    for left_mark, left in lefts:
-        for right_mark, right in rights:
-            tried = Notes()
-            value = unify(left, right, path, tried)
-            if tried.problems:
-                failed += tried.problems
+    left_parts = first.parts if isinstance(first, DisjunctionValue) else ((False, first),)
+    right_parts = second.parts if isinstance(second, DisjunctionValue) else ((False, second),)
+    left_has_default, right_has_default = (
+        any(marked for marked, _ in left_parts),
+        any(marked for marked, _ in right_parts),
+    )
+    unified: list[tuple[bool, Value]] = []
+    branch_problems: list[Problem] = []
+    for left_default, left in left_parts:
+        for right_default, right in right_parts:
+            branch = Diagnostics()
+            value = unify(left, right, path, branch)
+            if branch.problems:
+                branch_problems += branch.problems
                 continue
-            default = (
-                (left_mark or not left_marks)
-                and (right_mark or not right_marks)
-                and (left_marks or right_marks)
+            is_default = (
+                (left_default or not left_has_default)
+                and (right_default or not right_has_default)
+                and (left_has_default or right_has_default)
             )
-            if not any(_same(value, known) and default <= mark for mark, known in found):
-                found = [(mark, known) for mark, known in found if not _same(value, known)]
-                found.append((default, value))
-    if not found:
-        # An alternative that fails deep inside says more than the list of all: it is the one that was meant.
-        deep = [problem for problem in failed if problem.path != path]
-        if deep:
-            notes.problems += deep
-            return Bottom(one.at + other.at)
-        return notes.add(
-            one.at + other.at,
+            if not any(_same_scalar(value, known) and is_default <= marked for marked, known in unified):
+                unified = [(marked, known) for marked, known in unified if not _same_scalar(value, known)]
+                unified.append((is_default, value))
+    if not unified:
+        # An alternative that fails at a nested path is most likely the intended one, so its problems are
+        # more useful than a list of all alternatives.
+        nested = [problem for problem in branch_problems if problem.path != path]
+        if nested:
+            diagnostics.problems += nested
+            return Bottom(first.at + second.at)
+        return diagnostics.add(
+            first.at + second.at,
             path,
-            f"{one} is none of {other}" if isinstance(other, Choice) else f"{other} is none of {one}",
+            f"{first} is none of {second}"
+            if isinstance(second, DisjunctionValue)
+            else f"{second} is none of {first}",
         )
-    if len(found) == 1:
-        return found[0][1]
-    return Choice(tuple(found), one.at + other.at)
+    if len(unified) == 1:
+        return unified[0][1]
+    return DisjunctionValue(tuple(unified), first.at + second.at)
 
 
-def _same(one: Value, other: Value) -> bool:
+def _same_scalar(first: Value, second: Value) -> bool:
     return (
-        isinstance(one, Scalar)
-        and isinstance(other, Scalar)
-        and (one.kind, one.value) == (other.kind, other.value)
+        isinstance(first, Scalar)
+        and isinstance(second, Scalar)
+        and (first.kind, first.value) == (second.kind, second.value)
     )
 
 
-def _unify_lists(one: ListValue, other: ListValue, path: str, notes: Notes) -> Value:
-    for short, long in ((one, other), (other, one)):
-        if short.rest is None and len(long.items) > len(short.items):
-            return notes.add(
-                short.at + long.at, path, f"{len(short.items)} members where {len(long.items)} are wanted"
+def _unify_lists(first: ListValue, second: ListValue, path: str, diagnostics: Diagnostics) -> Value:
+    for closed, given in ((first, second), (second, first)):
+        if closed.rest is None and len(given.items) > len(closed.items):
+            return diagnostics.add(
+                closed.at + given.at, path, f"{len(closed.items)} members where {len(given.items)} are wanted"
             )
     items: list[Value] = []
-    for place in range(max(len(one.items), len(other.items))):
-        pair = [side.items[place] if place < len(side.items) else side.rest for side in (one, other)]
-        left, right = pair
+    for index in range(max(len(first.items), len(second.items))):
+        elements = [side.items[index] if index < len(side.items) else side.rest for side in (first, second)]
+        left, right = elements
         assert left is not None and right is not None
-        items.append(unify(left, right, f"{path}[{place}]", notes))
+        items.append(unify(left, right, f"{path}[{index}]", diagnostics))
     rest = None
-    if one.rest is not None and other.rest is not None:
-        rest = unify(one.rest, other.rest, f"{path}[]", notes)
-    return ListValue(tuple(items), rest, one.at + other.at)
+    if first.rest is not None and second.rest is not None:
+        rest = unify(first.rest, second.rest, f"{path}[]", diagnostics)
+    return ListValue(tuple(items), rest, first.at + second.at)
 
 
-def _unify_structs(one: Struct, other: Struct, path: str, notes: Notes) -> Value:
-    for closed, given in ((one, other), (other, one)):
+def _unify_structs(first: Struct, second: Struct, path: str, diagnostics: Diagnostics) -> Value:
+    for closed, given in ((first, second), (second, first)):
         if closed.closed:
-            _allowed(closed, given, path, notes)
+            _check_closed(closed, given, path, diagnostics)
     fields: dict[str, FieldValue] = {}
-    for name in [*one.fields, *(name for name in other.fields if name not in one.fields)]:
-        left, right = one.fields.get(name), other.fields.get(name)
+    for name in [*first.fields, *(name for name in second.fields if name not in first.fields)]:
+        left, right = first.fields.get(name), second.fields.get(name)
         if left is not None and right is not None:
             fields[name] = FieldValue(
-                unify(left.value, right.value, join(path, name), notes),
+                unify(left.value, right.value, join_path(path, name), diagnostics),
                 left.optional and right.optional,
                 left.at,
             )
             continue
-        mine = left or right
-        assert mine is not None
-        value = mine.value
-        for pattern in (other if left is not None else one).patterns:
-            value = unify(value, pattern, join(path, name), notes)
-        fields[name] = replace(mine, value=value)
-    return Struct(fields, one.patterns + other.patterns, one.closed or other.closed, one.at + other.at)
+        present = left or right
+        assert present is not None
+        value = present.value
+        for pattern in (second if left is not None else first).patterns:
+            value = unify(value, pattern, join_path(path, name), diagnostics)
+        fields[name] = replace(present, value=value)
+    return Struct(
+        fields, first.patterns + second.patterns, first.closed or second.closed, first.at + second.at
+    )
 
 
-def _allowed(closed: Struct, given: Struct, path: str, notes: Notes) -> None:
+def _check_closed(closed: Struct, given: Struct, path: str, diagnostics: Diagnostics) -> None:
     if closed.patterns:
         return
-    for name, found in given.fields.items():
-        if name not in closed.fields and not found.optional:
-            near = difflib.get_close_matches(name, closed.fields, 1)
-            hint = f"; did you mean {near[0]}?" if near else ""
-            notes.add((found.at, *closed.at[:1]), join(path, name), f"no such field{hint}")
+    for name, field_value in given.fields.items():
+        if name not in closed.fields and not field_value.optional:
+            matches = difflib.get_close_matches(name, closed.fields, 1)
+            hint = f"; did you mean {matches[0]}?" if matches else ""
+            diagnostics.add((field_value.at, *closed.at[:1]), join_path(path, name), f"no such field{hint}")
--- a/stonecove/scale/options.py
+++ b/stonecove/scale/options.py
@@ -13,7 +13,7 @@
 from typing import Any
 
 from stonecove.operator_config.grammar import OperatorError
-from stonecove.operator_config.reader import checked, text_of
+from stonecove.operator_config.reader import read_source_text, validate_against_schema
 
 SCHEMA = "schema.cue"
 MEMORY_INFO = Path("/proc/meminfo")
@@ -103,7 +103,7 @@
     """`base` with what a file changes; raises OptionError with the first problem of the file."""
     schema = resources.files("stonecove.scale").joinpath(SCHEMA).read_text()
     try:
-        table, _ = checked(text_of(path), str(path), schema, "#Scale")
+        table, _ = validate_against_schema(read_source_text(path), str(path), schema, "#Scale")
     except OperatorError as error:
         problem = error.problems[0]
         place = f"{problem.text} ({problem.at})" if problem.path else str(problem)
--- a/stonecove/trial/schedule.py
+++ b/stonecove/trial/schedule.py
@@ -8,9 +8,9 @@
 from pathlib import Path
 from typing import Any
 
-from stonecove.operator_config.evaluate import at_path
-from stonecove.operator_config.reader import checked, text_of
-from stonecove.operator_config.values import Notes, Value
+from stonecove.operator_config.evaluate import value_at_path
+from stonecove.operator_config.reader import read_source_text, validate_against_schema
+from stonecove.operator_config.values import Diagnostics, Value
 from stonecove.standins.loaded import Bears
 from stonecove.trial.open_loop import ClientBehaviour
 
@@ -115,13 +115,13 @@
 
 def read_trial(path: Path, seed: int) -> Trial:
     """Reads a file; raises OperatorError with all that is wrong. The same seed draws the same routers."""
-    return trial_of(text_of(path), str(path), seed)
+    return trial_of(read_source_text(path), str(path), seed)
 
 
 def trial_of(text: str, name: str, seed: int) -> Trial:
     """The same for a text that is at hand."""
     schema = resources.files("stonecove.trial").joinpath(SCHEMA).read_text()
-    table, _ = checked(text, name, schema, "#Trial", _check)
+    table, _ = validate_against_schema(text, name, schema, "#Trial", _check)
     chooser = random.Random(seed)
     expects = table["expects"]
 
@@ -177,11 +177,11 @@
                  table["factor"])  # fmt: skip
 
 
-def _check(table: dict[str, Any], value: Value, notes: Notes) -> None:
+def _check(table: dict[str, Any], value: Value, notes: Diagnostics) -> None:
     """What one field alone can't show."""
 
     def fault(path: str, text: str) -> None:
-        found = at_path(value, path)
+        found = value_at_path(value, path)
         notes.add(found.at if found is not None else (), path, text)
 
     if beyond := [who for who in table["twins"] if who >= table["routers"]]:
--- a/tests/test_golden_operator.py
+++ b/tests/test_golden_operator.py
@@ -1,4 +1,4 @@
-"""Golden data of the operator's file: what it means, how it is shown, and what is told of a broken one."""
+"""Golden tests of the operator file: its records, its printed and explained form, and its problems."""
 
 from __future__ import annotations
 
@@ -23,69 +23,69 @@
 
 from stonecove.operator_config import records
 from stonecove.operator_config.grammar import OperatorError
-from stonecove.operator_config.reader import MOST_BYTES, explain, read, read_text, show
+from stonecove.operator_config.reader import MAX_FILE_BYTES, explain, read, read_text, show
 
 
-def describe_zookeeper(one: records.ZooKeeperSource) -> dict[str, object]:
+def describe_zookeeper(source: records.ZooKeeperSource) -> dict[str, object]:
     """Return the ZooKeeper source of the operator's file under neutral keys."""
     return {
-        "trust_rank": one.rank,
-        "servers": [list(server) for server in one.servers],
-        "path": one.path,
-        "watch_mode": one.watches,
-        "session_timeout_ms": one.session_timeout,
-        "connect_timeout_ms": one.connect_timeout,
+        "trust_rank": source.rank,
+        "servers": [list(server) for server in source.servers],
+        "path": source.path,
+        "watch_mode": source.watches,
+        "session_timeout_ms": source.session_timeout,
+        "connect_timeout_ms": source.connect_timeout,
         "backoff": {
-            "initial_ms": one.back_off.first,
-            "max_ms": one.back_off.longest,
-            "jitter": one.back_off.jitter,
+            "initial_ms": source.back_off.first,
+            "max_ms": source.back_off.longest,
+            "jitter": source.back_off.jitter,
         },
-        "credentials": [{"scheme": each.scheme, "file": each.file} for each in one.auth],
-        "stale_after_ms": one.stale_for,
-        "departure_linger_ms": one.linger,
-        "return_grace_ms": one.return_within,
+        "credentials": [{"scheme": each.scheme, "file": each.file} for each in source.auth],
+        "stale_after_ms": source.stale_for,
+        "departure_linger_ms": source.linger,
+        "return_grace_ms": source.return_within,
         "mass_departure": {
-            "fraction": one.mass.share,
-            "min_count": one.mass.least,
-            "window_ms": one.mass.window,
+            "fraction": source.mass.share,
+            "min_count": source.mass.least,
+            "window_ms": source.mass.window,
         },
         "flap_damping": {
-            "max_returns": one.flap.most,
-            "window_ms": one.flap.window,
-            "hold_ms": one.flap.hold,
-            "max_hold_ms": one.flap.longest,
+            "max_returns": source.flap.most,
+            "window_ms": source.flap.window,
+            "hold_ms": source.flap.hold,
+            "max_hold_ms": source.flap.longest,
         },
-        "max_record_bytes": one.most_bytes,
+        "max_record_bytes": source.most_bytes,
     }
 
 
-def describe_presence(one: records.Presence) -> dict[str, object]:
+def describe_presence(presence: records.Presence) -> dict[str, object]:
     """Return the router's own registration under neutral keys."""
     return {
-        "path": one.path,
-        "name": one.name,
-        "shares_counted_from_list": one.derived,
-        "grow_after_ms": one.grow,
-        "shrink_after_ms": one.shrink,
+        "path": presence.path,
+        "name": presence.name,
+        "shares_counted_from_list": presence.derived,
+        "grow_after_ms": presence.grow,
+        "shrink_after_ms": presence.shrink,
     }
 
 
-def describe_instance(one: records.FleetInstance) -> dict[str, object]:
+def describe_instance(instance: records.FleetInstance) -> dict[str, object]:
     """Return one instance of a supervised fleet under neutral keys."""
     return {
-        "config_file": one.config,
-        "listen": list(one.listen),
-        "cores": one.cores,
-        "memory_bytes": one.memory,
-        "max_sockets": one.sockets,
-        "operator_file": one.operator,
+        "config_file": instance.config,
+        "listen": list(instance.listen),
+        "cores": instance.cores,
+        "memory_bytes": instance.memory,
+        "max_sockets": instance.sockets,
+        "operator_file": instance.operator,
     }
 
 
 def describe_rate(table: Mapping[str, Any]) -> dict[str, object]:
     """Return one rate limit under neutral keys."""
-    found = {"per_second": table["rate"], "burst": table["burst"]}
-    return {**found, **({"ceiling_per_second": table["ceil"]} if "ceil" in table else {})}
+    limit = {"per_second": table["rate"], "burst": table["burst"]}
+    return {**limit, **({"ceiling_per_second": table["ceil"]} if "ceil" in table else {})}
 
 
 def describe_limits(table: Mapping[str, Any]) -> dict[str, object]:
@@ -106,35 +106,35 @@
     }
 
 
-def describe_fleet(one: records.Fleet) -> dict[str, object]:
+def describe_fleet(fleet: records.Fleet) -> dict[str, object]:
     """Return the supervised fleet under neutral keys."""
     return {
-        "folder": one.folder,
-        "instances": {name: describe_instance(each) for name, each in one.instances.items()},
-        "messages_between_instances": one.messages,
-        "pin_to_cores": one.pin,
-        "memory_bytes": one.memory,
-        "ready_timeout_ms": one.ready_within,
-        "stop_timeout_ms": one.stop_within,
-        "restart_backoff": {"initial_ms": one.back_off.first, "max_ms": one.back_off.longest},
-        "restart_limit": {"count": one.restarts.most, "window_ms": one.restarts.within},
+        "folder": fleet.folder,
+        "instances": {name: describe_instance(each) for name, each in fleet.instances.items()},
+        "messages_between_instances": fleet.messages,
+        "pin_to_cores": fleet.pin,
+        "memory_bytes": fleet.memory,
+        "ready_timeout_ms": fleet.ready_within,
+        "stop_timeout_ms": fleet.stop_within,
+        "restart_backoff": {"initial_ms": fleet.back_off.first, "max_ms": fleet.back_off.longest},
+        "restart_limit": {"count": fleet.restarts.most, "window_ms": fleet.restarts.within},
         "health_checks": {
-            "interval_ms": one.health.every,
-            "timeout_ms": one.health.within,
-            "max_failures": one.health.misses,
+            "interval_ms": fleet.health.every,
+            "timeout_ms": fleet.health.within,
+            "max_failures": fleet.health.misses,
         },
-        "rolling_restart_width": one.roll_out,
-        "log": {"max_bytes": one.log.most_bytes, "kept_files": one.log.keep, "json": one.log.json},
+        "rolling_restart_width": fleet.roll_out,
+        "log": {"max_bytes": fleet.log.most_bytes, "kept_files": fleet.log.keep, "json": fleet.log.json},
         "leases": None
-        if one.leases is None
-        else {"window_ms": one.leases.window, "retained_fraction": one.leases.own},
-        "limits": None if one.limits is None else describe_limits(one.limits),
+        if fleet.leases is None
+        else {"window_ms": fleet.leases.window, "retained_fraction": fleet.leases.own},
+        "limits": None if fleet.limits is None else describe_limits(fleet.limits),
         "tracing": None
-        if one.tracing is None
+        if fleet.tracing is None
         else {
-            "sampling_ratio": one.tracing.ratio,
-            "max_bytes": one.tracing.most_bytes,
-            "kept_files": one.tracing.keep,
+            "sampling_ratio": fleet.tracing.ratio,
+            "max_bytes": fleet.tracing.most_bytes,
+            "kept_files": fleet.tracing.keep,
         },
     }
 
@@ -162,72 +162,81 @@
     }
 
 
-def describe_access(one: records.Access) -> dict[str, object]:
+def describe_access(access: records.Access) -> dict[str, object]:
     """Return the access section under neutral keys."""
     return {
-        "key_ring": one.ring,
-        "revocation_list": one.revoked,
-        "fastcgi_too": one.fastcgi,
-        "remembered_tokens": one.seen,
-        "signature_checks_per_s": one.checks,
-        "policies": [describe_policy(each) for each in one.policies],
+        "key_ring": access.ring,
+        "revocation_list": access.revoked,
+        "fastcgi_too": access.fastcgi,
+        "remembered_tokens": access.seen,
+        "signature_checks_per_s": access.checks,
+        "policies": [describe_policy(each) for each in access.policies],
     }
 
 
-def describe_http(one: records.Http) -> dict[str, object]:
+def describe_http(http: records.Http) -> dict[str, object]:
     """Return the HTTP listener's section under neutral keys."""
     return {
-        "listen": list(one.listen),
-        "certificate_file": one.certificate,
-        "key_file": one.key,
-        "max_connections": one.connections,
+        "listen": list(http.listen),
+        "certificate_file": http.certificate,
+        "key_file": http.key,
+        "max_connections": http.connections,
     }
 
 
-def describe_swarm(one: records.SwarmRecord) -> dict[str, object]:
+def describe_swarm(swarm: records.SwarmRecord) -> dict[str, object]:
     """Return the gossip section under neutral keys."""
     return {
-        "name": one.name,
-        "shares_counted_from_members": one.counted,
-        "uncounted_share": one.own,
-        "probe_period_ms": one.period,
-        "probe_timeout_ms": one.answer,
-        "indirect_probes": one.helpers,
-        "min_suspicion_ms": one.suspicion,
-        "share_lease_ms": one.lease,
-        "refused_connection_proves_death": one.refusals_prove,
+        "name": swarm.name,
+        "shares_counted_from_members": swarm.counted,
+        "uncounted_share": swarm.own,
+        "probe_period_ms": swarm.period,
+        "probe_timeout_ms": swarm.answer,
+        "indirect_probes": swarm.helpers,
+        "min_suspicion_ms": swarm.suspicion,
+        "share_lease_ms": swarm.lease,
+        "refused_connection_proves_death": swarm.refusals_prove,
     }
 
 
-def describe_configuration(one: records.ConfigurationRecord) -> dict[str, object]:
+def describe_configuration(configuration: records.ConfigurationRecord) -> dict[str, object]:
     """Return the settings reload section under neutral keys."""
-    return {"reload_settings": one.settings, "path": one.path, "start_wait_ms": one.start_wait}
+    return {
+        "reload_settings": configuration.settings,
+        "path": configuration.path,
+        "start_wait_ms": configuration.start_wait,
+    }
 
 
-def describe_operator(one: records.Operator) -> dict[str, object]:
+def describe_operator(operator: records.Operator) -> dict[str, object]:
     """Return the operator's whole file under neutral keys."""
     return {
-        "change_log": {"trust_rank": one.changelog.rank, "silent_after_ms": one.changelog.silent_for},
-        "zookeeper": None if one.zookeeper is None else describe_zookeeper(one.zookeeper),
-        "presence": None if one.presence is None else describe_presence(one.presence),
+        "change_log": {
+            "trust_rank": operator.changelog.rank,
+            "silent_after_ms": operator.changelog.silent_for,
+        },
+        "zookeeper": None if operator.zookeeper is None else describe_zookeeper(operator.zookeeper),
+        "presence": None if operator.presence is None else describe_presence(operator.presence),
         "members": {
-            "socket": one.members.socket,
-            "keep_last_list": one.members.keep,
-            "trace_lines": one.members.trace,
-            "batch_ms": one.members.batch,
+            "socket": operator.members.socket,
+            "keep_last_list": operator.members.keep,
+            "trace_lines": operator.members.trace,
+            "batch_ms": operator.members.batch,
         },
-        "fleet": None if one.fleet is None else describe_fleet(one.fleet),
-        "access": None if one.access is None else describe_access(one.access),
-        "http": None if one.http is None else describe_http(one.http),
-        "gossip": None if one.swarm is None else describe_swarm(one.swarm),
-        "configuration": None if one.configuration is None else describe_configuration(one.configuration),
+        "fleet": None if operator.fleet is None else describe_fleet(operator.fleet),
+        "access": None if operator.access is None else describe_access(operator.access),
+        "http": None if operator.http is None else describe_http(operator.http),
+        "gossip": None if operator.swarm is None else describe_swarm(operator.swarm),
+        "configuration": None
+        if operator.configuration is None
+        else describe_configuration(operator.configuration),
     }
 
 
 def with_schema_text(text: str) -> str:
-    """Return a text in which each line number of the schema is replaced by what stands on that line.
+    """Return a text in which each line number of the schema is replaced by the text of that line.
 
-    The place that an error names is part of the check; how many lines of comment stand before it is not.
+    The schema line that a problem names is part of the check; the number of lines before it is not.
     """
     schema = (ROOT / "stonecove" / "operator_config" / "schema.cue").read_text().splitlines()
 
@@ -294,7 +303,7 @@
         found = {"missing": operator_error(partial(read, path))}
         contents = {
             "not-utf-8": b"members: {}\n// \xff\n",
-            "too-long": b" " * (MOST_BYTES + 1),
+            "too-long": b" " * (MAX_FILE_BYTES + 1),
             "too-deep": b"members: trace: " + b"(" * 3000 + b"1" + b")" * 3000,
         }
         for name, content in contents.items():
@@ -324,7 +333,7 @@
 def test_full_operator_file_has_no_default_value() -> None:
     full = input_json("operator-full.out.json")
     default = input_json("operator-good.out.json")["sections-with-defaults"]
-    default["fleet"]["limits"] = full["fleet"]["limits"]  # it has no defaults: below
+    default["fleet"]["limits"] = full["fleet"]["limits"]  # it has no defaults; checked separately below
     default["fleet"]["instances"] = {"one": default["fleet"]["instances"]["a"]}
     default["access"]["policies"] = [{**default["access"]["policies"][0], "token_required": False}]
     full["fleet"]["instances"] = {"one": full["fleet"]["instances"]["one"]}
--- a/tests/test_operator.py
+++ b/tests/test_operator.py
@@ -1,4 +1,4 @@
-"""The operator's file: the language's subset, the schema, errors that name both sides, the commands."""
+"""Tests of the operator file: the CUE subset, the schema, problems with source positions, the commands."""
 
 from __future__ import annotations
 
@@ -11,19 +11,19 @@
 from hypothesis import given, seed, settings
 from hypothesis import strategies as st
 
-from stonecove.operator_config.evaluate import Evaluator, plain
+from stonecove.operator_config.evaluate import Evaluator, to_plain
 from stonecove.operator_config.grammar import OperatorError, parse
 from stonecove.operator_config.reader import explain, read, read_text, show
-from stonecove.operator_config.values import Notes
+from stonecove.operator_config.values import Diagnostics
 
 ROOT = Path(__file__).parent.parent
 ZOOKEEPER = 'sources: zookeeper: {servers: ["10.0.0.1:2181"], path: "/b"}\n'
 
 
-def value(text: str) -> object:
-    """A file that is checked against no schema, as plain tables."""
-    notes = Notes()
-    table = plain(Evaluator(notes).struct(parse(text, "f.cue"), None, ""), "", notes)
+def evaluate_text(text: str) -> object:
+    """Return the plain tables of a source text that is evaluated without a schema."""
+    notes = Diagnostics()
+    table = to_plain(Evaluator(notes).struct(parse(text, "f.cue"), None, ""), "", notes)
     if notes.problems:
         raise OperatorError(notes.problems)
     return table
@@ -57,12 +57,12 @@
         ("x: 1\na: {x: 2, b: x}", {"x": 1, "a": {"x": 2, "b": 2}}),
     ],
 )
-def test_the_subset_means_what_it_means_in_cue(text: str, expected: object) -> None:
-    assert value(text) == expected
+def test_the_subset_evaluates_as_in_cue(text: str, expected: object) -> None:
+    assert evaluate_text(text) == expected
 
 
 @pytest.mark.parametrize(
-    ("text", "wrong"),
+    ("text", "message"),
     [
         ("a: 1\na: 2", r"f.cue:1: a: 1 is not 2 \(f.cue:2\)"),
         ("a: int\na: 1.5", r"a: .*1.5 is no int"),
@@ -94,12 +94,12 @@
         ("a: " + "(" * 3000 + "1" + ")" * 3000, r"."),
     ],
 )
-def test_what_is_wrong_is_told_with_its_place(text: str, wrong: str) -> None:
-    with pytest.raises(OperatorError, match=wrong):
-        value(text)
+def test_a_problem_is_reported_with_its_source_position(text: str, message: str) -> None:
+    with pytest.raises(OperatorError, match=message):
+        evaluate_text(text)
 
 
-def test_all_that_is_wrong_is_told_at_once_with_both_sides() -> None:
+def test_all_problems_are_reported_at_once_with_both_positions() -> None:
     text = """sources: zookeeper: {
         servers: []
         path: "x"
@@ -108,10 +108,10 @@
     }
     members: {trace: -1, nobody: "maybe"}
     """
-    with pytest.raises(OperatorError) as told:
+    with pytest.raises(OperatorError) as raised:
         read_text(text, "f.cue")
-    lines = str(told.value).splitlines()
-    assert len(lines) == len(told.value.problems) == 6
+    lines = str(raised.value).splitlines()
+    assert len(lines) == len(raised.value.problems) == 6
     assert all(re.search(r"schema\.cue:\d+", line) for line in lines)
     assert [line.split(": ")[1] for line in lines] == [
         "sources.zookeeper.servers",
@@ -125,7 +125,7 @@
 
 
 @pytest.mark.parametrize(
-    ("more", "wrong"),
+    ("addition", "message"),
     [
         ("sources: zookeeper: rank: 0", "rank.*trusted more"),
         ('sources: zookeeper: servers: ["10.0.0.300:1"]', "is not"),
@@ -134,9 +134,9 @@
         ('presence: path: "/b"', "also that of the boxes"),
     ],
 )
-def test_what_one_field_alone_can_not_show(more: str, wrong: str) -> None:
-    with pytest.raises(OperatorError, match=wrong):
-        read_text(ZOOKEEPER + more, "f.cue")
+def test_constraints_between_fields_are_checked(addition: str, message: str) -> None:
+    with pytest.raises(OperatorError, match=message):
+        read_text(ZOOKEEPER + addition, "f.cue")
     with pytest.raises(OperatorError, match="needs sources.zookeeper"):
         read_text('presence: path: "/b"', "f.cue")
 
@@ -154,17 +154,17 @@
 
 
 def test_what_is_shown_reads_back_the_same() -> None:
-    once = read(ROOT / "deploy" / "operator.cue")
-    again = read_text("\n".join(show(once.value)), "again.cue")
-    assert again.operator == once.operator
+    original = read(ROOT / "deploy" / "operator.cue")
+    reread = read_text("\n".join(show(original.value)), "again.cue")
+    assert reread.operator == original.operator
 
 
-def test_it_is_told_where_a_setting_comes_from() -> None:
-    found = read_text(ZOOKEEPER + "members: batch: 20ms", "f.cue")
-    assert explain(found.value, "members.nope") is None
-    lines = explain(found.value, "members.batch")
+def test_explain_names_the_source_of_a_setting() -> None:
+    loaded = read_text(ZOOKEEPER + "members: batch: 20ms", "f.cue")
+    assert explain(loaded.value, "members.nope") is None
+    lines = explain(loaded.value, "members.batch")
     assert lines is not None and lines[0] == "members.batch: 20ms" and "  given in f.cue:2" in lines
-    default = explain(found.value, "sources.zookeeper.linger")
+    default = explain(loaded.value, "sources.zookeeper.linger")
     assert default is not None and "the default" in default[1]
 
 
@@ -179,7 +179,7 @@
 
 
 @pytest.mark.parametrize(
-    ("arguments", "code", "said"),
+    ("arguments", "exit_code", "expected"),
     [
         (("check", "deploy/operator.cue"), 0, "good"),
         (("check", "none.cue"), 2, "No such file"),
@@ -188,12 +188,14 @@
         (("explain", "sources.none"), 1, "nothing at"),
     ],
 )
-def test_the_commands_say_so_with_their_exit_codes(arguments: tuple[str, ...], code: int, said: str) -> None:
-    done = subprocess.run(
+def test_config_commands_report_by_output_and_exit_code(
+    arguments: tuple[str, ...], exit_code: int, expected: str
+) -> None:
+    completed = subprocess.run(
         [sys.executable, "-m", "stonecove", "config", *arguments],
         cwd=ROOT,
         capture_output=True,
         text=True,
         check=False,
     )
-    assert done.returncode == code and said in done.stdout + done.stderr
+    assert completed.returncode == exit_code and expected in completed.stdout + completed.stderr
