--- a/benchmarks/fuzz.py
+++ b/benchmarks/fuzz.py
@@ -59,7 +59,7 @@
 def path(data: bytes) -> None:
     """A target; below /svc a token is wanted."""
     decision = GATE.check(Request("GET", "http", "e", data.decode("latin-1"), "x", "z"), "x", NOW, NOW)
-    if decision.good and data.decode("latin-1").partition("?")[0].startswith("/svc/"):
+    if decision.admitted and data.decode("latin-1").partition("?")[0].startswith("/svc/"):
         raise AssertionError("let in without a token")
 
 
@@ -78,7 +78,7 @@
 
 
 def _never(request: Request) -> None:
-    if GATE.check(request, "x", NOW, NOW).good:
+    if GATE.check(request, "x", NOW, NOW).admitted:
         raise AssertionError("a stranger was let in")
 
 
--- a/benchmarks/tokens.py
+++ b/benchmarks/tokens.py
@@ -28,8 +28,8 @@
 from stonecove.access.gate import Gate, Limits
 from stonecove.access.grants import Request
 from stonecove.access.keys import Key, KeyRing, generate
-from stonecove.access.routes import PlainRoutes, Policy, Routes
-from stonecove.access.seen import PlainSeen, SeenIds
+from stonecove.access.routes import LinearRoutes, Policy, Routes
+from stonecove.access.seen import DictReplayCache, ReplayCache
 from stonecove.commands.demo import free_port
 from stonecove.standins.depot import Depot
 from stonecove.standins.webserver import settings
@@ -75,7 +75,7 @@
         asked = [_asked(form, ring.keys[ident], number, now) for number in range(count)]
         for name in ("cold", "cached"):
             began = time.perf_counter()
-            good = sum(gate.check(one, "x", now, now).good for one in asked)
+            good = sum(gate.check(one, "x", now, now).admitted for one in asked)
             found[f"{form.replace('-', '_')}_{name}"] = count / (time.perf_counter() - began)
             assert good == count
         print(
@@ -91,24 +91,24 @@
     prefixes = [f"/svc/c{number % 100}/o{number}" for number in range(10_000)]
     policies = [Policy(prefix) for prefix in prefixes]
     paths = [f"{chooser.choice(prefixes)}/{number}" for number in range(200)]
-    for name, routes in (("trie", Routes(policies)), ("scan", PlainRoutes(policies))):
+    for name, routes in (("trie", Routes(policies)), ("scan", LinearRoutes(policies))):
         began = time.perf_counter()
         hits = sum(routes.find(path) is not None for path in paths)
         found[f"{name}_us"] = (time.perf_counter() - began) / len(paths) * 1e6
         assert hits == len(paths)
     count = 100_000 if short else 1_000_000
-    for name, made in (("wheel", SeenIds(2 * count)), ("dict", PlainSeen(2 * count))):
+    for name, made in (("wheel", ReplayCache(2 * count)), ("dict", DictReplayCache(2 * count))):
         tracemalloc.start()
         for number in range(count):
-            made.see(f"key {number:032x}", 1000.0 + number % 300, 0.0)
+            made.check_and_add(f"key {number:032x}", 1000.0 + number % 300, 0.0)
         found[f"{name}_bytes"] = tracemalloc.get_traced_memory()[0] / count
         tracemalloc.stop()
         began = time.perf_counter()
-        made.see("one more", 2000.0, 1100.0)  # a sweep, with a third of them over
+        made.check_and_add("one more", 2000.0, 1100.0)  # a sweep, with a third of them over
         found[f"{name}_sweep_ms"] = (time.perf_counter() - began) * 1e3
         began = time.perf_counter()
         for number in range(20_000):
-            made.see(f"new {number}", 5000.0, 1100.0)
+            made.check_and_add(f"new {number}", 5000.0, 1100.0)
         found[f"{name}_see_us"] = (time.perf_counter() - began) / 20_000 * 1e6
     print(
         f"10,000 rules: trie {found['trie_us']:.1f} us, scan {found['scan_us']:.0f} us; {count} ids: wheel "
--- a/stonecove/access/__init__.py
+++ b/stonecove/access/__init__.py
@@ -1,5 +1,6 @@
-"""Signed URLs and tokens: who may ask for what. Decisions and codecs; nothing here does I/O.
+"""Signed URLs and tokens: decides which requests are admitted. Decisions and codecs, without I/O.
 
-`gate` decides; `formats` reads tokens, `keys` holds keys, `routes` finds the policy of a path, `canon` has
-the one form of a path, `seen`, `revoked`, `rates`, `verdicts` and `started` remember what the decisions need.
+`gate` decides; `formats` parses and signs tokens, `keys` has key rings, `routes` finds the policy of a path
+and `canon` checks that a path is canonical. `seen`, `revoked`, `rates`, `verdicts` and `started` hold the
+state that decisions depend on.
 """
--- a/stonecove/access/gate.py
+++ b/stonecove/access/gate.py
@@ -1,15 +1,15 @@
-"""Whether a request may go in: one answer with a reason, from what is known, at once. No I/O.
+"""Decides whether a request is admitted: one decision with a reason, made synchronously and without I/O.
 
-What costs little comes first, signatures late, what is remembered of a good request last:
+Cheap checks come first, signatures late, and state changes for an accepted request last:
 
-1. the path's one form, the policy of the longest prefix, the token's form and size
-2. times, resource, method, source, depot, audience, the key's times and its one algorithm
-3. the signature: by memory, else by a check, of which so many a second are made (the valued class has a part)
-4. revocations, the grace of a started object, rate and concurrency, and whether a token for one request was
-   used before
+1. the canonical path, the policy with the longest matching prefix, format and size of the token
+2. times, resource, method, source, depot, audience, validity and algorithm of the key
+3. the signature: from the cache, else by verification, which is limited to a rate (the highest-priority class
+   has a reserved share)
+4. revocations, the grace period of a started object, rate and concurrency, and replay of a single-use token
 
-Several tokens in one request have to say the same. A refusal tells the client a status alone, the log the
-reason.
+All tokens of one request have to carry the same claims. A refused client gets the status only; the reason
+goes to the log.
 """
 
 from __future__ import annotations
@@ -21,88 +21,90 @@
 
 from stonecove.access import canon, formats
 from stonecove.access.grants import Format, Grant, Request, Token, TokenError
-from stonecove.access.keys import HMACS, Key, KeyRing
-from stonecove.access.rates import Rates
+from stonecove.access.keys import HMAC_DIGESTS, Key, KeyRing
+from stonecove.access.rates import SubjectLimits
 from stonecove.access.reasons import Reason
-from stonecove.access.revoked import Revoked
+from stonecove.access.revoked import RevocationList
 from stonecove.access.routes import Policy, Routes
-from stonecove.access.seen import Seen, SeenIds
-from stonecove.access.started import Started
-from stonecove.access.verdicts import Verdicts, Work
+from stonecove.access.seen import ReplayCache, ReplayStatus
+from stonecove.access.started import StartedObjects
+from stonecove.access.verdicts import SignatureBudget, SignatureCache
 
-HMAC_COST = 0.05  # of a check, in those of an RSA or ECDSA signature
+HMAC_VERIFICATION_COST = 0.05  # relative to an RSA or ECDSA verification
 
 
 @dataclass(frozen=True, slots=True)
 class Decision:
-    """What was decided of one request. `why` is for the log: it holds nothing secret."""
+    """Decision on one request. `log_detail` is for the log and contains no secrets."""
 
     reason: Reason
-    why: str = ""
+    log_detail: str = ""
     subject: str = ""
     key_id: str = ""
-    wait: float = 0.0  # seconds after which a rate lets one go again
-    cookie: str = ""  # a renewed token, to be set
-    cookie_depth: int = 0  # segments of its path
-    enters: str = ""  # the subject whose open requests count this one
-    seen: tuple[str, float] = ("", 0.0)  # the id of a token for one request, and until when it is good
+    retry_after_s: float = 0.0  # delay after which the limits may admit a request
+    cookie: str = ""  # renewed token to set in the response
+    cookie_path_segments: int = 0  # number of leading path segments in the cookie's path
+    concurrency_subject: str = ""  # subject under which this request counts as open
+    single_use: tuple[str, float] = ("", 0.0)  # id of a single-use token, and its expiry
 
     @property
-    def good(self) -> bool:
-        """Whether it may go in."""
+    def admitted(self) -> bool:
+        """Return whether the request is admitted."""
         return self.reason in (Reason.GOOD, Reason.OPEN)
 
 
 @dataclass(slots=True)
 class Limits:
-    """Bounds of what is remembered, and of work."""
+    """Limits on the state and the work of a gate."""
 
-    seen: int = 1_000_000
-    checks: float = 2000.0  # signatures a second
+    seen: int = 1_000_000  # ids of single-use tokens
+    checks: float = 2000.0  # signature verifications a second
 
 
 @dataclass(slots=True)
 class Gate:
-    """All that decides over tokens. `now` is Unix seconds; `steady` seconds of a steady clock."""
+    """Policies, keys and state of token checks. `now` is Unix seconds, `steady` seconds of a steady clock."""
 
     routes: Routes
     ring: KeyRing
     limits: Limits = field(default_factory=Limits)
-    revoked: Revoked = field(default_factory=Revoked)
+    revoked: RevocationList = field(default_factory=RevocationList)
     counts: Counter[str] = field(default_factory=Counter)
-    _seen: SeenIds = field(init=False)
-    _work: Work = field(init=False)
-    _verdicts: Verdicts = field(default_factory=Verdicts)
-    _started: Started = field(default_factory=Started)
-    _rates: Rates = field(default_factory=Rates)
+    _replay_cache: ReplayCache = field(init=False)
+    _signature_budget: SignatureBudget = field(init=False)
+    _signature_cache: SignatureCache = field(default_factory=SignatureCache)
+    _started_objects: StartedObjects = field(default_factory=StartedObjects)
+    _subject_limits: SubjectLimits = field(default_factory=SubjectLimits)
 
     def __post_init__(self) -> None:
-        self._seen = SeenIds(self.limits.seen)
-        self._work = Work(self.limits.checks)
+        self._replay_cache = ReplayCache(self.limits.seen)
+        self._signature_budget = SignatureBudget(self.limits.checks)
 
-    def rekey(self, ring: KeyRing, routes: Routes) -> None:
-        """Other keys and policies from now on; what was seen, started and revoked stays."""
+    def replace_keys(self, ring: KeyRing, routes: Routes) -> None:
+        """Replace keys and policies; used ids, started objects and revocations stay."""
         self.ring, self.routes = ring, routes
-        self._verdicts.forget()
+        self._signature_cache.clear()
 
     def check(self, request: Request, item: str, now: float, steady: float) -> Decision:
-        """Decides. `item` names the object of which this is a part."""
-        decision = self._check(request, item, now, steady)
+        """Decide on a request, and count the reason. `item` names the object that the path is a chunk of."""
+        decision = self._decide(request, item, now, steady)
         self.counts[decision.reason.value] += 1
         return decision
 
-    def over(self, decision: Decision, ran: bool) -> None:
-        """The request has its final answer. One that surely did not run has not used up its token."""
-        if decision.enters:
-            self._rates.leave(decision.enters)
-        if decision.seen[0] and not ran:
-            self._seen.forget(*decision.seen)
+    def finish_request(self, decision: Decision, executed: bool) -> None:
+        """Release the state of an admitted request that is finished.
 
-    # -- in order --
+        With `executed` false the request was certainly not executed, so that its single-use token may be
+        used again.
+        """
+        if decision.concurrency_subject:
+            self._subject_limits.leave(decision.concurrency_subject)
+        if decision.single_use[0] and not executed:
+            self._replay_cache.forget(*decision.single_use)
 
-    def _check(self, request: Request, item: str, now: float, steady: float) -> Decision:
-        if wrong := canon.wrong_with(request.path):
-            return Decision(Reason.PATH, wrong)
+    def _decide(self, request: Request, item: str, now: float, steady: float) -> Decision:
+        if path_error := canon.path_error(request.path):
+            return Decision(Reason.PATH, path_error)
         policy = self.routes.find(request.path)
         if policy is None or not policy.token:
             return Decision(Reason.OPEN)
@@ -115,36 +117,45 @@
         token = tokens[0]
         if any(other.grant != token.grant for other in tokens[1:]):
             return Decision(Reason.CONFLICT, "tokens that do not say the same", token.grant.subject)
-        told = Decision(Reason.GOOD, "", token.grant.subject, token.key_id)
+        decision = Decision(Reason.GOOD, "", token.grant.subject, token.key_id)
         key = self.ring.keys.get(token.key_id)
-        reason, why = self._plain(request, policy, token, key, now)
+        reason, detail = self._check_claims(request, policy, token, key, now)
         expired = now > token.grant.expires + policy.skew
         if reason is Reason.GOOD and expired and not policy.grace:
-            reason, why = Reason.EXPIRED, f"{now - token.grant.expires:.0f} s ago"
+            reason, detail = Reason.EXPIRED, f"{now - token.grant.expires:.0f} s ago"
         if reason is not Reason.GOOD or key is None:
-            return replace(told, reason=reason, why=why)
-        names = [Verdicts.name(one.raw, one.message, one.signature, one.key_id) for one in tokens]
-        name = names[0]
-        for one, its_name in zip(tokens, names, strict=True):
-            reason = self._signed(one, its_name, policy, steady)
+            return replace(decision, reason=reason, log_detail=detail)
+        digests = [SignatureCache.digest(one.raw, one.message, one.signature, one.key_id) for one in tokens]
+        token_digest = digests[0]
+        for one, digest in zip(tokens, digests, strict=True):
+            reason = self._check_signature(one, digest, policy, steady)
             if reason is not Reason.GOOD:
-                return replace(told, reason=reason)
-        if (revoked := self._revoked(token, now)) is not None:
-            return replace(told, reason=revoked)
+                return replace(decision, reason=reason)
+        if (revocation := self._revocation_reason(token, now)) is not None:
+            return replace(decision, reason=revocation)
         holder = token.grant.subject or request.source
         if expired:
-            if not self._started.may_go_on(
-                name, f"{holder} {request.source}", item, token.grant.expires, now, policy.grace + policy.skew
+            if not self._started_objects.within_grace(
+                token_digest,
+                f"{holder} {request.source}",
+                item,
+                token.grant.expires,
+                now,
+                policy.grace + policy.skew,
             ):
-                return replace(told, reason=Reason.EXPIRED, why=f"{now - token.grant.expires:.0f} s ago")
+                return replace(
+                    decision, reason=Reason.EXPIRED, log_detail=f"{now - token.grant.expires:.0f} s ago"
+                )
         else:
-            self._started.good(name, f"{holder} {request.source}", item, now)
-        return self._used(replace(told, subject=holder), policy, token, name.hex(), now, steady)
+            self._started_objects.record(token_digest, f"{holder} {request.source}", item, now)
+        return self._consume(
+            replace(decision, subject=holder), policy, token, token_digest.hex(), now, steady
+        )
 
-    def _plain(
+    def _check_claims(
         self, request: Request, policy: Policy, token: Token, key: Key | None, now: float
     ) -> tuple[Reason, str]:
-        """What can be told without a signature."""
+        """Check all that needs no signature; return the reason and a detail for the log."""
         grant = token.grant
         if policy.formats and grant.format not in policy.formats:
             return Reason.FORMAT, grant.format.value
@@ -162,11 +173,13 @@
             return Reason.NOT_YET, f"in {max(grant.not_before, grant.issued) - now:.0f} s"
         if not math.isfinite(grant.expires) or grant.expires > now + policy.longest + policy.skew:
             return Reason.TOO_LONG_LIVED, ""
-        if grant.resources and not any(one.covers(request, token.bare_url) for one in grant.resources):
+        if grant.resources and not any(
+            resource.covers(request, token.url_without_token) for resource in grant.resources
+        ):
             return Reason.RESOURCE, ""
         if request.method not in policy.methods or (grant.methods and request.method not in grant.methods):
             return Reason.METHOD, request.method
-        if not grant.from_source(request.source):
+        if not grant.allows_source(request.source):
             return Reason.SOURCE, request.source
         if (grant.depots or policy.depot) and request.depot not in grant.depots:
             return Reason.DEPOT, request.depot
@@ -176,67 +189,78 @@
             return Reason.ISSUER, ""
         return Reason.GOOD, ""
 
-    def _signed(self, token: Token, name: bytes, policy: Policy, steady: float) -> Reason:
-        """By memory, under that name, else by a check if there is one left this second."""
+    def _check_signature(self, token: Token, digest: bytes, policy: Policy, steady: float) -> Reason:
+        """Check a signature: from the cache by this digest, else by verification if the budget allows it."""
         key = self.ring.keys.get(token.key_id)
         if key is None:
             return Reason.UNKNOWN_KEY
         if not formats.algorithm_fits(token.algorithm, key):
             return Reason.ALGORITHM
-        known = self._verdicts.known(name)
-        if known is None:
-            cost = HMAC_COST if key.algorithm in HMACS else 1.0
-            if not self._work.take(steady, policy.floor, cost):
+        valid = self._signature_cache.lookup(digest)
+        if valid is None:
+            cost = HMAC_VERIFICATION_COST if key.algorithm in HMAC_DIGESTS else 1.0
+            if not self._signature_budget.take(steady, policy.floor, cost):
                 return Reason.BUSY
-            known = key.verify(token.message, token.signature)
-            self._verdicts.keep(name, known)
-        return Reason.GOOD if known else Reason.SIGNATURE
+            valid = key.verify(token.message, token.signature)
+            self._signature_cache.store(digest, valid)
+        return Reason.GOOD if valid else Reason.SIGNATURE
 
-    def _revoked(self, token: Token, now: float) -> Reason | None:
+    def _revocation_reason(self, token: Token, now: float) -> Reason | None:
         grant = token.grant
-        for kind, name, reason in (
+        for kind, revoked_name, reason in (
             ("key", token.key_id, Reason.REVOKED_KEY),
             ("subject", grant.subject, Reason.REVOKED_SUBJECT),
             ("token", grant.token_id, Reason.REVOKED_TOKEN),
         ):
-            if self.revoked.covers(kind, name, grant.issued, now):
+            if self.revoked.covers(kind, revoked_name, grant.issued, now):
                 return reason
         return None
 
-    def _used(
-        self, told: Decision, policy: Policy, token: Token, name: str, now: float, steady: float
+    def _consume(
+        self, decision: Decision, policy: Policy, token: Token, digest: str, now: float, steady: float
     ) -> Decision:
-        """What a good request uses up: rate, a place among the open ones, a token for one request."""
-        # By policy, too: what a subject asks of images takes nothing from its writes.
-        subject = f"{policy.prefix} {told.subject}"
-        if wait := self._rates.take(subject, policy.rate, policy.burst, steady):
-            return replace(told, reason=Reason.RATE, wait=wait)
+        """Count an accepted request against the rate, the concurrent requests and the single-use tokens."""
+        # Limits are kept by policy too, so that reads of a subject do not use up the rate of its writes.
+        subject = f"{policy.prefix} {decision.subject}"
+        if retry_after_s := self._subject_limits.take(subject, policy.rate, policy.burst, steady):
+            return replace(decision, reason=Reason.RATE, retry_after_s=retry_after_s)
         if policy.concurrent:
-            if not self._rates.enter(subject, policy.concurrent):
-                return replace(told, reason=Reason.CONCURRENCY, wait=1.0)
-            told = replace(told, enters=subject)
+            if not self._subject_limits.enter(subject, policy.concurrent):
+                return replace(decision, reason=Reason.CONCURRENCY, retry_after_s=1.0)
+            decision = replace(decision, concurrency_subject=subject)
         if policy.once or token.grant.once:
-            ident = f"{token.key_id} {token.grant.token_id or name}"
+            single_use_id = f"{token.key_id} {token.grant.token_id or digest}"
             expires = token.grant.expires + policy.skew + policy.grace
-            found = self._seen.see(ident, expires, now, policy.floor)
-            if found is not Seen.NEW:
-                self.over(told, True)
-                reason = Reason.REPLAYED if found is Seen.AGAIN else Reason.REPLAY_FULL
-                return replace(told, reason=reason, enters="")
-            told = replace(told, seen=(ident, expires))
+            replay_status = self._replay_cache.check_and_add(single_use_id, expires, now, policy.floor)
+            if replay_status is not ReplayStatus.NEW:
+                self.finish_request(decision, True)
+                reason = Reason.REPLAYED if replay_status is ReplayStatus.SEEN_BEFORE else Reason.REPLAY_FULL
+                return replace(decision, reason=reason, concurrency_subject="")
+            decision = replace(decision, single_use=(single_use_id, expires))
         if token.grant.renewal is not None:
-            told = self._renewed(told, token.grant, now)
-        return told
+            decision = self._with_renewed_token(decision, token.grant, now)
+        return decision
+
+    def _with_renewed_token(self, decision: Decision, grant: Grant, now: float) -> Decision:
+        """Add the next token of a renewal chain (RFC 9246, 3.2) to an accepted decision.
 
-    def _renewed(self, told: Decision, grant: Grant, now: float) -> Decision:
-        """The next token of a chain (RFC 9246, 3.2): the same claims, a new expiry, by the newest key."""
+        It has the same claims with a new expiry, signed by the newest key.
+        """
         signer = self.ring.signer(now, Format.CDNI.value)
         if signer is None or grant.renewal is None:
-            return told
-        claims = {**json.loads(grant.renews), "exp": int(now + grant.renewal.lifetime), "iat": int(now)}
-        return replace(told, cookie=formats.sign_jwt(signer, claims), cookie_depth=grant.renewal.depth)
+            return decision
+        claims = {
+            **json.loads(grant.next_claims_json),
+            "exp": int(now + grant.renewal.lifetime_s),
+            "iat": int(now),
+        }
+        return replace(
+            decision,
+            cookie=formats.sign_jwt(signer, claims),
+            cookie_path_segments=grant.renewal.path_segments,
+        )
 
 
-def cookie_path(path: str, depth: int) -> str:
-    """The path of a renewed cookie: so many segments of the request's (RFC 9246, 2.1.13)."""
-    return "/" + "/".join(path.strip("/").split("/")[:depth]) if depth else "/"
+def cookie_path(path: str, segments: int) -> str:
+    """Return the path of a renewed cookie: the first `segments` of the request's path (RFC 9246, 2.1.13)."""
+    return "/" + "/".join(path.strip("/").split("/")[:segments]) if segments else "/"
--- a/stonecove/access/grants.py
+++ b/stonecove/access/grants.py
@@ -1,4 +1,4 @@
-"""What a token says, whatever its format, and what a request presents."""
+"""Claims of a token, independent of its format, and the parts of a request that they are checked against."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class Format(Enum):
-    """The formats of tokens."""
+    """Token formats."""
 
     CLOUDFRONT = "cloudfront"
     EDGE_AUTH = "edge-auth"
@@ -21,71 +21,76 @@
 
 
 class TokenError(Exception):
-    """A token that can't be read; the text tells why, and nothing of what is secret."""
+    """A token that cannot be parsed; the text gives the reason and contains no secrets."""
 
 
 @dataclass(frozen=True, slots=True)
 class Request:
-    """What a request presents. `target` is path with query as it came, `path` the path alone."""
+    """The parts of a request that tokens are checked against. `target` is path and query, unchanged."""
 
     method: str
     scheme: str
     host: str
     target: str
-    source: str  # address of who asks
+    source: str  # the client's address
     depot: str
     authorization: str = ""
     cookies: tuple[tuple[str, str], ...] = ()
 
     @property
     def path(self) -> str:
-        """Without the query."""
+        """Return the path without the query."""
         return self.target.partition("?")[0]
 
     @property
     def query(self) -> str:
-        """Without the question mark."""
+        """Return the query without the question mark."""
         return self.target.partition("?")[2]
 
 
 @dataclass(frozen=True, slots=True)
 class Resource:
-    """What may be asked for: a pattern of the `path` or the whole `url`; a `hash` or `regex` (RFC 9246)."""
+    """Resource that a token covers.
+
+    `kind` is a glob on the `path` or on the `url`, or a `regex` or `hash` of the URL (RFC 9246).
+    """
 
     kind: str  # path, url, regex, hash
     pattern: str
 
-    def covers(self, request: Request, bare_url: str) -> bool:
-        """Whether the request is of it. `bare_url`: the URL without the token."""
+    def covers(self, request: Request, url_without_token: str) -> bool:
+        """Return whether the request is for this resource."""
         match self.kind:
             case "path":
                 return glob(self.pattern, request.path)
             case "url":
-                return glob(self.pattern, bare_url)
+                return glob(self.pattern, url_without_token)
             case "regex":
-                import re2  # linear in the text, whatever the expression
+                import re2  # linear time for any expression, without catastrophic backtracking
 
-                return re2.fullmatch(self.pattern, bare_url) is not None
+                return re2.fullmatch(self.pattern, url_without_token) is not None
             case "hash":
                 import base64
                 import hashlib
 
-                digest = base64.urlsafe_b64encode(hashlib.sha256(bare_url.encode()).digest()).rstrip(b"=")
+                digest = base64.urlsafe_b64encode(hashlib.sha256(url_without_token.encode()).digest()).rstrip(
+                    b"="
+                )
                 return digest.decode() == self.pattern.rstrip("=")
         return False
 
 
 @dataclass(frozen=True, slots=True)
 class Renewal:
-    """A token that is renewed with each answer (RFC 9246, 2.1.12 to 2.1.15)."""
+    """Renewal of a token with each response (RFC 9246, 2.1.12 to 2.1.15)."""
 
-    lifetime: int  # seconds that the next one is good for
-    depth: int  # path segments of the cookie's path
+    lifetime_s: int  # of the next token
+    path_segments: int  # of the cookie's path
 
 
 @dataclass(frozen=True, slots=True)
 class Grant:
-    """What a token says. Times are Unix seconds; an empty tuple or text binds nothing."""
+    """Claims of a token. Times are Unix seconds; an empty tuple or text means no restriction."""
 
     format: Format
     expires: float
@@ -99,37 +104,39 @@
     depots: tuple[str, ...] = ()
     methods: tuple[str, ...] = ()
     token_id: str = ""
-    once: bool = False  # good for one request
+    once: bool = False  # single-use
     renewal: Renewal | None = None
-    renews: str = field(default="", compare=False)  # claims of the next one, as JSON
+    next_claims_json: str = field(default="", compare=False)  # claims of the renewed token
 
-    def from_source(self, address: str) -> bool:
-        """Whether the address is one that it is bound to."""
+    def allows_source(self, address: str) -> bool:
+        """Return whether the token may be used from this address."""
         if not self.sources:
             return True
         try:
-            where = ip_address(address)
+            parsed_address = ip_address(address)
         except ValueError:
             return False
-        return any(where in network for network in self.sources if network.version == where.version)
+        return any(
+            parsed_address in network for network in self.sources if network.version == parsed_address.version
+        )
 
 
 @dataclass(frozen=True, slots=True)
 class Token:
-    """A token as it was read: nothing in it is to be believed until its signature has been checked."""
+    """A parsed token. Nothing in it is trusted until its signature is verified."""
 
     grant: Grant
     key_id: str
     algorithm: str
-    message: bytes  # what is signed
+    message: bytes  # the signed bytes
     signature: bytes
-    raw: str = field(repr=False)  # as it was presented, for the memory of verdicts
-    bare_url: str = ""  # the request's URL without the token
+    raw: str = field(repr=False)  # as presented, part of the signature cache's key
+    url_without_token: str = ""
 
 
-def networks(text: str) -> tuple[Network, ...]:
-    """One network, as `10.0.0.0/8` or an address; raises TokenError."""
+def parse_networks(text: str) -> tuple[Network, ...]:
+    """Return a network from CIDR notation or an address; raises TokenError."""
     try:
         return (ip_network(text, strict=False),)
     except ValueError:
-        raise TokenError("a source that is no network") from None
+        raise TokenError("source is not a network") from None
--- a/stonecove/access/keys.py
+++ b/stonecove/access/keys.py
@@ -1,7 +1,8 @@
-"""Key rings: several live keys by id, each for one algorithm, with a time from and until which it is good.
+"""Key rings: keys by id, each for one algorithm and one period of validity.
 
 A ring is a table `{"keys": [{"id", "algorithm", "use": FORMAT..., "secret" | "public" | "private", "from",
-"until", "retired"}]}`. An HMAC secret is hex, public and private keys are PEM. Nothing here prints a secret.
+"until", "retired"}]}`. An HMAC secret is hex, public and private keys are PEM. Secrets never
+appear in messages or in the repr of a key.
 """
 
 from __future__ import annotations
@@ -17,13 +18,13 @@
 from cryptography.hazmat.primitives.asymmetric import ec, padding, rsa
 from cryptography.hazmat.primitives.asymmetric.utils import encode_dss_signature
 
-LEAST_SECRET = 16  # bytes
-RSA_BITS = 2048, 8192
-MOST_EXPONENT = 1 << 32  # a huge one makes each check slow
-MOST_KEYS = 64
+MIN_SECRET_BYTES = 16
+RSA_KEY_BITS = 2048, 8192
+MAX_RSA_EXPONENT = 1 << 32  # a larger exponent makes each verification slow
+MAX_KEYS = 64
 
-# Algorithms: JOSE names (RFC 7518), and those of formats that are older.
-HMACS = {
+# Algorithms under their JOSE names (RFC 7518), and the ones of the older formats.
+HMAC_DIGESTS = {
     "HS256": "sha256",
     "HS384": "sha384",
     "HS512": "sha512",
@@ -31,14 +32,14 @@
     "HMAC-SHA1": "sha1",
     "HMAC-MD5": "md5",
 }
-RSAS: dict[str, Any] = {
+RSA_HASHES: dict[str, Any] = {
     "RS256": hashes.SHA256,
     "RS384": hashes.SHA384,
     "RS512": hashes.SHA512,
     "RSA-SHA1": hashes.SHA1,
     "RSA-SHA256": hashes.SHA256,
 }
-ECS: dict[str, tuple[Any, str]] = {
+EC_HASHES_AND_CURVES: dict[str, tuple[Any, str]] = {
     "ES256": (hashes.SHA256, "secp256r1"),
     "ES384": (hashes.SHA384, "secp384r1"),
     "ECDSA-SHA1": (hashes.SHA1, "secp256r1"),
@@ -46,16 +47,16 @@
 }
 
 
-_FIELDS = {"id", "algorithm", "use", "secret", "public", "private", "from", "until", "retired"}
+_KEY_FIELDS = {"id", "algorithm", "use", "secret", "public", "private", "from", "until", "retired"}
 
 
 class KeyRingError(ValueError):
-    """A ring that can't be used; names the key by its id, never by what is secret."""
+    """An invalid key ring; the message identifies a key by its id and contains no secrets."""
 
 
 @dataclass(frozen=True, slots=True)
 class Key:
-    """One key. `until` is when it stops signing; what it signed is accepted until it is retired."""
+    """One key. It stops signing at `not_after`; its signatures are accepted until the key is retired."""
 
     ident: str
     algorithm: str
@@ -68,7 +69,7 @@
     private: Any = field(default=None, repr=False)
 
     def signs(self, now: float) -> bool:
-        """Whether new tokens may be signed with it now."""
+        """Return whether the key may sign new tokens now."""
         return (
             not self.retired
             and self.not_before <= now < self.not_after
@@ -76,76 +77,83 @@
         )
 
     def verify(self, message: bytes, signature: bytes) -> bool:
-        """Whether the signature is this key's, by the one algorithm that it is for; in constant time for
-        HMAC. Never raises for what a stranger may present.
+        """Return whether a signature is valid under this key and its algorithm.
+
+        HMACs are compared in constant time. Never raises for a malformed signature.
         """
-        if name := HMACS.get(self.algorithm):
-            return hmac.compare_digest(hmac.digest(self.secret, message, name), signature)
+        if digest_name := HMAC_DIGESTS.get(self.algorithm):
+            return hmac.compare_digest(hmac.digest(self.secret, message, digest_name), signature)
         try:
-            if digest := RSAS.get(self.algorithm):
+            if digest := RSA_HASHES.get(self.algorithm):
                 self.public.verify(signature, message, padding.PKCS1v15(), digest())
             else:
-                hashed, _ = ECS[self.algorithm]
-                if not self.algorithm.startswith("ECDSA"):  # JOSE has r and s side by side (RFC 7518, 3.4)
-                    half = (self.public.curve.key_size + 7) // 8
-                    if len(signature) != 2 * half:
+                hash_class, _ = EC_HASHES_AND_CURVES[self.algorithm]
+                if not self.algorithm.startswith("ECDSA"):  # JOSE concatenates r and s (RFC 7518, 3.4)
+                    coordinate_bytes = (self.public.curve.key_size + 7) // 8
+                    if len(signature) != 2 * coordinate_bytes:
                         return False
                     signature = encode_dss_signature(
-                        int.from_bytes(signature[:half]), int.from_bytes(signature[half:])
+                        int.from_bytes(signature[:coordinate_bytes]),
+                        int.from_bytes(signature[coordinate_bytes:]),
                     )
-                self.public.verify(signature, message, ec.ECDSA(hashed()))
+                self.public.verify(signature, message, ec.ECDSA(hash_class()))
         except (InvalidSignature, ValueError):
             return False
         return True
 
     def sign(self, message: bytes) -> bytes:
-        """Raises KeyRingError for a key that only verifies."""
-        if name := HMACS.get(self.algorithm):
-            return hmac.digest(self.secret, message, name)
+        """Return the signature of a message; raises KeyRingError for a key without a private part."""
+        if digest_name := HMAC_DIGESTS.get(self.algorithm):
+            return hmac.digest(self.secret, message, digest_name)
         if self.private is None:
             raise KeyRingError(f"key {self.ident} has no private part")
-        if digest := RSAS.get(self.algorithm):
+        if digest := RSA_HASHES.get(self.algorithm):
             return bytes(self.private.sign(message, padding.PKCS1v15(), digest()))
         from cryptography.hazmat.primitives.asymmetric.utils import decode_dss_signature
 
-        hashed, _ = ECS[self.algorithm]
-        signature = bytes(self.private.sign(message, ec.ECDSA(hashed())))
+        hash_class, _ = EC_HASHES_AND_CURVES[self.algorithm]
+        signature = bytes(self.private.sign(message, ec.ECDSA(hash_class())))
         if self.algorithm.startswith("ECDSA"):
             return signature
-        half = (self.private.curve.key_size + 7) // 8
-        return b"".join(part.to_bytes(half) for part in decode_dss_signature(signature))
+        coordinate_bytes = (self.private.curve.key_size + 7) // 8
+        return b"".join(part.to_bytes(coordinate_bytes) for part in decode_dss_signature(signature))
 
 
-def _public(ident: str, algorithm: str, public: Any) -> Any:
-    """Guards against keys that are weak, of another kind, or made to be slow."""
-    if algorithm in RSAS:
+def _validated_public_key(ident: str, algorithm: str, public: Any) -> Any:
+    """Return the public key; raises KeyRingError if it is weak, of the wrong type, or slow to verify with."""
+    if algorithm in RSA_HASHES:
         if not isinstance(public, rsa.RSAPublicKey):
             raise KeyRingError(f"key {ident}: {algorithm} needs an RSA key")
-        if not RSA_BITS[0] <= public.key_size <= RSA_BITS[1]:
-            raise KeyRingError(f"key {ident}: {public.key_size} bits, {RSA_BITS[0]} to {RSA_BITS[1]} wanted")
-        if public.public_numbers().e > MOST_EXPONENT:
-            raise KeyRingError(f"key {ident}: an exponent above {MOST_EXPONENT}")
-    elif not isinstance(public, ec.EllipticCurvePublicKey) or public.curve.name != ECS[algorithm][1]:
-        raise KeyRingError(f"key {ident}: {algorithm} needs a key on {ECS[algorithm][1]}")
+        if not RSA_KEY_BITS[0] <= public.key_size <= RSA_KEY_BITS[1]:
+            raise KeyRingError(
+                f"key {ident}: {public.key_size} bits, {RSA_KEY_BITS[0]} to {RSA_KEY_BITS[1]} allowed"
+            )
+        if public.public_numbers().e > MAX_RSA_EXPONENT:
+            raise KeyRingError(f"key {ident}: RSA exponent above {MAX_RSA_EXPONENT}")
+    elif (
+        not isinstance(public, ec.EllipticCurvePublicKey)
+        or public.curve.name != EC_HASHES_AND_CURVES[algorithm][1]
+    ):
+        raise KeyRingError(f"key {ident}: {algorithm} needs a key on {EC_HASHES_AND_CURVES[algorithm][1]}")
     return public
 
 
-def key_of(table: dict[str, Any]) -> Key:
-    """One key of a ring; raises KeyRingError."""
+def parse_key(table: dict[str, Any]) -> Key:
+    """Return a key from an entry of a ring; raises KeyRingError."""
     ident = table.get("id")
     if not isinstance(ident, str) or not 0 < len(ident) <= 128:
         raise KeyRingError("a key without an id")
     algorithm = table.get("algorithm")
-    if algorithm not in (*HMACS, *RSAS, *ECS):
+    if algorithm not in (*HMAC_DIGESTS, *RSA_HASHES, *EC_HASHES_AND_CURVES):
         raise KeyRingError(f"key {ident}: no algorithm {algorithm!r}")
-    if unknown := set(table) - _FIELDS:
+    if unknown := set(table) - _KEY_FIELDS:
         raise KeyRingError(f"key {ident}: unknown field {sorted(unknown)[0]}")
     use = table.get("use", [])
     if not isinstance(use, list) or not all(isinstance(one, str) for one in use):
         raise KeyRingError(f"key {ident}: use is a list of formats")
     secret, public, private = b"", None, None
     try:
-        if algorithm in HMACS:
+        if algorithm in HMAC_DIGESTS:
             secret = bytes.fromhex(str(table["secret"]))
         elif "private" in table:
             private = serialization.load_pem_private_key(str(table["private"]).encode(), None)
@@ -157,10 +165,10 @@
         raise KeyRingError(f"key {ident}: {error.args[0]} is missing") from None
     except (ValueError, TypeError, UnsupportedAlgorithm):
         raise KeyRingError(f"key {ident}: it can't be read") from None
-    if algorithm in HMACS and len(secret) < LEAST_SECRET:
-        raise KeyRingError(f"key {ident}: a secret of {len(secret)} bytes, {LEAST_SECRET} at least")
-    if algorithm not in HMACS:
-        public = _public(ident, algorithm, public)
+    if algorithm in HMAC_DIGESTS and len(secret) < MIN_SECRET_BYTES:
+        raise KeyRingError(f"key {ident}: a secret of {len(secret)} bytes, {MIN_SECRET_BYTES} at least")
+    if algorithm not in HMAC_DIGESTS:
+        public = _validated_public_key(ident, algorithm, public)
     if not first < last:
         raise KeyRingError(f"key {ident}: from is not before until")
     return Key(
@@ -169,47 +177,49 @@
 
 
 class KeyRing:
-    """All keys that are known, by id."""
+    """Keys by id."""
 
     def __init__(self, keys: Iterable[Key] = ()) -> None:
-        """Raises KeyRingError for an id that is there twice."""
+        """Index the keys; raises KeyRingError for a duplicate id or too many keys."""
         self.keys: dict[str, Key] = {}
         for key in keys:
             if key.ident in self.keys:
                 raise KeyRingError(f"key {key.ident} is there twice")
             self.keys[key.ident] = key
-        if len(self.keys) > MOST_KEYS:
-            raise KeyRingError(f"{len(self.keys)} keys, {MOST_KEYS} at most")
+        if len(self.keys) > MAX_KEYS:
+            raise KeyRingError(f"{len(self.keys)} keys, {MAX_KEYS} at most")
 
     @classmethod
     def read(cls, table: Any) -> KeyRing:
-        """Raises KeyRingError."""
+        """Return a ring from parsed JSON; raises KeyRingError."""
         if not isinstance(table, dict) or not isinstance(table.get("keys"), list):
             raise KeyRingError("a ring is an object with a list `keys`")
         if not all(isinstance(one, dict) for one in table["keys"]):
             raise KeyRingError("a key is an object")
-        return cls(key_of(one) for one in table["keys"])
-
-    def signer(self, now: float, form: str) -> Key | None:
-        """The key that signs now: of those that may, the one that came last."""
-        able = [
-            key for key in self.keys.values() if key.signs(now) and (not key.formats or form in key.formats)
+        return cls(parse_key(one) for one in table["keys"])
+
+    def signer(self, now: float, token_format: str) -> Key | None:
+        """Return the key that signs new tokens of a format: the newest valid one; None if there is none."""
+        candidates = [
+            key
+            for key in self.keys.values()
+            if key.signs(now) and (not key.formats or token_format in key.formats)
         ]
-        return max(able, key=lambda key: (key.not_before, key.ident), default=None)
+        return max(candidates, key=lambda key: (key.not_before, key.ident), default=None)
 
 
 def generate(ident: str, algorithm: str, formats: list[str], now: float) -> dict[str, Any]:
-    """A new key as a table of a ring; raises KeyRingError."""
+    """Return a new key as an entry of a ring; raises KeyRingError for an unknown algorithm."""
     import secrets
 
-    if algorithm not in (*HMACS, *RSAS, *ECS):
+    if algorithm not in (*HMAC_DIGESTS, *RSA_HASHES, *EC_HASHES_AND_CURVES):
         raise KeyRingError(f"no algorithm {algorithm!r}")
     table: dict[str, Any] = {"id": ident, "algorithm": algorithm, "use": formats, "from": now}
-    if algorithm in HMACS:
+    if algorithm in HMAC_DIGESTS:
         return {**table, "secret": secrets.token_hex(32)}
     private: Any
-    if algorithm in RSAS:
-        private = rsa.generate_private_key(65537, RSA_BITS[0])
+    if algorithm in RSA_HASHES:
+        private = rsa.generate_private_key(65537, RSA_KEY_BITS[0])
     else:
         private = ec.generate_private_key(ec.SECP384R1() if algorithm == "ES384" else ec.SECP256R1())
     pem = private.private_bytes(
--- a/stonecove/access/match.py
+++ b/stonecove/access/match.py
@@ -1,28 +1,31 @@
-"""Patterns of resources, matched in time linear in text times stars, without backtracking over more than one.
+"""Glob patterns of resources.
 
-`*` is any run of characters, `?` any one (CloudFront, "Setting signed cookies and URLs using a custom
-policy"; Akamai's ACL). Case counts.
+`*` matches any run of characters, `?` any single one (CloudFront, "Setting signed cookies and URLs using a
+custom policy"; Akamai's ACL). Matching is case-sensitive.
 """
 
 from __future__ import annotations
 
-MOST_PATTERN = 2048
+MAX_PATTERN_LENGTH = 2048
 
 
 def glob(pattern: str, text: str) -> bool:
-    """Whether the whole text is of this pattern. Only the last `*` is ever taken back: O(len * len)."""
-    at = place = 0
-    star, mark = -1, 0
-    while at < len(text):
-        if place < len(pattern) and pattern[place] == "*":
-            star, mark = place, at
-            place += 1
-        elif place < len(pattern) and pattern[place] in ("?", text[at]):
-            at += 1
-            place += 1
-        elif star >= 0:
-            mark += 1
-            at, place = mark, star + 1
+    """Return whether the pattern matches the complete text.
+
+    Backtracks to the last `*` only, so the worst case is quadratic in the lengths, never exponential.
+    """
+    text_index = pattern_index = 0
+    star_index, star_text_index = -1, 0
+    while text_index < len(text):
+        if pattern_index < len(pattern) and pattern[pattern_index] == "*":
+            star_index, star_text_index = pattern_index, text_index
+            pattern_index += 1
+        elif pattern_index < len(pattern) and pattern[pattern_index] in ("?", text[text_index]):
+            text_index += 1
+            pattern_index += 1
+        elif star_index >= 0:
+            star_text_index += 1
+            text_index, pattern_index = star_text_index, star_index + 1
         else:
             return False
-    return all(char == "*" for char in pattern[place:])
+    return all(char == "*" for char in pattern[pattern_index:])
--- a/stonecove/access/reasons.py
+++ b/stonecove/access/reasons.py
@@ -1,4 +1,4 @@
-"""Why a request is refused: stable codes for logs and counts. The client is told the status alone."""
+"""Reasons for refusing a request: stable codes for logs and counters. The client gets the status only."""
 
 from __future__ import annotations
 
@@ -6,20 +6,20 @@
 
 
 class Reason(StrEnum):
-    """Codes that operators may build on; they are never renamed."""
+    """Reason codes. They are a public interface for operators and are never renamed."""
 
     GOOD = "good"
-    OPEN = "open"  # no policy asks for a token here
-    PATH = "path"  # the path is not in its one form
+    OPEN = "open"  # no policy requires a token for this path
+    PATH = "path"  # the path is not canonical
     MISSING = "missing"
     TOO_LONG = "too-long"
     MALFORMED = "malformed"
-    FORMAT = "format"  # the policy does not take this format
-    CONFLICT = "conflict"  # more than one token, and they are not the same
+    FORMAT = "format"  # not accepted by the policy
+    CONFLICT = "conflict"  # several tokens with different claims
     UNKNOWN_KEY = "unknown-key"
     KEY_NOT_YET = "key-not-yet"
     KEY_RETIRED = "key-retired"
-    ALGORITHM = "algorithm"  # not the one that the key is for
+    ALGORITHM = "algorithm"  # not the algorithm of the key
     SIGNATURE = "signature"
     EXPIRED = "expired"
     NOT_YET = "not-yet"
@@ -37,10 +37,10 @@
     REVOKED_TOKEN = "revoked-token"
     RATE = "rate"
     CONCURRENCY = "concurrency"
-    BUSY = "busy"  # too many signatures to check at once
+    BUSY = "busy"  # the budget of signature verifications is exhausted
 
 
-STATUS = {
+STATUS_BY_REASON = {
     Reason.PATH: 400,
     Reason.TOO_LONG: 400,
     Reason.MALFORMED: 401,
@@ -53,5 +53,5 @@
 
 
 def status_of(reason: Reason) -> int:
-    """The HTTP status of a refusal: 401 without a readable token, 403 with one that won't do."""
-    return STATUS.get(reason, 403)
+    """Return the HTTP status of a refusal: 401 without a well-formed token, 403 if it is rejected."""
+    return STATUS_BY_REASON.get(reason, 403)
--- a/stonecove/access/revoked.py
+++ b/stonecove/access/revoked.py
@@ -1,7 +1,8 @@
-"""What was revoked: keys, subjects and tokens, until the last token that it could touch has expired.
+"""Revoked keys, subjects and tokens, each until the last token that it could affect has expired.
 
-An aged Bloom filter (two generations) answers for the many that were never revoked; what it thinks may be
-is looked up in the exact list. So a request costs a few bits, and nothing is refused by chance.
+A Bloom filter answers for the many names that were never revoked; a positive answer is looked up in the exact
+table. A check therefore costs a few bits, and a false positive refuses nothing. The filter is rebuilt from
+the live entries as the table ages.
 """
 
 from __future__ import annotations
@@ -11,76 +12,78 @@
 
 import xxhash
 
-BITS_EACH = 10
-HASHES = 4
+BITS_PER_ENTRY = 10
+HASH_COUNT = 4
 
 
 class Bloom:
-    """A set that may say yes by chance (about 1 % at its size), never no."""
+    """Bloom filter: false positives at about 1 % when filled to its size, no false negatives."""
 
     def __init__(self, size: int) -> None:
-        """For so many entries."""
-        self._bits = max(1024, size * BITS_EACH)
-        self._field = bytearray(self._bits // 8 + 1)
+        """Create an empty filter sized for `size` entries."""
+        self._bit_count = max(1024, size * BITS_PER_ENTRY)
+        self._bits = bytearray(self._bit_count // 8 + 1)
         self.count = 0
 
-    def _places(self, text: str) -> Iterable[int]:
-        digest = xxhash.xxh3_128_intdigest(text.encode())
+    def _positions(self, entry: str) -> Iterable[int]:
+        digest = xxhash.xxh3_128_intdigest(entry.encode())
         first, second = digest & 0xFFFFFFFFFFFFFFFF, digest >> 64 | 1
-        return ((first + turn * second) % self._bits for turn in range(HASHES))
+        return ((first + index * second) % self._bit_count for index in range(HASH_COUNT))
 
-    def add(self, text: str) -> None:
-        """Notes an entry."""
-        for place in self._places(text):
-            self._field[place >> 3] |= 1 << (place & 7)
+    def add(self, entry: str) -> None:
+        """Add an entry."""
+        for position in self._positions(entry):
+            self._bits[position >> 3] |= 1 << (position & 7)
         self.count += 1
 
-    def __contains__(self, text: str) -> bool:
-        return all(self._field[place >> 3] >> (place & 7) & 1 for place in self._places(text))
+    def __contains__(self, entry: str) -> bool:
+        return all(self._bits[position >> 3] >> (position & 7) & 1 for position in self._positions(entry))
 
 
-class Revoked:
-    """The exact list, with the sketch before it."""
+class RevocationList:
+    """Exact table of revocations with a Bloom filter in front of it."""
 
-    def __init__(self, most: int = 1_000_000, sketch: int = 4096) -> None:
-        """`most` entries; the sketch grows as the list does."""
-        self._most = most
-        self._exact: dict[str, tuple[float, float]] = {}  # issued before, until
-        self._sketch = Bloom(sketch)
-        self._size = sketch
-        self.looked_up = 0
+    def __init__(self, max_entries: int = 1_000_000, filter_size: int = 4096) -> None:
+        """Create an empty list; the filter starts at `filter_size` entries and grows with the list."""
+        self._max_entries = max_entries
+        self._entries: dict[str, tuple[float, float]] = {}  # issued before, until
+        self._filter = Bloom(filter_size)
+        self._filter_size = filter_size
+        self.exact_lookups = 0
 
     def __len__(self) -> int:
-        return len(self._exact)
+        return len(self._entries)
 
     def revoke(self, kind: str, name: str, issued_before: float, until: float, now: float) -> None:
-        """`kind`: key, subject or token. What was issued from `issued_before` on is good again (inf: never);
-        the entry is dropped after `until`. Raises ValueError when there is no room.
+        """Revoke the tokens of a `kind` (key, subject or token) and name; times are Unix seconds.
+
+        Tokens issued at `issued_before` or later stay valid (inf: none do); the entry is dropped after
+        `until`. Raises ValueError if the list is full.
         """
-        if len(self._exact) >= self._most:
+        if len(self._entries) >= self._max_entries:
             self.sweep(now)
-            if len(self._exact) >= self._most:
-                raise ValueError("no room for one more revocation")
+            if len(self._entries) >= self._max_entries:
+                raise ValueError("no room for another entry in the revocation list")
         entry = f"{kind}:{name}"
-        before, last = self._exact.get(entry, (-math.inf, -math.inf))
-        self._exact[entry] = max(before, issued_before), max(last, until)
-        self._sketch.add(entry)
-        if self._sketch.count > self._size:
+        known_before, known_until = self._entries.get(entry, (-math.inf, -math.inf))
+        self._entries[entry] = max(known_before, issued_before), max(known_until, until)
+        self._filter.add(entry)
+        if self._filter.count > self._filter_size:
             self.sweep(now)
 
     def sweep(self, now: float) -> None:
-        """Drops what is over, and makes the sketch anew from what is left: so it ages."""
-        self._exact = {entry: held for entry, held in self._exact.items() if held[1] > now}
-        self._size = max(4096, 2 * len(self._exact))
-        self._sketch = Bloom(self._size)
-        for entry in self._exact:
-            self._sketch.add(entry)
+        """Drop expired entries; rebuild the filter from the remaining ones, so that it does not fill up."""
+        self._entries = {entry: times for entry, times in self._entries.items() if times[1] > now}
+        self._filter_size = max(4096, 2 * len(self._entries))
+        self._filter = Bloom(self._filter_size)
+        for entry in self._entries:
+            self._filter.add(entry)
 
     def covers(self, kind: str, name: str, issued: float, now: float) -> bool:
-        """Whether what was issued then, under that name, is revoked."""
+        """Return whether a token issued at `issued` under that name is revoked."""
         entry = f"{kind}:{name}"
-        if not name or entry not in self._sketch:
+        if not name or entry not in self._filter:
             return False
-        self.looked_up += 1
-        before, until = self._exact.get(entry, (-math.inf, -math.inf))
+        self.exact_lookups += 1
+        before, until = self._entries.get(entry, (-math.inf, -math.inf))
         return issued < before and now < until
--- a/stonecove/access/routes.py
+++ b/stonecove/access/routes.py
@@ -1,6 +1,6 @@
-"""Which policy holds for a path: that of the longest prefix, found by a trie of segments.
+"""Lookup of the access policy of a path: longest-prefix match in a trie of path segments.
 
-A prefix holds for whole segments: `/svc/guide` is no prefix of `/svc/guide-video`.
+Prefixes match complete segments: `/svc/guide` is not a prefix of `/svc/guide-video`.
 """
 
 from __future__ import annotations
@@ -13,30 +13,30 @@
 
 @dataclass(frozen=True, slots=True)
 class Policy:
-    """What is asked of a request below a prefix. Times in seconds."""
+    """Requirements on the requests below a path prefix. Times are in seconds."""
 
     prefix: str
-    token: bool = True  # one is wanted
-    formats: tuple[Format, ...] = ()  # none named: any
+    token: bool = True  # a token is required
+    formats: tuple[Format, ...] = ()  # empty: any format
     audience: str = ""
     issuer: str = ""
-    skew: float = 5.0  # by which clocks may differ, both ways
-    longest: float = 86_400.0 * 7  # that a token may still be good for
-    grace: float = 0.0  # for which a started object may go on after its token has expired
-    once: bool = False  # each token for one request, whatever it says
-    depot: bool = False  # a token has to name a depot, and it has to be ours
-    rate: float = 0.0  # requests a second of a subject; 0: unlimited
+    skew: float = 5.0  # tolerated clock difference, in both directions
+    longest: float = 86_400.0 * 7  # maximum remaining lifetime of a token
+    grace: float = 0.0  # time after expiry in which a started object may be completed
+    once: bool = False  # every token is single-use, whatever it claims
+    depot: bool = False  # a token has to name this router's depot
+    rate: float = 0.0  # requests a second by subject; 0: unlimited
     burst: float = 10.0
-    concurrent: int = 0  # open requests of a subject; 0: unlimited
+    concurrent: int = 0  # concurrent requests by subject; 0: unlimited
     methods: tuple[str, ...] = ("GET", "HEAD")
-    edge_name: str = "hdnts"  # of the parameter or cookie of edge-auth tokens
-    edge_key: str = ""  # the key of those that name none
-    floor: bool = False  # the most valued class: refused last when signatures or replay memory run short
+    edge_name: str = "hdnts"  # parameter or cookie name of edge-auth tokens
+    edge_key: str = ""  # key id for edge-auth tokens that name no key
+    floor: bool = False  # highest-priority class: may use the reserved signature checks and replay capacity
 
 
 @dataclass(slots=True)
 class _Node:
-    below: dict[str, _Node] = field(default_factory=dict)
+    children: dict[str, _Node] = field(default_factory=dict)
     policy: Policy | None = None
 
 
@@ -45,42 +45,42 @@
 
 
 class Routes:
-    """Policies by prefix."""
+    """Policies in a trie of path segments."""
 
     def __init__(self, policies: Iterable[Policy]) -> None:
-        """Raises ValueError for a prefix that is there twice."""
+        """Build the trie; raises ValueError for a duplicate prefix."""
         self._root = _Node()
         for policy in policies:
             node = self._root
             for segment in _segments(policy.prefix):
-                node = node.below.setdefault(segment, _Node())
+                node = node.children.setdefault(segment, _Node())
             if node.policy is not None:
-                raise ValueError(f"two policies for {policy.prefix}")
+                raise ValueError(f"two policies for prefix {policy.prefix}")
             node.policy = policy
 
     def find(self, path: str) -> Policy | None:
-        """The policy of the longest prefix; None if no prefix holds."""
+        """Return the policy with the longest matching prefix; None if no prefix matches."""
         node, found = self._root, self._root.policy
         for segment in path.split("/"):
             if not segment:
                 continue
-            below = node.below.get(segment)
-            if below is None:
+            child = node.children.get(segment)
+            if child is None:
                 break
-            node = below
+            node = child
             found = node.policy or found
         return found
 
 
-class PlainRoutes:
-    """The same by a look at each prefix: what the trie is measured against."""
+class LinearRoutes:
+    """Reference implementation of `Routes` by linear scan, for tests and benchmarks."""
 
     def __init__(self, policies: Iterable[Policy]) -> None:
-        """The longest first."""
+        """Sort the policies by prefix length, longest first."""
         self._policies = sorted(policies, key=lambda policy: -len(_segments(policy.prefix)))
 
     def find(self, path: str) -> Policy | None:
-        """The policy of the longest prefix; None if no prefix holds."""
+        """Return the policy with the longest matching prefix; None if no prefix matches."""
         for policy in self._policies:
             prefix = policy.prefix.rstrip("/")
             if path == prefix or path.startswith(f"{prefix}/"):
--- a/stonecove/access/seen.py
+++ b/stonecove/access/seen.py
@@ -1,9 +1,10 @@
-"""Tokens that were seen, until they expire: a wheel of buckets by expiry, bounded.
+"""Replay protection: the ids of single-use tokens, remembered until they expire, in bounded memory.
 
-Ids are told by 64 bits under a key that is new with each process, so that nobody can make two that collide.
-When the memory is full, what is asked for is refused rather than let through a second time, but for a part
-that is kept for the most valued class. A clock that is set back forgets nothing: what was dropped had expired
-by the clock of then, so ids that expire before the latest moment seen count as seen.
+Ids are compared by 64-bit hashes under a seed that is new with each process, so that nobody can craft two
+that collide. When the cache is full, requests are refused rather than accepted without replay protection; a
+share of the capacity is reserved for the highest-priority class. A clock that is set back allows no
+replay: the ids that were dropped had expired by the latest time observed, so an id that expires before that
+time counts as used.
 """
 
 from __future__ import annotations
@@ -14,90 +15,94 @@
 
 import xxhash
 
-FLOOR_PART = 0.05  # of the memory, for the most valued class
+RESERVED_FRACTION = 0.05  # of the capacity, for the highest-priority class
 
 
-class Seen(Enum):
-    """What the memory says of an id."""
+class ReplayStatus(Enum):
+    """Whether an id was presented before."""
 
     NEW = "new"
-    AGAIN = "again"
+    SEEN_BEFORE = "again"
     FULL = "full"
 
 
-class SeenIds:
-    """A time wheel of sets of 64-bit ids."""
+class ReplayCache:
+    """Time wheel of sets of 64-bit hashes, one set for each interval of expiry."""
 
-    def __init__(self, most: int, grain: float = 10.0, seed: int | None = None) -> None:
-        """`most` ids; buckets of `grain` seconds."""
-        self.most, self._grain = most, grain
+    def __init__(self, max_ids: int, bucket_s: float = 10.0, seed: int | None = None) -> None:
+        """Create a cache of at most `max_ids` ids, in buckets of `bucket_s` seconds of expiry."""
+        self.max_ids, self._bucket_s = max_ids, bucket_s
         self._seed = secrets.randbits(64) if seed is None else seed
         self._buckets: dict[int, set[int]] = {}
         self._count = 0
-        self._latest = -math.inf
-        self._swept = -math.inf
+        self._latest_s = -math.inf
+        self._swept_at_s = -math.inf
 
     def __len__(self) -> int:
         return self._count
 
-    def see(self, ident: str, expires: float, now: float, valued: bool = False) -> Seen:
-        """Notes an id that is good until then."""
-        self._latest = max(self._latest, now)
-        if self._latest >= self._swept + self._grain:
+    def check_and_add(
+        self, token_id: str, expires: float, now: float, high_priority: bool = False
+    ) -> ReplayStatus:
+        """Record an id until it expires, and return whether it was there. Times are Unix seconds."""
+        self._latest_s = max(self._latest_s, now)
+        if self._latest_s >= self._swept_at_s + self._bucket_s:
             self._sweep()
-        if expires < self._latest:
-            return Seen.AGAIN  # it may have been seen, and forgotten
-        short = xxhash.xxh3_64_intdigest(ident.encode(), seed=self._seed)
-        bucket = self._buckets.get(self._place(expires))
-        if bucket is not None and short in bucket:
-            return Seen.AGAIN
-        if self._count >= (self.most if valued else self.most * (1 - FLOOR_PART)):
-            return Seen.FULL
+        if expires < self._latest_s:
+            return ReplayStatus.SEEN_BEFORE  # its bucket may have been dropped already
+        digest = xxhash.xxh3_64_intdigest(token_id.encode(), seed=self._seed)
+        bucket = self._buckets.get(self._bucket_index(expires))
+        if bucket is not None and digest in bucket:
+            return ReplayStatus.SEEN_BEFORE
+        if self._count >= (self.max_ids if high_priority else self.max_ids * (1 - RESERVED_FRACTION)):
+            return ReplayStatus.FULL
         if bucket is None:
-            bucket = self._buckets[self._place(expires)] = set()
-        bucket.add(short)
+            bucket = self._buckets[self._bucket_index(expires)] = set()
+        bucket.add(digest)
         self._count += 1
-        return Seen.NEW
-
-    def forget(self, ident: str, expires: float) -> None:
-        """What was asked for under it never ran: it may come once more."""
-        bucket = self._buckets.get(self._place(expires))
-        short = xxhash.xxh3_64_intdigest(ident.encode(), seed=self._seed)
-        if bucket is not None and short in bucket:
-            bucket.remove(short)
+        return ReplayStatus.NEW
+
+    def forget(self, token_id: str, expires: float) -> None:
+        """Remove the id of a token whose request was not executed, so that it may be presented again."""
+        bucket = self._buckets.get(self._bucket_index(expires))
+        digest = xxhash.xxh3_64_intdigest(token_id.encode(), seed=self._seed)
+        if bucket is not None and digest in bucket:
+            bucket.remove(digest)
             self._count -= 1
 
-    def _place(self, expires: float) -> int:
-        return math.floor(expires / self._grain) if math.isfinite(expires) else 1 << 62
+    def _bucket_index(self, expires: float) -> int:
+        return math.floor(expires / self._bucket_s) if math.isfinite(expires) else 1 << 62
 
     def _sweep(self) -> None:
-        """Drops whole buckets whose time is over."""
-        self._swept = self._latest
-        over = [place for place in self._buckets if (place + 1) * self._grain <= self._latest]
-        for place in over:
-            self._count -= len(self._buckets.pop(place))
+        """Drop the buckets in which all ids have expired."""
+        self._swept_at_s = self._latest_s
+        expired = [index for index in self._buckets if (index + 1) * self._bucket_s <= self._latest_s]
+        for index in expired:
+            self._count -= len(self._buckets.pop(index))
 
 
-class PlainSeen:
-    """The same as one dict, looked through when it is swept: what the wheel is measured against."""
+class DictReplayCache:
+    """Reference implementation of `ReplayCache` as one dict, for tests and benchmarks."""
 
-    def __init__(self, most: int, grain: float = 10.0) -> None:
-        """`most` ids, swept every `grain` seconds."""
-        self.most, self._grain = most, grain
-        self._ids: dict[str, float] = {}
-        self._swept = -math.inf
+    def __init__(self, max_ids: int, sweep_interval_s: float = 10.0) -> None:
+        """Create a cache of at most `max_ids` ids, swept every `sweep_interval_s` seconds."""
+        self.max_ids, self._sweep_interval_s = max_ids, sweep_interval_s
+        self._expiries: dict[str, float] = {}
+        self._swept_at_s = -math.inf
 
     def __len__(self) -> int:
-        return len(self._ids)
-
-    def see(self, ident: str, expires: float, now: float, valued: bool = False) -> Seen:
-        """Notes an id that is good until then."""
-        if now >= self._swept + self._grain:
-            self._swept = now
-            self._ids = {one: until for one, until in self._ids.items() if until >= now}
-        if ident in self._ids:
-            return Seen.AGAIN
-        if len(self._ids) >= self.most:
-            return Seen.FULL
-        self._ids[ident] = expires
-        return Seen.NEW
+        return len(self._expiries)
+
+    def check_and_add(
+        self, token_id: str, expires: float, now: float, high_priority: bool = False
+    ) -> ReplayStatus:
+        """Record an id until it expires, and return whether it was there. Times are Unix seconds."""
+        if now >= self._swept_at_s + self._sweep_interval_s:
+            self._swept_at_s = now
+            self._expiries = {known: until for known, until in self._expiries.items() if until >= now}
+        if token_id in self._expiries:
+            return ReplayStatus.SEEN_BEFORE
+        if len(self._expiries) >= self.max_ids:
+            return ReplayStatus.FULL
+        self._expiries[token_id] = expires
+        return ReplayStatus.NEW
--- a/stonecove/access/started.py
+++ b/stonecove/access/started.py
@@ -1,37 +1,39 @@
-"""Objects that were begun while their token was good: the parts that follow stay good for a while.
+"""Objects whose transfer began with a valid token: their remaining chunks are allowed for a grace period.
 
-Bound to the same object, the same token and the same holder (subject and source), from the last good part on
-for the policy's grace, never longer. Bounded; the oldest go first.
+The allowance is bound to the object, the token and its holder (subject and source address), and ends when the
+policy's grace after the token's expiry is over. The table is bounded; the oldest entries are evicted.
 """
 
 from __future__ import annotations
 
 from collections import OrderedDict
 
-MOST_STARTED = 50_000
+MAX_STARTED_OBJECTS = 50_000
 
 
-class Started:
-    """When a good request for an object last came, by token, holder and object."""
+class StartedObjects:
+    """Time of the last request with an unexpired token, by token, holder and object."""
 
-    def __init__(self, most: int = MOST_STARTED) -> None:
-        """So many are kept."""
-        self._most = most
-        self._at: OrderedDict[tuple[bytes, str, str], float] = OrderedDict()
+    def __init__(self, max_entries: int = MAX_STARTED_OBJECTS) -> None:
+        """Create a table of at most `max_entries` entries."""
+        self._max_entries = max_entries
+        self._last_request_s: OrderedDict[tuple[bytes, str, str], float] = OrderedDict()
 
-    def good(self, token: bytes, holder: str, item: str, now: float) -> None:
-        """A part was asked for while the token was good."""
+    def record(self, token: bytes, holder: str, item: str, now: float) -> None:
+        """Record a request for a chunk of the object with an unexpired token."""
         key = token, holder, item
-        self._at[key] = now
-        self._at.move_to_end(key)
-        if len(self._at) > self._most:
-            self._at.popitem(last=False)
+        self._last_request_s[key] = now
+        self._last_request_s.move_to_end(key)
+        if len(self._last_request_s) > self._max_entries:
+            self._last_request_s.popitem(last=False)
 
-    def may_go_on(
+    def within_grace(
         self, token: bytes, holder: str, item: str, expired: float, now: float, grace: float
     ) -> bool:
-        """Whether a token that expired then is still good for this object. The grace counts from the expiry:
-        going on does not prolong it. A clock that was set back earns nothing.
+        """Return whether the grace period of a token that expired at `expired` still covers this object.
+
+        Times are Unix seconds. The grace counts from the expiry, so further requests do not extend it, and a
+        clock that is set back does not either.
         """
-        at = self._at.get((token, holder, item))
-        return at is not None and at <= now <= expired + grace
+        last_request_s = self._last_request_s.get((token, holder, item))
+        return last_request_s is not None and last_request_s <= now <= expired + grace
--- a/stonecove/access/verdicts.py
+++ b/stonecove/access/verdicts.py
@@ -1,8 +1,8 @@
-"""Verdicts on signatures that were checked, bounded, and how many may be checked a second.
+"""Cache of signature verification results, and the budget of verifications a second.
 
-Only the signature's verdict is remembered: times, sources and the rest are looked at each time. Good and bad
-have room of their own, so that a flood of forged tokens pushes out no good one. A verdict belongs to the key
-ring that gave it: a new ring begins anew.
+Only the result of verifying a signature is cached: times, sources and all other claims are checked on each
+request. Valid and invalid signatures have separate capacities, so that a flood of forged tokens evicts no
+valid one. A result holds for one key ring only: the cache is cleared when the ring is replaced.
 """
 
 from __future__ import annotations
@@ -10,69 +10,74 @@
 import hashlib
 from collections import OrderedDict
 
-MOST_GOOD = 20_000
-MOST_BAD = 20_000
+MAX_VALID_SIGNATURES = 20_000
+MAX_INVALID_SIGNATURES = 20_000
 
 
-class Verdicts:
-    """Least recently used goes first, good and bad apart."""
+class SignatureCache:
+    """Results of signature verification, in two LRU tables: one of valid signatures, one of invalid ones."""
 
-    def __init__(self, most_good: int = MOST_GOOD, most_bad: int = MOST_BAD) -> None:
-        """Room for so many of each."""
-        self._good: OrderedDict[bytes, str] = OrderedDict()
-        self._bad: OrderedDict[bytes, str] = OrderedDict()
-        self._most = {True: most_good, False: most_bad}
+    def __init__(
+        self, max_valid: int = MAX_VALID_SIGNATURES, max_invalid: int = MAX_INVALID_SIGNATURES
+    ) -> None:
+        """Create an empty cache with these capacities, in signatures."""
+        self._valid: OrderedDict[bytes, str] = OrderedDict()
+        self._invalid: OrderedDict[bytes, str] = OrderedDict()
+        self._capacities = {True: max_valid, False: max_invalid}
         self.hits = 0
 
     @staticmethod
-    def name(raw: str, message: bytes, signature: bytes, key_id: str) -> bytes:
-        """What a verdict is kept under: all that it depends on. Collisions can't be made."""
-        made = hashlib.blake2b(digest_size=16)
-        for part in (raw.encode(), message, signature, key_id.encode()):
-            made.update(len(part).to_bytes(4))
-            made.update(part)
-        return made.digest()
+    def digest(raw: str, message: bytes, signature: bytes, key_id: str) -> bytes:
+        """Return the cache key: a collision-resistant hash over everything that the result depends on."""
+        hasher = hashlib.blake2b(digest_size=16)
+        for field in (raw.encode(), message, signature, key_id.encode()):
+            hasher.update(len(field).to_bytes(4))
+            hasher.update(field)
+        return hasher.digest()
 
-    def known(self, name: bytes) -> bool | None:
-        """The verdict, if there is one."""
-        for verdict, table in ((True, self._good), (False, self._bad)):
-            if name in table:
-                table.move_to_end(name)
+    def lookup(self, digest: bytes) -> bool | None:
+        """Return whether the signature is valid; None if the result is not cached."""
+        for valid, table in ((True, self._valid), (False, self._invalid)):
+            if digest in table:
+                table.move_to_end(digest)
                 self.hits += 1
-                return verdict
+                return valid
         return None
 
-    def keep(self, name: bytes, verdict: bool) -> None:
-        """Remembers one."""
-        table = self._good if verdict else self._bad
-        if len(table) >= self._most[verdict]:
+    def store(self, digest: bytes, valid: bool) -> None:
+        """Store a result; evicts the least recently used entry of a full table."""
+        table = self._valid if valid else self._invalid
+        if len(table) >= self._capacities[valid]:
             table.popitem(last=False)
-        table[name] = ""
+        table[digest] = ""
 
-    def forget(self) -> None:
-        """The keys are others."""
-        self._good.clear()
-        self._bad.clear()
+    def clear(self) -> None:
+        """Remove all results; called when the key ring is replaced."""
+        self._valid.clear()
+        self._invalid.clear()
 
 
-class Work:
-    """Signatures that may be checked a second, in what they cost; the valued class has a part of its own."""
+class SignatureBudget:
+    """Token buckets over the cost of signature verifications, with a share reserved for high priority."""
 
-    def __init__(self, a_second: float, floor: float = 0.25) -> None:
-        """`a_second`: checks a second in all; `floor`: the part that only the valued may use."""
-        self._rate = a_second
-        self._left = {True: a_second * floor, False: a_second * (1 - floor)}
-        self._most = dict(self._left)
-        self._at = 0.0
+    def __init__(self, checks_per_s: float, reserved_fraction: float = 0.25) -> None:
+        """Allow `checks_per_s` in all, of which `reserved_fraction` is for high-priority requests only."""
+        self._checks_per_s = checks_per_s
+        self._available = {
+            True: checks_per_s * reserved_fraction,
+            False: checks_per_s * (1 - reserved_fraction),
+        }
+        self._capacities = dict(self._available)
+        self._refilled_at_s = 0.0
 
-    def take(self, now: float, valued: bool, cost: float = 1.0) -> bool:
-        """Whether one more may be checked now. `now`: seconds of a steady clock."""
-        passed = min(1.0, max(0.0, now - self._at))
-        self._at = max(self._at, now)
-        for which, most in self._most.items():
-            self._left[which] = min(most, self._left[which] + passed * most)
-        for which in (False, True) if valued else (False,):
-            if self._left[which] >= cost:
-                self._left[which] -= cost
+    def take(self, now: float, high_priority: bool, cost: float = 1.0) -> bool:
+        """Take `cost` from the budget; return whether it was available. `now`: seconds of a steady clock."""
+        elapsed_s = min(1.0, max(0.0, now - self._refilled_at_s))
+        self._refilled_at_s = max(self._refilled_at_s, now)
+        for reserved, capacity in self._capacities.items():
+            self._available[reserved] = min(capacity, self._available[reserved] + elapsed_s * capacity)
+        for reserved in (False, True) if high_priority else (False,):
+            if self._available[reserved] >= cost:
+                self._available[reserved] -= cost
                 return True
         return False
--- a/stonecove/commands/token.py
+++ b/stonecove/commands/token.py
@@ -202,7 +202,7 @@
     """Say whether a router with this file would let a request in; prints the reason's code."""
     decision, _ = _decided(operator, _request(url, method, source, depot, fields))
     click.echo(decision.reason.value)
-    sys.exit(GOOD if decision.good else REFUSED)
+    sys.exit(GOOD if decision.admitted else REFUSED)
 
 
 @token.command("explain")
@@ -225,12 +225,12 @@
             f"{', depot' if policy.depot else ''}"
         )
     click.echo(
-        f"{decision.reason.value}{': ' + decision.why if decision.why else ''}"
-        f"{f' (status {status_of(decision.reason)})' if not decision.good else ''}"
+        f"{decision.reason.value}{': ' + decision.log_detail if decision.log_detail else ''}"
+        f"{f' (status {status_of(decision.reason)})' if not decision.admitted else ''}"
     )
     if decision.key_id:
         click.echo(f"key {decision.key_id}, subject {decision.subject or '-'}")
-    sys.exit(GOOD if decision.good else REFUSED)
+    sys.exit(GOOD if decision.admitted else REFUSED)
 
 
 # -- keys --
--- a/stonecove/frontends/fastcgi.py
+++ b/stonecove/frontends/fastcgi.py
@@ -125,7 +125,7 @@
 
         assert self.token_checker is not None
         decision = self.token_checker.check(token_request(params, client_request, self.token_checker.depot))
-        if not decision.good:
+        if not decision.admitted:
             status, fields = rejection_response(decision)
             connection.answer(ident, _encode_head(f"{status} {_REASON_PHRASES[status]}", **fields), b"")
             return False
--- a/stonecove/frontends/fastcgi_tokens.py
+++ b/stonecove/frontends/fastcgi_tokens.py
@@ -28,6 +28,6 @@
 def rejection_response(decision: Decision) -> tuple[int, dict[str, object]]:
     """Return the status and CGI fields that answer a rejected request."""
     fields: dict[str, object] = {"Content_Length": 0}
-    if decision.wait:
-        fields["X_Throttle_Ms"] = round(decision.wait * 1000.0)
+    if decision.retry_after_s:
+        fields["X_Throttle_Ms"] = round(decision.retry_after_s * 1000.0)
     return status_of(decision.reason), fields
--- a/stonecove/frontends/http.py
+++ b/stonecove/frontends/http.py
@@ -76,7 +76,7 @@
         """Return status and fields of a rejection, which tell the client no more than needed."""
         from stonecove.access.reasons import status_of
 
-        status, fields = status_of(decision.reason), self._retry_after(decision.wait * 1000.0)
+        status, fields = status_of(decision.reason), self._retry_after(decision.retry_after_s * 1000.0)
         if status == 401:
             fields.append(("WWW-Authenticate", "Bearer"))
         return status, fields
@@ -156,7 +156,7 @@
         if answer.tag:
             fields.append(("ETag", f'"{answer.tag}"'))
         if decision is not None and decision.cookie:
-            path = cookie_path(request.path, decision.cookie_depth)
+            path = cookie_path(request.path, decision.cookie_path_segments)
             secure = "; Secure" if self._scheme == "https" else ""
             fields.append(
                 ("Set-Cookie", f"URISigningPackage={decision.cookie}; Path={path}; HttpOnly{secure}")
--- a/stonecove/frontends/token_check.py
+++ b/stonecove/frontends/token_check.py
@@ -27,7 +27,7 @@
         segments = request.path.split("/")
         item = "/".join(segments[2:4])
         decision = self.gate.check(request, item, self._clock.now() / 1000.0, time.monotonic())
-        if not decision.good:
+        if not decision.admitted:
             self._count(f"token_{decision.reason.value}")
             log_limited(
                 LogEvent.TOKEN_REJECTED,
@@ -36,10 +36,10 @@
                 source=request.source,
                 subject=decision.subject[:64],
                 key=decision.key_id[:64],
-                detail=decision.why,
+                detail=decision.log_detail,
             )
         return decision
 
     def release(self, decision: Decision, ran: bool) -> None:
         """Release an admitted request after its final answer; `ran`: it may have had an effect."""
-        self.gate.over(decision, ran)
+        self.gate.finish_request(decision, ran)
--- a/stonecove/server/access.py
+++ b/stonecove/server/access.py
@@ -16,7 +16,7 @@
 from stonecove.access.gate import Gate, Limits
 from stonecove.access.grants import Format
 from stonecove.access.keys import Key, KeyRing, KeyRingError
-from stonecove.access.revoked import Revoked
+from stonecove.access.revoked import RevocationList
 from stonecove.access.routes import Policy, Routes
 from stonecove.frontends.token_check import TokenChecker
 from stonecove.operator_config.records import Access
@@ -68,12 +68,12 @@
         raise AccessError(f"{path}: {error}") from None
 
 
-def read_revocations(path: Path, now: float) -> Revoked:
+def read_revocations(path: Path, now: float) -> RevocationList:
     """Return the revocations of a file; raises AccessError. `now` is in Unix seconds.
 
     The file is a list of `{"kind": "key" | "subject" | "token", "name", "until", "issued_before"?}`.
     """
-    entries, revocations = read_private_json(path), Revoked()
+    entries, revocations = read_private_json(path), RevocationList()
     if not isinstance(entries, list):
         raise AccessError(f"{path}: it is no list")
     for index, entry in enumerate(entries):
@@ -128,8 +128,8 @@
         return count
 
     @staticmethod
-    def _read(access: Access) -> tuple[KeyRing, Routes, Revoked]:
-        revoked = read_revocations(Path(access.revoked), time.time()) if access.revoked else Revoked()
+    def _read(access: Access) -> tuple[KeyRing, Routes, RevocationList]:
+        revoked = read_revocations(Path(access.revoked), time.time()) if access.revoked else RevocationList()
         return read_key_ring(Path(access.ring)), build_routes(access), revoked
 
     def reload(self, access: Access) -> None:
@@ -144,7 +144,7 @@
             return
         gate = self.token_checker.gate
         before = set(gate.ring.keys)
-        gate.rekey(ring, routes)
+        gate.replace_keys(ring, routes)
         gate.revoked = revoked
         log(
             LogEvent.ACCESS_CONFIG_RELOADED,
--- a/stonecove/server/http.py
+++ b/stonecove/server/http.py
@@ -100,7 +100,7 @@
         """Serve one request, from its head to its answer."""
         session, front = self._session, self._front
         decision = front.check_token(request, self._source)
-        if decision is not None and not decision.good:
+        if decision is not None and not decision.admitted:
             status, fields = front.rejection_response(decision)
             if not request.content_length:
                 session.next_request()
--- a/tests/golden_access_cases.py
+++ b/tests/golden_access_cases.py
@@ -1,4 +1,4 @@
-"""The inputs of the golden data on access, how they are made, and how what the program gives is described."""
+"""Inputs of the golden data on access, and descriptions of the program's outputs in neutral terms."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 from stonecove.access.grants import Request, Token
 from stonecove.access.keys import Key, KeyRing
 from stonecove.access.reasons import status_of
-from stonecove.access.revoked import Revoked
+from stonecove.access.revoked import RevocationList
 from stonecove.access.routes import Policy
 from stonecove.operator_config.reader import read_text
 from stonecove.server.access import build_routes
@@ -37,20 +37,20 @@
 
 
 def load(name: str) -> Any:
-    """Return what a golden JSON file holds."""
+    """Return the contents of a golden JSON file."""
     return json.loads((FOLDER / name).read_text())
 
 
 def finite(value: float) -> float | str:
-    """Return a number as JSON can hold it."""
+    """Return a number, or a string for infinity, which JSON cannot represent."""
     return value if math.isfinite(value) else "infinity"
 
 
-# -- describing what the program gives --
+# -- Descriptions of outputs --
 
 
 def describe_key(key: Key) -> dict[str, Any]:
-    """Return the meaning of a key, with a digest in place of what is secret."""
+    """Return the description of a key, with digests in place of secrets."""
     public = b""
     if key.public is not None:
         public = key.public.public_bytes(
@@ -70,14 +70,14 @@
 
 
 def describe_token(token: Token) -> dict[str, Any]:
-    """Return the meaning of a token as it was read, before its signature is checked."""
+    """Return the description of a parsed token, before its signature is verified."""
     grant = token.grant
     renewal = None
     if grant.renewal is not None:
         renewal = {
-            "lifetime_s": grant.renewal.lifetime,
-            "path_segments": grant.renewal.depth,
-            "claims": json.loads(grant.renews),
+            "lifetime_s": grant.renewal.lifetime_s,
+            "path_segments": grant.renewal.path_segments,
+            "claims": json.loads(grant.next_claims_json),
         }
     return {
         "format": grant.format.value,
@@ -98,12 +98,12 @@
         "algorithm": token.algorithm,
         "signed_bytes": token.message.decode("latin-1"),
         "signature_hex": token.signature.hex(),
-        "url_without_token": token.bare_url,
+        "url_without_token": token.url_without_token,
     }
 
 
 def describe_policy(policy: Policy) -> dict[str, Any]:
-    """Return the meaning of a policy; times in seconds."""
+    """Return the description of a policy; times are in seconds."""
     return {
         "prefix": policy.prefix,
         "token_required": policy.token,
@@ -126,42 +126,42 @@
 
 
 def describe_decision(decision: Decision, path: str) -> dict[str, Any]:
-    """Return the meaning of a decision, with the status that a refused client is told."""
+    """Return the description of a decision, with the status that a refused client gets."""
     return {
-        "admitted": decision.good,
+        "admitted": decision.admitted,
         "reason": decision.reason.value,
-        "status": None if decision.good else status_of(decision.reason),
-        "detail": decision.why,
+        "status": None if decision.admitted else status_of(decision.reason),
+        "detail": decision.log_detail,
         "subject": decision.subject,
         "key": decision.key_id,
-        "retry_after_s": round(decision.wait, 6),
+        "retry_after_s": round(decision.retry_after_s, 6),
         "renewed_token": decision.cookie,
-        "renewed_path": cookie_path(path, decision.cookie_depth) if decision.cookie else "",
-        "counted_as_open_under": decision.enters,
-        "single_use_id": decision.seen[0],
-        "single_use_until": decision.seen[1],
+        "renewed_path": cookie_path(path, decision.cookie_path_segments) if decision.cookie else "",
+        "counted_as_open_under": decision.concurrency_subject,
+        "single_use_id": decision.single_use[0],
+        "single_use_until": decision.single_use[1],
     }
 
 
-# -- reading the inputs --
+# -- Reading the inputs --
 
 
 @functools.cache
 def ring() -> KeyRing:
-    """Return the keys of the committed ring."""
+    """Return the committed key ring."""
     return KeyRing.read(load("key_ring.json"))
 
 
 @functools.cache
-def routes_of(name: str) -> tuple[Any, Limits]:
-    """Return the policies and limits of a committed operator's file."""
+def load_routes(name: str) -> tuple[Any, Limits]:
+    """Return the policies and limits of a committed operator file."""
     access = read_text((FOLDER / name).read_text(), name).operator.access
     assert access is not None
     return build_routes(access), Limits(access.seen, access.checks)
 
 
-def request_of(table: dict[str, Any]) -> Request:
-    """Return the request that a golden file tells."""
+def parse_request(table: dict[str, Any]) -> Request:
+    """Return a request from its description in a golden file."""
     return Request(
         table.get("method", "GET"),
         table.get("scheme", "http"),
@@ -174,55 +174,55 @@
     )
 
 
-def play(case: dict[str, Any]) -> list[dict[str, Any]]:
-    """Return the decisions on a case's requests, one after the other at one gate."""
-    routes, limits = routes_of(case.get("operator", "operator.cue"))
+def run_case(case: dict[str, Any]) -> list[dict[str, Any]]:
+    """Return the decisions of one gate on the requests of a case, in order, and its counters."""
+    routes, limits = load_routes(case.get("operator", "operator.cue"))
     gate = Gate(routes, ring(), limits)
-    gate.revoked = Revoked()
+    gate.revoked = RevocationList()
     for one in case.get("revoked", []):
         before = one.get("issued_before", math.inf)
         gate.revoked.revoke(one["kind"], one["name"], before, one["until"], NOW)
     decisions = []
     for step in case["steps"]:
-        request, now = request_of(step["request"]), step.get("now", NOW)
+        request, now = parse_request(step["request"]), step.get("now", NOW)
         decision = gate.check(request, step.get("object", OBJECT), now, step.get("steady", float(now)))
         decisions.append(describe_decision(decision, request.path))
         if "ended" in step:
-            gate.over(decision, step["ended"] == "executed")
+            gate.finish_request(decision, step["ended"] == "executed")
     counts = {name: count for name, count in sorted(gate.counts.items()) if count}
     return [*decisions, {"counts": counts}]
 
 
-# -- making the inputs --
+# -- Generating the inputs --
 
 
 def _b64url(data: bytes) -> str:
     return base64.urlsafe_b64encode(data).rstrip(b"=").decode()
 
 
-def signed_elliptic(key: Key, message: bytes) -> bytes:
-    """Return a JOSE signature without chance (RFC 6979), so that recording gives the same bytes again."""
+def sign_jose_ec(key: Key, message: bytes) -> bytes:
+    """Return a deterministic JOSE signature (RFC 6979), so that recording is reproducible."""
     digest, size = (hashes.SHA384(), 48) if key.algorithm == "ES384" else (hashes.SHA256(), 32)
     signature = key.private.sign(message, ec.ECDSA(digest, deterministic_signing=True))
     return b"".join(part.to_bytes(size) for part in decode_dss_signature(signature))
 
 
-def jwt_by_hand(key: Key, claims: dict[str, Any], **header: Any) -> str:
-    """Return a JWS that no code of the program has made; for elliptic keys, without chance."""
+def sign_jwt_by_hand(key: Key, claims: dict[str, Any], **header: Any) -> str:
+    """Return a JWS made without the program's own signer; deterministic also for EC keys."""
 
     def part(table: dict[str, Any]) -> str:
         return _b64url(json.dumps(table, separators=(",", ":")).encode())
 
     message = f"{part({'alg': key.algorithm, 'kid': key.ident, **header})}.{part(claims)}"
     if key.algorithm.startswith("ES"):
-        return f"{message}.{_b64url(signed_elliptic(key, message.encode()))}"
+        return f"{message}.{_b64url(sign_jose_ec(key, message.encode()))}"
     name = {"HS256": "sha256", "HS384": "sha384", "HS512": "sha512"}.get(key.algorithm)
     made = hmac.digest(key.secret, message.encode(), name) if name else key.sign(message.encode())
     return f"{message}.{_b64url(made)}"
 
 
-def cloudfront_elliptic(key: Key, policy: bytes) -> list[tuple[str, str]]:
-    """Return the parameters of a custom policy that an elliptic key has signed, without chance."""
+def sign_cloudfront_ec(key: Key, policy: bytes) -> list[tuple[str, str]]:
+    """Return the parameters of a custom policy, signed deterministically by an EC key."""
     digest = hashes.SHA256() if key.algorithm.endswith("256") else hashes.SHA1()
     signature = key.private.sign(policy, ec.ECDSA(digest, deterministic_signing=True))
 
@@ -241,13 +241,13 @@
     return [[f"CloudFront-{name}", value] for name, value in pairs]
 
 
-def _changed(text: str, at: int = -2) -> str:
-    """Return the text with one character of its signature changed."""
-    place = len(text) + at
-    return text[:place] + ("A" if text[place] != "A" else "B") + text[place + 1 :]
+def _with_changed_character(text: str, offset: int = -2) -> str:
+    """Return the text with one character of its signature changed, at this offset from the end."""
+    index = len(text) + offset
+    return text[:index] + ("A" if text[index] != "A" else "B") + text[index + 1 :]
 
 
-def _at(query: str = "", path: str = PATH, **more: Any) -> dict[str, Any]:
+def _request(query: str = "", path: str = PATH, **more: Any) -> dict[str, Any]:
     return {"target": f"{path}?{query}" if query else path, **more}
 
 
@@ -255,55 +255,68 @@
     return {"name": name, **more, "steps": list(steps)}
 
 
-def _one(name: str, request: dict[str, Any], now: int = NOW, **more: Any) -> dict[str, Any]:
+def _single_step_case(name: str, request: dict[str, Any], now: int = NOW, **more: Any) -> dict[str, Any]:
     return _case(name, {"request": request, "now": now}, **more)
 
 
 def cloudfront_cases() -> list[dict[str, Any]]:
     """Return requests with CloudFront's signed URLs and cookies."""
-    keys, wide = ring().keys, f"http://{HOST}/svc/guide-video/*"
+    keys, prefix_pattern = ring().keys, f"http://{HOST}/svc/guide-video/*"
     canned = formats.canned_policy(URL, UNTIL)
-    custom = formats.custom_policy(wide, UNTIL, NOW - 5, "10.1.0.0/16")
+    custom = formats.custom_policy(prefix_pattern, UNTIL, NOW - 5, "10.1.0.0/16")
     cases = []
     for ident in ("rsa-sha1", "rsa-sha256"):
         pairs = formats.sign_cloudfront(keys[ident], canned, True, UNTIL)
         query = _query(pairs)
         cases += [
-            _one(f"{ident} canned url", _at(query)),
-            _one(f"{ident} canned cookies", _at(cookies=_as_cookies(pairs))),
-            _one(f"{ident} canned, another path", _at(query, OTHER_PATH)),
-            _one(f"{ident} canned, another expiry", _at(query.replace(str(UNTIL), str(UNTIL + 1)))),
-            _one(f"{ident} expired", _at(query), UNTIL + 6),
-            _one(f"{ident} expired within the skew", _at(query), UNTIL + 5),
-            _one(f"{ident} custom url", _at(_query(formats.sign_cloudfront(keys[ident], custom, False, 0)))),
+            _single_step_case(f"{ident} canned url", _request(query)),
+            _single_step_case(f"{ident} canned cookies", _request(cookies=_as_cookies(pairs))),
+            _single_step_case(f"{ident} canned, another path", _request(query, OTHER_PATH)),
+            _single_step_case(
+                f"{ident} canned, another expiry", _request(query.replace(str(UNTIL), str(UNTIL + 1)))
+            ),
+            _single_step_case(f"{ident} expired", _request(query), UNTIL + 6),
+            _single_step_case(f"{ident} expired within the skew", _request(query), UNTIL + 5),
+            _single_step_case(
+                f"{ident} custom url",
+                _request(_query(formats.sign_cloudfront(keys[ident], custom, False, 0))),
+            ),
         ]
     with_query = formats.canned_policy(f"{URL}?size=2", UNTIL)
     signed = _query(formats.sign_cloudfront(keys["rsa-sha1"], with_query, True, UNTIL))
-    wide_query = _query(formats.sign_cloudfront(keys["rsa-sha1"], custom, False, 0))
+    prefix_query = _query(formats.sign_cloudfront(keys["rsa-sha1"], custom, False, 0))
     later = formats.custom_policy("*", UNTIL, NOW + 30)
     for ident in ("ec-sha1", "ec-sha256"):
-        pairs = cloudfront_elliptic(keys[ident], custom)
+        pairs = sign_cloudfront_ec(keys[ident], custom)
         cases += [
-            _one(f"{ident} custom url", _at(_query(pairs))),
-            _one(f"{ident} custom cookies", _at(cookies=_as_cookies(pairs))),
+            _single_step_case(f"{ident} custom url", _request(_query(pairs))),
+            _single_step_case(f"{ident} custom cookies", _request(cookies=_as_cookies(pairs))),
         ]
     return [
         *cases,
-        _one("with a query of its own", _at(f"size=2&{signed}")),
-        _one("its query is changed", _at(f"size=3&{signed}")),
-        _one("custom, another object", _at(wide_query, "/svc/item-image/1/0")),
-        _one("custom, another client", _at(wide_query, client="192.0.2.7")),
-        _one("not yet", _at(_query(formats.sign_cloudfront(keys["rsa-sha1"], later, False, 0)))),
-        _one("unknown key", _at(wide_query.replace("Id=rsa-sha1", "Id=nobody"))),
-        _one("key of another use", _at(wide_query.replace("Id=rsa-sha1", "Id=hs256"))),
-        _one("key of another algorithm", _at(wide_query.replace("Id=rsa-sha1", "Id=ec-sha256"))),
-        _one("signature is changed", _at(wide_query.replace("Signature=", "Signature=AAAA"))),
-        _one("both Policy and Expires", _at(f"{wide_query}&Expires=1")),
-        _one("Policy twice", _at(f"{wide_query}&Policy=AAAA")),
-        _one("no signature", _at("Policy=AAAA&Key-Pair-Id=rsa-sha1")),
-        _one("base64 that can't be read", _at("Policy=%2&Signature=AAAA&Key-Pair-Id=rsa-sha1")),
-        _one("no expiry", _at("Expires=soon&Signature=AAAA&Key-Pair-Id=rsa-sha1")),
-        _one("another hash", _at(f"{wide_query}&Hash-Algorithm=MD5")),
+        _single_step_case("with a query of its own", _request(f"size=2&{signed}")),
+        _single_step_case("its query is changed", _request(f"size=3&{signed}")),
+        _single_step_case("custom, another object", _request(prefix_query, "/svc/item-image/1/0")),
+        _single_step_case("custom, another client", _request(prefix_query, client="192.0.2.7")),
+        _single_step_case(
+            "not yet", _request(_query(formats.sign_cloudfront(keys["rsa-sha1"], later, False, 0)))
+        ),
+        _single_step_case("unknown key", _request(prefix_query.replace("Id=rsa-sha1", "Id=nobody"))),
+        _single_step_case("key of another use", _request(prefix_query.replace("Id=rsa-sha1", "Id=hs256"))),
+        _single_step_case(
+            "key of another algorithm", _request(prefix_query.replace("Id=rsa-sha1", "Id=ec-sha256"))
+        ),
+        _single_step_case(
+            "signature is changed", _request(prefix_query.replace("Signature=", "Signature=AAAA"))
+        ),
+        _single_step_case("both Policy and Expires", _request(f"{prefix_query}&Expires=1")),
+        _single_step_case("Policy twice", _request(f"{prefix_query}&Policy=AAAA")),
+        _single_step_case("no signature", _request("Policy=AAAA&Key-Pair-Id=rsa-sha1")),
+        _single_step_case(
+            "base64 that can't be read", _request("Policy=%2&Signature=AAAA&Key-Pair-Id=rsa-sha1")
+        ),
+        _single_step_case("no expiry", _request("Expires=soon&Signature=AAAA&Key-Pair-Id=rsa-sha1")),
+        _single_step_case("another hash", _request(f"{prefix_query}&Hash-Algorithm=MD5")),
     ]
 
 
@@ -313,11 +326,11 @@
     for ident in ("edge-sha256", "edge-sha1", "edge-md5"):
         made = formats.sign_edge_auth(keys[ident], UNTIL, acl="/svc/*!/other", data=f"kid:{ident}")
         cases += [
-            _one(f"{ident} acl", _at(f"hdnts={made}")),
-            _one(f"{ident} cookie", _at(cookies=[["hdnts", made]])),
+            _single_step_case(f"{ident} acl", _request(f"hdnts={made}")),
+            _single_step_case(f"{ident} cookie", _request(cookies=[["hdnts", made]])),
         ]
     key = keys["edge-sha256"]
-    own = formats.sign_edge_auth(key, UNTIL, path=PATH, data="kid:edge-sha256")
+    path_bound = formats.sign_edge_auth(key, UNTIL, path=PATH, data="kid:edge-sha256")
     bound = formats.sign_edge_auth(
         key,
         UNTIL,
@@ -332,26 +345,28 @@
     named = formats.sign_edge_auth(key, UNTIL, acl="/svc/edge/*")
     return [
         *cases,
-        _one("path of its own", _at(f"hdnts={own}")),
-        _one("path of its own, another path", _at(f"hdnts={own}", OTHER_PATH)),
+        _single_step_case("path of its own", _request(f"hdnts={path_bound}")),
+        _single_step_case("path of its own, another path", _request(f"hdnts={path_bound}", OTHER_PATH)),
         _case(
             "bound to everything, then used again",
-            {"request": _at(f"hdnts={bound}"), "ended": "executed"},
-            {"request": _at(f"hdnts={bound}"), "now": NOW + 1},
+            {"request": _request(f"hdnts={bound}"), "ended": "executed"},
+            {"request": _request(f"hdnts={bound}"), "now": NOW + 1},
+        ),
+        _single_step_case("bound, another client", _request(f"hdnts={bound}", client="192.0.2.7")),
+        _single_step_case("bound, another depot", _request(f"hdnts={bound}", depot="edge-2")),
+        _single_step_case("not yet", _request(f"hdnts={future}")),
+        _single_step_case("expired", _request(f"hdnts={path_bound}"), UNTIL + 6),
+        _single_step_case("acl of another path", _request(f"hdnts={bound}", "/other/x")),
+        _single_step_case(
+            "signature is changed", _request(f"hdnts={_with_changed_character(path_bound).lower()}")
         ),
-        _one("bound, another client", _at(f"hdnts={bound}", client="192.0.2.7")),
-        _one("bound, another depot", _at(f"hdnts={bound}", depot="edge-2")),
-        _one("not yet", _at(f"hdnts={future}")),
-        _one("expired", _at(f"hdnts={own}"), UNTIL + 6),
-        _one("acl of another path", _at(f"hdnts={bound}", "/other/x")),
-        _one("signature is changed", _at(f"hdnts={_changed(own).lower()}")),
-        _one("without a key", _at(f"hdnts={named}")),
-        _one("another parameter, the policy's key", _at(f"tok={named}", "/svc/edge/a/0")),
-        _one("no hmac", _at("hdnts=exp=1~acl=/*")),
-        _one("unknown field", _at("hdnts=exp=1~x=1~hmac=00")),
-        _one("url in the token", _at("hdnts=exp=1~url=/svc~hmac=00")),
-        _one("no hex", _at("hdnts=exp=1~hmac=zz")),
-        _one("no time", _at("hdnts=exp=soon~hmac=00")),
+        _single_step_case("without a key", _request(f"hdnts={named}")),
+        _single_step_case("another parameter, the policy's key", _request(f"tok={named}", "/svc/edge/a/0")),
+        _single_step_case("no hmac", _request("hdnts=exp=1~acl=/*")),
+        _single_step_case("unknown field", _request("hdnts=exp=1~x=1~hmac=00")),
+        _single_step_case("url in the token", _request("hdnts=exp=1~url=/svc~hmac=00")),
+        _single_step_case("no hex", _request("hdnts=exp=1~hmac=zz")),
+        _single_step_case("no time", _request("hdnts=exp=soon~hmac=00")),
     ]
 
 
@@ -361,12 +376,12 @@
     exact = _b64url(hashlib.sha256(URL.encode()).digest())
     claims = {"exp": UNTIL, "iat": NOW, "cdniv": 1, "sub": "picker-1", "cdniuc": f"hash:sha-256;{exact}"}
     for ident in ("hs256", "hs384", "hs512", "rs256", "rs384", "rs512", "es256", "es384"):
-        text = jwt_by_hand(keys[ident], claims)
-        cases.append(_one(f"{ident} hash of the url", _at(f"URISigningPackage={text}")))
+        text = sign_jwt_by_hand(keys[ident], claims)
+        cases.append(_single_step_case(f"{ident} hash of the url", _request(f"URISigningPackage={text}")))
 
     def package(**more: Any) -> dict[str, Any]:
         table = {"exp": UNTIL, "iat": NOW, "cdniuc": r"regex:http://edge\.example/svc/.*", **more}
-        return _at(f"URISigningPackage={formats.sign_jwt(keys['hs256'], table)}")
+        return _request(f"URISigningPackage={formats.sign_jwt(keys['hs256'], table)}")
 
     renewed = formats.sign_jwt(
         keys["hs256"], {**claims, "cdniuc": "regex:.*", "cdnistt": 1, "cdniets": 10, "cdnistd": 2}
@@ -374,25 +389,27 @@
     once = package(jti="t-1")
     return [
         *cases,
-        _one(
+        _single_step_case(
             "hash of another url",
-            _at(cases[0]["steps"][0]["request"]["target"].partition("?")[2], OTHER_PATH),
+            _request(cases[0]["steps"][0]["request"]["target"].partition("?")[2], OTHER_PATH),
+        ),
+        _single_step_case("expression", package()),
+        _single_step_case(
+            "expression of another path", package(cdniuc=r"regex:http://edge\.example/other/.*")
         ),
-        _one("expression", package()),
-        _one("expression of another path", package(cdniuc=r"regex:http://edge\.example/other/.*")),
-        _one("bound to a network", package(cdniip="10.1.0.0/16")),
-        _one("bound to another network", package(cdniip="192.0.2.0/24")),
-        _one("expired", package(exp=NOW - 6)),
-        _one("not yet", package(nbf=NOW + 30)),
-        _one("without expiry", package(exp=None)),
+        _single_step_case("bound to a network", package(cdniip="10.1.0.0/16")),
+        _single_step_case("bound to another network", package(cdniip="192.0.2.0/24")),
+        _single_step_case("expired", package(exp=NOW - 6)),
+        _single_step_case("not yet", package(nbf=NOW + 30)),
+        _single_step_case("without expiry", package(exp=None)),
         _case("with an id, twice", {"request": once}, {"request": once, "now": NOW + 1}),
-        _one("renewed cookie", _at(cookies=[["URISigningPackage", renewed]])),
-        _one("unknown container", package(cdniuc="glob:x")),
-        _one("expression that can't be read", package(cdniuc="regex:((")),
-        _one("unknown critical claim", package(cdnicrit="cdnix")),
-        _one("unknown version", package(cdniv=2)),
-        _one("renewed without lifetime", package(cdnistt=1)),
-        _one("renewed in another way", package(cdnistt=2)),
+        _single_step_case("renewed cookie", _request(cookies=[["URISigningPackage", renewed]])),
+        _single_step_case("unknown container", package(cdniuc="glob:x")),
+        _single_step_case("expression that can't be read", package(cdniuc="regex:((")),
+        _single_step_case("unknown critical claim", package(cdnicrit="cdnix")),
+        _single_step_case("unknown version", package(cdniv=2)),
+        _single_step_case("renewed without lifetime", package(cdnistt=1)),
+        _single_step_case("renewed in another way", package(cdnistt=2)),
     ]
 
 
@@ -401,78 +418,91 @@
     keys, cases = ring().keys, []
     base = {"exp": UNTIL, "iat": NOW, "sub": "picker-1", "res": ["/svc/*"]}
 
-    def carried(text: str, path: str = PATH, **more: Any) -> dict[str, Any]:
-        return _at("", path, authorization=f"Bearer {text}", **more)
+    def request_with_token(text: str, path: str = PATH, **more: Any) -> dict[str, Any]:
+        return _request("", path, authorization=f"Bearer {text}", **more)
 
-    def told(path: str = PATH, key: str = "hs256", **claims: Any) -> dict[str, Any]:
-        return carried(formats.sign_jwt(keys[key], {**base, **claims}), path)
+    def bearer_request(path: str = PATH, key: str = "hs256", **claims: Any) -> dict[str, Any]:
+        return request_with_token(formats.sign_jwt(keys[key], {**base, **claims}), path)
 
     for ident in ("hs256", "hs384", "hs512", "rs256", "rs384", "rs512", "es256", "es384"):
-        text = jwt_by_hand(keys[ident], base)
+        text = sign_jwt_by_hand(keys[ident], base)
         cases += [
-            _one(ident, carried(text)),
-            _one(f"{ident} signature is changed", carried(_changed(text, -9))),
+            _single_step_case(ident, request_with_token(text)),
+            _single_step_case(
+                f"{ident} signature is changed", request_with_token(_with_changed_character(text, -9))
+            ),
         ]
-    good = told()["authorization"].partition(" ")[2]
+    good = bearer_request()["authorization"].partition(" ")[2]
     return [
         *cases,
-        _one(
+        _single_step_case(
             "all that binds",
-            told(net="10.1.0.0/16", depot=["edge-1"], mth=["GET"], jti="t", iss="i", aud="a"),
+            bearer_request(net="10.1.0.0/16", depot=["edge-1"], mth=["GET"], jti="t", iss="i", aud="a"),
+        ),
+        _single_step_case("expired", bearer_request(exp=NOW - 6)),
+        _single_step_case("not yet", bearer_request(nbf=NOW + 6)),
+        _single_step_case("issued later", bearer_request(iat=NOW + 6)),
+        _single_step_case("good for too long", bearer_request(exp=NOW + 3606)),
+        _single_step_case("another resource", bearer_request(res=["/svc/other/*"])),
+        _single_step_case("another method", request_with_token(good, method="POST")),
+        _single_step_case("methods of its own", bearer_request(mth=["HEAD"])),
+        _single_step_case("another network", bearer_request(net="192.0.2.0/24")),
+        _single_step_case("another depot", bearer_request(depot="edge-2")),
+        _single_step_case("no depot where one is wanted", bearer_request("/svc/depot/a/0")),
+        _single_step_case("no audience where one is wanted", bearer_request("/svc/issued/a/0")),
+        _single_step_case("no issuer where one is wanted", bearer_request("/svc/issued/a/0", aud=["edge"])),
+        _single_step_case(
+            "audience and issuer", bearer_request("/svc/issued/a/0", aud=["edge"], iss="depot-office")
+        ),
+        _single_step_case("a format that is not taken", bearer_request("/svc/cloudfront/a/0")),
+        _single_step_case("retired key", bearer_request(key="retired")),
+        _single_step_case("key of later", bearer_request(key="later")),
+        _single_step_case(
+            "unknown key", request_with_token(sign_jwt_by_hand(keys["hs256"], base, kid="nobody"))
+        ),
+        _single_step_case("no key id", request_with_token(sign_jwt_by_hand(keys["hs256"], base, kid=None))),
+        _single_step_case(
+            "another algorithm", request_with_token(sign_jwt_by_hand(keys["hs256"], base, alg="RS256"))
+        ),
+        _single_step_case(
+            "no algorithm", request_with_token(sign_jwt_by_hand(keys["hs256"], base, alg="none"))
+        ),
+        _single_step_case(
+            "unknown header",
+            request_with_token(sign_jwt_by_hand(keys["hs256"], base, jku="http://x.example")),
         ),
-        _one("expired", told(exp=NOW - 6)),
-        _one("not yet", told(nbf=NOW + 6)),
-        _one("issued later", told(iat=NOW + 6)),
-        _one("good for too long", told(exp=NOW + 3606)),
-        _one("another resource", told(res=["/svc/other/*"])),
-        _one("another method", carried(good, method="POST")),
-        _one("methods of its own", told(mth=["HEAD"])),
-        _one("another network", told(net="192.0.2.0/24")),
-        _one("another depot", told(depot="edge-2")),
-        _one("no depot where one is wanted", told("/svc/depot/a/0")),
-        _one("no audience where one is wanted", told("/svc/issued/a/0")),
-        _one("no issuer where one is wanted", told("/svc/issued/a/0", aud=["edge"])),
-        _one("audience and issuer", told("/svc/issued/a/0", aud=["edge"], iss="depot-office")),
-        _one("a format that is not taken", told("/svc/cloudfront/a/0")),
-        _one("retired key", told(key="retired")),
-        _one("key of later", told(key="later")),
-        _one("unknown key", carried(jwt_by_hand(keys["hs256"], base, kid="nobody"))),
-        _one("no key id", carried(jwt_by_hand(keys["hs256"], base, kid=None))),
-        _one("another algorithm", carried(jwt_by_hand(keys["hs256"], base, alg="RS256"))),
-        _one("no algorithm", carried(jwt_by_hand(keys["hs256"], base, alg="none"))),
-        _one("unknown header", carried(jwt_by_hand(keys["hs256"], base, jku="http://x.example"))),
-        _one("unknown claim", told(role="admin")),
-        _one("text for once", told(once="yes")),
-        _one("no expiry", told(exp=None)),
-        _one("not a token", carried("x.y")),
-        _one("base64 of another form", carried(f"{good}=")),
-        _one("too long", carried("x" * 9000)),
-        _one("no token", _at()),
-        _one("another scheme", _at(authorization="Basic eDp5")),
-        _one("path with a dot segment", carried(good, "/svc/../x")),
-        _one("path with a needless encoding", carried(good, "/svc/%41/x")),
-        _one("path without a policy", _at("", "/else/where")),
-        _one("open path", _at("", "/svc/open/a/0")),
+        _single_step_case("unknown claim", bearer_request(role="admin")),
+        _single_step_case("text for once", bearer_request(once="yes")),
+        _single_step_case("no expiry", bearer_request(exp=None)),
+        _single_step_case("not a token", request_with_token("x.y")),
+        _single_step_case("base64 of another form", request_with_token(f"{good}=")),
+        _single_step_case("too long", request_with_token("x" * 9000)),
+        _single_step_case("no token", _request()),
+        _single_step_case("another scheme", _request(authorization="Basic eDp5")),
+        _single_step_case("path with a dot segment", request_with_token(good, "/svc/../x")),
+        _single_step_case("path with a needless encoding", request_with_token(good, "/svc/%41/x")),
+        _single_step_case("path without a policy", _request("", "/else/where")),
+        _single_step_case("open path", _request("", "/svc/open/a/0")),
     ]
 
 
 def sequence_cases() -> list[dict[str, Any]]:
-    """Return requests whose outcome depends on those before, or on what is revoked."""
+    """Return requests whose outcome depends on earlier requests or on revocations."""
     keys = ring().keys
 
-    def told(path: str, **claims: Any) -> dict[str, Any]:
+    def bearer_request(path: str, **claims: Any) -> dict[str, Any]:
         text = formats.sign_jwt(keys["hs256"], {"exp": UNTIL, "iat": NOW, "sub": "picker-1", **claims})
-        return _at("", path, authorization=f"Bearer {text}")
+        return _request("", path, authorization=f"Bearer {text}")
 
-    once, other = told("/svc/once/a/0", jti="one"), told("/svc/once/a/0", jti="two")
-    single, late = told(PATH, once=True), told("/svc/grace/a/0")
+    once, other = bearer_request("/svc/once/a/0", jti="one"), bearer_request("/svc/once/a/0", jti="two")
+    single, late = bearer_request(PATH, once=True), bearer_request("/svc/grace/a/0")
     late_other = {**late, "target": "/svc/grace/b/0"}
-    rate, open_ = told("/svc/rate/a/0"), told("/svc/open-requests/a/0")
+    rate, open_ = bearer_request("/svc/rate/a/0"), bearer_request("/svc/open-requests/a/0")
     edge = formats.sign_edge_auth(keys["edge-sha256"], UNTIL, acl="/svc/*", data="kid:edge-sha256")
-    forged = [told(PATH, jti=str(number)) for number in range(4)]
+    forged = [bearer_request(PATH, jti=str(number)) for number in range(4)]
     for one in forged:
-        one["authorization"] = _changed(one["authorization"])
-    revoked = told(PATH, jti="t-1")
+        one["authorization"] = _with_changed_character(one["authorization"])
+    revoked = bearer_request(PATH, jti="t-1")
     return [
         _case(
             "used again after it ran, and after it surely did not",
@@ -485,8 +515,8 @@
         _case("once by the token itself", {"request": single}, {"request": single, "now": NOW + 1}),
         _case(
             "memory of single-use tokens is full",
-            *({"request": told(PATH, jti=str(number), once=True)} for number in range(5)),
-            {"request": told("/svc/valued/a/0", jti="v", once=True)},
+            *({"request": bearer_request(PATH, jti=str(number), once=True)} for number in range(5)),
+            {"request": bearer_request("/svc/valued/a/0", jti="v", once=True)},
             operator="operator_small.cue",
         ),
         _case(
@@ -509,14 +539,17 @@
         ),
         _case(
             "two tokens that say the same, and two that do not",
-            {"request": _at(f"hdnts={edge}", cookies=[["hdnts", edge]])},
-            {"request": {**_at(f"hdnts={edge}"), "authorization": rate["authorization"]}},
-            {"request": _at(f"hdnts={edge}", cookies=[["hdnts", edge]] * 3)},
+            {"request": _request(f"hdnts={edge}", cookies=[["hdnts", edge]])},
+            {"request": {**_request(f"hdnts={edge}"), "authorization": rate["authorization"]}},
+            {"request": _request(f"hdnts={edge}", cookies=[["hdnts", edge]] * 3)},
         ),
         _case(
             "too many signatures in a second",
             *({"request": one, "steady": 100.0} for one in (*forged, forged[0])),
-            *({"request": told("/svc/valued/a/0", jti=ident), "steady": 100.0} for ident in ("v", "w")),
+            *(
+                {"request": bearer_request("/svc/valued/a/0", jti=ident), "steady": 100.0}
+                for ident in ("v", "w")
+            ),
             operator="operator_slow.cue",
         ),
         *(
@@ -551,8 +584,8 @@
 }
 
 
-def new_ring() -> dict[str, Any]:
-    """Return a ring with a key of each algorithm; asymmetric ones are new each time."""
+def generate_ring() -> dict[str, Any]:
+    """Return a ring with a key of each algorithm; asymmetric keys are generated."""
     from stonecove.access.keys import generate
 
     made = [
--- a/tests/test_golden_access.py
+++ b/tests/test_golden_access.py
@@ -1,6 +1,6 @@
-"""Keys, revocations, tokens and the gate's decisions, held against golden data.
+"""Compares key rings, revocations, tokens and the gate's decisions with golden data.
 
-Record anew with `PYTHONPATH=. python tests/test_golden_access.py --record` from the repository's root.
+Record again with `PYTHONPATH=. python tests/test_golden_access.py --record` from the repository's root.
 """
 
 from __future__ import annotations
@@ -30,13 +30,13 @@
     describe_key,
     describe_policy,
     describe_token,
-    jwt_by_hand,
+    generate_ring,
     load,
-    new_ring,
-    play,
-    request_of,
+    load_routes,
+    parse_request,
     ring,
-    routes_of,
+    run_case,
+    sign_jwt_by_hand,
 )
 
 from stonecove.access import formats
@@ -54,34 +54,34 @@
 
 
 @contextlib.contextmanager
-def at_the_time(now: float) -> Iterator[None]:
-    """Set the clock that the commands read."""
+def fixed_time(now: float) -> Iterator[None]:
+    """Fix the clock that the commands read."""
     with mock.patch.object(time, "time", lambda: now):
         yield
 
 
-# -- key rings --
+# -- Key rings --
 
 
-def ring_meaning() -> Any:
-    """Return the meaning of the committed ring, and which key signs what when."""
+def describe_ring() -> Any:
+    """Return the description of the committed ring, and the signing key by time and format."""
     keys = ring()
-    moments = (0, 1_500_000, NOW, NOW + 1500)
+    times = (0, 1_500_000, NOW, NOW + 1500)
     return {
         "keys": [describe_key(key) for key in keys.keys.values()],
         "signers": [
             {
-                "at": moment,
+                "at": time_s,
                 "format": form,
-                "key": signer.ident if (signer := keys.signer(moment, form)) else None,
+                "key": signer.ident if (signer := keys.signer(time_s, form)) else None,
             }
-            for moment in moments
+            for time_s in times
             for form in ("cloudfront", "edge-auth", "cdni", "bearer")
         ],
     }
 
 
-def _broken_rings() -> list[dict[str, Any]]:
+def _invalid_rings() -> list[dict[str, Any]]:
     good = {"id": "k", "algorithm": "HS256", "secret": SECRET}
     public = next(one for one in load("key_ring.json")["keys"] if one["id"] == "verifies-only")["public"]
     keys = [
@@ -99,29 +99,29 @@
 
 
 def ring_errors() -> Any:
-    """Return what is told of each ring that can't be used."""
-    told: list[dict[str, Any]] = []
-    for table in _broken_rings():
+    """Return the error for each invalid ring."""
+    entries: list[dict[str, Any]] = []
+    for table in _invalid_rings():
         try:
             KeyRing.read(table)
         except KeyRingError as error:
-            told.append({"ring": table, "error": str(error)})
+            entries.append({"ring": table, "error": str(error)})
         else:
-            told.append({"ring": table, "error": None})
-    return told
+            entries.append({"ring": table, "error": None})
+    return entries
 
 
 def file_errors() -> Any:
-    """Return what is told of files that can't be read, of keys and of revocations."""
-    told: list[dict[str, Any]] = []
+    """Return the errors for unusable files of keys and of revocations."""
+    entries: list[dict[str, Any]] = []
 
-    def note(name: str, read: Callable[[], Any]) -> None:
+    def add_entry(name: str, read: Callable[[], Any]) -> None:
         try:
             read()
         except AccessError as error:
-            told.append({"case": name, "error": str(error).replace(str(folder), "FOLDER")})
+            entries.append({"case": name, "error": str(error).replace(str(folder), "FOLDER")})
         else:
-            told.append({"case": name, "error": None})
+            entries.append({"case": name, "error": None})
 
     good = json.dumps({"keys": [{"id": "k", "algorithm": "HS256", "secret": SECRET}]})
     with tempfile.TemporaryDirectory() as name:
@@ -136,27 +136,27 @@
             path = folder / "ring.json"
             path.write_text(text)
             path.chmod(rights)
-            note(title, lambda path=path: read_key_ring(path))  # type: ignore[misc]
-        note("no file", lambda: read_key_ring(folder / "nothing.json"))
+            add_entry(title, lambda path=path: read_key_ring(path))  # type: ignore[misc]
+        add_entry("no file", lambda: read_key_ring(folder / "nothing.json"))
         both = folder / "rings"
         both.mkdir()
-        note("empty folder", lambda: read_key_ring(both))
+        add_entry("empty folder", lambda: read_key_ring(both))
         for part in ("a.json", "b.json"):
             (both / part).write_text(good)
             (both / part).chmod(0o600)
-        note("folder with a key twice", lambda: read_key_ring(both))
-        for place, entry in enumerate(_broken_revocations()):
-            path = folder / f"revoked-{place}.json"
+        add_entry("folder with a key twice", lambda: read_key_ring(both))
+        for index, entry in enumerate(_invalid_revocations()):
+            path = folder / f"revoked-{index}.json"
             path.write_text(json.dumps(entry))
             path.chmod(0o600)
-            note(json.dumps(entry), lambda path=path: read_revocations(path, NOW))  # type: ignore[misc]
-    return told
+            add_entry(json.dumps(entry), lambda path=path: read_revocations(path, NOW))  # type: ignore[misc]
+    return entries
 
 
-# -- revocations --
+# -- Revocations --
 
 
-def _broken_revocations() -> list[Any]:
+def _invalid_revocations() -> list[Any]:
     good = {"kind": "key", "name": "k", "until": UNTIL}
     return [
         {}, [good, 1], [{**good, "kind": "client"}], [{**good, "why": "lost"}],
@@ -165,8 +165,8 @@
     ]  # fmt: skip
 
 
-def revoked_meaning() -> Any:
-    """Return whether the committed list covers what was issued at some moments, asked at some moments."""
+def describe_revocations() -> Any:
+    """Return whether the committed list covers a name, by time of issue and time of the check."""
     with tempfile.TemporaryDirectory() as name:
         path = Path(name, "revoked.json")
         path.write_bytes((FOLDER / "revoked.json").read_bytes())
@@ -190,14 +190,14 @@
     }
 
 
-# -- policies, tokens, the gate --
+# -- Policies, tokens and decisions --
 
 
-def policies_meaning() -> Any:
-    """Return the policy that the committed operator's files have for each path."""
+def describe_policies() -> Any:
+    """Return the policy of the committed operator files for each path."""
     found = {}
     for name in ("operator.cue", "operator_small.cue", "operator_slow.cue"):
-        routes, limits = routes_of(name)
+        routes, limits = load_routes(name)
         policies = {path: routes.find(path) for path in POLICY_PATHS}
         found[name] = {
             "single_use_tokens_remembered": limits.seen,
@@ -208,29 +208,29 @@
 
 
 def tokens_read() -> Any:
-    """Return what the tokens of all committed requests say, without any key."""
-    told: list[dict[str, Any]] = []
+    """Return the claims of the tokens in all committed requests, parsed without a key."""
+    entries: list[dict[str, Any]] = []
     for name in CASES:
         for case in load(name):
             for step in case["steps"]:
-                request = request_of(step["request"])
+                request = parse_request(step["request"])
                 entry: dict[str, Any] = {"file": name, "case": case["name"]}
                 try:
                     entry["tokens"] = [describe_token(one) for one in formats.read(request)]
                 except TokenError as error:
                     entry["error"] = str(error)
-                if not told or told[-1] != entry:
-                    told.append(entry)
-    return told
+                if not entries or entries[-1] != entry:
+                    entries.append(entry)
+    return entries
 
 
 def reasons() -> Any:
-    """Return all reasons with the status that a client is told."""
+    """Return all reasons with the status that a client gets."""
     return {one.value: None if one in (Reason.GOOD, Reason.OPEN) else status_of(one) for one in Reason}
 
 
 def tokens_made() -> Any:
-    """Return what the program signs, of all formats and keys that sign without chance."""
+    """Return signed tokens of all formats and all keys with deterministic signatures."""
     keys = ring().keys
     claims = {"exp": UNTIL, "iat": NOW, "sub": "picker-1", "res": ["/svc/*"]}
     policies = {
@@ -258,44 +258,48 @@
     }
 
 
-# -- the commands --
+# -- Commands --
 
 
-def _run(*words: str) -> dict[str, Any]:
-    done = CliRunner().invoke(cli, list(words))
-    error = "" if "Usage: " in done.stderr else done.stderr  # that text is of click's own making
+def _run(*arguments: str) -> dict[str, Any]:
+    done = CliRunner().invoke(cli, list(arguments))
+    error = "" if "Usage: " in done.stderr else done.stderr  # usage texts are click's, not the program's
     return {"exit_code": done.exit_code, "stdout": done.stdout, "stderr": error}
 
 
 def _operator(folder: Path) -> tuple[Path, Path]:
     ring_file, operator = folder / "ring.json", folder / "operator.cue"
-    few = [one for one in load("key_ring.json")["keys"] if one["id"] in COMMAND_KEYS]
-    ring_file.write_text(json.dumps({"keys": few}))
+    selected_keys = [one for one in load("key_ring.json")["keys"] if one["id"] in COMMAND_KEYS]
+    ring_file.write_text(json.dumps({"keys": selected_keys}))
     ring_file.chmod(0o600)
     operator.write_text((FOLDER / "operator.cue").read_text().replace("key_ring.json", str(ring_file)))
     return ring_file, operator
 
 
 def token_commands() -> Any:
-    """Return what `stonecove token` prints, and its exit codes."""
-    told: list[Any] = []
-    with tempfile.TemporaryDirectory() as name, at_the_time(NOW + 0.25):
+    """Return the outputs and exit codes of `stonecove token`."""
+    entries: list[Any] = []
+    with tempfile.TemporaryDirectory() as name, fixed_time(NOW + 0.25):
         ring_file, operator = _operator(Path(name))
 
-        def note(*words: str) -> str:
-            done = _run("token", *words)
-            texts = [word.replace(name, "FOLDER") for word in words]
+        def add_entry(*arguments: str) -> str:
+            done = _run("token", *arguments)
+            texts = [word.replace(name, "FOLDER") for word in arguments]
             done = {
                 key: one.replace(name, "FOLDER") if isinstance(one, str) else one for key, one in done.items()
             }
-            told.append({"arguments": texts, **done})
+            entries.append({"arguments": texts, **done})
             return str(done["stdout"].strip())
 
         signing = ("sign", "--ring", str(ring_file), "--url")
         made = {
-            "cdni": note(*signing, URL, "--format", "cdni", "--subject", "p", "--renew", "60", "--id", "t"),
-            "bearer": note(*signing, URL, "--for", "60", "--method", "GET", "--depot", "edge-1", "--once"),
-            "edge-auth": note(
+            "cdni": add_entry(
+                *signing, URL, "--format", "cdni", "--subject", "p", "--renew", "60", "--id", "t"
+            ),
+            "bearer": add_entry(
+                *signing, URL, "--for", "60", "--method", "GET", "--depot", "edge-1", "--once"
+            ),
+            "edge-auth": add_entry(
                 *signing,
                 URL,
                 "--format",
@@ -308,68 +312,68 @@
                 "t",
             ),
         }
-        note(*signing, f"{URL}?x=1", "--format", "cloudfront")
-        note(*signing, f"http://{HOST}/svc/*", "--format", "cloudfront", "--source", "10.1.0.0/16")
+        add_entry(*signing, f"{URL}?x=1", "--format", "cloudfront")
+        add_entry(*signing, f"http://{HOST}/svc/*", "--format", "cloudfront", "--source", "10.1.0.0/16")
         for verb in ("inspect", "verify", "explain"):
             where = () if verb == "inspect" else ("--operator", str(operator))
             client = ("--source", "10.1.2.3", "--depot", "edge-1")
-            note(verb, *where, *client, made["cdni"])
-            note(verb, *where, *client, made["edge-auth"])
-            note(verb, *where, *client, "--field", made["bearer"], URL)
-            note(verb, *where, "--method", "POST", made["edge-auth"])
-            note(verb, *where, "--field", "Authorization: Bearer x.y", URL)
-            note(verb, *where, URL)
-        note("explain", "--operator", str(operator), f"http://{HOST}/else")
-        note("verify", "--operator", f"{name}/nothing.cue", URL)
-        note("sign", "--ring", f"{name}/nothing.json", "--url", URL)
-        note("sign", "--ring", str(ring_file), "--url", URL, "--format", "paper")
-    return told
+            add_entry(verb, *where, *client, made["cdni"])
+            add_entry(verb, *where, *client, made["edge-auth"])
+            add_entry(verb, *where, *client, "--field", made["bearer"], URL)
+            add_entry(verb, *where, "--method", "POST", made["edge-auth"])
+            add_entry(verb, *where, "--field", "Authorization: Bearer x.y", URL)
+            add_entry(verb, *where, URL)
+        add_entry("explain", "--operator", str(operator), f"http://{HOST}/else")
+        add_entry("verify", "--operator", f"{name}/nothing.cue", URL)
+        add_entry("sign", "--ring", f"{name}/nothing.json", "--url", URL)
+        add_entry("sign", "--ring", str(ring_file), "--url", URL, "--format", "paper")
+    return entries
 
 
 def key_commands() -> Any:
-    """Return what `stonecove keys` prints, and the files that it writes, with their rights."""
-    told: list[Any] = []
+    """Return the outputs of `stonecove keys`, and the files that it writes with their permissions."""
+    entries: list[Any] = []
     hexes = (f"{number:02x}" * 32 for number in range(1, 9))
     with (
         tempfile.TemporaryDirectory() as name,
-        at_the_time(NOW + 0.5),
+        fixed_time(NOW + 0.5),
         mock.patch.object(secrets, "token_hex", lambda _: next(hexes)),
     ):
         path = Path(name, "ring.json")
 
-        def note(verb: str, *words: str) -> None:
-            done = _run("keys", verb, str(path), *words)
+        def add_entry(verb: str, *arguments: str) -> None:
+            done = _run("keys", verb, str(path), *arguments)
             error = done["stderr"].replace(name, "FOLDER")
             file = (
                 {"text": path.read_text(), "rights": f"{path.stat().st_mode & 0o777:o}"}
                 if path.exists()
                 else None
             )
-            told.append({"arguments": [verb, "FILE", *words], **done, "stderr": error, "file": file})
-
-        note("list")
-        note("generate", "web", "--algorithm", "HS256", "--use", "bearer", "--use", "cdni")
-        note("generate", "edge", "--algorithm", "HMAC-SHA1", "--use", "edge-auth")
-        note("generate", "any", "--algorithm", "HS512")
-        note("generate", "any", "--algorithm", "HS512")
-        note("generate", "x", "--algorithm", "none")
-        note("rotate", "web", "web2", "--overlap", "60")
-        note("rotate", "nobody", "x")
-        note("retire", "edge")
-        note("retire", "nobody")
-        note("list")
-        note("list", "--json")
+            entries.append({"arguments": [verb, "FILE", *arguments], **done, "stderr": error, "file": file})
+
+        add_entry("list")
+        add_entry("generate", "web", "--algorithm", "HS256", "--use", "bearer", "--use", "cdni")
+        add_entry("generate", "edge", "--algorithm", "HMAC-SHA1", "--use", "edge-auth")
+        add_entry("generate", "any", "--algorithm", "HS512")
+        add_entry("generate", "any", "--algorithm", "HS512")
+        add_entry("generate", "x", "--algorithm", "none")
+        add_entry("rotate", "web", "web2", "--overlap", "60")
+        add_entry("rotate", "nobody", "x")
+        add_entry("retire", "edge")
+        add_entry("retire", "nobody")
+        add_entry("list")
+        add_entry("list", "--json")
         path.chmod(0o640)
-        note("list")
-    return told
+        add_entry("list")
+    return entries
 
 
 OUTPUTS: dict[str, Callable[[], Any]] = {
-    "key_ring_meaning.json": ring_meaning,
+    "key_ring_meaning.json": describe_ring,
     "key_ring_errors.json": ring_errors,
     "file_errors.json": file_errors,
-    "revoked_meaning.json": revoked_meaning,
-    "policies_meaning.json": policies_meaning,
+    "revoked_meaning.json": describe_revocations,
+    "policies_meaning.json": describe_policies,
     "reasons.json": reasons,
     "tokens_made.json": tokens_made,
     "tokens_read.json": tokens_read,
@@ -379,7 +383,7 @@
 
 
 def as_json(found: Any) -> Any:
-    """Return what a file would give back."""
+    """Return the value after a round trip through JSON."""
     return json.loads(json.dumps(found))
 
 
@@ -391,7 +395,7 @@
 @pytest.mark.parametrize("name", CASES)
 def test_gate_decides_as_recorded(name: str) -> None:
     for case in load(name):
-        assert as_json(play(case)) == case["decisions"], case["name"]
+        assert as_json(run_case(case)) == case["decisions"], case["name"]
 
 
 @pytest.mark.parametrize("name", CASES)
@@ -401,7 +405,7 @@
 
 
 @pytest.mark.parametrize("ident", ["es256", "es384", "ec-sha1", "ec-sha256"])
-def test_signatures_made_with_chance_are_of_the_recorded_key(ident: str) -> None:
+def test_randomized_signatures_verify_with_the_recorded_key(ident: str) -> None:
     key = ring().keys[ident]
     signature = key.sign(b"message")
     assert key.verify(b"message", signature) and not key.verify(b"other", signature)
@@ -419,34 +423,34 @@
 
 
 def test_requests_are_refused_for_every_reason() -> None:
-    played = {
+    recorded_reasons = {
         decision["reason"]
         for name in CASES
         for case in load(name)
         for decision in case["decisions"]
         if "reason" in decision
     }
-    assert played == set(reasons())
+    assert recorded_reasons == set(reasons())
 
 
 def test_token_of_a_public_key_is_accepted_and_made_by_its_private_part_alone() -> None:
     keys = ring().keys
-    text = jwt_by_hand(keys["es256"], {"exp": UNTIL}, kid="verifies-only")
+    text = sign_jwt_by_hand(keys["es256"], {"exp": UNTIL}, kid="verifies-only")
     message, _, _ = text.rpartition(".")
-    token = formats.bearer(request_of({"target": PATH}), text)
+    token = formats.bearer(parse_request({"target": PATH}), text)
     assert token.message == message.encode() and keys["verifies-only"].verify(token.message, token.signature)
     with pytest.raises(KeyRingError, match="key verifies-only has no private part"):
         keys["verifies-only"].sign(b"x")
 
 
 def record() -> None:
-    """Write all golden files, from a key ring that is made if there is none."""
+    """Write all golden files; generates the key ring if there is none."""
 
     def write(name: str, found: Any) -> None:
         (FOLDER / name).write_text(json.dumps(found, indent=1, ensure_ascii=True) + "\n")
 
     if not (FOLDER / "key_ring.json").exists():
-        write("key_ring.json", new_ring())
+        write("key_ring.json", generate_ring())
     write(
         "revoked.json",
         [
@@ -457,7 +461,7 @@
         ],
     )
     for name, made in CASES.items():
-        write(name, [{**case, "decisions": play(case)} for case in as_json(made())])
+        write(name, [{**case, "decisions": run_case(case)} for case in as_json(made())])
     for name, output in OUTPUTS.items():
         write(name, output())
 
--- a/tests/test_token_commands.py
+++ b/tests/test_token_commands.py
@@ -1,4 +1,4 @@
-"""`stonecove token` and `stonecove keys`, as an operator uses them."""
+"""Tests of the `stonecove token` and `stonecove keys` commands."""
 
 from __future__ import annotations
 
@@ -13,10 +13,10 @@
 URL = "http://edge.example/svc/image/7f3a9c21e0b4d655/0"
 
 
-def run(*words: str, code: int = 0) -> str:
-    done = CliRunner().invoke(cli, list(words))
-    assert done.exit_code == code, (words, done.exit_code, done.output)
-    return done.output.strip()
+def run(*arguments: str, code: int = 0) -> str:
+    result = CliRunner().invoke(cli, list(arguments))
+    assert result.exit_code == code, (arguments, result.exit_code, result.output)
+    return result.output.strip()
 
 
 @pytest.fixture
@@ -36,34 +36,34 @@
 
 
 @pytest.mark.parametrize("form", ["cloudfront", "edge-auth", "cdni", "bearer"])
-def test_what_is_signed_verifies_is_explained_and_ends_with_its_key(operator: Path, form: str) -> None:
+def test_a_signed_token_is_verified_and_explained_until_its_key_is_retired(operator: Path, form: str) -> None:
     ring = str(operator.parent / "ring.json")
-    made = run("token", "sign", "--ring", ring, "--format", form, "--url", URL, "--subject", "p")
-    asked = (
-        ["--operator", str(operator), URL, "--field", made]
+    signed = run("token", "sign", "--ring", ring, "--format", form, "--url", URL, "--subject", "p")
+    arguments = (
+        ["--operator", str(operator), URL, "--field", signed]
         if form == "bearer"
-        else ["--operator", str(operator), made]
+        else ["--operator", str(operator), signed]
     )
-    assert run("token", "verify", *asked) == "good"
-    assert "policy /svc" in run("token", "explain", *asked)
-    told = json.loads(run("token", "inspect", *asked[2:]))
-    assert told["format"] == form and 290 <= told["expires_in_s"] <= 300
-    assert run("token", "verify", *asked, "--method", "POST", code=1) == "method"
-    run("keys", "retire", ring, told["key"])
-    assert run("token", "verify", *asked, code=1) == "key-retired"
-    assert "status 403" in run("token", "explain", *asked, code=1)
+    assert run("token", "verify", *arguments) == "good"
+    assert "policy /svc" in run("token", "explain", *arguments)
+    inspected = json.loads(run("token", "inspect", *arguments[2:]))
+    assert inspected["format"] == form and 290 <= inspected["expires_in_s"] <= 300
+    assert run("token", "verify", *arguments, "--method", "POST", code=1) == "method"
+    run("keys", "retire", ring, inspected["key"])
+    assert run("token", "verify", *arguments, code=1) == "key-retired"
+    assert "status 403" in run("token", "explain", *arguments, code=1)
 
 
-def test_rotation_has_an_overlap_and_tells_nothing_secret(operator: Path) -> None:
+def test_rotation_has_an_overlap_and_prints_no_secret(operator: Path) -> None:
     ring = operator.parent / "ring.json"
-    made = run("token", "sign", "--ring", str(ring), "--url", URL)
+    signed = run("token", "sign", "--ring", str(ring), "--url", URL)
     run("keys", "rotate", str(ring), "web", "web2", "--overlap", "0")
     states = {
         one["id"]: one["state"]
         for one in map(json.loads, run("keys", "list", str(ring), "--json").splitlines())
     }
     assert states["web"] == "verifies" and states["web2"] == "signs"
-    assert run("token", "verify", "--operator", str(operator), URL, "--field", made) == "good"
+    assert run("token", "verify", "--operator", str(operator), URL, "--field", signed) == "good"
     secrets = [
         one[name]
         for one in json.loads(ring.read_text())["keys"]
@@ -74,10 +74,10 @@
     assert len(secrets) == 5 and not any(secret in shown for secret in secrets)
 
 
-def test_wrong_words_end_with_2_and_leave_the_ring_alone(operator: Path) -> None:
+def test_invalid_arguments_exit_with_2_and_leave_the_ring_unchanged(operator: Path) -> None:
     ring = operator.parent / "ring.json"
     before = ring.read_bytes()
-    run("keys", "generate", str(ring), "web", code=2)  # there already
+    run("keys", "generate", str(ring), "web", code=2)  # duplicate id
     run("keys", "generate", str(ring), "x", "--algorithm", "none", code=2)
     run("keys", "retire", str(ring), "nobody", code=2)
     run("keys", "rotate", str(ring), "nobody", "x", code=2)
