--- a/tests/test_vocabulary.py
+++ b/tests/test_vocabulary.py
@@ -14,10 +14,25 @@
 
 CHECKED_PATHS = (
     "stonecove/routing",
+    "stonecove/access",
+    "stonecove/discovery",
+    "stonecove/fleet",
+    "stonecove/frontends",
+    "stonecove/gossip",
+    "stonecove/operator_config",
+    "stonecove/overload",
+    "stonecove/pipeline",
+    "stonecove/protocols",
+    "stonecove/quotas",
+    "stonecove/rollout",
+    "stonecove/runtime",
+    "stonecove/server",
+    "stonecove/state",
+    "stonecove/transport",
+    "stonecove/exchange.py",
     "stonecove/settings.py",
     "stonecove/simulator_adapter.py",
     "stonecove/errors.py",
-    "stonecove/runtime/log_events.py",
 )
 
 # fmt: off
@@ -41,6 +56,13 @@
 
 
 HALF_LIFE = "half-life is the standard term for the time in which a decaying value halves"
+DATAGRAM_KIND = "a published name of a kind of datagram"
+PROCESS_PAUSE = "a pause of a process, in which none of its code runs"
+DUE_TIME = "a timer or task is due when its time has come"
+LEAST_RECENT = "least recent and least loaded are standard terms of selection"
+QUERY_WORDS = "the words of a line of text, split at blanks"
+WANTED_VERSION = "the wanted state of a roll-out or an instance, as opposed to the present one"
+KEEP_ALIVE = "keep-alive is the term of HTTP and FastCGI"
 ALLOWED_IDENTIFIERS = (
     AllowedIdentifier("stonecove/routing/link_load.py", "PACE_HALF_LIFE_IN_OBJECTIVES", HALF_LIFE),
     AllowedIdentifier("stonecove/routing/popularity.py", "MIN_HALF_LIFE_MS", HALF_LIFE),
@@ -48,6 +70,41 @@
     AllowedIdentifier("stonecove/routing/popularity.py", "half_life_ms", HALF_LIFE),
     AllowedIdentifier("stonecove/routing/popularity.py", "_half_life_ms", HALF_LIFE),
     AllowedIdentifier("stonecove/routing/state.py", "POPULARITY_HALF_LIFE_IN_SLOW_STARTS", HALF_LIFE),
+    AllowedIdentifier("stonecove/access/formats.py", "wanted", WANTED_VERSION),
+    AllowedIdentifier("stonecove/gossip/claims.py", "ASK", DATAGRAM_KIND),
+    AllowedIdentifier("stonecove/gossip/claims.py", "NEWS", DATAGRAM_KIND),
+    AllowedIdentifier("stonecove/gossip/gossip.py", "push_due_at", DUE_TIME),
+    AllowedIdentifier("stonecove/gossip/health.py", "PAUSE_ANNOUNCED_S", PROCESS_PAUSE),
+    AllowedIdentifier("stonecove/gossip/health.py", "PAUSE_THRESHOLD_S", PROCESS_PAUSE),
+    AllowedIdentifier("stonecove/gossip/health.py", "recent_pause_s", PROCESS_PAUSE),
+    AllowedIdentifier("stonecove/gossip/shares.py", "least_recent_slot", LEAST_RECENT),
+    AllowedIdentifier("stonecove/gossip/status.py", "words", QUERY_WORDS),
+    AllowedIdentifier("stonecove/gossip/swarm.py", "_handle_pause", PROCESS_PAUSE),
+    AllowedIdentifier("stonecove/gossip/swarm.py", "due", DUE_TIME),
+    AllowedIdentifier("stonecove/gossip/swarm.py", "due_slots", DUE_TIME),
+    AllowedIdentifier("stonecove/gossip/swarm.py", "least_recent", LEAST_RECENT),
+    AllowedIdentifier("stonecove/gossip/swarm.py", "pause", PROCESS_PAUSE),
+    AllowedIdentifier("stonecove/gossip/table.py", "pause", PROCESS_PAUSE),
+    AllowedIdentifier("stonecove/operator_config/records.py", "keep", KEEP_ALIVE),
+    AllowedIdentifier("stonecove/operator_config/records.py", "least", LEAST_RECENT),
+    AllowedIdentifier("stonecove/protocols/change_log.py", "_KEEP_ALIVE", KEEP_ALIVE),
+    AllowedIdentifier("stonecove/protocols/fastcgi/codec.py", "KEEP_CONN", KEEP_ALIVE),
+    AllowedIdentifier("stonecove/protocols/fastcgi/codec.py", "keep_conn", KEEP_ALIVE),
+    AllowedIdentifier("stonecove/protocols/gossip.py", "MAX_PAUSE_S", PROCESS_PAUSE),
+    AllowedIdentifier("stonecove/protocols/http.py", "keep_alive", KEEP_ALIVE),
+    AllowedIdentifier("stonecove/rollout/follower.py", "health_due_ms", DUE_TIME),
+    AllowedIdentifier("stonecove/rollout/follower.py", "wanted", WANTED_VERSION),
+    AllowedIdentifier("stonecove/rollout/progress.py", "wanted", WANTED_VERSION),
+    AllowedIdentifier("stonecove/rollout/selection.py", "wanted_version", WANTED_VERSION),
+    AllowedIdentifier("stonecove/runtime/timers.py", "due_s", DUE_TIME),
+    AllowedIdentifier("stonecove/runtime/timers.py", "next_due", DUE_TIME),
+    AllowedIdentifier("stonecove/runtime/timers.py", "run_due", DUE_TIME),
+    AllowedIdentifier("stonecove/server/configuration.py", "wanted", WANTED_VERSION),
+    AllowedIdentifier("stonecove/server/http.py", "_disable_keep_alive", KEEP_ALIVE),
+    AllowedIdentifier("stonecove/server/http.py", "keep_alive", KEEP_ALIVE),
+    AllowedIdentifier("stonecove/server/members.py", "words", QUERY_WORDS),
+    AllowedIdentifier("stonecove/server/reconfigure.py", "words", QUERY_WORDS),
+    AllowedIdentifier("stonecove/server/swarm.py", "words", QUERY_WORDS),
 )
 
 
