--- a/tests/test_log_events.py
+++ b/tests/test_log_events.py
@@ -16,7 +16,7 @@
 ONCALL = (ROOT / "ONCALL.md").read_text(encoding="utf-8")
 RENAMES_TITLE = "Old and new names of log events"
 LOG_FUNCTIONS = {"log", "log_limited"}
-EVENT_WRITERS = LOG_FUNCTIONS | {"_say", "say", "_alarm", "note"}
+EVENT_WRITERS = LOG_FUNCTIONS | {"_say", "say", "_alarm", "_log", "_log_alarm", "_log_alarm_once", "note"}
 UNCHANGED_NAMES = {LogEvent.STATS}
 QUOTED = re.compile(r"`([^`]+)`")
 RENAMED_FIELD = re.compile(r"`(\w+)` → `(\w+)`")
