--- a/tests/test_capacity_router.py
+++ b/tests/test_capacity_router.py
@@ -60,7 +60,13 @@
 
 
 def test_an_order_of_more_nodes_takes_more_memory() -> None:
-    assert capacity_router.order_bytes(40, 200) > capacity_router.order_bytes(10, 200) + 30 * 8
+    """A cached order is a tuple, of one pointer for each node.
+
+    CPython takes tuples of under 20 items from a free list, which tracemalloc does not see. Other objects
+    that are traced beside the orders only add to the figure, so that the lowest of ten runs counts.
+    """
+    fewer, more = (min(capacity_router.order_bytes(nodes, 200) for _ in range(10)) for nodes in (20, 50))
+    assert more - fewer == pytest.approx(30 * 8, abs=1.0)
 
 
 def test_a_sketch_counts_never_too_little_and_halves() -> None:
