--- a/benchmarks/capacity_data.py
+++ b/benchmarks/capacity_data.py
@@ -26,7 +26,7 @@
 from stonecove.commands.demo import free_port, wait_ready
 from stonecove.protocols import resp
 from stonecove.standins.depot import Cache, Depot
-from stonecove.standins.webserver import Asker, settings
+from stonecove.standins.webserver import FastCgiClient, settings
 
 HERE = Path(__file__).parent.parent
 TICKS = os.sysconf("SC_CLK_TCK")
@@ -118,12 +118,14 @@
     lock = threading.Lock()
 
     def work(place: int) -> None:
-        asker, step = Asker(port), CONNECTIONS / rate
+        asker, step = FastCgiClient(port), CONNECTIONS / rate
         due, number = begin + place / rate, seed << 20 | place << 14
         while due < begin + WARMING + seconds:
             time.sleep(max(0.0, due - time.monotonic()))
             item = object_number(load.kb, number % 5000 + 1)
-            status, body = asker.ask_item(seed << 32 | place << 24 | (number & 0xFFFFFF), item, kb=load.kb)
+            status, body = asker.request_item(
+                seed << 32 | place << 24 | (number & 0xFFFFFF), item, kb=load.kb
+            )
             good = status.startswith("200") and len(body) == load.kb * 1000
             if begin + WARMING <= time.monotonic() < begin + WARMING + seconds:
                 with lock:
@@ -230,13 +232,13 @@
 def held_mb(kb: int, requests: int) -> float:
     """MB that the process grows by while so many answers of that size are held but for their last byte."""
     with router_at_depot() as (router, port, depot):
-        askers = [Asker(port) for _ in range(requests)]
+        askers = [FastCgiClient(port) for _ in range(requests)]
         for place, asker in enumerate(askers):  # what connections and first answers take is there already
-            asker.ask_item(place, object_number(1, place + 1), kb=1)
+            asker.request_item(place, object_number(1, place + 1), kb=1)
         before = memory_mb(router.pid, "VmRSS")
         threads = [
             threading.Thread(
-                target=asker.ask_item,
+                target=asker.request_item,
                 args=(1000 + place, object_number(kb, place + 1, True)),
                 kwargs={"kb": kb},
             )
--- a/benchmarks/capacity_swarm.py
+++ b/benchmarks/capacity_swarm.py
@@ -35,12 +35,12 @@
             len(router.swarm.gossip.broadcasts) for router in self.routers if router.swarm is not None
         )
 
-    def _look(self) -> None:
+    def _record_shares(self) -> None:
         return
 
-    def _carry(self, source: int, to: int, data: bytes) -> None:
+    def _transmit(self, source: int, to: int, data: bytes) -> None:
         self.bytes[int(self.now), source] += len(data) + UDP_HEADERS
-        super()._carry(source, to, data)
+        super()._transmit(source, to, data)
 
     def _arrive(self, source: int, to: int, data: bytes) -> None:
         if self.routers[to].swarm is not None:
@@ -49,16 +49,16 @@
             self.bytes[int(self.now), source] += len(data) + REFUSAL_HEADERS
         super()._arrive(source, to, data)
 
-    def _take(self, router: SimulatedRouter, life: Swarm, slot: int, data: bytes, refused: bool) -> None:
+    def _process(self, router: SimulatedRouter, life: Swarm, slot: int, data: bytes, refused: bool) -> None:
         began = time.thread_time_ns()
-        super()._take(router, life, slot, data, refused)
+        super()._process(router, life, slot, data, refused)
         took = time.thread_time_ns() - began
         self.decision_ns += took
         self._within_ns += took
 
-    def _flush(self, router: SimulatedRouter, life: Swarm) -> None:
+    def _send_outgoing(self, router: SimulatedRouter, life: Swarm) -> None:
         began = time.thread_time_ns()
-        super()._flush(router, life)
+        super()._send_outgoing(router, life)
         self._within_ns += time.thread_time_ns() - began
 
     def _tick(self, router: SimulatedRouter, life: Swarm | None) -> None:
--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -129,7 +129,7 @@
             if supervisor.poll() is None:
                 supervisor.kill()
             depot.close()
-    histogram = clients.took
+    histogram = clients.latency_us
     print(
         f"{instances} instances: all ready after {ready:.2f} s, {sum(memory) / len(memory):.1f} MB each, "
         f"{cpu:.0f} us of CPU a request"
@@ -137,13 +137,14 @@
     print(
         f"{total} answers {dict(clients.answers)}, "
         f"p50 {histogram.get_value_at_percentile(50) / 1000:.2f} ms, "
-        f"p99 {histogram.get_value_at_percentile(99) / 1000:.2f} ms; {clients.turned_away} refused, "
+        f"p99 {histogram.get_value_at_percentile(99) / 1000:.2f} ms; {clients.refused_connections} refused, "
         f"{clients.crossed} crossed a close"
     )
     print(
         f"{len(kills)} kills took along {len(clients.lost) - len(unexplained)} requests in flight; "
         f"{len(unexplained)} others had no answer; roll ended with {rolled.returncode}, reload with "
-        f"{reloaded.returncode}; {depot.repeated()} writes ran twice; all ready again after {back:.2f} s; "
+        f"{reloaded.returncode}; {depot.count_repeated_writes()} writes ran twice; "
+        f"all ready again after {back:.2f} s; "
         f"stopped in {stopped:.2f} s with {code}"
     )
     return {
@@ -215,10 +216,10 @@
             while time.monotonic() < start + seconds:
                 box = depot.caches[told % len(depot.caches)]
                 told += 1
-                box.forget()
-                depot.tell_state(box, "up")
+                box.restart_empty()
+                depot.announce_state(box, "up")
                 time.sleep(COLD_EVERY)
-                book, began = list(box.book), box.started
+                book, began = list(box.request_times_ms), box.started_ms
                 for step in range(0, 29):
                     age = step * 0.25
                     sent = sum(began + (age - 3.0) * 1000 < at <= began + age * 1000 for at in book) * work
--- a/benchmarks/membership.py
+++ b/benchmarks/membership.py
@@ -34,7 +34,7 @@
 from stonecove.routing.endpoints import NodeState
 from stonecove.runtime.log import set_log_sink
 from stonecove.standins.depot import Depot
-from stonecove.standins.webserver import Asker, settings
+from stonecove.standins.webserver import FastCgiClient, settings
 from stonecove.transport.zookeeper import ZooKeeperClient
 
 BOXES, ROUTERS = "/stonecove/boxes", "/stonecove/routers"
@@ -152,14 +152,14 @@
 
 def _worker(port: int, seed: int, seconds: float, out: Any) -> None:
     """Asks at its share of the pace; puts (milliseconds, status) of each request."""
-    chooser, asker = random.Random(seed), Asker(port)
+    chooser, asker = random.Random(seed), FastCgiClient(port)
     found, gap = [], WORKERS / PACE
     start = time.monotonic() + seed * gap / WORKERS
     for number in range(int(seconds / gap)):
         time.sleep(max(0.0, start + number * gap - time.monotonic()))
         began = time.monotonic()
         try:
-            status = asker.ask_item(seed << 32 | number, chooser.randrange(1, 3000))[0][:3]
+            status = asker.request_item(seed << 32 | number, chooser.randrange(1, 3000))[0][:3]
         except (OSError, EOFError):
             found.append((0.0, "lost"))
             break
--- a/benchmarks/run_cost.py
+++ b/benchmarks/run_cost.py
@@ -16,7 +16,7 @@
 
 from stonecove.commands.demo import free_port, router_config, wait_ready
 from stonecove.standins.depot import Depot
-from stonecove.standins.webserver import Asker
+from stonecove.standins.webserver import FastCgiClient
 
 HERE = Path(__file__).parent.parent
 TICKS = os.sysconf("SC_CLK_TCK")
@@ -45,12 +45,12 @@
         )
         try:
             wait_ready(port, router)
-            resident, asker = _resident(router.pid), Asker(port)
+            resident, asker = _resident(router.pid), FastCgiClient(port)
             for number in range(200):
-                asker.ask_item(number, number % 20 + 1)
+                asker.request_item(number, number % 20 + 1)
             before = _cpu(router.pid)
             for number in range(200, 200 + requests):
-                asker.ask_item(number, number % 20 + 1)
+                asker.request_item(number, number % 20 + 1)
             return (_cpu(router.pid) - before) / requests * 1e6, resident
         finally:
             router.kill()
--- a/benchmarks/swarm.py
+++ b/benchmarks/swarm.py
@@ -94,7 +94,7 @@
     for number in range(kills):
         place = number % count
         model.kill(place)
-        took.append(model.until(lambda gone=place: model.known_over(gone), 30.0))  # type: ignore[misc]
+        took.append(model.until(lambda gone=place: model.known_ended(gone), 30.0))  # type: ignore[misc]
         model.run(1.0)
         model.start(place)
         model.run(4.0)
@@ -111,9 +111,13 @@
     gone = range(count * 7 // 10)
     for place in gone:
         model.kill(place)
-    known = model.until(lambda: all(map(model.known_over, gone)), 30.0)
+    known = model.until(lambda: all(map(model.known_ended, gone)), 30.0)
     model.run(6.0 - min(known, 6.0))
-    after = [router.swarm.gossip.views.current.number for router in model.here() if router.swarm is not None]
+    after = [
+        router.swarm.gossip.views.current.number
+        for router in model.running_routers()
+        if router.swarm is not None
+    ]
     views = max(after) - max(numbers)
     model.run(4.0)
     used, steps = 0.0, 0
@@ -226,7 +230,7 @@
         model.run(5.0)
         figures["sim_datagrams_2000"] = (model.sent - before) / 5.0 / 2000
         model.kill(7)
-        figures["sim_detect_s_2000"] = model.until(lambda: model.known_over(7), 10.0)
+        figures["sim_detect_s_2000"] = model.until(lambda: model.known_ended(7), 10.0)
         print(
             f"2000 routers simulated in {time.monotonic() - began:.0f} s: "
             f"{figures['sim_datagrams_2000']:.2f} datagrams a second each, a kill known after "
--- a/stonecove/commands/__init__.py
+++ b/stonecove/commands/__init__.py
@@ -1,1 +1,4 @@
-"""The command line. Each command imports what it uses when it is called, so that `run` costs nothing more."""
+"""Command line interface.
+
+Each command imports its dependencies when it is invoked, so that `run` does not pay for them.
+"""
--- a/stonecove/commands/config.py
+++ b/stonecove/commands/config.py
@@ -1,4 +1,4 @@
-"""`stonecove config`: checks, shows and explains an operator's file."""
+"""`stonecove config`: check, show and explain an operator's file."""
 
 from __future__ import annotations
 
@@ -13,13 +13,13 @@
 if TYPE_CHECKING:
     from stonecove.operator_config.reader import LoadedFile
 
-GOOD, NONE, UNUSABLE = 0, 1, 2
-_file = operator_option(parameter="file")
+EXIT_OK, EXIT_NOT_FOUND, EXIT_INVALID = 0, 1, 2
+_file_option = operator_option(parameter="file")
 
 
 @click.group()
 def config() -> None:
-    """The operator's file. Ends with 0: good, 1: no such path, 2: the file can't be used."""
+    """Check and show the operator's file. Exit codes: 0 valid, 1 no such path, 2 invalid file."""
 
 
 def _read(file: Path) -> LoadedFile:
@@ -32,23 +32,23 @@
         for problem in error.problems:
             click.echo(str(problem), err=True)
         click.echo(f"{file}: {len(error.problems)} problem{'s' * (len(error.problems) > 1)}", err=True)
-        sys.exit(UNUSABLE)
+        sys.exit(EXIT_INVALID)
 
 
 @config.command("check")
 @click.argument("path", type=click.Path(path_type=Path), required=False)
-@_file
+@_file_option
 def check_command(path: Path | None, file: Path) -> None:
-    """Check a file against the schema; tells all that is wrong at once."""
+    """Check a file against the schema and report all problems at once."""
     file = path or file
     _read(file)
     click.echo(f"{file}: good")
 
 
 @config.command("show")
-@_file
+@_file_option
 def show_command(file: Path) -> None:
-    """Show all settings, with the defaults where the file says nothing."""
+    """Show all settings, including the defaults of those that the file does not set."""
     from stonecove.operator_config.reader import show
 
     for line in show(_read(file).value):
@@ -57,14 +57,14 @@
 
 @config.command("explain")
 @click.argument("path")
-@_file
+@_file_option
 def explain_command(path: str, file: Path) -> None:
-    """Tell what holds at a path such as sources.zookeeper.linger, and which places say so."""
+    """Show the value at a path such as sources.zookeeper.linger and where it is defined."""
     from stonecove.operator_config.reader import explain
 
     lines = explain(_read(file).value, path)
     if lines is None:
         click.echo(f"{file}: nothing at {path}", err=True)
-        sys.exit(NONE)
+        sys.exit(EXIT_NOT_FOUND)
     for line in lines:
         click.echo(line)
--- a/stonecove/commands/demo.py
+++ b/stonecove/commands/demo.py
@@ -1,4 +1,4 @@
-"""`stonecove demo`: the router in a made-up depot, told as it happens."""
+"""`stonecove demo`: run the router against a simulated depot and print what happens."""
 
 from __future__ import annotations
 
@@ -17,31 +17,31 @@
 from typing import Any
 
 from stonecove.standins.depot import Depot
-from stonecove.standins.webserver import Asker, settings
+from stonecove.standins.webserver import FastCgiClient, settings
 
-PATIENCE = 20.0
+TIMEOUT_S = 20.0
 
 
 def free_port() -> int:
-    """A port of the loopback address that nobody listens on."""
+    """Return a TCP port of the loopback address that is currently unused."""
     with socket.socket() as sock:
         sock.bind(("127.0.0.1", 0))
         port: int = sock.getsockname()[1]
         return port
 
 
-def _say(text: str) -> None:
+def _log(text: str) -> None:
     print(f"{time.strftime('%H:%M:%S')}  {text}", flush=True)
 
 
 def wait_ready(port: int, router: subprocess.Popen[bytes]) -> None:
-    """Waits until the router says that it is ready; raises RuntimeError if it does not."""
-    limit = time.monotonic() + PATIENCE
-    while time.monotonic() < limit and router.poll() is None:
+    """Wait until the router reports that it is live; raise RuntimeError if it exits or times out."""
+    deadline = time.monotonic() + TIMEOUT_S
+    while time.monotonic() < deadline and router.poll() is None:
         try:
-            asker = Asker(port)
-            status, _ = asker.ask("/status/live")
-            asker.close()
+            client = FastCgiClient(port)
+            status, _ = client.request("/status/live")
+            client.close()
             if status.startswith("200"):
                 return
         except (OSError, EOFError):
@@ -51,7 +51,7 @@
 
 
 def router_config(name: str, depot: Depot, port: int) -> dict[str, Any]:
-    """The configuration of one router on that loopback port, before the stand-ins of `depot`."""
+    """Return the configuration of a router on a loopback port that uses the stand-ins of `depot`."""
     return {
         "name": name,
         "listen": f"127.0.0.1:{port}",
@@ -63,8 +63,11 @@
     }
 
 
-def play(count: int) -> int:
-    """Runs the whole demonstration; 0 if each request got its one answer and all rules shown held."""
+def run_demo(request_count: int) -> int:
+    """Run the demonstration.
+
+    Return 0 if every request got exactly one answer and no check failed, otherwise 1.
+    """
     depot = Depot(caches=3)
     port = free_port()
     config = router_config("demo", depot, port)
@@ -80,8 +83,8 @@
             )
         try:
             wait_ready(port, router)
-            _say(f"the router is ready, with {len(depot.caches)} caches, a parent and an origin")
-            return _traffic(port, depot, count, router)
+            _log(f"the router is ready, with {len(depot.caches)} caches, a parent and an origin")
+            return _run_traffic(port, depot, request_count, router)
         finally:
             if router.poll() is None:
                 router.kill()
@@ -89,76 +92,76 @@
             depot.close()
 
 
-def _traffic(port: int, depot: Depot, count: int, router: subprocess.Popen[bytes]) -> int:
-    chooser = random.Random(7)
-    verdicts: Counter[str] = Counter()
+def _run_traffic(port: int, depot: Depot, request_count: int, router: subprocess.Popen[bytes]) -> int:
+    generator = random.Random(7)
+    outcomes: Counter[str] = Counter()
     lock = threading.Lock()
     problems: list[str] = []
 
-    def some(numbers: range) -> None:
-        asker = Asker(port)
+    def send_requests(numbers: range) -> None:
+        client = FastCgiClient(port)
         for number in numbers:
-            cls = "pick-confirm" if number % 7 == 0 else "item-image"
+            request_class = "pick-confirm" if number % 7 == 0 else "item-image"
             with lock:
-                item = chooser.randrange(1, 24)
+                item = generator.randrange(1, 24)
             try:
-                status, body = asker.ask_item(number, item, cls)
+                status, body = client.request_item(number, item, request_class)
             except (OSError, EOFError) as error:
                 problems.append(f"request {number} got no answer: {error}")
                 return
             with lock:
-                verdicts[{"200": "served", "503": "refused"}.get(status[:3], "failed")] += 1
+                outcomes[{"200": "served", "503": "refused"}.get(status[:3], "failed")] += 1
                 if (
                     status.startswith("200")
-                    and cls == "item-image"
+                    and request_class == "item-image"
                     and not body.startswith(f"{item:x}:".encode())
                 ):
-                    problems.append(f"request {number} got what was not its own")
-        asker.close()
-
-    def stretch(part: int, title: str) -> None:
-        before = sum(verdicts.values())
-        quarter = range(part * count // 4, (part + 1) * count // 4)
-        workers = [threading.Thread(target=some, args=(quarter[place::4],)) for place in range(4)]
-        for worker in workers:
-            worker.start()
-        for worker in workers:
-            worker.join()
-        _say(f"{title}: {sum(verdicts.values()) - before} answers, so far {dict(verdicts)}")
-
-    stretch(0, "an ordinary stretch")
-    drained = depot.caches[0]
-    depot.tell_state(drained, "draining")
+                    problems.append(f"request {number} got another item's answer")
+        client.close()
+
+    def run_phase(phase: int, title: str) -> None:
+        before = sum(outcomes.values())
+        numbers = range(phase * request_count // 4, (phase + 1) * request_count // 4)
+        threads = [threading.Thread(target=send_requests, args=(numbers[offset::4],)) for offset in range(4)]
+        for thread in threads:
+            thread.start()
+        for thread in threads:
+            thread.join()
+        _log(f"{title}: {sum(outcomes.values()) - before} answers, so far {dict(outcomes)}")
+
+    run_phase(0, "normal operation")
+    drained_cache = depot.caches[0]
+    depot.announce_state(drained_cache, "draining")
     time.sleep(0.3)
-    before = drained.fetches
-    stretch(1, f"s-{drained.ident:08x} drains")
-    _say(
-        f"s-{drained.ident:08x} got {drained.fetches - before} fetches "
-        "more than 250 ms after the drain was told"
+    before = drained_cache.fetches
+    run_phase(1, f"s-{drained_cache.ident:08x} drains")
+    _log(
+        f"s-{drained_cache.ident:08x} got {drained_cache.fetches - before} fetches "
+        "more than 250 ms after the drain was announced"
     )
-    if drained.fetches != before:
-        problems.append("a drained cache got fresh work")
-    moment = depot.tell_purge(17)
+    if drained_cache.fetches != before:
+        problems.append("a drained cache received new requests")
+    purged_at = depot.announce_purge(17)
     time.sleep(0.5)
-    stretch(2, "group 17 is purged")
-    _say(f"{depot.too_old(moment)} answers since were older than the purge")
-    if depot.too_old(moment):
+    run_phase(2, "group 17 is purged")
+    _log(f"{depot.count_stale_answers(purged_at)} answers after the purge were older than it")
+    if depot.count_stale_answers(purged_at):
         problems.append("an answer was older than a purge")
-    depot.caches[1].die()
-    stretch(3, f"s-{depot.caches[1].ident:08x} has died")
+    depot.caches[1].stop()
+    run_phase(3, f"s-{depot.caches[1].ident:08x} has died")
     router.send_signal(signal.SIGTERM)
-    code = router.wait(PATIENCE)
-    _say(f"SIGTERM: the router ended with {code}")
-    if code != 0:
-        problems.append(f"the router ended with {code}")
-    if sum(verdicts.values()) != count:
-        problems.append(f"{sum(verdicts.values())} answers to {count} requests")
-    if depot.repeated():
-        problems.append(f"{depot.repeated()} pick-confirms ran twice")
-    _say(
-        f"{count} requests, {sum(verdicts.values())} final answers, "
-        f"{depot.repeated()} pick-confirms run twice"
+    exit_code = router.wait(TIMEOUT_S)
+    _log(f"SIGTERM: the router exited with {exit_code}")
+    if exit_code != 0:
+        problems.append(f"the router exited with {exit_code}")
+    if sum(outcomes.values()) != request_count:
+        problems.append(f"{sum(outcomes.values())} answers to {request_count} requests")
+    if depot.count_repeated_writes():
+        problems.append(f"{depot.count_repeated_writes()} pick-confirms ran twice")
+    _log(
+        f"{request_count} requests, {sum(outcomes.values())} final answers, "
+        f"{depot.count_repeated_writes()} pick-confirms run twice"
     )
     for problem in problems:
-        _say(f"PROBLEM: {problem}")
+        _log(f"PROBLEM: {problem}")
     return 1 if problems else 0
--- a/stonecove/commands/main.py
+++ b/stonecove/commands/main.py
@@ -1,4 +1,4 @@
-"""`stonecove`: the router itself, the explorer and the demonstration."""
+"""Entry point of `stonecove`: the router, its tools and the demonstration."""
 
 from __future__ import annotations
 
@@ -23,14 +23,14 @@
 
 @click.group(context_settings={"help_option_names": ["-h", "--help"]})
 def cli() -> None:
-    """An edge router between web servers (FastCGI) and caches (RESP)."""
+    """Run and operate an edge router between web servers (FastCGI) and caches (RESP)."""
 
 
 @cli.command()
 @click.option(
     "--operator",
     type=click.Path(path_type=Path, dir_okay=False),
-    help="The operator's own file; STONECOVE_OPERATOR names it otherwise.",
+    help="The operator's file; default: the path in STONECOVE_OPERATOR.",
 )
 def run(operator: Path | None) -> None:
     """Start one edge router, configured by the file that RELAY_CONFIG names."""
@@ -45,13 +45,13 @@
     default=300,
     show_default=True,
     type=click.IntRange(10, 5000),
-    help="How many requests are sent.",
+    help="Number of requests to send.",
 )
 def demo(requests: int) -> None:
-    """Run the router in a made-up depot: a drain, a purge and a cache that dies, told as it happens."""
-    from stonecove.commands.demo import play
+    """Run the router against a simulated depot, through a drain, a purge and a cache failure."""
+    from stonecove.commands.demo import run_demo
 
-    sys.exit(play(requests))
+    sys.exit(run_demo(requests))
 
 
 for _command in (
@@ -73,5 +73,5 @@
 
 
 def main() -> None:
-    """Entry point of the console script; ends with 2 where arguments can't be used."""
+    """Run the console script; exit with 2 if the arguments are invalid."""
     cli()
--- a/stonecove/commands/options.py
+++ b/stonecove/commands/options.py
@@ -1,4 +1,4 @@
-"""Options that several groups of commands share."""
+"""Options shared by several command groups."""
 
 from __future__ import annotations
 
@@ -16,7 +16,10 @@
 def operator_option(
     help_text: str | None = "The operator's file.", parameter: str = "operator"
 ) -> Callable[[Command], Command]:
-    """The option --operator, by default from STONECOVE_OPERATOR; `parameter` is what the command calls it."""
+    """Return a decorator that adds --operator, with STONECOVE_OPERATOR as its environment variable.
+
+    `parameter` is the name of the decorated function's parameter.
+    """
     return click.option(
         "--operator",
         parameter,
--- a/stonecove/commands/overload.py
+++ b/stonecove/commands/overload.py
@@ -1,4 +1,4 @@
-"""`stonecove overload`: what requests led to over a whole fleet, from the logs of a trial."""
+"""`stonecove overload`: amplification of requests across a fleet, from the logs of a trial."""
 
 from __future__ import annotations
 
@@ -10,40 +10,40 @@
 
 import click
 
-from stonecove.commands.members import print_table, table_of
+from stonecove.commands.members import new_table, print_table
 
 if TYPE_CHECKING:
     from stonecove.overload.book import AmplificationStatistics
 
-UNUSABLE = 2
-BOOK = "book.json"
+EXIT_INVALID = 2
+LOAD_RECORD_FILE = "book.json"
 
 
 @click.group()
 def overload() -> None:
-    """What came of what clients meant. Ends with 0, 2: the folder holds no book that can be read."""
+    """Analyse load amplification. Exit codes: 0 success, 2 no readable load record in the folder."""
 
 
-def _read(folder: Path) -> tuple[dict[str, Any], AmplificationStatistics]:
-    """What a trial has left, and its book; ends the program where there is none."""
+def _read_record(folder: Path) -> tuple[dict[str, Any], AmplificationStatistics]:
+    """Read a trial's load record and its statistics; exit if it is missing or invalid."""
     from stonecove.overload.book import AmplificationStatistics, LoadEvent
 
     try:
-        found = json.loads((folder / BOOK).read_text())
-        return found, AmplificationStatistics(
-            LoadEvent(float(at), str(what), int(meaning), str(cls))
-            for at, what, meaning, cls in found["events"]
+        record = json.loads((folder / LOAD_RECORD_FILE).read_text())
+        return record, AmplificationStatistics(
+            LoadEvent(float(at_s), str(kind), int(intent), str(request_class))
+            for at_s, kind, intent, request_class in record["events"]
         )
     except (OSError, ValueError, KeyError, TypeError) as error:
-        click.echo(f"stonecove overload: {folder / BOOK}: {error}", err=True)
-        sys.exit(UNUSABLE)
+        click.echo(f"stonecove overload: {folder / LOAD_RECORD_FILE}: {error}", err=True)
+        sys.exit(EXIT_INVALID)
 
 
-def _figures(found: dict[str, Any], book: AmplificationStatistics) -> dict[str, Any]:
+def _compute_figures(record: dict[str, Any], book: AmplificationStatistics) -> dict[str, Any]:
     from stonecove.overload.book import INTENDED, OUTCOMES, WORK_KINDS
 
-    calm, ended = float(found["first"]), float(found["last"])
-    back = book.recovery_s(ended)
+    steady_until_s, fault_ended_s = float(record["first"]), float(record["last"])
+    recovery_s = book.recovery_s(fault_ended_s)
     return {
         "meant": book.intended,
         "ends": {outcome: book.total(outcome) for outcome in OUTCOMES},
@@ -55,57 +55,57 @@
             }
             for cause in WORK_KINDS
         },
-        "classes": {name: dict(came) for name, came in sorted(book.by_class.items()) if came[INTENDED]},
-        "recovery_s": None if math.isinf(back) else back,
+        "classes": {name: dict(counts) for name, counts in sorted(book.by_class.items()) if counts[INTENDED]},
+        "recovery_s": None if math.isinf(recovery_s) else recovery_s,
         "sustained_by": [{"cause": cause, "times": times} for cause, times in
-                         book.sustained_by(ended, calm)],
+                         book.sustained_by(fault_ended_s, steady_until_s)],
     }  # fmt: skip
 
 
 @overload.command("report")
 @click.argument("folder", type=click.Path(path_type=Path, file_okay=False))
-@click.option("--json", "as_json", is_flag=True, help="For programs.")
-@click.option("--seconds", is_flag=True, help="A line for each second as well.")
+@click.option("--json", "as_json", is_flag=True, help="Print JSON.")
+@click.option("--seconds", is_flag=True, help="Also print one row per second.")
 def report_command(folder: Path, as_json: bool, seconds: bool) -> None:
-    """Tell by cause what each meant request led to, from the --logs of a trial."""
+    """Report by cause the work per intended request, from the --logs of a trial."""
     from stonecove.overload.book import ATTEMPT, SERVED, WORK_KINDS
 
-    found, book = _read(folder)
-    figures = _figures(found, book)
+    record, book = _read_record(folder)
+    figures = _compute_figures(record, book)
     if as_json:
         click.echo(json.dumps(figures))
         return
-    click.echo(f"{found['title']}: {figures['meant']} requests were meant")
-    for fault in found["faults"]:
+    click.echo(f"{record['title']}: {figures['meant']} requests were meant")
+    for fault in record["faults"]:
         click.echo(f"  {fault}")
     click.echo("  " + ", ".join(f"{count} {outcome}" for outcome, count in figures["ends"].items() if count))
-    table = table_of("cause", "in all", "of each meant", "worst second", "at", "most of one")
-    for cause, one in figures["causes"].items():
+    table = new_table("cause", "in all", "of each meant", "worst second", "at", "most of one")
+    for cause, entry in figures["causes"].items():
         table.add_row(
             cause,
-            str(one["all"]),
-            f"{one['of_each_meant']:.2f}",
-            f"{one['worst']:.2f}",
-            f"{one['worst_at']} s",
-            str(one["most_of_one"]),
+            str(entry["all"]),
+            f"{entry['of_each_meant']:.2f}",
+            f"{entry['worst']:.2f}",
+            f"{entry['worst_at']} s",
+            str(entry["most_of_one"]),
         )
     print_table(table)
-    for name, came in figures["classes"].items():
+    for name, counts in figures["classes"].items():
         click.echo(
-            f"  {name}: {came.get(SERVED, 0) / came['meant']:.3f} served, "
-            f"{came.get(ATTEMPT, 0) / came['meant']:.2f} attempts each"
+            f"  {name}: {counts.get(SERVED, 0) / counts['meant']:.3f} served, "
+            f"{counts.get(ATTEMPT, 0) / counts['meant']:.2f} attempts each"
         )
-    back = figures["recovery_s"]
-    told = "service did not come back" if back is None else f"good service {back:.0f} s later"
-    click.echo(f"  after the last fault: {told}")
-    for one in figures["sustained_by"]:
-        click.echo(f"  until then {one['cause']} were {one['times']:.1f} times those of the calm")
+    recovery_s = figures["recovery_s"]
+    recovery = "service did not come back" if recovery_s is None else f"good service {recovery_s:.0f} s later"
+    click.echo(f"  after the last fault: {recovery}")
+    for entry in figures["sustained_by"]:
+        click.echo(f"  until then {entry['cause']} were {entry['times']:.1f} times those of the calm")
     if seconds:
-        table = table_of("second", "meant", "served", *WORK_KINDS)
-        for at in sorted(book.seconds):
-            second = book.seconds[at]
+        table = new_table("second", "meant", "served", *WORK_KINDS)
+        for second_number in sorted(book.seconds):
+            second = book.seconds[second_number]
             table.add_row(
-                str(at),
+                str(second_number),
                 str(second.intended),
                 f"{second.served_share:.2f}",
                 *(f"{second.ratio(cause):.2f}" for cause in WORK_KINDS),
@@ -116,8 +116,8 @@
 @overload.command("plot")
 @click.argument("folder", type=click.Path(path_type=Path, file_okay=False))
 def plot_command(folder: Path) -> None:
-    """Draw demand, service and what each meant request led to, by second; names the picture."""
+    """Draw demand, service and work per intended request by second; print the chart's path."""
     from stonecove.trial.plot import draw_book
 
-    found, book = _read(folder)
-    click.echo(str(draw_book(folder, found["title"], found["faults"], book)))
+    record, book = _read_record(folder)
+    click.echo(str(draw_book(folder, record["title"], record["faults"], book)))
--- a/stonecove/commands/scale.py
+++ b/stonecove/commands/scale.py
@@ -1,4 +1,4 @@
-"""`stonecove scale`: what control costs at several sizes, and how well these predict the largest."""
+"""`stonecove scale`: measure control-plane cost by fleet size and predict the largest size."""
 
 from __future__ import annotations
 
@@ -16,45 +16,46 @@
     from stonecove.scale.series import Play, Series
     from stonecove.scale.slopes import Prediction
 
-GOOD, BROKEN, UNUSABLE = 0, 1, 2
-LEAST_WIDTH = 140  # characters of a line of the tables, however narrow the terminal
+EXIT_OK, EXIT_FAILED, EXIT_INVALID = 0, 1, 2
+MIN_TABLE_WIDTH = 140  # minimum table width in characters, even if the terminal is narrower
 
 
 class UnusableError(click.ClickException):
-    """Something can't be used; told in one line."""
+    """Invalid input or environment, reported in one line."""
 
-    exit_code = UNUSABLE
+    exit_code = EXIT_INVALID
 
     def show(self, file: IO[Any] | None = None) -> None:
-        """Prints the line to standard error."""
+        """Print the message in one line, by default to standard error."""
         click.echo(f"stonecove scale: {self.format_message()}", file=file, err=file is None)
 
 
 class OneLineCommand(click.Command):
-    """A command that tells of options that can't be used in one line, without its usage."""
+    """A command that reports invalid options in one line, without the usage text."""
 
     def parse_args(self, context: click.Context, arguments: list[str]) -> list[str]:
-        """Parses as click does; raises UnusableError."""
+        """Parse as click does, but raise UnusableError for usage errors."""
         try:
             return super().parse_args(context, arguments)
         except click.UsageError as error:
             raise UnusableError(error.format_message()) from None
 
 
-class _Teller:
-    """Tells people of a series while it is played."""
+class _ProgressPrinter:
+    """Prints the progress of a series."""
 
     def __init__(self, to_error: bool) -> None:
+        """Print to standard error if `to_error`, else to standard output."""
         self._to_error = to_error
 
     def played(self, measured: Measurement) -> None:
-        """One line for a size."""
+        """Print one line for a measured size."""
         from stonecove.scale.report import played_line
 
         click.echo(played_line(measured), err=self._to_error)
 
     def predicted(self, predictions: tuple[Prediction, ...]) -> None:
-        """All predictions, before the last size."""
+        """Print all predictions, before the last size is measured."""
         from stonecove.scale.report import prediction_lines
 
         for line in prediction_lines(predictions):
@@ -63,27 +64,25 @@
 
 @click.group()
 def scale() -> None:
-    """Costs of control by size. Ends with 0: all kept, 1: events lost or a bound broken, 2: unusable."""
+    """Measure control cost by fleet size. Exit codes: 0 passed, 1 events lost or bound exceeded, 2 error."""
 
 
 @scale.command("run", cls=OneLineCommand)
 @click.argument("file", required=False, type=click.Path(path_type=Path, dir_okay=False))
-@click.option("--short", is_flag=True, help="Small sizes and few seconds: under 90 s.")
-@click.option("--sizes", help="Routers at each size, such as 50,150,400,730; the last is predicted.")
-@click.option("--seconds", type=float, help="Of load at each size.")
-@click.option("--real", type=int, help="How many routers are whole processes.")
-@click.option("--faults", help="Names, with commas between them.")
-@click.option("--no-faults", is_flag=True, help="Play none.")
+@click.option("--short", is_flag=True, help="Small sizes and short load; takes less than 90 s.")
+@click.option("--sizes", help="Numbers of routers, such as 50,150,400,730; the last one is predicted.")
+@click.option("--seconds", type=float, help="Seconds of load at each size.")
+@click.option("--real", type=int, help="Number of routers that run as real processes.")
+@click.option("--faults", help="Fault names, separated by commas.")
+@click.option("--no-faults", is_flag=True, help="Inject no faults.")
+@click.option("--swarm", is_flag=True, default=None, help="Run gossip between hollow routers, too.")
+@click.option("--rollout", is_flag=True, default=None, help="Roll out settings changes to the routers.")
+@click.option("--seed", type=int, help="Random seed for purges and faults.")
+@click.option("--json", "as_json", is_flag=True, help="Print JSON; progress goes to standard error.")
 @click.option(
-    "--swarm", is_flag=True, default=None, help="Hollow routers also tell each other of themselves."
+    "--plot", type=click.Path(path_type=Path, file_okay=False), help="Draw charts into this folder."
 )
-@click.option("--rollout", is_flag=True, default=None, help="Roll changes of settings out to the routers.")
-@click.option("--seed", type=int, help="Draws what is purged and what fails.")
-@click.option("--json", "as_json", is_flag=True, help="For programs; what goes on is told on standard error.")
-@click.option(
-    "--plot", type=click.Path(path_type=Path, file_okay=False), help="Draw a picture in this folder."
-)
-@click.option("--logs", type=click.Path(path_type=Path, file_okay=False), help="Where logs stay.")
+@click.option("--logs", type=click.Path(path_type=Path, file_okay=False), help="Keep logs in this folder.")
 def run_command(
     file: Path | None,
     short: bool,
@@ -99,9 +98,9 @@
     plot: Path | None,
     logs: Path | None,
 ) -> None:
-    """Play all sizes in order, and predict the last from the others before it is played.
+    """Measure all sizes in order; predict the last one from the others before it is measured.
 
-    What a FILE names goes before the defaults, and options go before both.
+    Options override FILE, and FILE overrides the defaults.
     """
     from stonecove.scale.child import ChildError
     from stonecove.scale.options import OptionError, check_machine, check_options
@@ -112,14 +111,14 @@
     try:
         given = {"seconds": seconds, "real": real, "swarm": swarm, "rollout": rollout, "seed": seed,
                  "folder": logs, "sizes": _sizes(sizes), "faults": _faults(faults, no_faults)}  # fmt: skip
-        options = _options(file, short, given)
+        options = _load_options(file, short, given)
         check_options(options)
         check_machine(options)
         _make_folders(plot, logs)
     except OptionError as error:
         raise UnusableError(str(error)) from None
     try:
-        series = play_series(options, _player(), _Teller(as_json))
+        series = play_series(options, _player(), _ProgressPrinter(as_json))
     except (OSError, ScaleError, ChildError, RealRouterError) as error:
         raise UnusableError(str(error)) from None
     _report(series, as_json, plot)
@@ -136,18 +135,18 @@
         raise OptionError("sizes", f"{text!r} is no list of whole numbers with commas between them") from None
 
 
-def _faults(text: str | None, none: bool) -> tuple[str, ...] | None:
+def _faults(text: str | None, no_faults: bool) -> tuple[str, ...] | None:
     from stonecove.scale.options import OptionError
 
-    if none and text is not None:
+    if no_faults and text is not None:
         raise OptionError("faults", "--faults and --no-faults exclude each other")
-    if none:
+    if no_faults:
         return ()
     return tuple(word.strip() for word in text.split(",")) if text is not None else None
 
 
-def _options(file: Path | None, short: bool, given: dict[str, Any]) -> ScaleOptions:
-    """The defaults, changed by a file, changed by what the command line gives."""
+def _load_options(file: Path | None, short: bool, given: dict[str, Any]) -> ScaleOptions:
+    """Return the defaults, overridden by the file and then by the command line."""
     from stonecove.scale.options import SHORT, ScaleOptions, read_options
 
     options = SHORT if short else ScaleOptions()
@@ -171,14 +170,14 @@
 
 
 def _player() -> Play:
-    """What plays one size."""
+    """Return the function that measures one size; tests replace it."""
     from stonecove.scale.run import play
 
     return play
 
 
 def _report(series: Series, as_json: bool, plot: Path | None) -> None:
-    """Prints all that came of it and ends the program."""
+    """Print the results and exit."""
     import json
 
     from rich.console import Console
@@ -188,7 +187,7 @@
     if as_json:
         click.echo(json.dumps(report.record(series)))
     else:
-        console = Console(width=max(LEAST_WIDTH, Console().width))
+        console = Console(width=max(MIN_TABLE_WIDTH, Console().width))
         console.print(report.table(series))
         if (faults := report.fault_table(series)) is not None:
             console.print(faults)
@@ -200,4 +199,4 @@
         click.echo(f"drawn in {draw(series, plot)}", err=as_json)
     if not as_json:
         click.echo(report.summary_line(series))
-    sys.exit(BROKEN if report.broken_rules(series) else GOOD)
+    sys.exit(EXIT_FAILED if report.broken_rules(series) else EXIT_OK)
--- a/stonecove/explore/coordination.py
+++ b/stonecove/explore/coordination.py
@@ -37,7 +37,7 @@
 )
 from stonecove.protocols.zookeeper.tree_watch import TreeWatch
 from stonecove.routing.endpoints import NodeId, NodeState
-from stonecove.standins.zkdata import Leader, Replica, Wanted, ZkError, parent_of, watch_event
+from stonecove.standins.zkdata import Leader, Replica, WriteRequest, ZkError, parent_of, watch_event
 
 CACHES, ROUTERS, ME = "/b", "/r", "me"
 NAMES = TopologyNames(("hub", "edge"), ("box", "parent", "origin"))
@@ -165,7 +165,7 @@
         txn_of()
         self.replicas[0].apply(self.leader.log[-1])
 
-    def write(self, wanted: Wanted, session: int, now: float) -> None:
+    def write(self, wanted: WriteRequest, session: int, now: float) -> None:
         """One write of somebody's; raises ZkError."""
         self.commit(lambda: self.leader.write([wanted], session, [], int(now)))
 
@@ -235,7 +235,7 @@
             zxid = reader.long()
             paths = [reader.strings() for _ in range(3 if op is Op.SET_WATCHES else 5)]
             paths += [[]] * (5 - len(paths))
-            replica.watch_again(zxid, link.fire, *paths)
+            replica.restore_watches(zxid, link.fire, *paths)
             return b"", ("watches",)
         if op is Op.PING:
             return b"", ("ping",)
@@ -265,9 +265,9 @@
         data = reader.buffer() or b"" if op in (Op.CREATE, Op.SET_DATA) else b""
         if op is Op.CREATE:
             reader.vector(lambda: (reader.int_(), reader.string(), reader.string()))
-            wanted = Wanted("create", path, data, ANYONE, reader.int_())
+            wanted = WriteRequest("create", path, data, ANYONE, reader.int_())
         else:
-            wanted = Wanted("set" if op is Op.SET_DATA else "delete", path, data, version=reader.int_())
+            wanted = WriteRequest("set" if op is Op.SET_DATA else "delete", path, data, version=reader.int_())
         try:
             self.write(wanted, self.session, now)
         finally:  # also a write that fails is ordered among the others
@@ -373,7 +373,7 @@
 
     def _begin(self) -> None:
         for path in (CACHES, ROUTERS):
-            self.servers.write(Wanted("create", path, b"", ANYONE), 0, self.now)
+            self.servers.write(WriteRequest("create", path, b"", ANYONE), 0, self.now)
         for name in self.bounds.caches or ("a",):
             self._create_node(name, BEGUN)
         while self.servers.behind():
@@ -391,7 +391,7 @@
         self.next_owner += 1
         self.owners[name] = self.next_owner
         self.servers.write(
-            Wanted("create", f"{CACHES}/{name}", record(name, started, state), ANYONE, 1),
+            WriteRequest("create", f"{CACHES}/{name}", record(name, started, state), ANYONE, 1),
             self.next_owner,
             self.now,
         )
@@ -543,7 +543,7 @@
 
     def _write(self, name: str, state: str) -> None:
         self.servers.write(
-            Wanted(
+            WriteRequest(
                 "set",
                 f"{CACHES}/{name}",
                 record(name, self.begun[name] if self.begun[name] == BEGUN else 0.0, state),
@@ -553,7 +553,7 @@
         )
 
     def _on_spoil(self, name: str) -> None:
-        self.servers.write(Wanted("set", f"{CACHES}/{name}", b"{"), 0, self.now)
+        self.servers.write(WriteRequest("set", f"{CACHES}/{name}", b"{"), 0, self.now)
 
     def _log(self, state: NodeState) -> None:
         member = parse_member(record("a", BEGUN), NAMES)
--- a/stonecove/scale/__init__.py
+++ b/stonecove/scale/__init__.py
@@ -1,1 +1,1 @@
-"""Scale runs: hollow routers beside real ones, stand-in control machines, and lines fitted to their costs."""
+"""Scale runs: hollow and real routers, stand-in control machines, and lines fitted to their costs."""
--- a/stonecove/scale/child.py
+++ b/stonecove/scale/child.py
@@ -1,6 +1,6 @@
-"""Child processes that take orders as JSON lines on standard input and answer on standard output.
+"""Control child processes with JSON lines: commands on standard input, responses on standard output.
 
-A child ends when its standard input does: none outlives the process that started it.
+A child exits when its standard input is closed, so none outlives the process that started it.
 """
 
 from __future__ import annotations
@@ -17,21 +17,21 @@
 
 import trio
 
-PATIENCE = 10.0  # seconds for an end
-MOST_LINE = 65_536  # bytes that are read at once
+EXIT_TIMEOUT_S = 10.0
+MAX_READ_BYTES = 65_536
 
-Order = dict[str, Any]
+Message = dict[str, Any]
 
 
 class ChildError(Exception):
-    """A child that has ended, or answers nothing that can be read."""
+    """A child process has exited or sent a response that can't be parsed."""
 
 
 class Child:
-    """One child process, seen from its parent. Threads may share it."""
+    """One child process, as its parent controls it. Threads may share an instance."""
 
     def __init__(self, module: str, log: Path, arguments: Sequence[str] = ()) -> None:
-        """Starts it; `log` takes its standard error."""
+        """Start the process; its standard error is appended to `log`."""
         self.log = log
         self._lock = threading.Lock()
         with log.open("ab") as errors:
@@ -42,113 +42,113 @@
 
     @property
     def pid(self) -> int:
-        """Its process id."""
+        """Return the process ID."""
         return self.process.pid
 
     @property
     def running(self) -> bool:
-        """Whether its process is there."""
+        """Return whether the process is running."""
         return self.process.poll() is None
 
-    def tell(self, do: str, **fields: Any) -> None:
-        """An order that has no answer; raises ChildError."""
+    def send(self, command: str, **fields: Any) -> None:
+        """Send a command that has no response; raises ChildError."""
         with self._lock:
-            self._write(do, fields)
+            self._write(command, fields)
 
-    def ask(self, do: str, **fields: Any) -> Order:
-        """An order and its answer; raises ChildError."""
+    def request(self, command: str, **fields: Any) -> Message:
+        """Send a command and return its response; raises ChildError."""
         with self._lock:
-            self._write(do, fields)
+            self._write(command, fields)
             return self._read()
 
-    def hear(self) -> Order:
-        """What it says unasked, as at its start; raises ChildError."""
+    def receive(self) -> Message:
+        """Return a message that the child sends unasked, as at its start; raises ChildError."""
         with self._lock:
             return self._read()
 
-    def _write(self, do: str, fields: Order) -> None:
+    def _write(self, command: str, fields: Message) -> None:
         assert self.process.stdin is not None
         try:
-            self.process.stdin.write(json.dumps({"do": do, **fields}).encode() + b"\n")
+            self.process.stdin.write(json.dumps({"do": command, **fields}).encode() + b"\n")
             self.process.stdin.flush()
         except (OSError, ValueError) as error:
-            raise ChildError(f"a child takes no orders: {error}; see {self.log}") from error
+            raise ChildError(f"child process does not accept commands: {error}; see {self.log}") from error
 
-    def _read(self) -> Order:
+    def _read(self) -> Message:
         assert self.process.stdout is not None
         try:
-            answer: Order = json.loads(self.process.stdout.readline())
+            response: Message = json.loads(self.process.stdout.readline())
         except ValueError as error:
-            raise ChildError(f"a child does not answer; see {self.log}") from error
-        return answer
+            raise ChildError(f"child process sent no valid response; see {self.log}") from error
+        return response
 
     def kill(self) -> None:
-        """Ends it without a word, and waits until it is gone."""
+        """Kill the process with SIGKILL and wait until it has exited."""
         self.process.kill()
         self._reap()
 
     def close(self) -> None:
-        """Ends it: by the end of its orders, or by force where that is not enough."""
+        """Close the command pipe and wait for the exit; kill the process if it takes too long."""
         assert self.process.stdin is not None
         with contextlib.suppress(OSError):
             self.process.stdin.close()
         with contextlib.suppress(subprocess.TimeoutExpired):
-            self.process.wait(PATIENCE)
+            self.process.wait(EXIT_TIMEOUT_S)
         if self.running:
             self.process.kill()
         self._reap()
 
     def _reap(self) -> None:
-        self.process.wait(PATIENCE)
+        self.process.wait(EXIT_TIMEOUT_S)
         for pipe in (self.process.stdin, self.process.stdout):
             assert pipe is not None
             with contextlib.suppress(OSError):
                 pipe.close()
 
 
-def ask_all(children: Sequence[Child], do: str, **fields: Any) -> list[Order]:
-    """The answers of all, who work on them at the same time; raises ChildError."""
-    answers: list[Order | None] = [None] * len(children)
-    problems: list[ChildError] = []
+def request_all(children: Sequence[Child], command: str, **fields: Any) -> list[Message]:
+    """Return the responses of all children, which work at the same time; raises ChildError."""
+    responses: list[Message | None] = [None] * len(children)
+    errors: list[ChildError] = []
 
-    def ask(place: int) -> None:
+    def request(index: int) -> None:
         try:
-            answers[place] = children[place].ask(do, **fields)
+            responses[index] = children[index].request(command, **fields)
         except ChildError as error:
-            problems.append(error)
+            errors.append(error)
 
-    threads = [threading.Thread(target=ask, args=(place,)) for place in range(len(children))]
+    threads = [threading.Thread(target=request, args=(index,)) for index in range(len(children))]
     for thread in threads:
         thread.start()
     for thread in threads:
         thread.join()
-    if problems:
-        raise problems[0]
-    return [answer for answer in answers if answer is not None]
+    if errors:
+        raise errors[0]
+    return [response for response in responses if response is not None]
 
 
-async def orders() -> AsyncIterator[Order]:
-    """The orders that come to this process, until its parent ends."""
+async def receive_commands() -> AsyncIterator[Message]:
+    """Yield the commands sent to this process until its parent exits."""
     async with trio.lowlevel.FdStream(os.dup(0)) as stream:
-        waiting = b""
-        while piece := await stream.receive_some(MOST_LINE):
-            *lines, waiting = (waiting + piece).split(b"\n")
+        buffered = b""
+        while chunk := await stream.receive_some(MAX_READ_BYTES):
+            *lines, buffered = (buffered + chunk).split(b"\n")
             for line in lines:
                 yield json.loads(line)
 
 
-def answer(**fields: Any) -> None:
-    """This process's answer to an order."""
+def send_response(**fields: Any) -> None:
+    """Send this process's response to a command."""
     sys.stdout.write(json.dumps(fields) + "\n")
     sys.stdout.flush()
 
 
 def resident_mb() -> float:
-    """Memory of this process that is resident, in MB."""
+    """Return the resident memory of this process in MB."""
     return resident_mb_of(os.getpid())
 
 
 def resident_mb_of(pid: int) -> float:
-    """Memory of a process that is resident, in MB; proc(5)."""
+    """Return the resident memory of a process in MB, from proc(5)."""
     pages = int(Path(f"/proc/{pid}/statm").read_text().split()[1])
     return pages * os.sysconf("SC_PAGE_SIZE") / 1e6
--- a/stonecove/scale/control_machine.py
+++ b/stonecove/scale/control_machine.py
@@ -1,8 +1,8 @@
-"""A stand-in control machine: a process that serves the change log to many routers.
+"""Run a stand-in control machine: a process that serves the change log to many routers.
 
-It keeps every event once, as a frame, in order. A router that follows has only a position in that list, so
-one that reads slowly costs the others nothing; one too far behind is cut off, and comes again by its last
-number.
+It stores every event once, as a frame, in order. A connected router is only a position in that list, so
+a slow reader costs the others nothing; one that lags too far is disconnected, and reconnects with the
+number of its last event.
 """
 
 from __future__ import annotations
@@ -21,37 +21,37 @@
 from stonecove.scale.topology import ZONES, host_of
 from stonecove.standins.depot import NOTHING, event_frame
 
-FIRST_NUMBER = 2  # of the events told here; number 1 is the list in the routers' configuration
-HEARTBEAT = 1.0  # seconds between two empty frames
+FIRST_NUMBER = 2  # of the published events; number 1 is the endpoint list in the routers' configuration
+HEARTBEAT_INTERVAL_S = 1.0  # between two empty frames
 BACKLOG = 4096
-PORT_TRIES = 5
-SEND_BUFFER = 16_384  # bytes that the kernel holds for one router
-MOST_BEHIND = 65_536  # bytes by which a router may fall behind after it has connected
-MOST_PIECE = 512  # frames that are joined for one write
+MAX_PORT_ATTEMPTS = 5
+SEND_BUFFER_BYTES = 16_384  # kernel buffer for one router
+MAX_LAG_BYTES = 65_536  # by which a router may fall behind after it has connected
+MAX_FRAMES_PER_WRITE = 512
 _HELLO = struct.Struct(">Q")
-_RESET = struct.pack("ii", 1, 0)  # linger: on, for no time at all
+_RESET = struct.pack("ii", 1, 0)  # SO_LINGER with 0 s: close() sends a RST
 
 
 class Subscriber:
-    """A router that follows the log."""
+    """A router that follows the change log."""
 
-    __slots__ = ("allowed", "blocked", "pending", "position", "sock")
+    __slots__ = ("allowed_lag_bytes", "blocked", "pending", "position", "sock")
 
-    def __init__(self, sock: socket.socket, position: int, allowed: int) -> None:
-        """`position`: the first event that it lacks; `allowed`: bytes that it may be behind."""
-        self.sock, self.position, self.allowed = sock, position, allowed
-        self.pending = b""  # of a piece that was written in part
-        self.blocked = False  # a task waits until it can be written to
+    def __init__(self, sock: socket.socket, position: int, allowed_lag_bytes: int) -> None:
+        """Create one; `position` is the first event it lacks, `allowed_lag_bytes` its maximum lag."""
+        self.sock, self.position, self.allowed_lag_bytes = sock, position, allowed_lag_bytes
+        self.pending = b""  # rest of a chunk that was written in part
+        self.blocked = False  # a task waits until the socket is writable
 
 
 class ZoneListener:
-    """Where the routers of one zone come in."""
+    """Listening socket for the routers of one zone."""
 
     def __init__(self, machine: int, zone: int, port: int) -> None:
-        """`port` 0: any; raises OSError."""
+        """Open the socket; port 0 means any free port. Raises OSError."""
         self.subscribers: set[Subscriber] = set()
-        self.open = trio.Event()  # while the way to the zone is not cut
-        self.open.set()
+        self.reachable = trio.Event()  # set while the zone is reachable
+        self.reachable.set()
         self.sock = socket.socket()
         self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         self.sock.setblocking(False)
@@ -64,72 +64,74 @@
 
     @property
     def port(self) -> int:
-        """Where it listens."""
-        found: int = self.sock.getsockname()[1]
-        return found
+        """Return the port it listens on."""
+        port: int = self.sock.getsockname()[1]
+        return port
 
     @property
-    def cut(self) -> bool:
-        """Whether nothing passes between this machine and the zone."""
-        return not self.open.is_set()
+    def partitioned(self) -> bool:
+        """Return whether this machine and the zone are partitioned."""
+        return not self.reachable.is_set()
 
 
 class ControlMachine:
-    """All that one control machine does."""
+    """The change log of one control machine and the routers that follow it."""
 
-    def __init__(self, listeners: list[ZoneListener], most_behind: int, nursery: trio.Nursery) -> None:
-        """`most_behind`: bytes, see `MOST_BEHIND`."""
-        self._listeners, self._most_behind, self._nursery = listeners, most_behind, nursery
+    def __init__(self, listeners: list[ZoneListener], max_lag_bytes: int, nursery: trio.Nursery) -> None:
+        """Create one; `max_lag_bytes` is explained at `MAX_LAG_BYTES`."""
+        self._listeners, self._max_lag_bytes, self._nursery = listeners, max_lag_bytes, nursery
         self._frames: list[bytes] = []
-        self._ends: list[int] = []  # bytes of all frames up to each, itself included
-        self._first_bytes: list[int] = []  # when each was first written to anybody; ns, 0: not yet
+        self._end_offsets: list[int] = []  # bytes of all frames up to and including each
+        self._first_bytes: list[int] = []  # ns when each was first written to a router; 0: not yet
         self._sent = 0
         self._cut_off = 0
-        self._most_seen_behind = 0
+        self._max_observed_lag_bytes = 0
 
     def start(self) -> None:
-        """Begins to serve."""
-        for place, listener in enumerate(self._listeners):
+        """Start to accept connections and send heartbeats."""
+        for index, listener in enumerate(self._listeners):
             self._nursery.start_soon(self._accept, listener)
-            self._nursery.start_soon(self._beat, listener, HEARTBEAT * place / len(self._listeners))
+            self._nursery.start_soon(
+                self._send_heartbeats, listener, HEARTBEAT_INTERVAL_S * index / len(self._listeners)
+            )
 
     @property
     def last(self) -> int:
-        """The number of the newest event."""
+        """Return the number of the newest event."""
         return FIRST_NUMBER - 1 + len(self._frames)
 
     def publish(self, frames: list[bytes]) -> None:
-        """The next events."""
+        """Append the next events and write them to all reachable routers."""
         for frame in frames:
             self._frames.append(frame)
-            self._ends.append(len(frame) + (self._ends[-1] if self._ends else 0))
+            self._end_offsets.append(len(frame) + (self._end_offsets[-1] if self._end_offsets else 0))
             self._first_bytes.append(0)
         for listener in self._listeners:
-            if listener.cut:
+            if listener.partitioned:
                 continue
             for subscriber in tuple(listener.subscribers):
-                self._pump(listener, subscriber)
+                self._write_pending(listener, subscriber)
 
-    def set_cut(self, zones: list[int], cut: bool) -> None:
-        """From now on nothing passes to and from these zones, or everything does again."""
+    def set_partitioned(self, zones: list[int], partitioned: bool) -> None:
+        """Start or end a partition between this machine and these zones."""
         for zone in zones:
             listener = self._listeners[zone - 1]
-            if cut and not listener.cut:
-                listener.open = trio.Event()
-            elif not cut and listener.cut:
-                listener.open.set()
+            if partitioned and not listener.partitioned:
+                listener.reachable = trio.Event()
+            elif not partitioned and listener.partitioned:
+                listener.reachable.set()
                 for subscriber in tuple(listener.subscribers):
-                    self._pump(listener, subscriber)
+                    self._write_pending(listener, subscriber)
 
-    def report(self) -> child.Order:
-        """What it has spent and seen; `first_bytes` in ns, from `FIRST_NUMBER` on."""
+    def report(self) -> child.Message:
+        """Return resource usage and state; `first_bytes` in ns, from `FIRST_NUMBER` on."""
         return {
             "cpu": time.process_time(),
             "memory_mb": child.resident_mb(),
             "sent": self._sent,
             "connections": sum(len(listener.subscribers) for listener in self._listeners),
             "cut_off": self._cut_off,
-            "most_behind": self._most_seen_behind,
+            "most_behind": self._max_observed_lag_bytes,
             "first_bytes": self._first_bytes,
             "last": self.last,
         }
@@ -141,11 +143,11 @@
             await trio.lowlevel.wait_readable(listener.sock)
             try:
                 sock, _ = listener.sock.accept()
-            except OSError:  # it has gone again
+            except OSError:  # the peer has closed the connection already
                 continue
             sock.setblocking(False)
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-            sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, SEND_BUFFER)
+            sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, SEND_BUFFER_BYTES)
             self._nursery.start_soon(self._serve, listener, sock)
 
     async def _serve(self, listener: ZoneListener, sock: socket.socket) -> None:
@@ -153,68 +155,68 @@
         try:
             hello = b""
             while len(hello) < _HELLO.size:
-                piece = await self._read(listener, sock, _HELLO.size - len(hello))
-                if not piece:
+                chunk = await self._read(listener, sock, _HELLO.size - len(hello))
+                if not chunk:
                     return
-                hello += piece
+                hello += chunk
             subscriber = self._subscriber(sock, _HELLO.unpack(hello)[0])
             listener.subscribers.add(subscriber)
-            self._pump(listener, subscriber)
-            self._tell_nothing_new(listener, subscriber)
+            self._write_pending(listener, subscriber)
+            self._send_heartbeat(listener, subscriber)
             while await self._read(listener, sock, _HELLO.size):
-                pass  # a router says nothing after its number
+                pass  # a router sends nothing after its number
         except (OSError, trio.ClosedResourceError):
-            pass  # it has gone, or was cut off
+            pass  # the peer closed the connection, or it was disconnected here
         finally:
             if subscriber is not None:
-                self._drop(listener, subscriber)
+                self._disconnect(listener, subscriber)
             else:
                 self._close(sock)
 
     @staticmethod
-    async def _read(listener: ZoneListener, sock: socket.socket, most: int) -> bytes:
+    async def _read(listener: ZoneListener, sock: socket.socket, max_bytes: int) -> bytes:
         while True:
             if sock.fileno() < 0:
                 raise trio.ClosedResourceError
             await trio.lowlevel.wait_readable(sock)
-            await listener.open.wait()
+            await listener.reachable.wait()
             try:
-                return sock.recv(most)
+                return sock.recv(max_bytes)
             except BlockingIOError:
                 continue
 
     def _subscriber(self, sock: socket.socket, last: int) -> Subscriber:
         position = min(max(0, last - FIRST_NUMBER + 1), len(self._frames))
-        return Subscriber(sock, position, self._behind(position) + self._most_behind)
+        return Subscriber(sock, position, self._lag_bytes(position) + self._max_lag_bytes)
 
-    def _behind(self, position: int) -> int:
-        """Bytes of all events from a position on."""
-        if position >= len(self._ends):
+    def _lag_bytes(self, position: int) -> int:
+        """Return the bytes of all events from a position on."""
+        if position >= len(self._end_offsets):
             return 0
-        return self._ends[-1] - (self._ends[position - 1] if position else 0)
+        return self._end_offsets[-1] - (self._end_offsets[position - 1] if position else 0)
 
-    async def _beat(self, listener: ZoneListener, phase: float) -> None:
-        """An empty frame each second to all who have the newest event."""
-        due = trio.current_time() + phase
+    async def _send_heartbeats(self, listener: ZoneListener, phase_s: float) -> None:
+        """Send an empty frame each second to all routers that have the newest event."""
+        next_heartbeat_s = trio.current_time() + phase_s
         while True:
-            await trio.sleep_until(due)
-            due += HEARTBEAT
-            if not listener.cut:
+            await trio.sleep_until(next_heartbeat_s)
+            next_heartbeat_s += HEARTBEAT_INTERVAL_S
+            if not listener.partitioned:
                 for subscriber in tuple(listener.subscribers):
-                    self._tell_nothing_new(listener, subscriber)
+                    self._send_heartbeat(listener, subscriber)
 
-    def _tell_nothing_new(self, listener: ZoneListener, subscriber: Subscriber) -> None:
-        if not subscriber.pending and subscriber.position == len(self._frames) and not listener.cut:
+    def _send_heartbeat(self, listener: ZoneListener, subscriber: Subscriber) -> None:
+        if not subscriber.pending and subscriber.position == len(self._frames) and not listener.partitioned:
             subscriber.pending = event_frame(self.last, NOTHING)
-            self._pump(listener, subscriber)
+            self._write_pending(listener, subscriber)
 
-    def _pump(self, listener: ZoneListener, subscriber: Subscriber) -> None:
-        """Writes what a router lacks, as far as its socket takes it."""
+    def _write_pending(self, listener: ZoneListener, subscriber: Subscriber) -> None:
+        """Write the events that a router lacks until its socket blocks."""
         if subscriber.blocked:
-            self._check_behind(listener, subscriber)
+            self._disconnect_if_lagging(listener, subscriber)
             return
-        while not listener.cut:
-            if not subscriber.pending and not self._take_piece(subscriber):
+        while not listener.partitioned:
+            if not subscriber.pending and not self._load_next_frames(subscriber):
                 return
             try:
                 count = subscriber.sock.send(subscriber.pending)
@@ -223,44 +225,44 @@
                 self._nursery.start_soon(self._wait_writable, listener, subscriber)
                 return
             except OSError:
-                self._drop(listener, subscriber)
+                self._disconnect(listener, subscriber)
                 return
             self._sent += count
             subscriber.pending = subscriber.pending[count:]
 
-    def _take_piece(self, subscriber: Subscriber) -> bool:
-        """The next events for a router, as one piece; whether there are any."""
-        begin, end = subscriber.position, min(subscriber.position + MOST_PIECE, len(self._frames))
+    def _load_next_frames(self, subscriber: Subscriber) -> bool:
+        """Join the next events for a router into one chunk; return whether there are any."""
+        begin, end = subscriber.position, min(subscriber.position + MAX_FRAMES_PER_WRITE, len(self._frames))
         if begin == end:
             return False
         subscriber.pending = self._frames[begin] if end == begin + 1 else b"".join(self._frames[begin:end])
         subscriber.position = end
         if not self._first_bytes[end - 1]:
             now = time.time_ns()
-            for place in range(begin, end):
-                self._first_bytes[place] = self._first_bytes[place] or now
+            for index in range(begin, end):
+                self._first_bytes[index] = self._first_bytes[index] or now
         return True
 
     async def _wait_writable(self, listener: ZoneListener, subscriber: Subscriber) -> None:
         try:
             await trio.lowlevel.wait_writable(subscriber.sock)
         except (OSError, trio.ClosedResourceError):
-            return  # it has gone, or was cut off
-        await listener.open.wait()
+            return  # the peer closed the connection, or it was disconnected here
+        await listener.reachable.wait()
         subscriber.blocked = False
         if subscriber in listener.subscribers:
-            self._pump(listener, subscriber)
+            self._write_pending(listener, subscriber)
 
-    def _check_behind(self, listener: ZoneListener, subscriber: Subscriber) -> None:
-        behind = self._behind(subscriber.position) + len(subscriber.pending)
-        self._most_seen_behind = max(self._most_seen_behind, behind)
-        if behind > subscriber.allowed:
+    def _disconnect_if_lagging(self, listener: ZoneListener, subscriber: Subscriber) -> None:
+        lag_bytes = self._lag_bytes(subscriber.position) + len(subscriber.pending)
+        self._max_observed_lag_bytes = max(self._max_observed_lag_bytes, lag_bytes)
+        if lag_bytes > subscriber.allowed_lag_bytes:
             self._cut_off += 1
-            # Resets it: what the kernel holds for it goes at once.
+            # Reset the connection, so that the kernel drops its send buffer at once.
             subscriber.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, _RESET)
-            self._drop(listener, subscriber)
+            self._disconnect(listener, subscriber)
 
-    def _drop(self, listener: ZoneListener, subscriber: Subscriber) -> None:
+    def _disconnect(self, listener: ZoneListener, subscriber: Subscriber) -> None:
         if subscriber in listener.subscribers:
             listener.subscribers.discard(subscriber)
             self._close(subscriber.sock)
@@ -272,50 +274,50 @@
 
 
 def _listeners(machine: int, port: int) -> list[ZoneListener]:
-    """One for each zone, all at one port; raises OSError if the port is taken at one of the addresses."""
-    made: list[ZoneListener] = []
+    """Open one listener for each zone, all on one port; raises OSError if it is in use at one address."""
+    opened: list[ZoneListener] = []
     try:
         for zone in range(1, ZONES + 1):
-            made.append(ZoneListener(machine, zone, port))
-            port = made[0].port
+            opened.append(ZoneListener(machine, zone, port))
+            port = opened[0].port
     except OSError:
-        for listener in made:
+        for listener in opened:
             listener.sock.close()
         raise
-    return made
+    return opened
 
 
 def _free_listeners(machine: int, port: int) -> list[ZoneListener]:
-    """With port 0, at any that is free at all addresses."""
-    for _ in range(PORT_TRIES - 1 if port == 0 else 0):
+    """Open the listeners; with port 0, on a port that is free at all addresses."""
+    for _ in range(MAX_PORT_ATTEMPTS - 1 if port == 0 else 0):
         with contextlib.suppress(OSError):
             return _listeners(machine, port)
     return _listeners(machine, port)
 
 
-async def serve(machine: int, port: int, most_behind: int) -> None:
-    """Runs until the orders end."""
+async def serve(machine: int, port: int, max_lag_bytes: int) -> None:
+    """Serve until the command pipe is closed."""
     async with trio.open_nursery() as nursery:
         listeners = _free_listeners(machine, port)
-        control = ControlMachine(listeners, most_behind, nursery)
+        control = ControlMachine(listeners, max_lag_bytes, nursery)
         control.start()
-        child.answer(port=listeners[0].port)
-        async for order in child.orders():
-            match order["do"]:
+        child.send_response(port=listeners[0].port)
+        async for command in child.receive_commands():
+            match command["do"]:
                 case "publish":
-                    control.publish([bytes.fromhex(frame) for frame in order["frames"]])
+                    control.publish([bytes.fromhex(frame) for frame in command["frames"]])
                 case "cut":
-                    control.set_cut(order["zones"], order["cut"])
+                    control.set_partitioned(command["zones"], command["cut"])
                 case "report":
-                    child.answer(**control.report())
+                    child.send_response(**control.report())
         nursery.cancel_scope.cancel()
 
 
 def main(arguments: list[str]) -> None:
-    """`MACHINE PORT MOST_BEHIND`, all numbers."""
+    """Run the process; the arguments are `MACHINE PORT MAX_LAG_BYTES`, all numbers."""
     signal.signal(signal.SIGINT, signal.SIG_IGN)  # ends with its parent
-    machine, port, most_behind = map(int, itertools.islice(arguments, 3))
-    trio.run(serve, machine, port, most_behind)
+    machine, port, max_lag_bytes = map(int, itertools.islice(arguments, 3))
+    trio.run(serve, machine, port, max_lag_bytes)
 
 
 if __name__ == "__main__":
--- a/stonecove/scale/event_log.py
+++ b/stonecove/scale/event_log.py
@@ -1,6 +1,7 @@
-"""The events of a scale run: each is numbered once, and all control machines get the same ones in order.
+"""Generate the events of a scale run, numbered once and sent to all control machines in the same order.
 
-Purges come as on the real fleet, changes of the list as on an ordinary day, played faster by a told factor.
+Purges arrive at the real fleet's rate; changes of the endpoint list are those of an ordinary day, sped up
+by a given factor.
 """
 
 from __future__ import annotations
@@ -28,20 +29,21 @@
     object_purge,
 )
 
-GROUP_PART = 0.1  # of all purges that are of a group
+GROUP_PURGE_FRACTION = 0.1  # of all purges
 GROUPS = 1000
 FAILURES_A_DAY = 6.0
 RESTARTS_A_DAY = 100.0
-MACHINES_OF_THE_DAY = 730 + 290 + 3  # among which these failures and restarts are
-DAY = 86_400.0  # seconds
-DRAINS_FOR = 1.0  # seconds before a cache is restarted
-AWAY_FOR = 3.0  # seconds for which a cache is off the list that has failed
+REFERENCE_MACHINES = 730 + 290 + 3  # the fleet to which these failures and restarts apply
+DAY_S = 86_400.0
+DRAIN_S = 1.0  # before a cache is restarted
+FAILURE_S = 3.0  # for which a failed cache is off the endpoint list
 
 
 class EventLog:
-    """All events so far, and the control machines that are told of them."""
+    """All events so far, and the control machines that receive them."""
 
     def __init__(self) -> None:
+        """Create an empty log."""
         self._lock = threading.Lock()
         self._frames: list[bytes] = []
         self._machines: set[Child] = set()
@@ -49,11 +51,11 @@
 
     @property
     def last(self) -> int:
-        """The number of the newest event."""
+        """Return the number of the newest event."""
         return FIRST_NUMBER - 1 + len(self._frames)
 
     def publish(self, kind: int, payload: bytes) -> int:
-        """A new event, to all machines that run; its number."""
+        """Append an event, send it to all running machines and return its number."""
         with self._lock:
             number = self.last + 1
             frame = event_frame(number, kind, payload)
@@ -61,90 +63,96 @@
             if kind in (OBJECT_PURGE, GROUP_PURGE):
                 self.purges.add(number)
             for machine in self._machines:
-                with contextlib.suppress(ChildError):  # it has just ended
-                    machine.tell("publish", frames=[frame.hex()])
+                with contextlib.suppress(ChildError):  # the machine has just exited
+                    machine.send("publish", frames=[frame.hex()])
             return number
 
     def attach(self, machine: Child) -> None:
-        """A machine that has just started is given all events, as one that copies them from another."""
+        """Send all events to a machine that has just started, and each new one from now on."""
         with self._lock:
-            machine.tell("publish", frames=[frame.hex() for frame in self._frames])
+            machine.send("publish", frames=[frame.hex() for frame in self._frames])
             self._machines.add(machine)
 
     def detach(self, machine: Child) -> None:
-        """A machine is told nothing more."""
+        """Stop sending events to a machine."""
         with self._lock:
             self._machines.discard(machine)
 
 
-class OrdinaryDay:
-    """Publishes purges and changes of the list, in a thread."""
+class ChurnGenerator:
+    """Publishes purges and changes of the endpoint list from a thread."""
 
     def __init__(
-        self, log: EventLog, depot: Depot, purges_a_second: float, day_factor: float, seed: int
+        self, log: EventLog, depot: Depot, purges_per_s: float, day_factor: float, seed: int
     ) -> None:
-        """`day_factor`: so many times faster come the day's failures and restarts. Begins at once."""
+        """Start to publish; `day_factor` speeds up the day's failures and restarts."""
         self._log, self._depot = log, depot
         self._random = random.Random(seed)
-        self._due: list[tuple[float, int, Callable[[], None]]] = []
-        self._order = count()
-        caches = len(depot.servers) / MACHINES_OF_THE_DAY
-        self._every(purges_a_second, self._purge)
-        self._every(FAILURES_A_DAY / DAY * day_factor * caches, self._fail)
-        self._every(RESTARTS_A_DAY / DAY * day_factor * caches, self._restart)
-        self._over = threading.Event()
+        self._queue: list[tuple[float, int, Callable[[], None]]] = []
+        self._sequence = count()
+        reference_cache_fraction = len(depot.servers) / REFERENCE_MACHINES
+        self._schedule_repeatedly(purges_per_s, self._publish_purge)
+        self._schedule_repeatedly(
+            FAILURES_A_DAY / DAY_S * day_factor * reference_cache_fraction, self._fail_cache
+        )
+        self._schedule_repeatedly(
+            RESTARTS_A_DAY / DAY_S * day_factor * reference_cache_fraction, self._restart_cache
+        )
+        self._stopped = threading.Event()
         self._thread = threading.Thread(target=self._run)
         self._thread.start()
 
     def end(self) -> None:
-        """Nothing more is published."""
-        self._over.set()
+        """Stop publishing and wait for the thread."""
+        self._stopped.set()
         self._thread.join()
 
     def _run(self) -> None:
-        while not self._over.is_set():
-            wait = self._due[0][0] - time.monotonic() if self._due else None
-            if wait is None or wait > 0:
-                self._over.wait(wait)
+        while not self._stopped.is_set():
+            wait_s = self._queue[0][0] - time.monotonic() if self._queue else None
+            if wait_s is None or wait_s > 0:
+                self._stopped.wait(wait_s)
                 continue
-            heapq.heappop(self._due)[2]()
+            heapq.heappop(self._queue)[2]()
 
-    def _at(self, moment: float, call: Callable[[], None]) -> None:
-        heapq.heappush(self._due, (moment, next(self._order), call))
+    def _schedule_at(self, due_s: float, call: Callable[[], None]) -> None:
+        heapq.heappush(self._queue, (due_s, next(self._sequence), call))
 
-    def _every(self, rate: float, call: Callable[[], None], since: float | None = None) -> None:
-        """Has it called so many times a second on average, at random moments."""
-        if rate <= 0:
+    def _schedule_repeatedly(
+        self, rate_per_s: float, call: Callable[[], None], since_s: float | None = None
+    ) -> None:
+        """Call a function at this mean rate, with exponentially distributed intervals."""
+        if rate_per_s <= 0:
             return
-        due = (time.monotonic() if since is None else since) + self._random.expovariate(rate)
+        due_s = (time.monotonic() if since_s is None else since_s) + self._random.expovariate(rate_per_s)
 
-        def one() -> None:
+        def call_and_reschedule() -> None:
             call()
-            self._every(rate, call, due)
+            self._schedule_repeatedly(rate_per_s, call, due_s)
 
-        self._at(due, one)
+        self._schedule_at(due_s, call_and_reschedule)
 
-    def _purge(self) -> None:
-        moment = time.time() * 1000.0
-        if self._random.random() < GROUP_PART:
-            self._log.publish(GROUP_PURGE, group_purge(self._random.randrange(1, GROUPS), moment))
+    def _publish_purge(self) -> None:
+        purged_at_ms = time.time() * 1000.0
+        if self._random.random() < GROUP_PURGE_FRACTION:
+            self._log.publish(GROUP_PURGE, group_purge(self._random.randrange(1, GROUPS), purged_at_ms))
         else:
-            self._log.publish(OBJECT_PURGE, object_purge(self._random.getrandbits(63) | 1, moment))
+            self._log.publish(OBJECT_PURGE, object_purge(self._random.getrandbits(63) | 1, purged_at_ms))
 
-    def _fail(self) -> None:
+    def _fail_cache(self) -> None:
         cache = self._random.choice(self._depot.caches)
-        self._tell(cache, "removed")
-        self._at(time.monotonic() + AWAY_FOR, lambda: self._start(cache))
+        self._publish_state(cache, "removed")
+        self._schedule_at(time.monotonic() + FAILURE_S, lambda: self._start_cache(cache))
 
-    def _restart(self) -> None:
+    def _restart_cache(self) -> None:
         cache = self._random.choice(self._depot.caches)
-        self._tell(cache, "draining")
-        self._at(time.monotonic() + DRAINS_FOR, lambda: self._start(cache))
+        self._publish_state(cache, "draining")
+        self._schedule_at(time.monotonic() + DRAIN_S, lambda: self._start_cache(cache))
 
-    def _start(self, cache: Cache) -> None:
-        cache.forget()
-        self._tell(cache, "up")
+    def _start_cache(self, cache: Cache) -> None:
+        cache.restart_empty()
+        self._publish_state(cache, "up")
 
-    def _tell(self, cache: Cache, state: str) -> None:
+    def _publish_state(self, cache: Cache, state: str) -> None:
         cache.state = state
         self._log.publish(CHANGES, member_record(cache, HOST, state, self._depot.weight))
--- a/stonecove/scale/faults.py
+++ b/stonecove/scale/faults.py
@@ -1,7 +1,7 @@
-"""Faults that a scale run plays, each until all routers are level again.
+"""Inject the faults of a scale run, and wait after each until all routers have caught up.
 
-A fault begins, lasts, and is ended; from its end on it is counted how long the last router takes until it has
-everything in force that was published up to then.
+A fault starts, lasts for a while and ends; counted is the time from its end until the last router has
+applied every event published up to then.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 from stonecove.protocols.buffer import Buffer, BufferFullError
 from stonecove.protocols.change_log import MAX_FRAME_BYTES, ChangeLogError, Follower, frames
 from stonecove.scale.control_machine import FIRST_NUMBER
-from stonecove.scale.ledger import Life, Published, level_at, purge_delays
+from stonecove.scale.ledger import Incarnation, Published, caught_up_at_ns, purge_delays
 from stonecove.scale.options import (
     MACHINE_CUT,
     MACHINE_KILLED,
@@ -30,246 +30,304 @@
     ZONE_CUT,
 )
 from stonecove.scale.results import FaultResult
-from stonecove.scale.topology import RouterPlace, control_address, zones_of
+from stonecove.scale.topology import RouterLocation, control_address, zones_of
 from stonecove.trial.relay import Address
 
-LASTS = 5.0  # seconds of a fault: longer than the silence after which a router gives a connection up
-RESTART_WITHIN = 2.0  # seconds in which every router is started
-LEVEL_PATIENCE = 20.0  # seconds until it is said that routers were never level again
-AFTER = 1.0  # seconds between two faults
-SLOW_PIECE, SLOW_EVERY = 10, 0.1  # bytes, and seconds between two reads: 100 bytes a second
-SLOW_BUFFER = 2304  # bytes; the least that Linux gives a socket to receive
+# Longer than the silence after which a router closes a connection.
+FAULT_DURATION_S = 5.0
+RESTART_SPREAD_S = 2.0  # in which every router is started
+CATCH_UP_TIMEOUT_S = 20.0  # after which routers count as not caught up
+PAUSE_AFTER_FAULT_S = 1.0
+SLOW_READ_BYTES, SLOW_READ_INTERVAL_S = 10, 0.1  # 100 bytes a second
+SLOW_RECEIVE_BUFFER_BYTES = 2304  # the smallest receive buffer that Linux gives a socket
 VICTIM_MACHINE = 0
 VICTIM_REGION = 2
-MILLISECOND = 1e6  # nanoseconds
+NS_PER_MS = 1e6
 
 
-class Ground(Protocol):
-    """What a fault acts upon: the run."""
+class FaultTarget(Protocol):
+    """The run that a fault acts upon."""
 
     @property
-    def places(self) -> list[RouterPlace]:
-        """Of all routers, real ones among them."""
+    def locations(self) -> list[RouterLocation]:
+        """Return the locations of all routers, real ones included."""
 
     @property
     def ports(self) -> tuple[int, ...]:
-        """Of the control machines."""
+        """Return the ports of the control machines."""
 
     def newest(self) -> int:
-        """The number of the newest event."""
+        """Return the number of the newest event."""
 
     def kill_machine(self, machine: int) -> None:
-        """Ends a control machine without a word."""
+        """Kill a control machine with SIGKILL."""
 
     def start_machine(self, machine: int) -> None:
-        """Starts it again, at the same address."""
+        """Start a killed control machine at the same address."""
 
-    def cut(self, zones: list[int], cut: bool, machines: list[int] | None = None) -> None:
-        """Cuts the ways between zones and control machines (None: all), or joins them."""
+    def partition(self, zones: list[int], partitioned: bool, machines: list[int] | None = None) -> None:
+        """Start or end a partition between zones and control machines (None: all)."""
 
     def kill_routers(self, routers: set[int]) -> None:
-        """Ends routers without a word."""
+        """Kill real routers; stop hollow ones as if they were killed."""
 
-    def start_routers(self, routers: set[int], within: float) -> None:
-        """Starts them again, spread over so many seconds."""
+    def start_routers(self, routers: set[int], spread_s: float) -> None:
+        """Start killed routers, spread over this many seconds."""
 
-    def until_level(self, number: int, patience: float) -> bool:
-        """Waits until all routers run and have that event in force; says whether it came to that."""
+    def wait_until_caught_up(self, number: int, timeout_s: float) -> bool:
+        """Wait until all routers run and have applied this event; return False on timeout."""
 
 
 @dataclass(frozen=True, slots=True)
 class Window:
-    """When a fault was played. Moments in ns; `settled`: when the wait for level was over."""
+    """When a fault was played, as times in ns and numbers of events."""
 
     name: str
-    touched: frozenset[int]  # routers
-    began: int
-    ended: int
-    settled: int
-    first: int  # the first event after its beginning
+    affected_routers: frozenset[int]
+    started_at_ns: int
+    ended_at_ns: int
+    settled_at_ns: int  # when the wait for routers to catch up was over
+    first: int  # the first event after its start
     last: int  # the newest event at its end
-    newest: int  # and when it was settled
+    newest: int  # the newest event at `settled_at_ns`
     note: str
 
-    def result(self, lives: list[Life], published: Published) -> FaultResult:
-        """What came of it, by the ledgers of the whole run."""
-        present = [life for life in lives if life.began <= self.settled and _runs(life, self.settled)]
-        at = level_at(present, published, self.last)
-        level_ms = max(0.0, (at - self.ended) / MILLISECOND) if at else -1.0
-        others = [life for life in present if life.router not in self.touched and life.began < self.began]
+    def result(self, incarnations: list[Incarnation], published: Published) -> FaultResult:
+        """Return the fault's result, from the ledgers of the whole run."""
+        running = [
+            incarnation
+            for incarnation in incarnations
+            if incarnation.started_at_ns <= self.settled_at_ns and _runs(incarnation, self.settled_at_ns)
+        ]
+        caught_up_ns = caught_up_at_ns(running, published, self.last)
+        level_ms = max(0.0, (caught_up_ns - self.ended_at_ns) / NS_PER_MS) if caught_up_ns else -1.0
+        others = [
+            incarnation
+            for incarnation in running
+            if incarnation.router not in self.affected_routers
+            and incarnation.started_at_ns < self.started_at_ns
+        ]
         note = self.note
         if others:
             purge_max_ms = purge_delays(others, published, self.first, self.newest).max_ms
         else:
-            purge_max_ms, note = 0.0, f"{note}; it touched every hollow router"
+            purge_max_ms, note = 0.0, f"{note}; it affected every hollow router"
         return FaultResult(self.name, level_ms, purge_max_ms, note)
 
 
-def _runs(life: Life, moment: int) -> bool:
-    return not life.ended or life.ended > moment
+def _runs(incarnation: Incarnation, at_ns: int) -> bool:
+    return not incarnation.ended_at_ns or incarnation.ended_at_ns > at_ns
 
 
-def _play(ground: Ground, name: str, touched: set[int], begin: Callable[[], None], lasts: float,
-          end: Callable[[], None], note: str) -> Window:  # fmt: skip
-    first, began = ground.newest() + 1, time.time_ns()
+def _play(
+    target: FaultTarget,
+    name: str,
+    affected_routers: set[int],
+    begin: Callable[[], None],
+    duration_s: float,
+    end: Callable[[], None],
+    note: str,
+) -> Window:
+    first, started_at_ns = target.newest() + 1, time.time_ns()
     begin()
-    time.sleep(lasts)
-    last = ground.newest()
-    ended = time.time_ns()
+    time.sleep(duration_s)
+    last = target.newest()
+    ended_at_ns = time.time_ns()
     end()
-    ground.until_level(last, LEVEL_PATIENCE)
-    settled = time.time_ns()
-    time.sleep(AFTER)
-    return Window(name, frozenset(touched), began, ended, settled, first, last, ground.newest(), note)
-
-
-def _routers_of(ground: Ground, matches: Callable[[RouterPlace], bool]) -> set[int]:
-    return {place.router for place in ground.places if matches(place)}
-
-
-def _largest_zone(ground: Ground) -> int:
-    zones = [place.zone for place in ground.places]
+    target.wait_until_caught_up(last, CATCH_UP_TIMEOUT_S)
+    settled_at_ns = time.time_ns()
+    time.sleep(PAUSE_AFTER_FAULT_S)
+    return Window(
+        name,
+        frozenset(affected_routers),
+        started_at_ns,
+        ended_at_ns,
+        settled_at_ns,
+        first,
+        last,
+        target.newest(),
+        note,
+    )
+
+
+def _select_routers(target: FaultTarget, matches: Callable[[RouterLocation], bool]) -> set[int]:
+    return {location.router for location in target.locations if matches(location)}
+
+
+def _largest_zone(target: FaultTarget) -> int:
+    zones = [location.zone for location in target.locations]
     return max(sorted(set(zones)), key=zones.count)
 
 
-def machine_killed(ground: Ground) -> Window:
-    """One control machine is killed, and started again at its address."""
-    touched = _routers_of(ground, lambda place: place.machine == VICTIM_MACHINE)
+def machine_killed(target: FaultTarget) -> Window:
+    """Kill one control machine, and restart it at the same address."""
+    affected_routers = _select_routers(target, lambda location: location.machine == VICTIM_MACHINE)
     return _play(
-        ground, MACHINE_KILLED, touched, lambda: ground.kill_machine(VICTIM_MACHINE), LASTS,
-        lambda: ground.start_machine(VICTIM_MACHINE),
-        f"killed for {LASTS:g} s, its routers have no other address; from its new start on, which is counted",
-    )  # fmt: skip
-
-
-def machine_cut(ground: Ground) -> Window:
-    """One control machine can't be heard by anybody for a while."""
-    touched = _routers_of(ground, lambda place: place.machine == VICTIM_MACHINE)
-    zones = sorted({place.zone for place in ground.places})
+        target,
+        MACHINE_KILLED,
+        affected_routers,
+        lambda: target.kill_machine(VICTIM_MACHINE),
+        FAULT_DURATION_S,
+        lambda: target.start_machine(VICTIM_MACHINE),
+        f"killed for {FAULT_DURATION_S:g} s, its routers have no other address; "
+        "counted from its restart, start time included",
+    )
+
+
+def machine_cut(target: FaultTarget) -> Window:
+    """Partition one control machine from all zones for a while."""
+    affected_routers = _select_routers(target, lambda location: location.machine == VICTIM_MACHINE)
+    zones = sorted({location.zone for location in target.locations})
     return _play(
-        ground, MACHINE_CUT, touched, lambda: ground.cut(zones, True, [VICTIM_MACHINE]), LASTS,
-        lambda: ground.cut(zones, False, [VICTIM_MACHINE]),
-        f"silent for {LASTS:g} s; from the end of the silence on",
-    )  # fmt: skip
-
-
-def _cut(ground: Ground, name: str, zones: list[int]) -> Window:
-    touched = _routers_of(ground, lambda place: place.zone in zones)
+        target,
+        MACHINE_CUT,
+        affected_routers,
+        lambda: target.partition(zones, True, [VICTIM_MACHINE]),
+        FAULT_DURATION_S,
+        lambda: target.partition(zones, False, [VICTIM_MACHINE]),
+        f"partitioned for {FAULT_DURATION_S:g} s; counted from the end of the partition",
+    )
+
+
+def _play_partition(target: FaultTarget, name: str, zones: list[int]) -> Window:
+    affected_routers = _select_routers(target, lambda location: location.zone in zones)
     return _play(
-        ground, name, touched, lambda: ground.cut(zones, True), LASTS, lambda: ground.cut(zones, False),
-        f"{len(touched)} routers hear nothing for {LASTS:g} s; from the end of the silence on",
-    )  # fmt: skip
+        target,
+        name,
+        affected_routers,
+        lambda: target.partition(zones, True),
+        FAULT_DURATION_S,
+        lambda: target.partition(zones, False),
+        f"{len(affected_routers)} routers partitioned for {FAULT_DURATION_S:g} s; "
+        "counted from the end of the partition",
+    )
 
 
-def zone_cut(ground: Ground) -> Window:
-    """A zone is cut off from all control machines for a while, without a word."""
-    return _cut(ground, ZONE_CUT, [_largest_zone(ground)])
+def zone_cut(target: FaultTarget) -> Window:
+    """Partition one zone from all control machines for a while."""
+    return _play_partition(target, ZONE_CUT, [_largest_zone(target)])
 
 
-def region_cut(ground: Ground) -> Window:
-    """A region is cut off from all control machines for a while, without a word."""
-    return _cut(ground, REGION_CUT, list(zones_of(VICTIM_REGION)))
+def region_cut(target: FaultTarget) -> Window:
+    """Partition one region from all control machines for a while."""
+    return _play_partition(target, REGION_CUT, list(zones_of(VICTIM_REGION)))
 
 
-def routers_killed(ground: Ground) -> Window:
-    """All routers of a zone are killed, and started again at once."""
-    zone = _largest_zone(ground)
-    touched = _routers_of(ground, lambda place: place.zone == zone)
+def routers_killed(target: FaultTarget) -> Window:
+    """Kill all routers of a zone, and restart them together."""
+    zone = _largest_zone(target)
+    affected_routers = _select_routers(target, lambda location: location.zone == zone)
     return _play(
-        ground, ROUTERS_KILLED, touched, lambda: ground.kill_routers(touched), LASTS,
-        lambda: ground.start_routers(touched, 0.0),
-        f"{len(touched)} routers of a zone away for {LASTS:g} s; from their new start on, with the list "
-        "that they began the run with",
-    )  # fmt: skip
+        target,
+        ROUTERS_KILLED,
+        affected_routers,
+        lambda: target.kill_routers(affected_routers),
+        FAULT_DURATION_S,
+        lambda: target.start_routers(affected_routers, 0.0),
+        f"{len(affected_routers)} routers of a zone down for {FAULT_DURATION_S:g} s; "
+        "counted from their restart, with the endpoint list from the start of the run",
+    )
 
 
-def routers_restarted(ground: Ground) -> Window:
-    """Every router is started anew within a short time."""
-    touched = _routers_of(ground, lambda place: True)
+def routers_restarted(target: FaultTarget) -> Window:
+    """Restart every router within a short time."""
+    affected_routers = _select_routers(target, lambda location: True)
 
     def begin() -> None:
-        ground.kill_routers(touched)
-        ground.start_routers(touched, RESTART_WITHIN)
+        target.kill_routers(affected_routers)
+        target.start_routers(affected_routers, RESTART_SPREAD_S)
 
     return _play(
-        ground, ROUTERS_RESTARTED, touched, begin, RESTART_WITHIN, lambda: None,
-        f"all {len(touched)} started within {RESTART_WITHIN:g} s; from the last start on, with the list that "
-        "they began the run with; hollow ones that share a process also share its core meanwhile",
-    )  # fmt: skip
-
-
-def slow_reader(ground: Ground) -> Window:
-    """Somebody follows the log who reads 100 bytes a second."""
-    place = next(place for place in ground.places if place.machine == VICTIM_MACHINE)
-    reader = SlowReader(control_address(place, ground.ports))
+        target,
+        ROUTERS_RESTARTED,
+        affected_routers,
+        begin,
+        RESTART_SPREAD_S,
+        lambda: None,
+        f"all {len(affected_routers)} restarted within {RESTART_SPREAD_S:g} s; "
+        "counted from the last start, with the endpoint list from the start of the run; "
+        "hollow routers that share a process also share its core",
+    )
+
+
+def slow_reader(target: FaultTarget) -> Window:
+    """Let one more client follow the log at 100 bytes per second."""
+    location = next(location for location in target.locations if location.machine == VICTIM_MACHINE)
+    reader = SlowReader(control_address(location, target.ports))
     try:
         window = _play(
-            ground, SLOW_READER, set(), reader.start, LASTS, lambda: None,
-            f"reads {SLOW_PIECE / SLOW_EVERY:g} bytes a second for {LASTS:g} s and longer",
-        )  # fmt: skip
+            target,
+            SLOW_READER,
+            set(),
+            reader.start,
+            FAULT_DURATION_S,
+            lambda: None,
+            f"reads {SLOW_READ_BYTES / SLOW_READ_INTERVAL_S:g} bytes per second "
+            f"for {FAULT_DURATION_S:g} s and longer",
+        )
     finally:
         reader.close()
     return window
 
 
 class SlowReader:
-    """Follows the change log, and reads next to nothing; comes again by its number where it is cut off."""
+    """Follows the change log slowly, and reconnects with its last number when it is disconnected."""
 
     def __init__(self, address: Address) -> None:
-        """Nothing runs yet."""
+        """Create one that is not running yet."""
         self._address = address
-        self._follower = Follower(FIRST_NUMBER - 1)  # from the very first event on, so that much waits for it
-        self._over = threading.Event()
+        self._follower = Follower(FIRST_NUMBER - 1)  # from the first event on, so that much is pending
+        self._stopped = threading.Event()
         self._thread = threading.Thread(target=self._run)
-        self.piece, self.pause = SLOW_PIECE, SLOW_EVERY  # bytes of a read, and seconds before it
+        self.max_read_bytes, self.read_interval_s = SLOW_READ_BYTES, SLOW_READ_INTERVAL_S
         self.connections = 0
         self.received = 0
 
     @property
     def last(self) -> int:
-        """The number of the last event that it has read whole."""
+        """Return the number of the last complete event."""
         return self._follower.last
 
     def start(self) -> None:
-        """Begins to read."""
+        """Start to read."""
         self._thread.start()
 
     def handle_membership_event(self, event: MembershipEvent) -> None:
-        """Takes nothing in."""
+        """Ignore the event."""
 
     def _run(self) -> None:
-        while not self._over.is_set():
+        while not self._stopped.is_set():
             with contextlib.suppress(OSError, ChangeLogError, BufferFullError), socket.socket() as sock:
-                sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, SLOW_BUFFER)
-                sock.settimeout(SLOW_EVERY)
+                sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, SLOW_RECEIVE_BUFFER_BYTES)
+                sock.settimeout(SLOW_READ_INTERVAL_S)
                 sock.connect(self._address)
                 sock.sendall(struct.pack(">Q", self._follower.last))
                 self.connections += 1
                 self._read(sock)
-            self._over.wait(SLOW_EVERY)
+            self._stopped.wait(SLOW_READ_INTERVAL_S)
 
     def _read(self, sock: socket.socket) -> None:
         buffer = Buffer(2 * MAX_FRAME_BYTES)
-        while not self._over.wait(self.pause):
+        while not self._stopped.wait(self.read_interval_s):
             try:
-                piece = sock.recv(self.piece)
+                chunk = sock.recv(self.max_read_bytes)
             except TimeoutError:
                 continue
-            if not piece:
+            if not chunk:
                 return
-            self.received += len(piece)
-            buffer.feed(piece)
+            self.received += len(chunk)
+            buffer.feed(chunk)
             for frame in frames(buffer):
                 self._follower.take(frame, self)
 
     def close(self) -> None:
-        """Reads no more."""
-        self._over.set()
+        """Stop reading and wait for the thread."""
+        self._stopped.set()
         if self._thread.ident is not None:
             self._thread.join()
 
 
-FAULTS: dict[str, Callable[[Ground], Window]] = {
+FAULTS: dict[str, Callable[[FaultTarget], Window]] = {
     ROUTERS_RESTARTED: routers_restarted,
     ROUTERS_KILLED: routers_killed,
     MACHINE_KILLED: machine_killed,
--- a/stonecove/scale/hollow_configuration.py
+++ b/stonecove/scale/hollow_configuration.py
@@ -1,4 +1,4 @@
-"""A hollow router's part in roll-outs of settings: the program's own, with bytes and moments noted."""
+"""Roll-outs of settings to a hollow router: the router's own code, with traffic and times recorded."""
 
 from __future__ import annotations
 
@@ -22,64 +22,64 @@
 class _CountedSession(Session):
     """A session that counts its bytes, and takes each read and each write for a segment and its ACK."""
 
-    def __init__(self, servers: tuple[Server, ...], seed: int, figures: SessionConfig) -> None:
-        super().__init__(servers, seed, figures)
+    def __init__(self, servers: tuple[Server, ...], seed: int, config: SessionConfig) -> None:
+        super().__init__(servers, seed, config)
         self.traffic = Traffic()
 
     def received(self, data: bytes, now: float) -> None:
-        """Counts what comes in."""
+        """Count and handle received bytes."""
         self.traffic.add(Traffic(received=len(data), headers=2 * HEADER_BYTES))
         super().received(data, now)
 
     def data_to_send(self) -> bytes:
-        """Counts what goes out."""
+        """Count and return the bytes to send."""
         data = super().data_to_send()
         if data:
             self.traffic.add(Traffic(sent=len(data), headers=2 * HEADER_BYTES))
         return data
 
 
-class _NotedReconfigure(ActiveSettings):
-    """The program's change of settings, which notes when each version was in force."""
+class _RecordingActiveSettings(ActiveSettings):
+    """The router's active settings, which record when each version was applied."""
 
     def __init__(self, config: Config, route: Route, clock: Clock) -> None:
         super().__init__(config.settings, 0, route, [], lambda: None, clock.now)
-        self.applied: list[tuple[int, int]] = []  # versions, and the moment in ns
+        self.applied: list[tuple[int, int]] = []  # versions, each with the time in ns
 
     def apply(self, settings: Settings, version: int = 0) -> None:
-        """As the program does."""
+        """Apply the settings and record the time."""
         super().apply(settings, version)
         self.applied.append((version, time.time_ns()))
 
 
 class HollowConfiguration:
-    """Follows what is published, by a session of its own."""
+    """Follows published settings over a session of its own."""
 
     def __init__(
         self, config: Config, route: Route, clock: Clock, servers: tuple[Server, ...], path: str
     ) -> None:
-        """Nothing runs yet."""
+        """Create one that is not running yet."""
         self._ensemble = ZooKeeperClient(servers, config.seed, SESSION, lambda: None)
         self._session = _CountedSession(servers, config.seed, SESSION)
         self._ensemble.session = self._session
-        self._reconfigure = _NotedReconfigure(config, route, clock)
+        self._active_settings = _RecordingActiveSettings(config, route, clock)
         record = ConfigurationRecord(True, path)
-        self._keeper = ConfigurationAgent(
-            record, config, config.table, self._reconfigure, route.recorder.counts, clock
+        self._agent = ConfigurationAgent(
+            record, config, config.table, self._active_settings, route.recorder.counts, clock
         )
 
     def start(self, spawn: Callable[[Callable[[], Awaitable[None]]], None]) -> None:
-        """Begins to follow."""
-        self._keeper.attach(self._ensemble)
+        """Start to follow."""
+        self._agent.attach(self._ensemble)
         spawn(self._ensemble.run)
-        spawn(self._keeper.run)
+        spawn(self._agent.run)
 
     @property
     def traffic(self) -> Traffic:
-        """All that has passed."""
+        """Return the traffic of the session."""
         return self._session.traffic
 
     @property
     def applied(self) -> list[tuple[int, int]]:
-        """Versions that were put in force, and the moment in ns."""
-        return self._reconfigure.applied
+        """Return the applied versions, each with the time in ns."""
+        return self._active_settings.applied
--- a/stonecove/scale/hollow_fleet.py
+++ b/stonecove/scale/hollow_fleet.py
@@ -1,4 +1,4 @@
-"""All hollow routers of a scale run, over their processes."""
+"""Control all hollow routers of a scale run across their processes."""
 
 from __future__ import annotations
 
@@ -10,9 +10,9 @@
 
 import numpy as np
 
-from stonecove.scale.child import Child, ask_all
+from stonecove.scale.child import Child, request_all
 from stonecove.scale.configuration import Applied
-from stonecove.scale.ledger import Life
+from stonecove.scale.ledger import Incarnation
 from stonecove.scale.results import ControlCost
 
 MODULE = "stonecove.scale.hollow_process"
@@ -20,130 +20,137 @@
 
 @dataclass(frozen=True, slots=True)
 class FleetSample:
-    """What all hollow routers together have spent by a moment."""
+    """Cumulative resource usage of all hollow routers."""
 
-    cpu: float  # seconds
-    cpu_alone: float  # seconds, of the one that has a process to itself
-    memory_mb: float  # beyond what their processes had without them
+    cpu_s: float
+    cpu_alone_s: float  # of the router that has a process to itself
+    memory_mb: float  # without that of their processes before the routers started
     received: int
     sent: int
     headers: int
-    heard: int  # routers whose control machine has said something
+    receiving: int  # routers that have received a frame
     bugs: tuple[str, ...]
-    events: Counter[str]  # lines of their logs so far
+    events: Counter[str]  # counts of log lines so far
 
     def cost_since(self, before: FleetSample, routers: int, seconds: float) -> ControlCost:
-        """What one router spent since an earlier sample."""
-        share = routers * seconds
+        """Return the cost of one router since an earlier sample."""
+        router_seconds = routers * seconds
         return ControlCost(
-            (self.received - before.received) / share,
-            (self.sent - before.sent) / share,
-            (self.headers - before.headers) / share,
-            100.0 * (self.cpu - before.cpu) / share,
+            (self.received - before.received) / router_seconds,
+            (self.sent - before.sent) / router_seconds,
+            (self.headers - before.headers) / router_seconds,
+            100.0 * (self.cpu_s - before.cpu_s) / router_seconds,
             self.memory_mb / routers,
-            100.0 * (self.cpu_alone - before.cpu_alone) / seconds,
+            100.0 * (self.cpu_alone_s - before.cpu_alone_s) / seconds,
         )
 
 
 class HollowFleet:
-    """All hollow processes. Ends all that it started by `close`."""
+    """All processes of hollow routers; `close` stops them."""
 
     def __init__(
         self, folder: Path, shared: dict[str, Any], routers: dict[int, dict[str, Any]], per_process: int
     ) -> None:
-        """`shared`: the configuration; `routers`: what is different of each, by its number.
+        """Start the processes, without routers.
 
-        Starts the processes, without routers.
+        `shared` is the common configuration, `routers` what differs for each, by router number.
         """
         self._folder, self._shared, self._routers = folder, shared, routers
         numbers = sorted(routers)
-        # The first has a process to itself: many that share one share its turns of the loop as well.
-        self._parts = [numbers[:1]]
-        self._parts += [numbers[at : at + per_process] for at in range(1, len(numbers), per_process)]
+        # The first has a process to itself, as routers in one process also share the turns of its event loop.
+        self._assignments = [numbers[:1]]
+        self._assignments += [
+            numbers[start : start + per_process] for start in range(1, len(numbers), per_process)
+        ]
         self._children: list[Child] = []
         self._idle_mb = 0.0
         try:
-            for place in range(len(self._parts)):
-                self._children.append(Child(MODULE, folder / f"hollow-{place}.log"))
+            for index in range(len(self._assignments)):
+                self._children.append(Child(MODULE, folder / f"hollow-{index}.log"))
         except BaseException:
             self.close()
             raise
 
     def __len__(self) -> int:
+        """Return the number of routers."""
         return len(self._routers)
 
     @property
     def pids(self) -> list[int]:
-        """Of all processes."""
+        """Return the IDs of all processes."""
         return [child.pid for child in self._children]
 
     @property
     def routers(self) -> set[int]:
-        """The numbers of all."""
+        """Return the numbers of all routers."""
         return set(self._routers)
 
     def start_all(self) -> None:
-        """Tells each process its routers, which start at once."""
-        self._idle_mb = sum(answer["memory_mb"] for answer in ask_all(self._children, "idle"))
-        for child, part in zip(self._children, self._parts, strict=True):
-            child.tell("routers", shared=self._shared, routers={n: self._routers[n] for n in part})
+        """Send each process its routers, which start at once."""
+        self._idle_mb = sum(response["memory_mb"] for response in request_all(self._children, "idle"))
+        for child, assigned in zip(self._children, self._assignments, strict=True):
+            child.send(
+                "routers", shared=self._shared, routers={number: self._routers[number] for number in assigned}
+            )
         for child in self._children:
-            child.hear()
+            child.receive()
 
-    def start(self, routers: set[int], within: float) -> None:
-        """Starts these routers anew, spread over so many seconds."""
-        for child, part in zip(self._children, self._parts, strict=True):
-            if mine := [number for number in part if number in routers]:
-                child.tell("start", routers=mine, within=within)
+    def start(self, routers: set[int], spread_s: float) -> None:
+        """Restart these routers, spread over this many seconds."""
+        for child, assigned in zip(self._children, self._assignments, strict=True):
+            if selected := [number for number in assigned if number in routers]:
+                child.send("start", routers=selected, within=spread_s)
 
     def kill(self, routers: set[int]) -> None:
-        """Ends these routers, as if their processes were killed."""
-        for child, part in zip(self._children, self._parts, strict=True):
-            if mine := [number for number in part if number in routers]:
-                child.tell("kill", routers=mine)
+        """Stop these routers as if their processes were killed."""
+        for child, assigned in zip(self._children, self._assignments, strict=True):
+            if selected := [number for number in assigned if number in routers]:
+                child.send("kill", routers=selected)
 
-    def behind(self, number: int) -> int:
-        """How many routers lack an event, those that don't run among them."""
-        return sum(answer["behind"] for answer in ask_all(self._children, "level", number=number))
+    def count_lagging(self, number: int) -> int:
+        """Return how many routers lack an event; those not running count."""
+        return sum(response["behind"] for response in request_all(self._children, "level", number=number))
 
     def applied(self) -> list[Applied]:
-        """Changes of settings that were put in force by the routers that run."""
-        answers = ask_all(self._children, "applied")
-        return [Applied(*one) for answer in answers for one in answer["applied"]]
+        """Return the settings versions that the running routers have applied."""
+        responses = request_all(self._children, "applied")
+        return [Applied(*record) for response in responses for record in response["applied"]]
 
     def sample(self) -> FleetSample:
-        """What all have spent so far."""
-        answers = ask_all(self._children, "sample")
+        """Return the cumulative resource usage."""
+        responses = request_all(self._children, "sample")
 
         def total(name: str) -> int:
-            return sum(answer[name] for answer in answers)
+            return sum(response[name] for response in responses)
 
-        bugs = tuple(bug for answer in answers for bug in answer["bugs"])
-        events = sum((Counter(answer["events"]) for answer in answers), Counter[str]())
-        memory = total("memory_mb") - self._idle_mb
-        return FleetSample(total("cpu"), answers[0]["cpu"], memory, total("received"), total("sent"),
+        bugs = tuple(bug for response in responses for bug in response["bugs"])
+        events = sum((Counter(response["events"]) for response in responses), Counter[str]())
+        routers_mb = total("memory_mb") - self._idle_mb
+        return FleetSample(total("cpu"), responses[0]["cpu"], routers_mb, total("received"), total("sent"),
                            total("headers"), total("heard"), bugs, events)  # fmt: skip
 
-    def lives(self) -> list[Life]:
-        """The ledgers of all lives of all routers."""
-        found = []
-        for place, child in enumerate(self._children):
-            path = self._folder / f"ledgers-{place}"
-            heads = child.ask("ledgers", path=str(path))["lives"]
-            found += _lives(heads, path)
+    def incarnations(self) -> list[Incarnation]:
+        """Return the ledgers of all incarnations of all routers."""
+        incarnations = []
+        for index, child in enumerate(self._children):
+            path = self._folder / f"ledgers-{index}"
+            headers = child.request("ledgers", path=str(path))["lives"]
+            incarnations += _read_incarnations(headers, path)
             path.unlink()
-        return found
+        return incarnations
 
     def close(self) -> None:
-        """Ends all processes."""
+        """Stop all processes."""
         for child in self._children:
             child.close()
 
 
-def _lives(heads: Iterable[list[int]], path: Path) -> list[Life]:
-    """What a process has written; see `HollowProcess.write_ledgers`."""
-    moments, at, found = np.fromfile(path, dtype=np.int64), 0, []
-    for router, last, began, ended, repeated, count in heads:
-        found.append(Life(router, last, began, ended, repeated, moments[at : at + count]))
-        at += count
-    return found
+def _read_incarnations(headers: Iterable[list[int]], path: Path) -> list[Incarnation]:
+    """Read the file that `HollowProcess.write_ledgers` wrote."""
+    times_ns, offset, incarnations = np.fromfile(path, dtype=np.int64), 0, []
+    for router, last, started_at_ns, ended_at_ns, repeated, count in headers:
+        incarnations.append(
+            Incarnation(router, last, started_at_ns, ended_at_ns, repeated, times_ns[offset : offset + count])
+        )
+        offset += count
+    return incarnations
--- a/stonecove/scale/hollow_process.py
+++ b/stonecove/scale/hollow_process.py
@@ -1,7 +1,7 @@
-"""A process of many hollow routers, which takes orders from the run.
+"""Run a process of many hollow routers, controlled by the run.
 
-The first order, `routers`, tells the configuration that all share and what differs. `sample` tells what they
-have spent, `level` how many lack an event, `ledgers` writes what each took and when.
+The first command, `routers`, carries the shared configuration and what differs for each router. `sample`
+returns resource usage, `level` how many routers lack an event; `ledgers` writes when each event was applied.
 """
 
 from __future__ import annotations
@@ -27,17 +27,17 @@
     from stonecove.scale.hollow_configuration import HollowConfiguration
 
 CONFIGURATION_PATH = "/stonecove/configuration"
-SAMPLE = 0.5  # seconds between two looks at what has passed over the connections
-MOST_BUGS = 20  # lines of the log that are kept, of those that should not be
+SAMPLE_INTERVAL_S = 0.5  # between two reads of the connections' traffic
+MAX_BUG_LINES = 20  # `internal_error` log lines that are kept
 
 
 class HollowProcess:
-    """The routers of this process, dead lives among them."""
+    """The routers of this process, with the ledgers of ended incarnations."""
 
     def __init__(
         self, shared: dict[str, Any], routers: dict[str, dict[str, Any]], nursery: trio.Nursery
     ) -> None:
-        """`shared`: the configuration; `routers`: what is different of each, by its number."""
+        """Create one; `shared` is the common configuration, `routers` what differs for each, by number."""
         self._nursery = nursery
         self._tables = {int(router): {**shared, **own} for router, own in routers.items()}
         for table in self._tables.values():
@@ -48,35 +48,35 @@
         self._configurations: dict[int, HollowConfiguration] = {}
         coordination = shared.pop("coordination", None)
         self._servers = tuple((host, port) for host, port in coordination or ())
-        self._spent = Traffic()  # by lives that have ended
-        self.events: Counter[str] = Counter()  # lines of the routers' logs
+        self._ended_traffic = Traffic()  # by incarnations that have ended
+        self.events: Counter[str] = Counter()  # counts of the routers' log lines
         self.bugs: list[str] = []
 
     def log(self, event: str, fields: dict[str, object]) -> None:
-        """A line of a router's log: only counted, but for bugs."""
+        """Count a line of a router's log, and keep the fields of internal errors."""
         self.events[event] += 1
-        if event == LogEvent.INTERNAL_ERROR and len(self.bugs) < MOST_BUGS:
+        if event == LogEvent.INTERNAL_ERROR and len(self.bugs) < MAX_BUG_LINES:
             self.bugs.append(str(fields))
 
-    async def start(self, routers: list[int], within: float) -> None:
-        """Starts these routers, spread over so many seconds."""
-        for place, router in enumerate(routers):
+    async def start(self, routers: list[int], spread_s: float) -> None:
+        """Start or restart these routers, spread over this many seconds."""
+        for index, router in enumerate(routers):
             if router in self._running:
                 self.kill([router])
             hollow = HollowRouter(router, config_from(self._tables[router], {}))
             self._running[router] = hollow
             self._ledgers.append(hollow.ledger)
-            self._nursery.start_soon(hollow.run, self._start_more)
-            await trio.sleep(within / len(routers) if place + 1 < len(routers) else 0.0)
+            self._nursery.start_soon(hollow.run, self._start_optional_parts)
+            await trio.sleep(spread_s / len(routers) if index + 1 < len(routers) else 0.0)
 
-    def _start_more(self, hollow: HollowRouter) -> None:
-        """What only some runs ask for."""
+    def _start_optional_parts(self, hollow: HollowRouter) -> None:
+        """Start the parts that only some runs have."""
         self._start_swarm(hollow)
         if self._servers:
             self._start_configuration(hollow)
 
     def _start_configuration(self, hollow: HollowRouter) -> None:
-        """Takes part in roll-outs of settings."""
+        """Take part in roll-outs of settings."""
         from stonecove.scale.hollow_configuration import HollowConfiguration
 
         configuration = HollowConfiguration(
@@ -86,7 +86,7 @@
         configuration.start(hollow.spawn)
 
     def _start_swarm(self, hollow: HollowRouter) -> None:
-        """Membership among the routers, where the run asks for it."""
+        """Start gossip among the routers, if the run enables it."""
         config: Config = hollow.config
         if not config.peer_listen:
             return
@@ -95,30 +95,30 @@
 
         record = read_text("swarm: {}", "scale").operator.swarm
         assert record is not None
-        datagrams = CountedDatagrams.around(bind_datagram_socket(config))
+        datagrams = CountedDatagrams.from_socket(bind_datagram_socket(config))
         self._datagrams[hollow.ledger.router] = datagrams
-        hollow.ending.callback(datagrams.close)
-        keeper = SwarmAgent(record, config, datagrams, hollow.route, hollow.clock, None)
-        keeper.start(hollow.spawn)
+        hollow.exit_stack.callback(datagrams.close)
+        agent = SwarmAgent(record, config, datagrams, hollow.route, hollow.clock, None)
+        agent.start(hollow.spawn)
 
     def kill(self, routers: list[int]) -> None:
-        """Ends these routers, as if their processes were killed."""
+        """Stop these routers as if their processes were killed."""
         for router in routers:
             hollow = self._running.pop(router, None)
             if hollow is None:
                 continue
-            self._spent.add(hollow.sockets.traffic())
+            self._ended_traffic.add(hollow.sockets.traffic())
             if datagrams := self._datagrams.pop(router, None):
-                self._spent.add(datagrams.traffic)
+                self._ended_traffic.add(datagrams.traffic)
             if configuration := self._configurations.pop(router, None):
-                self._spent.add(configuration.traffic)
-            hollow.ledger.ended = time.time_ns()
+                self._ended_traffic.add(configuration.traffic)
+            hollow.ledger.ended_at_ns = time.time_ns()
             hollow.end()
 
-    def sample(self) -> child.Order:
-        """What all have spent since the start of the process."""
+    def sample(self) -> child.Message:
+        """Return the resource usage since the start of the process."""
         total = Traffic()
-        total.add(self._spent)
+        total.add(self._ended_traffic)
         for hollow in self._running.values():
             total.add(hollow.sockets.traffic())
         for datagrams in self._datagrams.values():
@@ -128,79 +128,87 @@
         return {
             "cpu": time.process_time(), "memory_mb": child.resident_mb(), "routers": len(self._running),
             "received": total.received, "sent": total.sent, "headers": total.headers,
-            "heard": sum(hollow.heard for hollow in self._running.values()),
+            "heard": sum(hollow.has_received for hollow in self._running.values()),
             "bugs": self.bugs, "events": self.events,
         }  # fmt: skip
 
     def applied(self) -> list[list[int]]:
-        """Router, version and moment in ns of each change of settings that was put in force."""
+        """Return router, version and time in ns of each settings version that was applied."""
         return [
-            [router, version, moment]
+            [router, version, applied_ns]
             for router, configuration in self._configurations.items()
-            for version, moment in configuration.applied
+            for version, applied_ns in configuration.applied
         ]
 
-    def behind(self, number: int) -> int:
-        """How many routers lack that event, those that don't run among them."""
-        has = sum(hollow.ledger.newest >= number for hollow in self._running.values())
-        return len(self._tables) - has
+    def count_lagging(self, number: int) -> int:
+        """Return how many routers lack this event; those not running count."""
+        current = sum(hollow.ledger.newest >= number for hollow in self._running.values())
+        return len(self._tables) - current
 
-    def write_ledgers(self, path: Path) -> child.Order:
-        """Writes the moments of all lives, one after the other; the heads of them are told."""
-        heads = []
+    def write_ledgers(self, path: Path) -> child.Message:
+        """Write the times of all incarnations, one after the other; return a header for each."""
+        headers = []
         with path.open("wb") as file:
             for ledger in self._ledgers:
-                array("q", ledger.taken).tofile(file)
-                heads.append([ledger.router, ledger.last, ledger.began, ledger.ended, ledger.repeated,
-                              len(ledger.taken)])  # fmt: skip
-        return {"lives": heads}
-
-    async def sample_for_good(self) -> None:
-        """Looks at the connections now and then, so that little is missing of one that ends."""
+                array("q", ledger.applied_at_ns).tofile(file)
+                headers.append(
+                    [
+                        ledger.router,
+                        ledger.last,
+                        ledger.started_at_ns,
+                        ledger.ended_at_ns,
+                        ledger.repeated,
+                        len(ledger.applied_at_ns),
+                    ]
+                )
+        return {"lives": headers}
+
+    async def sample_repeatedly(self) -> None:
+        """Read the connections' traffic regularly, so that little is missing when one closes."""
         while True:
-            await trio.sleep(SAMPLE)
+            await trio.sleep(SAMPLE_INTERVAL_S)
             for hollow in self._running.values():
                 hollow.sockets.traffic()
 
 
 async def serve() -> None:
-    """Runs until the orders end."""
+    """Serve until the command pipe is closed."""
     process: HollowProcess | None = None
     async with trio.open_nursery() as nursery:
-        async for order in child.orders():
-            if order["do"] == "idle":
+        async for command in child.receive_commands():
+            if command["do"] == "idle":
                 gc.collect()
-                child.answer(memory_mb=child.resident_mb(), cpu=time.process_time())
+                child.send_response(memory_mb=child.resident_mb(), cpu=time.process_time())
                 continue
-            if order["do"] == "routers":
-                process = HollowProcess(order["shared"], order["routers"], nursery)
+            if command["do"] == "routers":
+                process = HollowProcess(command["shared"], command["routers"], nursery)
                 set_log_sink(process.log)
-                nursery.start_soon(process.sample_for_good)
-                await process.start([int(router) for router in order["routers"]], 0.0)
+                nursery.start_soon(process.sample_repeatedly)
+                await process.start([int(router) for router in command["routers"]], 0.0)
                 gc.collect()
                 gc.freeze()  # as the router does
-                child.answer()
+                child.send_response()
                 continue
-            assert process is not None, "no routers are told yet"
-            match order["do"]:
+            assert process is not None, "the process has not received its routers yet"
+            match command["do"]:
                 case "start":
-                    nursery.start_soon(process.start, order["routers"], order["within"])
+                    nursery.start_soon(process.start, command["routers"], command["within"])
                 case "kill":
-                    process.kill(order["routers"])
+                    process.kill(command["routers"])
                 case "sample":
-                    child.answer(**process.sample())
+                    child.send_response(**process.sample())
                 case "level":
-                    child.answer(behind=process.behind(order["number"]))
+                    child.send_response(behind=process.count_lagging(command["number"]))
                 case "applied":
-                    child.answer(applied=process.applied())
+                    child.send_response(applied=process.applied())
                 case "ledgers":
-                    child.answer(**process.write_ledgers(Path(order["path"])))
+                    child.send_response(**process.write_ledgers(Path(command["path"])))
         nursery.cancel_scope.cancel()
 
 
 def main() -> None:
-    """The process."""
-    signal.signal(signal.SIGINT, signal.SIG_IGN)  # ends with its parent
+    """Run the process."""
+    signal.signal(signal.SIGINT, signal.SIG_IGN)  # it exits with its parent
     trio.run(serve)
 
 
--- a/stonecove/scale/ledger.py
+++ b/stonecove/scale/ledger.py
@@ -1,6 +1,6 @@
-"""Which events each router took in force and when, held against what the control machines have told.
+"""Record when each router applied each event, and compare that with what the control machines published.
 
-Moments are nanoseconds of the host's clock; 0 stands for never. Events are called by their numbers.
+Times are nanoseconds of the host's clock; 0 stands for never. Events are identified by their numbers.
 """
 
 from __future__ import annotations
@@ -15,148 +15,152 @@
 
 from stonecove.scale.results import Delays
 
-Moments = npt.NDArray[np.int64]
+Timestamps = npt.NDArray[np.int64]
 
-MILLISECOND = 1e6  # nanoseconds
+NS_PER_MS = 1e6
 
 
 class Ledger:
-    """One life of one router: when it took each event in force."""
+    """When one incarnation of a router applied each event."""
 
-    def __init__(self, router: int, last: int, now: int) -> None:
-        """`last`: the number up to which its configuration has told it everything; `now` in ns."""
-        self.router, self.last, self.began = router, last, now
-        self.ended = 0
+    def __init__(self, router: int, last: int, now_ns: int) -> None:
+        """Create an empty one; `last` is the newest event covered by the configuration."""
+        self.router, self.last, self.started_at_ns = router, last, now_ns
+        self.ended_at_ns = 0
         self.newest = last
         self.repeated = 0
-        self.taken = array("q")  # the moment of each event, from the one after `last` on
+        self.applied_at_ns = array("q")  # the time of each event, from the one after `last` on
 
-    def took(self, number: int, now: int) -> None:
-        """An event is in force at that moment."""
-        place = number - self.last - 1
-        if place < 0:
+    def record_applied(self, number: int, now_ns: int) -> None:
+        """Record that an event was applied at this time."""
+        index = number - self.last - 1
+        if index < 0:
             self.repeated += 1
             return
-        if place >= len(self.taken):
-            self.taken.extend([0] * (place + 1 - len(self.taken)))
-        if self.taken[place]:
+        if index >= len(self.applied_at_ns):
+            self.applied_at_ns.extend([0] * (index + 1 - len(self.applied_at_ns)))
+        if self.applied_at_ns[index]:
             self.repeated += 1
             return
-        self.taken[place] = now
+        self.applied_at_ns[index] = now_ns
         self.newest = max(self.newest, number)
 
 
 @dataclass(frozen=True, slots=True)
-class Life:
-    """A router's life as the runner holds it: `taken` begins with the event after `last`."""
+class Incarnation:
+    """One incarnation as the runner reads it: `applied_at_ns` starts with the event after `last`."""
 
     router: int
     last: int
-    began: int
-    ended: int  # 0: it runs still
+    started_at_ns: int
+    ended_at_ns: int  # 0: still running
     repeated: int
-    taken: Moments
+    applied_at_ns: Timestamps
 
     @classmethod
-    def of(cls, ledger: Ledger) -> Life:
-        """What a ledger holds."""
-        taken = np.array(ledger.taken, dtype=np.int64)
-        return cls(ledger.router, ledger.last, ledger.began, ledger.ended, ledger.repeated, taken)
+    def of(cls, ledger: Ledger) -> Incarnation:
+        """Convert a ledger."""
+        times_ns = np.array(ledger.applied_at_ns, dtype=np.int64)
+        return cls(
+            ledger.router, ledger.last, ledger.started_at_ns, ledger.ended_at_ns, ledger.repeated, times_ns
+        )
 
 
 @dataclass(frozen=True, slots=True)
 class Published:
-    """What the control machines have told: events from number `first` on, and the first byte of each."""
+    """What the control machines published: events from number `first` on, and the first byte of each."""
 
     first: int
-    first_bytes: Moments
-    purges: frozenset[int] = field(default=frozenset())  # numbers of the events that are purges
+    first_bytes: Timestamps
+    purges: frozenset[int] = field(default=frozenset())  # numbers of the purge events
 
     @property
     def last(self) -> int:
-        """The number of the newest."""
+        """Return the number of the newest event."""
         return self.first + len(self.first_bytes) - 1
 
 
-def earliest(reports: Iterable[Sequence[int]], count: int) -> Moments:
-    """The first byte of each event at any control machine, by the reports of all; 0 where nobody told it."""
-    never = np.iinfo(np.int64).max
-    found = np.full(count, never, dtype=np.int64)
+def earliest_first_bytes_ns(reports: Iterable[Sequence[int]], count: int) -> Timestamps:
+    """Return when each event was first sent by any control machine; 0 where none sent it."""
+    never_ns = np.iinfo(np.int64).max
+    result = np.full(count, never_ns, dtype=np.int64)
     for report in reports:
-        moments = np.array(report[:count], dtype=np.int64)
-        part = found[: len(moments)]
-        np.minimum(part, np.where(moments > 0, moments, never), out=part)
-    found[found == never] = 0
-    return found
+        times_ns = np.array(report[:count], dtype=np.int64)
+        window = result[: len(times_ns)]
+        np.minimum(window, np.where(times_ns > 0, times_ns, never_ns), out=window)
+    result[result == never_ns] = 0
+    return result
 
 
-def _moments_of(life: Life, published: Published) -> Moments:
-    """When a life took each published event; 0: never."""
-    found = np.zeros(len(published.first_bytes), dtype=np.int64)
-    skip = life.last + 1 - published.first  # the life's first event, among those published
+def _applied_times(incarnation: Incarnation, published: Published) -> Timestamps:
+    """Return when an incarnation applied each published event; 0: never."""
+    result = np.zeros(len(published.first_bytes), dtype=np.int64)
+    skip = incarnation.last + 1 - published.first  # index of its first event among those published
     source, target = max(0, -skip), max(0, skip)
-    count = min(len(life.taken) - source, len(found) - target)
+    count = min(len(incarnation.applied_at_ns) - source, len(result) - target)
     if count > 0:
-        found[target : target + count] = life.taken[source : source + count]
-    return found
+        result[target : target + count] = incarnation.applied_at_ns[source : source + count]
+    return result
 
 
-def lost(lives: Iterable[Life], published: Published) -> int:
-    """Events that a router which was up never had in force.
+def count_lost(incarnations: Iterable[Incarnation], published: Published) -> int:
+    """Return how many events running routers never applied.
 
-    Of a router that is up at the end, every event after its start counts; of a life that was ended, only
-    those before the newest that it took.
+    For a router that runs at the end, every event after its start counts; for an ended incarnation, only
+    those before the newest that it applied.
     """
     count = 0
-    for life in lives:
-        begin = max(0, life.last + 1 - published.first)
-        expected = _moments_of(life, published)[begin:]
-        if life.ended:
-            taken = np.flatnonzero(expected)
-            expected = expected[: taken[-1] + 1] if len(taken) else expected[:0]
-        count += int(np.count_nonzero(expected == 0))
+    for incarnation in incarnations:
+        start_index = max(0, incarnation.last + 1 - published.first)
+        expected_ns = _applied_times(incarnation, published)[start_index:]
+        if incarnation.ended_at_ns:
+            applied_indexes = np.flatnonzero(expected_ns)
+            expected_ns = expected_ns[: applied_indexes[-1] + 1] if len(applied_indexes) else expected_ns[:0]
+        count += int(np.count_nonzero(expected_ns == 0))
     return count
 
 
-def repeated(lives: Iterable[Life]) -> int:
-    """Events that were taken twice in one life of a router."""
-    return sum(life.repeated for life in lives)
+def count_repeated(incarnations: Iterable[Incarnation]) -> int:
+    """Return how many events were applied twice in one incarnation of a router."""
+    return sum(incarnation.repeated for incarnation in incarnations)
 
 
-def _last_in_force(lives: Sequence[Life], published: Published, begin: int, end: int) -> Moments:
-    """When the last of these routers took each event of a part of the log; 0 if one of them never did."""
-    found = np.zeros(end - begin, dtype=np.int64)
-    missing = np.zeros(end - begin, dtype=bool)
-    for life in lives:
-        moments = _moments_of(life, published)[begin:end]
-        missing |= moments == 0
-        np.maximum(found, moments, out=found)
-    found[missing] = 0
-    return found
+def _last_applied(
+    incarnations: Sequence[Incarnation], published: Published, start_index: int, end_index: int
+) -> Timestamps:
+    """Return when the last of these routers applied each event of a range; 0 if one never did."""
+    result = np.zeros(end_index - start_index, dtype=np.int64)
+    missing = np.zeros(end_index - start_index, dtype=bool)
+    for incarnation in incarnations:
+        times_ns = _applied_times(incarnation, published)[start_index:end_index]
+        missing |= times_ns == 0
+        np.maximum(result, times_ns, out=result)
+    result[missing] = 0
+    return result
 
 
-def purge_delays(lives: Sequence[Life], published: Published, first: int, last: int) -> Delays:
-    """How long purges with numbers from `first` to `last` took until the last of these routers had them."""
-    begin, end = first - published.first, last + 1 - published.first
+def purge_delays(incarnations: Sequence[Incarnation], published: Published, first: int, last: int) -> Delays:
+    """Return the delays of the purges from `first` to `last` until the last of these routers applied them."""
+    start_index, end_index = first - published.first, last + 1 - published.first
     is_purge = np.array([number in published.purges for number in range(first, last + 1)], dtype=bool)
-    in_force = _last_in_force(lives, published, begin, end)
-    told = published.first_bytes[begin:end]
-    counted = is_purge & (in_force > 0) & (told > 0)
-    return delays_of((in_force - told)[counted] / MILLISECOND)
+    last_applied_ns = _last_applied(incarnations, published, start_index, end_index)
+    published_at_ns = published.first_bytes[start_index:end_index]
+    counted = is_purge & (last_applied_ns > 0) & (published_at_ns > 0)
+    return summarize_delays((last_applied_ns - published_at_ns)[counted] / NS_PER_MS)
 
 
-def delays_of(milliseconds: Sequence[float] | np.ndarray[Any, np.dtype[np.float64]]) -> Delays:
-    """Of many events; all 0 without any."""
+def summarize_delays(milliseconds: Sequence[float] | np.ndarray[Any, np.dtype[np.float64]]) -> Delays:
+    """Return count and percentiles of delays in ms; all 0 without any."""
     if not len(milliseconds):
         return Delays(0, 0.0, 0.0, 0.0)
     p50, p99 = np.percentile(milliseconds, (50, 99))
     return Delays(len(milliseconds), float(p50), float(p99), float(np.max(milliseconds)))
 
 
-def level_at(lives: Sequence[Life], published: Published, number: int) -> int:
-    """When all of these routers had everything up to that event in force; ns, 0 if one never had."""
-    place = number - published.first
-    if place < 0:
-        return max((life.began for life in lives), default=0)
-    moments = _last_in_force(lives, published, 0, place + 1)
-    return int(moments.max()) if len(moments) and moments.all() else 0
+def caught_up_at_ns(incarnations: Sequence[Incarnation], published: Published, number: int) -> int:
+    """Return when all of these routers had applied all events up to this one; ns, 0 if one never did."""
+    index = number - published.first
+    if index < 0:
+        return max((incarnation.started_at_ns for incarnation in incarnations), default=0)
+    times_ns = _last_applied(incarnations, published, 0, index + 1)
+    return int(times_ns.max()) if len(times_ns) and times_ns.all() else 0
--- a/stonecove/scale/plot.py
+++ b/stonecove/scale/plot.py
@@ -1,4 +1,4 @@
-"""A picture of a scale run: each figure over the routers, its line, its prediction and its bound."""
+"""Plot a scale run: each figure over the number of routers, with its line, prediction and bound."""
 
 from __future__ import annotations
 
@@ -16,27 +16,26 @@
 from stonecove.scale.slopes import Comparison  # noqa: E402
 
 COLUMNS = 2
-PICTURE = "slopes.png"
-BOUND_IN_SIGHT = (
-    4.0  # a bound above so many times the largest value is written, not drawn: it would flatten the rest
-)
-HEADROOM = 1.2  # for what is written above the points
+FILE_NAME = "slopes.png"
+# A bound above this multiple of the largest value is written, not drawn, as it would flatten the plot.
+MAX_DRAWN_BOUND_RATIO = 4.0
+HEADROOM = 1.2  # space for text above the points
 POINT_COLOUR, LINE_COLOUR, MEASURED_COLOUR, BOUND_COLOUR = "#3d85c6", "#999999", "#38761d", "#cc0000"
 
 
 def draw(series: Series, folder: Path) -> Path:
-    """Draws all figures into one picture in a folder, which exists; its path."""
+    """Plot all figures into one file in an existing folder; return its path."""
     rows = math.ceil(len(series.comparisons) / COLUMNS)
     figure, grid = plt.subplots(rows, COLUMNS, figsize=(6.5 * COLUMNS, 3.4 * rows), squeeze=False)
-    places = [axes for row in grid for axes in row]
-    for axes in places[len(series.comparisons) :]:
+    all_axes = [axes for row in grid for axes in row]
+    for axes in all_axes[len(series.comparisons) :]:
         axes.set_visible(False)
-    for axes, comparison in zip(places, series.comparisons, strict=False):
+    for axes, comparison in zip(all_axes, series.comparisons, strict=False):
         _draw_figure(axes, comparison)
-    handles, labels = places[0].get_legend_handles_labels()
+    handles, labels = all_axes[0].get_legend_handles_labels()
     figure.legend(handles, labels, loc="upper center", ncols=len(labels), fontsize=9)
     figure.tight_layout(rect=(0.0, 0.0, 1.0, 0.96))
-    path = folder / PICTURE
+    path = folder / FILE_NAME
     figure.savefig(path, dpi=110)
     plt.close(figure)
     return path
@@ -72,8 +71,8 @@
 
 
 def _draw_bound(axes: Axes, bound: float, unit: str, highest: float) -> float:
-    """Draws or writes the bound; the height that it takes."""
-    if bound <= BOUND_IN_SIGHT * highest:
+    """Draw or write the bound; return the height that it needs."""
+    if bound <= MAX_DRAWN_BOUND_RATIO * highest:
         axes.axhline(bound, color=BOUND_COLOUR)
         axes.annotate(
             f"bound {bound:g} {unit}",
--- a/stonecove/scale/real_routers.py
+++ b/stonecove/scale/real_routers.py
@@ -1,4 +1,4 @@
-"""Real routers of a scale run: whole processes of the program with load, beside the hollow ones."""
+"""Run real routers with load beside the hollow ones: each is a process of the complete router."""
 
 from __future__ import annotations
 
@@ -14,38 +14,38 @@
 from stonecove.trial.open_loop import ClientBehaviour, OpenLoopClients
 from stonecove.trial.processes import RouterProcess
 
-TICKS = os.sysconf("SC_CLK_TCK")
+CLOCK_TICKS_PER_S = os.sysconf("SC_CLK_TCK")
 
 
 class RealRouterError(Exception):
-    """A real router that did not become ready."""
+    """A real router did not become ready."""
 
 
 @dataclass(frozen=True, slots=True)
 class Requests:
-    """How requests have ended so far."""
+    """Cumulative outcomes of requests."""
 
     answered: int
     failed: int
 
     def since(self, before: Requests) -> Requests:
-        """Those that have ended between two looks."""
+        """Return the requests that ended since an earlier sample."""
         return Requests(self.answered - before.answered, self.failed - before.failed)
 
 
 @dataclass(frozen=True, slots=True)
-class Spent:
-    """What all real routers together have spent by a moment."""
+class ResourceUsage:
+    """Cumulative resource usage of all real routers."""
 
-    cpu: float  # seconds
+    cpu_s: float
     memory_mb: float
 
 
 class RealRouters:
-    """All real routers. Ends all that it started by `close`."""
+    """All real routers; `close` stops them."""
 
     def __init__(self, folder: Path, tables: dict[int, dict[str, Any]]) -> None:
-        """`tables`: the configuration of each, by its number. Nothing runs yet."""
+        """Create the processes without starting them; `tables` holds each configuration by router number."""
         self._processes = {
             router: RouterProcess(folder / str(table["name"]), str(table["name"]), table, None)
             for router, table in tables.items()
@@ -53,58 +53,60 @@
         self._clients: OpenLoopClients | None = None
 
     def __len__(self) -> int:
+        """Return the number of routers."""
         return len(self._processes)
 
     def __contains__(self, router: int) -> bool:
+        """Return whether a router is real."""
         return router in self._processes
 
     def start(self, routers: set[int]) -> None:
-        """Starts those of them that are real."""
+        """Start those of these routers that are real."""
         for router in sorted(routers & self._processes.keys()):
             self._processes[router].start()
 
     def kill(self, routers: set[int]) -> None:
-        """Ends those of them that are real, without a word."""
+        """Kill those of these routers that are real."""
         for router in sorted(routers & self._processes.keys()):
             self._processes[router].kill()
 
     def ready(self) -> bool:
-        """Whether all take connections."""
+        """Return whether all accept connections."""
         return all(process.ready() for process in self._processes.values())
 
-    def wait_ready(self, patience: float) -> None:
-        """Waits for so many seconds at most; raises RealRouterError."""
-        limit = time.monotonic() + patience
+    def wait_ready(self, timeout_s: float) -> None:
+        """Wait until all are ready; raises RealRouterError on timeout or exit."""
+        deadline_s = time.monotonic() + timeout_s
         for process in self._processes.values():
             while not process.ready():
-                if time.monotonic() > limit or not process.running:
+                if time.monotonic() > deadline_s or not process.running:
                     raise RealRouterError(f"{process.name} did not become ready: {process.log}")
                 time.sleep(0.02)
 
-    def load(self, requests_a_second: float, seed: int) -> None:
-        """Begins to ask all of them, so many times a second together."""
-        if self._processes and requests_a_second > 0:
+    def load(self, requests_per_s: float, seed: int) -> None:
+        """Start to send requests to all of them, at this total rate."""
+        if self._processes and requests_per_s > 0:
             addresses = [process.address for process in self._processes.values()]
-            self._clients = OpenLoopClients(addresses, requests_a_second, ClientBehaviour(), seed)
+            self._clients = OpenLoopClients(addresses, requests_per_s, ClientBehaviour(), seed)
 
     def requests(self) -> Requests:
-        """How requests have ended so far."""
+        """Return the cumulative outcomes of requests."""
         if self._clients is None:
             return Requests(0, 0)
-        ends = Counter(event.kind for event in list(self._clients.events))
-        return Requests(ends[SERVED], sum(ends[end] for end in OUTCOMES) - ends[SERVED])
+        counts = Counter(event.kind for event in list(self._clients.events))
+        return Requests(counts[SERVED], sum(counts[outcome] for outcome in OUTCOMES) - counts[SERVED])
 
-    def spent(self) -> Spent:
-        """CPU and memory of all that run; proc(5)."""
-        cpu, memory = 0.0, 0.0
+    def resource_usage(self) -> ResourceUsage:
+        """Return CPU time and memory of all running processes, from proc(5)."""
+        cpu_s, memory_mb = 0.0, 0.0
         for process in self._processes.values():
             if process.process is not None and process.running:
-                cpu += cpu_of(process.process.pid)
-                memory += resident_mb_of(process.process.pid)
-        return Spent(cpu, memory)
+                cpu_s += cpu_s_of(process.process.pid)
+                memory_mb += resident_mb_of(process.process.pid)
+        return ResourceUsage(cpu_s, memory_mb)
 
     def bugs(self) -> list[str]:
-        """Lines of their logs that should not be there."""
+        """Return the `internal_error` lines of their logs."""
         return [
             f"{process.name}: {line}"
             for process in self._processes.values()
@@ -112,7 +114,7 @@
         ]
 
     def close(self) -> None:
-        """Ends the load and all routers."""
+        """Stop the load and all routers."""
         if self._clients is not None:
             self._clients.end()
         for process in self._processes.values():
@@ -120,7 +122,7 @@
                 process.kill()
 
 
-def cpu_of(pid: int) -> float:
-    """Seconds of processor time that a process has used."""
+def cpu_s_of(pid: int) -> float:
+    """Return the CPU time of a process in seconds."""
     fields = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
-    return (int(fields[11]) + int(fields[12])) / TICKS
+    return (int(fields[11]) + int(fields[12])) / CLOCK_TICKS_PER_S
--- a/stonecove/scale/report.py
+++ b/stonecove/scale/report.py
@@ -1,4 +1,4 @@
-"""Reports of a scale run: tables for people, a record for programs, one line of figures, broken rules."""
+"""Report a scale run: tables, a JSON record, one line of figures, and broken rules."""
 
 from __future__ import annotations
 
@@ -12,15 +12,15 @@
 from stonecove.scale.series import Series
 from stonecove.scale.slopes import CONFIG_BOUND_MS, FIGURES, PURGE_BOUND_MS, Comparison, Prediction, worst
 
-CUT = "cut"  # in the names of faults that part routers from control machines
+PARTITION_FAULT_MARKER = "cut"  # in the names of faults that partition routers from control machines
 
 
 def broken_rules(series: Series) -> tuple[str, ...]:
-    """What was lost, repeated or beyond its bound, a line each; empty if all was kept."""
-    return tuple(line for measured in series.measurements for line in _broken_at(measured))
+    """Return a line for each lost or repeated event count and exceeded bound; empty if there are none."""
+    return tuple(line for measured in series.measurements for line in _broken_rules_of_size(measured))
 
 
-def _broken_at(measured: Measurement) -> list[str]:
+def _broken_rules_of_size(measured: Measurement) -> list[str]:
     lines = []
     if measured.lost:
         lines.append(f"lost: {measured.lost} events never came to all routers")
@@ -35,11 +35,11 @@
     if measured.config is not None and not measured.config.max_ms <= CONFIG_BOUND_MS:
         lines.append(f"config_max_ms: {measured.config.max_ms:.4g} is above {CONFIG_BOUND_MS:g} ms")
     for fault in measured.faults:
-        lines += _broken_by(fault)
+        lines += _broken_rules_of_fault(fault)
     return [f"{measured.routers} routers: {line}" for line in lines]
 
 
-def _broken_by(fault: FaultResult) -> list[str]:
+def _broken_rules_of_fault(fault: FaultResult) -> list[str]:
     lines = []
     if fault.level_ms < 0.0:
         lines.append(f"{fault.name}: routers were never level again")
@@ -52,7 +52,7 @@
 
 
 def summary(series: Series) -> dict[str, float]:
-    """The figures of the last line: costs at the largest size, events over all sizes."""
+    """Return the figures of the last line: costs at the largest size, events over all sizes."""
     largest = series.largest
     figures = {figure.name: figure.value(largest) for figure in FIGURES}
     return {
@@ -73,18 +73,18 @@
 
 
 def _level_after_cut(measured: Measurement) -> float:
-    """The longest of all cuts; infinite if routers were never level again, NO_MECHANISM without a cut."""
-    levels = [fault.level_ms for fault in measured.faults if CUT in fault.name]
+    """Return the longest of all partitions; infinite if routers never caught up, NO_MECHANISM without one."""
+    levels = [fault.level_ms for fault in measured.faults if PARTITION_FAULT_MARKER in fault.name]
     return max((level if level >= 0.0 else math.inf for level in levels), default=NO_MECHANISM)
 
 
 def summary_line(series: Series) -> str:
-    """`key=value` for all of the summary."""
-    return " ".join(f"{key}={_short(value)}" for key, value in summary(series).items())
+    """Return the summary as `key=value` words."""
+    return " ".join(f"{key}={_format_number(value)}" for key, value in summary(series).items())
 
 
-def _short(value: float) -> str:
-    """Counts whole; other figures with four digits, and never as powers of ten."""
+def _format_number(value: float) -> str:
+    """Format integers in full, other numbers with four digits and never with an exponent."""
     if isinstance(value, int) or not math.isfinite(value):
         return str(value)
     digits = max(0, 3 - math.floor(math.log10(abs(value)))) if value else 0
@@ -93,20 +93,20 @@
 
 
 def record(series: Series) -> dict[str, Any]:
-    """All of it for programs, fit for JSON: what is infinite is None."""
+    """Return the whole series for JSON; infinite values become None."""
     options = dataclasses.asdict(series.options)
     options["folder"] = str(series.options.folder) if series.options.folder is not None else None
-    found = {
+    result = {
         "options": options,
         "measurements": [dataclasses.asdict(measured) for measured in series.measurements],
-        "predictions": [_compared(comparison) for comparison in series.comparisons],
+        "predictions": [_comparison_record(comparison) for comparison in series.comparisons],
         "broken": list(broken_rules(series)),
         "figures": summary(series),
     }
-    return {key: _finite(value) for key, value in found.items()}
+    return {key: _replace_non_finite(value) for key, value in result.items()}
 
 
-def _compared(comparison: Comparison) -> dict[str, Any]:
+def _comparison_record(comparison: Comparison) -> dict[str, Any]:
     prediction = comparison.prediction
     return {
         "figure": prediction.figure.name,
@@ -120,16 +120,16 @@
     }
 
 
-def _finite(value: Any) -> Any:
+def _replace_non_finite(value: Any) -> Any:
     if isinstance(value, dict):
-        return {key: _finite(one) for key, one in value.items()}
+        return {key: _replace_non_finite(item) for key, item in value.items()}
     if isinstance(value, (list, tuple)):
-        return [_finite(one) for one in value]
+        return [_replace_non_finite(item) for item in value]
     return None if isinstance(value, float) and not math.isfinite(value) else value
 
 
 def played_line(measured: Measurement) -> str:
-    """One size in a line, as it ends."""
+    """Return one line about a size that has been played."""
     cost = measured.cost
     return (
         f"{measured.routers} routers ({measured.hollow} hollow, {measured.real} real): "
@@ -140,56 +140,56 @@
 
 
 def prediction_lines(predictions: tuple[Prediction, ...]) -> list[str]:
-    """What is predicted, with its line, before the size is played."""
+    """Return the lines that show the predictions before the size is played."""
     sizes = ", ".join(str(size) for size, _ in predictions[0].points)
     lines = [f"predicted for {predictions[0].routers} routers, from {sizes}:"]
     for prediction in predictions:
         line, figure = prediction.line, prediction.figure
         lines.append(
             f"  {figure.name} = {line.intercept:.4g} {line.slope:+.4g} * routers = "
-            f"{_short(prediction.value)} {figure.unit}"
+            f"{_format_number(prediction.value)} {figure.unit}"
         )
     return lines
 
 
 def table(series: Series) -> Table:
-    """Each figure at each size, what was predicted of the last, the error and the bound."""
+    """Return a table of each figure at each size, with prediction, error and bound."""
     sizes = [str(measured.routers) for measured in series.measurements]
-    shown = Table()
-    shown.add_column("figure", no_wrap=True)
-    shown.add_column("unit", no_wrap=True)
+    rich_table = Table()
+    rich_table.add_column("figure", no_wrap=True)
+    rich_table.add_column("unit", no_wrap=True)
     for name in (*sizes, "predicted", "error", "bound"):
-        shown.add_column(name, justify="right")
+        rich_table.add_column(name, justify="right")
     for comparison in series.comparisons:
         figure = comparison.prediction.figure
-        shown.add_row(
+        rich_table.add_row(
             figure.name,
             figure.unit,
-            *(_short(figure.value(measured)) for measured in series.measurements),
-            _short(comparison.prediction.value),
+            *(_format_number(figure.value(measured)) for measured in series.measurements),
+            _format_number(comparison.prediction.value),
             f"{comparison.error_percent:.1f} %",
-            _short(figure.bound) if figure.bound is not None else "-",
+            _format_number(figure.bound) if figure.bound is not None else "-",
         )
-    return shown
+    return rich_table
 
 
 def fault_table(series: Series) -> Table | None:
-    """How long each fault took until all routers were level; None if none was played."""
+    """Return a table of the time until all routers caught up after each fault; None without faults."""
     if not series.largest.faults:
         return None
-    shown = Table()
-    shown.add_column("fault", no_wrap=True)
+    rich_table = Table()
+    rich_table.add_column("fault", no_wrap=True)
     for name in ("level_ms", "purge_max_ms beside it"):
-        shown.add_column(name, justify="right")
-    shown.add_column("note")
+        rich_table.add_column(name, justify="right")
+    rich_table.add_column("note")
     for fault in series.largest.faults:
-        level = _short(fault.level_ms) if fault.level_ms >= 0.0 else "never"
-        shown.add_row(fault.name, level, _short(fault.purge_max_ms), fault.note)
-    return shown
+        level = _format_number(fault.level_ms) if fault.level_ms >= 0.0 else "never"
+        rich_table.add_row(fault.name, level, _format_number(fault.purge_max_ms), fault.note)
+    return rich_table
 
 
 def closing_lines(series: Series) -> list[str]:
-    """Notes of all sizes, the worst prediction, and what was broken."""
+    """Return the notes of all sizes, the worst prediction and the broken rules."""
     lines = _note_lines(series)
     largest_error = worst(series.comparisons)
     lines.append(
@@ -200,7 +200,7 @@
 
 
 def _note_lines(series: Series) -> list[str]:
-    """Each note once; one that does not hold for all sizes with those for which it does."""
+    """Return each note once; one that does not hold for all sizes is followed by its sizes."""
     sizes_of: dict[str, list[int]] = {}
     for measured in series.measurements:
         for note in measured.notes:
@@ -208,6 +208,6 @@
     lines = []
     for note, sizes in sizes_of.items():
         everywhere = len(sizes) == len(series.measurements)
-        place = "" if everywhere else f" ({', '.join(map(str, sizes))} routers)"
-        lines.append(f"note{place}: {note}")
+        suffix = "" if everywhere else f" ({', '.join(map(str, sizes))} routers)"
+        lines.append(f"note{suffix}: {note}")
     return lines
--- a/stonecove/scale/results.py
+++ b/stonecove/scale/results.py
@@ -1,15 +1,15 @@
-"""What a scale run measures, typed. Times in milliseconds, rates a second, sizes in bytes or megabytes."""
+"""Results of a scale run. Times in milliseconds, rates per second, sizes in bytes or megabytes."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass, field
 
-NO_MECHANISM = -1.0  # a figure that nothing in the program can give yet
+NO_MECHANISM = -1.0  # value of a figure that was not measured
 
 
 @dataclass(frozen=True, slots=True)
 class Delays:
-    """Delays of many events: from the first byte at a control machine until the last router has each."""
+    """Delays of many events, from the first byte at a control machine until the last router has each."""
 
     count: int
     p50_ms: float
@@ -19,24 +19,24 @@
 
 @dataclass(frozen=True, slots=True)
 class ControlCost:
-    """What control costs one router, the mean over all hollow ones."""
+    """Cost of control traffic for one router, the mean over all hollow ones."""
 
     received_bytes_a_second: float  # payload
     sent_bytes_a_second: float  # payload
-    header_bytes_a_second: float  # the allowance for headers and acknowledgements, both ways
+    header_bytes_a_second: float  # estimate for headers and acknowledgements, both ways
     cpu_percent: float  # of one core
     memory_mb: float
-    cpu_percent_alone: float = 0.0  # of one hollow router that has a process to itself, as real ones have
+    cpu_percent_alone: float = 0.0  # of one hollow router in a process of its own, like a real router
 
     @property
     def bytes_a_second(self) -> float:
-        """All bytes, both ways, with the allowance for headers."""
+        """Return all bytes per second, both ways, headers included."""
         return self.received_bytes_a_second + self.sent_bytes_a_second + self.header_bytes_a_second
 
 
 @dataclass(frozen=True, slots=True)
 class MachineCost:
-    """What one control machine spends."""
+    """Resource usage of one control machine."""
 
     name: str
     cpu_percent: float  # of one core
@@ -47,17 +47,17 @@
 
 @dataclass(frozen=True, slots=True)
 class FaultResult:
-    """One fault, and how long it took until all routers were level again; negative if they never were."""
+    """One fault, and the time until all routers had caught up; negative if they never did."""
 
     name: str
     level_ms: float
-    purge_max_ms: float  # of the routers that the fault did not touch, while it lasted
+    purge_max_ms: float  # of the routers not affected by the fault, while it lasted
     note: str = ""
 
 
 @dataclass(frozen=True, slots=True)
 class Measurement:
-    """One size, played."""
+    """The measurements at one size."""
 
     routers: int
     hollow: int
@@ -66,7 +66,7 @@
     seconds: float
     purges: int
     purge: Delays
-    config: Delays | None  # None while there is no mechanism
+    config: Delays | None  # None without roll-outs
     cost: ControlCost
     machines: tuple[MachineCost, ...]
     faults: tuple[FaultResult, ...] = ()
--- a/stonecove/scale/router_tables.py
+++ b/stonecove/scale/router_tables.py
@@ -1,4 +1,4 @@
-"""The configuration of each router of a scale run, as the platform gives one."""
+"""Build the configuration of each router of a scale run, as the platform provides it."""
 
 from __future__ import annotations
 
@@ -7,24 +7,24 @@
 from collections.abc import Iterable, Mapping
 from typing import Any
 
-from stonecove.scale.topology import ZONES, RouterPlace, control_address
+from stonecove.scale.topology import ZONES, RouterLocation, control_address
 from stonecove.standins import webserver
 from stonecove.standins.depot import Depot
 
-ZONE_LINK = 6e6  # KB a second of a zone's link
+ZONE_LINK_KB_PER_S = 6e6
 CORES, MEMORY_MB, SOCKETS = 1.0, 192, 1024
-HOSTS_OF_A_NET = 250
-DROPPED = "127.0.0.1:9"  # where a router would listen that takes no requests
+HOSTS_PER_SUBNET = 250
+UNUSED_LISTEN_ADDRESS = "127.0.0.1:9"  # for routers that receive no requests
 
 
-def shared_table(places: Iterable[RouterPlace], depot: Depot, swarm: bool) -> dict[str, Any]:
-    """What all routers are told alike; `swarm`: they may speak to each other."""
-    by_zone = Counter(place.zone for place in places)
+def shared_table(locations: Iterable[RouterLocation], depot: Depot, swarm: bool) -> dict[str, Any]:
+    """Return the configuration that all routers share; `swarm` permits gossip among them."""
+    routers_by_zone = Counter(location.zone for location in locations)
     settings: dict[str, Any] = webserver.settings()
-    settings["fleet_size"] = by_zone.total()
+    settings["fleet_size"] = routers_by_zone.total()
     settings["areas"] = ["central", *(f"edge-{zone}" for zone in range(1, ZONES + 1))]
-    settings["domain"]["instances_by_zone"] = [by_zone[zone] for zone in range(ZONES + 1)]
-    settings["domain"]["zone_link_kb_per_s"] = [0.0] + [ZONE_LINK] * ZONES
+    settings["domain"]["instances_by_zone"] = [routers_by_zone[zone] for zone in range(ZONES + 1)]
+    settings["domain"]["zone_link_kb_per_s"] = [0.0] + [ZONE_LINK_KB_PER_S] * ZONES
     settings["limits"]["peers"] = swarm
     return {
         "known": depot.known(),
@@ -33,21 +33,23 @@
     }
 
 
-def own_table(place: RouterPlace, ports: tuple[int, ...], seed: int, listen: str = DROPPED) -> dict[str, Any]:
-    """What differs of one router; `ports`: of the control machines."""
-    host, port = control_address(place, ports)
+def router_table(
+    location: RouterLocation, ports: tuple[int, ...], seed: int, listen: str = UNUSED_LISTEN_ADDRESS
+) -> dict[str, Any]:
+    """Return the configuration that differs for one router; `ports` are those of the control machines."""
+    host, port = control_address(location, ports)
     return {
-        "name": place.name,
-        "zone": place.zone,
+        "name": location.name,
+        "zone": location.zone,
         "listen": listen,
-        "seed": f"{seed + place.router:x}",
+        "seed": f"{seed + location.router:x}",
         "changelog": f"{host}:{port}",
     }
 
 
-def peer_tables(places: Iterable[RouterPlace]) -> dict[int, dict[str, Any]]:
-    """Where each router listens for the others' datagrams, and where it finds them; by its number."""
-    numbers = [place.router for place in places]
+def peer_tables(locations: Iterable[RouterLocation]) -> dict[int, dict[str, Any]]:
+    """Return each router's gossip address and those of its peers, by router number."""
+    numbers = [location.router for location in locations]
     with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as probe:
         probe.bind((_peer_host(0), 0))
         port = probe.getsockname()[1]
@@ -62,11 +64,11 @@
 
 
 def _peer_host(router: int) -> str:
-    """A loopback address for a router's datagrams, that of no other one."""
-    return f"127.92.{router // HOSTS_OF_A_NET}.{1 + router % HOSTS_OF_A_NET}"
+    """Return a loopback address for a router's datagrams that no other router has."""
+    return f"127.92.{router // HOSTS_PER_SUBNET}.{1 + router % HOSTS_PER_SUBNET}"
 
 
-def whole_table(shared: Mapping[str, Any], own: Mapping[str, Any]) -> dict[str, Any]:
-    """Both together, as a router reads them."""
-    rest = {name: value for name, value in own.items() if name != "zone"}
-    return {**shared, **rest, "settings": {**shared["settings"], "zone": own["zone"]}}
+def complete_table(shared: Mapping[str, Any], own: Mapping[str, Any]) -> dict[str, Any]:
+    """Return both parts merged, as a router reads them."""
+    own_values = {name: value for name, value in own.items() if name != "zone"}
+    return {**shared, **own_values, "settings": {**shared["settings"], "zone": own["zone"]}}
--- a/stonecove/scale/run.py
+++ b/stonecove/scale/run.py
@@ -1,4 +1,4 @@
-"""Plays one size of a scale run: real and hollow routers, three control machines, an ordinary day, faults."""
+"""Play one size of a scale run: real and hollow routers, control machines, an ordinary day, faults."""
 
 from __future__ import annotations
 
@@ -13,31 +13,38 @@
 from types import FrameType
 from typing import Any
 
-from stonecove.scale.configuration import Applied, RolloutPath, configuration_delays
+from stonecove.scale.configuration import Applied, RolloutDriver, configuration_delays
 from stonecove.scale.control_machine import FIRST_NUMBER
 from stonecove.scale.control_plane import ControlPlane, MachineReport
-from stonecove.scale.event_log import DAY, EventLog, OrdinaryDay
-from stonecove.scale.faults import FAULTS, LASTS, Window
+from stonecove.scale.event_log import DAY_S, ChurnGenerator, EventLog
+from stonecove.scale.faults import FAULT_DURATION_S, FAULTS, Window
 from stonecove.scale.hollow import HEADER_BYTES
 from stonecove.scale.hollow_fleet import FleetSample, HollowFleet
-from stonecove.scale.ledger import Life, Published, earliest, lost, purge_delays, repeated
+from stonecove.scale.ledger import (
+    Incarnation,
+    Published,
+    count_lost,
+    count_repeated,
+    earliest_first_bytes_ns,
+    purge_delays,
+)
 from stonecove.scale.options import ScaleOptions
-from stonecove.scale.real_routers import RealRouters, Requests, Spent
+from stonecove.scale.real_routers import RealRouters, Requests, ResourceUsage
 from stonecove.scale.results import Delays, Measurement
-from stonecove.scale.router_tables import own_table, peer_tables, shared_table, whole_table
-from stonecove.scale.topology import MACHINES, ZONES, RouterPlace, place_of
-from stonecove.standins.loaded import Bears, LoadedDepot
+from stonecove.scale.router_tables import complete_table, peer_tables, router_table, shared_table
+from stonecove.scale.topology import MACHINES, ZONES, RouterLocation, location_of
+from stonecove.standins.loaded import LoadedDepot, ServerCapacity
 from stonecove.trial.processes import free_address
 
-READY_WITHIN = 60.0  # seconds for the start of all routers
-LEVEL_WITHIN = 20.0  # seconds at the end of each part until all routers have all events
-SETTLES = 1.0  # seconds after the start until anything is measured
-POLL = 0.05  # seconds between two looks whether routers are level
+READY_TIMEOUT_S = 60.0  # for the start of all routers
+CATCH_UP_TIMEOUT_S = 20.0  # at the end of each phase, until all routers have all events
+SETTLE_S = 1.0  # after the start, before measurements begin
+POLL_INTERVAL_S = 0.05  # between two checks whether routers have caught up
 CENTRAL_SERVERS = 2  # one parent and one origin, counted among the caches
-LINK_WEIGHT = 16.0  # transfers at once that a cache's link carries
+LINK_WEIGHT = 16.0  # concurrent transfers on a cache's link
 CONFIGURATIONS_A_DAY = 1600.0
-# The caches are there to be asked, not to be measured: they bear more than any load that is played.
-SERVERS_BEAR = Bears(origin=4000.0, work=0.005, places=64, parent_places=64, patience=1.0)
+# The caches only answer requests and are not measured: their capacity exceeds any load that is played.
+SERVER_CAPACITY = ServerCapacity(origin_per_s=4000.0, work_s=0.005, slots=64, parent_slots=64, max_wait_s=1.0)
 
 
 class ScaleError(Exception):
@@ -45,217 +52,237 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Calm:
-    """What was measured without faults: events from `first` to `last`, and what all spent meanwhile."""
+class FaultFreePhase:
+    """The phase without faults: events from `first` to `last`, and resource usage before and after."""
 
     seconds: float
-    began: int  # ns
-    ended: int  # ns, when all routers had all of its events
+    started_at_ns: int
+    ended_at_ns: int  # when all routers had all of its events
     first: int
     last: int
     before: FleetSample
     after: FleetSample
     machines_before: list[MachineReport]
     machines_after: list[MachineReport]
-    real_before: Spent
-    real_after: Spent
+    real_before: ResourceUsage
+    real_after: ResourceUsage
     requests: Requests
 
 
 class ScaleRun:
-    """Everything that takes part in one size. Ends all that it started by `close`, whatever happens."""
+    """All processes and threads of one size; `close` stops them in every case."""
 
     def __init__(self, options: ScaleOptions, routers: int, folder: Path) -> None:
-        """Nothing runs yet; `folder` takes logs."""
+        """Create a run without starting anything; logs go to `folder`."""
         self.options, self.folder = options, folder
-        self.places: list[RouterPlace] = [place_of(router) for router in range(routers)]
+        self.locations: list[RouterLocation] = [location_of(router) for router in range(routers)]
         self.log = EventLog()
         self.windows: list[Window] = []
-        self.rollout: RolloutPath | None = None
-        self.applied: list[Applied] = []  # changes of settings while it was calm
-        self._ending = contextlib.ExitStack()
+        self.rollout: RolloutDriver | None = None
+        self.applied: list[Applied] = []  # settings versions applied in the phase without faults
+        self._exit_stack = contextlib.ExitStack()
 
     def start(self) -> None:
-        """Starts everything, and waits until all routers follow their control machines."""
+        """Start everything, and wait until all routers follow their control machines."""
         options = self.options
-        self.depot = LoadedDepot(max(1, options.caches - CENTRAL_SERVERS), LINK_WEIGHT, ZONES, SERVERS_BEAR)
-        self._ending.callback(self.depot.close)
+        self.depot = LoadedDepot(
+            max(1, options.caches - CENTRAL_SERVERS), LINK_WEIGHT, ZONES, SERVER_CAPACITY
+        )
+        self._exit_stack.callback(self.depot.close)
         self.control = ControlPlane(self.folder, self.log)
-        self._ending.callback(self.control.close)
-        shared = shared_table(self.places, self.depot, options.swarm)
+        self._exit_stack.callback(self.control.close)
+        shared = shared_table(self.locations, self.depot, options.swarm)
         if options.rollout:
-            self.rollout = RolloutPath(self.folder)
-            self._ending.callback(self.rollout.close)
+            self.rollout = RolloutDriver(self.folder)
+            self._exit_stack.callback(self.rollout.close)
             shared["coordination"] = self.rollout.servers
-        hollow = [place for place in self.places if place.router >= options.real]
-        tables = {place.router: self._own_table(place) for place in hollow}
+        hollow = [location for location in self.locations if location.router >= options.real]
+        own_tables = {location.router: self._own_table(location) for location in hollow}
         if options.swarm:
             for router, peers in peer_tables(hollow).items():
-                tables[router] |= peers
-        self.hollow = HollowFleet(self.folder, shared, tables, options.hollow_per_process)
-        self._ending.callback(self.hollow.close)
+                own_tables[router] |= peers
+        self.hollow = HollowFleet(self.folder, shared, own_tables, options.hollow_per_process)
+        self._exit_stack.callback(self.hollow.close)
         self.real = RealRouters(self.folder, self._real_tables(shared))
-        self._ending.callback(self.real.close)
+        self._exit_stack.callback(self.real.close)
         self.real.start(set(range(options.real)))
         self.hollow.start_all()
-        self.real.wait_ready(READY_WITHIN)
-        self._wait(lambda: self.hollow.sample().heard == len(self.hollow), READY_WITHIN)
+        self.real.wait_ready(READY_TIMEOUT_S)
+        self._require(lambda: self.hollow.sample().receiving == len(self.hollow), READY_TIMEOUT_S)
         self.real.load(options.requests_a_second, options.seed)
-        day = OrdinaryDay(self.log, self.depot, options.purges_a_second, options.day_factor, options.seed)
-        self._ending.callback(day.end)
-        self._day = day
-        time.sleep(SETTLES)
+        churn = ChurnGenerator(
+            self.log, self.depot, options.purges_a_second, options.day_factor, options.seed
+        )
+        self._exit_stack.callback(churn.end)
+        self._churn = churn
+        time.sleep(SETTLE_S)
 
-    def _own_table(self, place: RouterPlace, listen: str = "") -> dict[str, Any]:
-        more = {"listen": listen} if listen else {}
-        return own_table(place, self.control.ports, self.options.seed, **more)
+    def _own_table(self, location: RouterLocation, listen: str = "") -> dict[str, Any]:
+        overrides = {"listen": listen} if listen else {}
+        return router_table(location, self.control.ports, self.options.seed, **overrides)
 
     def _real_tables(self, shared: dict[str, Any]) -> dict[int, dict[str, Any]]:
-        tables = {}
-        for place in self.places[: self.options.real]:
-            host, port = free_address(f"127.91.{place.router // 250}.{1 + place.router % 250}")
-            tables[place.router] = whole_table(shared, self._own_table(place, f"{host}:{port}"))
-        return tables
-
-    def calm(self) -> Calm:
-        """Time without faults; changes of settings are rolled out in it alone."""
+        own_tables = {}
+        for location in self.locations[: self.options.real]:
+            host, port = free_address(f"127.91.{location.router // 250}.{1 + location.router % 250}")
+            own_tables[location.router] = complete_table(shared, self._own_table(location, f"{host}:{port}"))
+        return own_tables
+
+    def measure_fault_free(self) -> FaultFreePhase:
+        """Measure a phase without faults; settings are rolled out only in this phase."""
         if self.rollout is not None:
-            self.rollout.start(len(self.hollow), CONFIGURATIONS_A_DAY / DAY * self.options.day_factor)
+            self.rollout.start(len(self.hollow), CONFIGURATIONS_A_DAY / DAY_S * self.options.day_factor)
         before, machines_before = self.hollow.sample(), self.control.reports()
-        real_before, requests_before = self.real.spent(), self.real.requests()
-        began_ns, first, began = time.time_ns(), self.newest() + 1, time.monotonic()
+        real_before, requests_before = self.real.resource_usage(), self.real.requests()
+        started_at_ns, first, started_at_s = time.time_ns(), self.newest() + 1, time.monotonic()
         time.sleep(self.options.seconds)
-        seconds, last = time.monotonic() - began, self.newest()
+        seconds, last = time.monotonic() - started_at_s, self.newest()
         after, machines_after = self.hollow.sample(), self.control.reports()
-        real_after, requests = self.real.spent(), self.real.requests().since(requests_before)
+        real_after, requests = self.real.resource_usage(), self.real.requests().since(requests_before)
         if self.rollout is not None:
             self.rollout.end()
             self.applied = self.hollow.applied()
-        self.until_level(last, LEVEL_WITHIN)
-        return Calm(seconds, began_ns, time.time_ns(), first, last, before, after, machines_before,
-                    machines_after, real_before, real_after, requests)  # fmt: skip
+        self.wait_until_caught_up(last, CATCH_UP_TIMEOUT_S)
+        return FaultFreePhase(
+            seconds,
+            started_at_ns,
+            time.time_ns(),
+            first,
+            last,
+            before,
+            after,
+            machines_before,
+            machines_after,
+            real_before,
+            real_after,
+            requests,
+        )
 
     def play_faults(self) -> None:
-        """All that are asked for, one after the other."""
+        """Play all faults of the options, one after the other."""
         for name in self.options.faults:
             self.windows.append(FAULTS[name](self))
 
-    def finish(self) -> tuple[list[Life], Published]:
-        """Ends the day; what all routers took, and what they were told."""
-        self._day.end()
-        self.until_level(self.newest(), LEVEL_WITHIN)
+    def finish(self) -> tuple[list[Incarnation], Published]:
+        """End the day's changes; return what all routers applied and what was published."""
+        self._churn.end()
+        self.wait_until_caught_up(self.newest(), CATCH_UP_TIMEOUT_S)
         reports = [report.first_bytes for report in self.control.reports()] + self.control.first_bytes
         count = self.newest() + 1 - FIRST_NUMBER
-        published = Published(FIRST_NUMBER, earliest(reports, count), frozenset(self.log.purges))
-        return self.hollow.lives(), published
+        published = Published(
+            FIRST_NUMBER, earliest_first_bytes_ns(reports, count), frozenset(self.log.purges)
+        )
+        return self.hollow.incarnations(), published
 
     @property
     def pids(self) -> list[int]:
-        """Of all processes but the real routers."""
+        """Return the IDs of all processes but the real routers."""
         return [*self.control.pids, *self.hollow.pids]
 
-    # -- what a fault acts upon --
+    # -- FaultTarget --
 
     @property
     def ports(self) -> tuple[int, ...]:
-        """Of the control machines."""
+        """Return the ports of the control machines."""
         return self.control.ports
 
     def newest(self) -> int:
-        """The number of the newest event."""
+        """Return the number of the newest event."""
         return self.log.last
 
     def kill_machine(self, machine: int) -> None:
-        """Ends a control machine without a word."""
+        """Kill a control machine with SIGKILL."""
         self.control.kill(machine)
 
     def start_machine(self, machine: int) -> None:
-        """Starts it again, at the same address."""
+        """Start a killed control machine at the same address."""
         self.control.start(machine)
 
-    def cut(self, zones: list[int], cut: bool, machines: list[int] | None = None) -> None:
-        """Cuts the ways between zones and control machines (None: all), or joins them."""
-        self.control.cut(zones, cut, range(MACHINES) if machines is None else machines)
+    def partition(self, zones: list[int], partitioned: bool, machines: list[int] | None = None) -> None:
+        """Start or end a partition between zones and control machines (None: all)."""
+        self.control.partition(zones, partitioned, range(MACHINES) if machines is None else machines)
 
     def kill_routers(self, routers: set[int]) -> None:
-        """Ends routers without a word."""
+        """Kill the real ones of these routers; stop the hollow ones as if they were killed."""
         self.hollow.kill(routers)
         self.real.kill(routers)
 
-    def start_routers(self, routers: set[int], within: float) -> None:
-        """Starts them again, spread over so many seconds; the real ones at once."""
-        self.hollow.start(routers, within)
+    def start_routers(self, routers: set[int], spread_s: float) -> None:
+        """Start killed routers, hollow ones spread over this many seconds."""
+        self.hollow.start(routers, spread_s)
         self.real.start(routers)
 
-    def until_level(self, number: int, patience: float) -> bool:
-        """Waits until all routers run and have that event in force; says whether it came to that."""
-        return self._until(lambda: self.hollow.behind(number) == 0 and self.real.ready(), patience)
+    def wait_until_caught_up(self, number: int, timeout_s: float) -> bool:
+        """Wait until all routers run and have applied this event; return False on timeout."""
+        return self._poll_until(
+            lambda: self.hollow.count_lagging(number) == 0 and self.real.ready(), timeout_s
+        )
 
     @staticmethod
-    def _until(holds: Callable[[], bool], patience: float) -> bool:
-        limit = time.monotonic() + patience
-        while not holds():
-            if time.monotonic() > limit:
+    def _poll_until(condition: Callable[[], bool], timeout_s: float) -> bool:
+        deadline_s = time.monotonic() + timeout_s
+        while not condition():
+            if time.monotonic() > deadline_s:
                 return False
-            time.sleep(POLL)
+            time.sleep(POLL_INTERVAL_S)
         return True
 
-    def _wait(self, holds: Callable[[], bool], patience: float) -> None:
-        if not self._until(holds, patience):
-            raise ScaleError(f"not all routers hear their control machines; see {self.folder}")
+    def _require(self, condition: Callable[[], bool], timeout_s: float) -> None:
+        if not self._poll_until(condition, timeout_s):
+            raise ScaleError(f"not all routers receive frames from their control machines; see {self.folder}")
 
     def close(self) -> None:
-        """Ends all that it started."""
-        self._ending.close()
+        """Stop everything that was started."""
+        self._exit_stack.close()
 
 
 def play(options: ScaleOptions, routers: int) -> Measurement:
-    """Plays one size; raises ScaleError, ChildError or RealRouterError.
+    """Play one size; raises ScaleError, ChildError or RealRouterError.
 
-    All that it started has ended then, also after an error, an interrupt or SIGTERM.
+    Everything that it started has ended when it returns, also after an error, an interrupt or SIGTERM.
     """
-    with contextlib.ExitStack() as ending:
-        ending.enter_context(_ended_by_sigterm())
-        folder = options.folder or Path(ending.enter_context(tempfile.TemporaryDirectory()))
+    with contextlib.ExitStack() as exit_stack:
+        exit_stack.enter_context(_exit_on_sigterm())
+        folder = options.folder or Path(exit_stack.enter_context(tempfile.TemporaryDirectory()))
         folder.mkdir(parents=True, exist_ok=True)
         run = ScaleRun(options, routers, folder)
-        ending.callback(run.close)
+        exit_stack.callback(run.close)
         run.start()
-        calm = run.calm()
+        phase = run.measure_fault_free()
         run.play_faults()
-        lives, published = run.finish()
-        return _measurement(run, calm, lives, published)
+        incarnations, published = run.finish()
+        return _measurement(run, phase, incarnations, published)
 
 
 def _measurement(
     run: ScaleRun,
-    calm: Calm,
-    lives: list[Life],
+    phase: FaultFreePhase,
+    incarnations: list[Incarnation],
     published: Published,
 ) -> Measurement:
     hollow = len(run.hollow)
-    purge = purge_delays(_lives_of(calm, lives), published, calm.first, calm.last)
+    purge = purge_delays(_incarnations_during(phase, incarnations), published, phase.first, phase.last)
     machines = tuple(
-        after.cost_since(before, f"control-{place}", calm.seconds)
-        for place, (before, after) in enumerate(zip(calm.machines_before, calm.machines_after, strict=True))
+        after.cost_since(before, f"control-{index}", phase.seconds)
+        for index, (before, after) in enumerate(zip(phase.machines_before, phase.machines_after, strict=True))
     )
     return Measurement(
-        routers=len(run.places),
+        routers=len(run.locations),
         hollow=hollow,
         real=len(run.real),
         caches=run.options.caches,
-        seconds=calm.seconds,
-        purges=sum(calm.first <= number <= calm.last for number in published.purges),
+        seconds=phase.seconds,
+        purges=sum(phase.first <= number <= phase.last for number in published.purges),
         purge=purge,
         config=_configuration_delays(run),
-        cost=calm.after.cost_since(calm.before, hollow, calm.seconds),
+        cost=phase.after.cost_since(phase.before, hollow, phase.seconds),
         machines=machines,
-        faults=tuple(window.result(lives, published) for window in run.windows),
-        lost=lost(lives, published),
-        repeated=repeated(lives),
-        requests_answered=calm.requests.answered,
-        requests_failed=calm.requests.failed,
-        notes=_notes(run, calm),
+        faults=tuple(window.result(incarnations, published) for window in run.windows),
+        lost=count_lost(incarnations, published),
+        repeated=count_repeated(incarnations),
+        requests_answered=phase.requests.answered,
+        requests_failed=phase.requests.failed,
+        notes=_notes(run, phase),
     )
 
 
@@ -265,46 +292,51 @@
     return configuration_delays(run.rollout.changes, run.applied, frozenset(run.hollow.routers))
 
 
-def _lives_of(calm: Calm, lives: list[Life]) -> list[Life]:
-    """Of the routers while it was calm."""
-    return [life for life in lives if life.began < calm.began and not 0 < life.ended <= calm.ended]
+def _incarnations_during(phase: FaultFreePhase, incarnations: list[Incarnation]) -> list[Incarnation]:
+    """Return the incarnations that ran throughout the phase."""
+    return [
+        incarnation
+        for incarnation in incarnations
+        if incarnation.started_at_ns < phase.started_at_ns
+        and not 0 < incarnation.ended_at_ns <= phase.ended_at_ns
+    ]
 
 
-def _notes(run: ScaleRun, calm: Calm) -> tuple[str, ...]:
+def _notes(run: ScaleRun, phase: FaultFreePhase) -> tuple[str, ...]:
     options = run.options
-    alone = calm.after.cost_since(calm.before, len(run.hollow), calm.seconds).cpu_percent_alone
+    cpu_percent_alone = phase.after.cost_since(phase.before, len(run.hollow), phase.seconds).cpu_percent_alone
     notes = [
-        "purge delays and times until level are those of hollow routers; real ones count for their load and "
-        "their own cost, and have to be ready before a fault counts as over",
-        "a hollow router that is killed closes its connection and begins anew within its process",
-        "in a cut, connections come up and stay mute",
+        "purge delays and catch-up times are those of hollow routers; real ones only carry load, show their "
+        "own cost, and have to be ready before a fault counts as over",
+        "a hollow router that is killed closes its connection and restarts within its process",
+        "in a partition, connections are established but carry no data",
         f"headers: {HEADER_BYTES} bytes for each TCP segment and bare ACK, as the kernel counts them",
         f"CPU of a hollow router: its process's, divided by the routers in it ({options.hollow_per_process} "
-        f"at most); one with a process to itself spent {alone:.2f} % of a core",
-        "memory of a hollow router: what its process has beyond one without routers, divided likewise",
-        f"list changes: {options.day_factor:g} times as fast as on an ordinary day",
-        f"a control machine that is killed comes back at the same address after {LASTS:g} s",
+        f"at most); one with a process to itself spent {cpu_percent_alone:.2f} % of a core",
+        "memory of a hollow router: what its process uses beyond one without routers, divided likewise",
+        f"endpoint list changes: {options.day_factor:g} times as fast as on an ordinary day",
+        f"a control machine that is killed restarts at the same address after {FAULT_DURATION_S:g} s",
     ]
     if real := len(run.real):
-        cpu = 100.0 * (calm.real_after.cpu - calm.real_before.cpu) / calm.seconds / real
-        memory = calm.real_after.memory_mb / real
-        notes.append(f"a real router under load: {cpu:.1f} % of a core, {memory:.0f} MB")
+        cpu_percent = 100.0 * (phase.real_after.cpu_s - phase.real_before.cpu_s) / phase.seconds / real
+        memory_mb = phase.real_after.memory_mb / real
+        notes.append(f"a real router under load: {cpu_percent:.1f} % of a core, {memory_mb:.0f} MB")
     if run.rollout is not None:
         notes.append(
-            "changes of settings go to hollow routers alone, by a stand-in of the coordination service in "
-            f"one process, one roll-out after the other; complete: {len(run.rollout.changes)}"
+            "changes of settings go to hollow routers only, through a stand-in of the coordination service "
+            f"in one process, one roll-out after the other; complete: {len(run.rollout.changes)}"
         )
         notes += [f"a roll-out was not complete: {why}" for why in run.rollout.unfinished]
     if run.control.cut_off:
-        notes.append(f"{run.control.cut_off} followers were cut off as too far behind")
-    bugs = [*calm.after.bugs, *run.real.bugs()]
+        notes.append(f"{run.control.cut_off} followers were disconnected because they lagged too far")
+    bugs = [*phase.after.bugs, *run.real.bugs()]
     notes += [f"a router logged a bug: {bug}" for bug in bugs]
     return tuple(notes)
 
 
 @contextlib.contextmanager
-def _ended_by_sigterm() -> Iterator[None]:
-    """SIGTERM ends the run as an interrupt does, so that all that it started is ended."""
+def _exit_on_sigterm() -> Iterator[None]:
+    """Let SIGTERM end the run as an interrupt does, so that everything started is stopped."""
     if threading.current_thread() is not threading.main_thread():
         yield
         return
--- a/stonecove/scale/series.py
+++ b/stonecove/scale/series.py
@@ -1,6 +1,6 @@
-"""Plays all sizes of a scale run in order, and predicts the last from the others before it is played.
+"""Play all sizes of a scale run in order, and predict the last from the others before it is played.
 
-Faults are played at the last size alone: no fitted figure is of a time with faults.
+Faults are played at the last size only, so no fitted figure includes time with faults.
 """
 
 from __future__ import annotations
@@ -18,18 +18,18 @@
 
 
 class Listener(Protocol):
-    """Is told of a series while it is played."""
+    """Receives the progress of a series."""
 
     def played(self, measured: Measurement) -> None:
-        """One size was played."""
+        """Handle the measurement of one size."""
 
     def predicted(self, predictions: tuple[Prediction, ...]) -> None:
-        """All sizes but the last were played; the last has not been started."""
+        """Handle the predictions for the last size, which has not been started."""
 
 
 @dataclass(frozen=True, slots=True)
 class Series:
-    """All sizes, played, and what was predicted of the last."""
+    """The measurements at all sizes, and the predictions for the last."""
 
     options: ScaleOptions
     measurements: tuple[Measurement, ...]
@@ -37,12 +37,12 @@
 
     @property
     def largest(self) -> Measurement:
-        """The measurement at the last size."""
+        """Return the measurement at the last size."""
         return self.measurements[-1]
 
 
 def play_series(options: ScaleOptions, play: Play, listener: Listener) -> Series:
-    """Plays each size by `play`; each has its own folder below that of the options, if there is one."""
+    """Play each size with `play`; each gets its own subfolder of the options' folder, if there is one."""
     without_faults = dataclasses.replace(options, faults=())
     measurements = []
     for routers in options.fitted_sizes:
