--- a/stonecove/scale/topology.py
+++ b/stonecove/scale/topology.py
@@ -1,4 +1,4 @@
-"""Where the routers of a scale run stand: sites, zones, regions, and the control machine each follows."""
+"""Topology of a scale run: the site, zone, region and control machine of each router."""
 
 from __future__ import annotations
 
@@ -13,8 +13,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class RouterPlace:
-    """One router's place. Zones count from 1, as 0 is the central one; regions count from 0."""
+class RouterLocation:
+    """Location of one router. Zones count from 1, as 0 is the central one; regions count from 0."""
 
     router: int
     site: int
@@ -24,35 +24,35 @@
 
     @property
     def name(self) -> str:
-        """As its configuration names it."""
+        """Return the name in the router's configuration."""
         return f"edge-{self.router}"
 
 
 def region_of(zone: int) -> int:
-    """The region of a zone."""
+    """Return the region of a zone."""
     return (zone - 1) * REGIONS // ZONES
 
 
-def place_of(router: int) -> RouterPlace:
-    """The place of a router: sites in turn, each in one zone; some zones have two sites."""
+def location_of(router: int) -> RouterLocation:
+    """Return the location of a router: sites in turn, each in one zone; some zones have two sites."""
     site = router % SITES
     zone = 1 + site % ZONES
-    return RouterPlace(router, site, zone, region_of(zone), router % MACHINES)
+    return RouterLocation(router, site, zone, region_of(zone), router % MACHINES)
 
 
 def zones_of(region: int) -> tuple[int, ...]:
-    """The zones of a region."""
+    """Return the zones of a region."""
     return tuple(zone for zone in range(1, ZONES + 1) if region_of(zone) == region)
 
 
 def host_of(machine: int, zone: int) -> str:
-    """The loopback address at which routers of that zone find that control machine.
+    """Return the loopback address at which the routers of a zone reach a control machine.
 
-    One address for each zone lets a control machine know by the socket where a connection comes from.
+    With one address for each zone, the listening socket tells a control machine the zone of a connection.
     """
     return f"127.90.{1 + machine}.{zone}"
 
 
-def control_address(place: RouterPlace, ports: tuple[int, ...]) -> Address:
-    """Where that router finds its change log; `ports`: of each control machine."""
-    return host_of(place.machine, place.zone), ports[place.machine]
+def control_address(location: RouterLocation, ports: tuple[int, ...]) -> Address:
+    """Return the change log's address for a router; `ports` are those of the control machines."""
+    return host_of(location.machine, location.zone), ports[location.machine]
--- a/stonecove/soak/__init__.py
+++ b/stonecove/soak/__init__.py
@@ -1,1 +1,1 @@
-"""Seeded soaks: real routers under signals, rude clients and failing servers, judged from outside."""
+"""Seeded soak tests of real routers, judged by the observations of misbehaving clients and servers."""
--- a/stonecove/soak/depot.py
+++ b/stonecove/soak/depot.py
@@ -1,4 +1,4 @@
-"""A depot whose caches and change log misbehave as a plan says, and which notes all that reaches it."""
+"""A depot stand-in that records all requests; its caches and change log misbehave as planned."""
 
 from __future__ import annotations
 
@@ -13,46 +13,54 @@
 
 from stonecove.protocols import resp
 from stonecove.protocols.buffer import Buffer
-from stonecove.soak.plan import Behaviour, LogBehaviour
-from stonecove.standins.depot import HOST, NOTHING, Cache, Depot, confirmed, event_frame, failed
+from stonecove.soak.plan import CacheBehaviour, LogBehaviour
+from stonecove.standins.depot import (
+    HOST,
+    NOTHING,
+    Cache,
+    Depot,
+    confirmation_response,
+    event_frame,
+    failure_response,
+)
 from stonecove.trial.testbed import GROUP
 
-READ = "item-image"  # the class whose answers are copies
-LATE_S = 0.35
-CLOSE_IDLE_S = 0.1  # after which a cache that closes idle connections does so
-POLL_S = 0.01
-EMPTY_FRAME_S = 1.0
-SLOW_FRAME_S = 0.4  # a slow change log takes so long for each frame
-PIECE_S = 0.002
-CROWD_FRAMES = 50  # empty frames in a row from a crowded change log
-_RESET = struct.pack("ii", 1, 0)
+READ_CLASS = "item-image"  # the request class that is answered from cached copies
+LATE_ANSWER_DELAY_S = 0.35
+CLOSE_IDLE_TIMEOUT_S = 0.1  # idle timeout under CacheBehaviour.CLOSE_IDLE
+POLL_INTERVAL_S = 0.01
+EMPTY_FRAME_INTERVAL_S = 1.0
+SLOW_FRAME_DELAY_S = 0.4  # delay before each frame of a slow change log
+FRAGMENT_INTERVAL_S = 0.002
+BURST_FRAMES = 50  # consecutive empty frames under LogBehaviour.BURST
+_LINGER_RESET = struct.pack("ii", 1, 0)
 
 
 @dataclass(slots=True)
 class Arrival:
-    """A request that reached a server whole."""
+    """A request that a server received completely."""
 
-    at: float  # Unix seconds
-    cache: int
+    received_at: float  # Unix seconds
+    cache_id: int
     txn: str
-    cls: str
+    class_name: str
     source: str
-    proved_at: float | None = None  # when an answer said that it never ran
+    rejected_at: float | None = None  # when an answer stated that the request never executed
 
 
 class SoakCache(Cache):
-    """A cache that closes idle connections, and misbehaves while the depot says so."""
+    """A cache that closes idle connections and applies the fault behaviour set in its depot."""
 
     def _serve(self, sock: socket.socket) -> None:
         depot = self._depot
         assert isinstance(depot, SoakDepot)
         depot.connects.append(time.time() * 1000.0)
         buffer, decoder = Buffer(1 << 20), resp.Decoder()
-        open_ids: set[str] = set()
+        open_request_ids: set[str] = set()
         idle_since = time.monotonic()
         while True:
-            if not select.select([sock], [], [], POLL_S)[0]:
-                if not open_ids and time.monotonic() - idle_since > depot.idle_of(self):
+            if not select.select([sock], [], [], POLL_INTERVAL_S)[0]:
+                if not open_request_ids and time.monotonic() - idle_since > depot.idle_timeout_s(self):
                     return
                 continue
             if not (data := sock.recv(65_536)):
@@ -60,71 +68,79 @@
             idle_since = time.monotonic()
             buffer.feed(data)
             for command in decoder.arrays(buffer):
-                self._take(sock, command, open_ids)
+                self._handle_soak_command(sock, command, open_request_ids)
 
-    def _take(self, sock: socket.socket, command: list[bytes], open_ids: set[str]) -> None:
+    def _handle_soak_command(
+        self, sock: socket.socket, command: list[bytes], open_request_ids: set[str]
+    ) -> None:
         depot, txn = self._depot, command[1].decode()
         assert isinstance(depot, SoakDepot)
         if command[0] != b"fetch":
-            open_ids.discard(txn)
+            open_request_ids.discard(txn)
             return
         self._fetch(sock, command)
-        if depot.behaviours.get(self.ident) in (Behaviour.HANG, Behaviour.NEVER_WHOLE):
-            open_ids.add(txn)
+        if depot.cache_behaviours.get(self.ident) in (CacheBehaviour.HANG, CacheBehaviour.NEVER_COMPLETE):
+            open_request_ids.add(txn)
 
 
 class SoakDepot(Depot):
-    """All servers of a soak."""
+    """The stand-ins for all servers of a soak."""
 
     cache_type = SoakCache
 
-    def __init__(self, caches: int, weight: float, idle_ms: float) -> None:
-        """`idle_ms`: after which caches close idle connections."""
-        self.behaviours: dict[int, Behaviour] = {}  # by cache
+    def __init__(self, cache_count: int, weight: float, idle_timeout_ms: float) -> None:
+        """Start the servers; caches close connections that are idle for `idle_timeout_ms`."""
+        self.cache_behaviours: dict[int, CacheBehaviour] = {}  # by cache identifier
         self.log_behaviour: LogBehaviour | None = None
         self.arrivals: list[Arrival] = []
-        self._idle_s = idle_ms / 1000.0
-        self._mute: set[int] = set()  # connections on which half an answer was left
-        super().__init__(caches, weight)
-
-    def idle_of(self, cache: Cache) -> float:
-        """Return the seconds after which the cache closes an idle connection."""
-        return CLOSE_IDLE_S if self.behaviours.get(cache.ident) is Behaviour.CLOSE_IDLE else self._idle_s
+        self._idle_timeout_s = idle_timeout_ms / 1000.0
+        self._silenced_sockets: set[int] = set()  # id() of sockets on which a truncated answer was sent
+        super().__init__(cache_count, weight)
+
+    def idle_timeout_s(self, cache: Cache) -> float:
+        """Return the cache's idle timeout in seconds."""
+        return (
+            CLOSE_IDLE_TIMEOUT_S
+            if self.cache_behaviours.get(cache.ident) is CacheBehaviour.CLOSE_IDLE
+            else self._idle_timeout_s
+        )
 
     def serve(self, cache: Cache, sock: socket.socket, txn: str, fields: dict[str, str]) -> None:
-        """Answer a request as the cache's behaviour says; raises OSError if the connection is gone."""
+        """Answer a request according to the cache's behaviour; raises OSError if the connection is closed."""
         arrival = Arrival(time.time(), cache.ident, txn, fields["cls"], fields.get("from", ""))
         self.arrivals.append(arrival)
-        behaviour = self.behaviours.get(cache.ident)
-        if id(sock) in self._mute or behaviour is Behaviour.HANG:
+        behaviour = self.cache_behaviours.get(cache.ident)
+        if id(sock) in self._silenced_sockets or behaviour is CacheBehaviour.HANG:
             return
-        if behaviour is Behaviour.REFUSE:
-            sock.sendall(failed(txn, b"503", "no_slot"))
-            arrival.proved_at = arrival.at
+        if behaviour is CacheBehaviour.REFUSE:
+            sock.sendall(failure_response(txn, b"503", "no_slot"))
+            arrival.rejected_at = arrival.received_at
             return
-        if behaviour is Behaviour.FAIL:
-            sock.sendall(failed(txn, b"500", "origin_failed"))
+        if behaviour is CacheBehaviour.FAIL:
+            sock.sendall(failure_response(txn, b"500", "origin_failed"))
             return
         self._send(sock, self.answer(cache, txn, fields), behaviour)
 
     def answer(self, cache: Cache, txn: str, fields: dict[str, str]) -> bytes:
-        """Return an answer with a copy, or with the confirmation of an effect."""
-        return super().answer(cache, txn, fields) if fields["cls"] == READ else confirmed(txn)
+        """Return an answer with a cached copy, or with the confirmation of a side effect."""
+        return (
+            super().answer(cache, txn, fields) if fields["cls"] == READ_CLASS else confirmation_response(txn)
+        )
 
-    def _send(self, sock: socket.socket, answer: bytes, behaviour: Behaviour | None) -> None:
+    def _send(self, sock: socket.socket, answer: bytes, behaviour: CacheBehaviour | None) -> None:
         match behaviour:
-            case Behaviour.LATE:
-                threading.Timer(LATE_S, self._send_late, (sock, answer)).start()
-            case Behaviour.HALF:
+            case CacheBehaviour.LATE:
+                threading.Timer(LATE_ANSWER_DELAY_S, self._send_late, (sock, answer)).start()
+            case CacheBehaviour.TRUNCATED:
                 sock.sendall(answer[: len(answer) // 2])
                 sock.shutdown(socket.SHUT_RDWR)
-            case Behaviour.NEVER_WHOLE:
-                self._mute.add(id(sock))
+            case CacheBehaviour.NEVER_COMPLETE:
+                self._silenced_sockets.add(id(sock))
                 sock.sendall(answer[: len(answer) // 2])
-            case Behaviour.TWICE:
+            case CacheBehaviour.DUPLICATE:
                 sock.sendall(answer + answer)
-            case Behaviour.RESET:
-                sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, _RESET)
+            case CacheBehaviour.RESET:
+                sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, _LINGER_RESET)
                 sock.close()
                 raise ConnectionResetError
             case _:
@@ -136,49 +152,49 @@
             sock.sendall(answer)
 
     def known(self, host: str = HOST) -> dict[str, object]:
-        """Return the list as it stands, and the purges so far, as a configuration tells them at a start."""
+        """Return the current endpoint list and past purges in the form of a start-up configuration."""
         results: Any = super().known(host)["results"]
-        first: dict[str, Any] = results[0]
-        for entry, cache in zip(first["fleet"]["instances"], self.servers, strict=True):
-            entry["lifecycle"], entry["startedAtMs"] = cache.state, int(cache.started)
-        number = len(self._events) + 1
-        first["seq"] = number - len(self._purges)
+        snapshot: dict[str, Any] = results[0]
+        for entry, cache in zip(snapshot["fleet"]["instances"], self.servers, strict=True):
+            entry["lifecycle"], entry["startedAtMs"] = cache.state, int(cache.started_ms)
+        sequence_number = len(self._events) + 1
+        snapshot["seq"] = sequence_number - len(self._purges)
         purges = [
-            {"seq": first["seq"] + place, "invalidate": {"bucket": GROUP, "time": int(moment)}}
-            for place, moment in enumerate(self._purges, 1)
+            {"seq": snapshot["seq"] + offset, "invalidate": {"bucket": GROUP, "time": int(purged_at_ms)}}
+            for offset, purged_at_ms in enumerate(self._purges, 1)
         ]
-        return {"seq": number, "results": [first, *purges]}
+        return {"seq": sequence_number, "results": [snapshot, *purges]}
 
     # -- the change log --
 
     def _follow(self, host: str, sock: socket.socket) -> None:
-        (position,) = struct.unpack(">Q", sock.recv(8, socket.MSG_WAITALL))
-        empty_at = time.monotonic()
+        (next_event,) = struct.unpack(">Q", sock.recv(8, socket.MSG_WAITALL))
+        next_empty_frame_at = time.monotonic()
         while True:
             behaviour = self.log_behaviour
-            if select.select([sock], [], [], POLL_S)[0] and not sock.recv(1):
+            if select.select([sock], [], [], POLL_INTERVAL_S)[0] and not sock.recv(1):
                 return
             if behaviour is LogBehaviour.SILENT:
                 continue
             with self._lock:
-                events = self._events[max(0, position - 1) :]
+                events = self._events[max(0, next_event - 1) :]
             for event in events:
                 self._send_frame(sock, event(host), behaviour)
-                position += 1
+                next_event += 1
             with self._lock:
-                current = position == len(self._events) + 1
-            if current and (behaviour is LogBehaviour.CROWDED or time.monotonic() >= empty_at):
-                count = CROWD_FRAMES if behaviour is LogBehaviour.CROWDED else 1
-                self._send_frame(sock, event_frame(position, NOTHING) * count, behaviour)
-                empty_at = time.monotonic() + EMPTY_FRAME_S
+                is_current = next_event == len(self._events) + 1
+            if is_current and (behaviour is LogBehaviour.BURST or time.monotonic() >= next_empty_frame_at):
+                frame_count = BURST_FRAMES if behaviour is LogBehaviour.BURST else 1
+                self._send_frame(sock, event_frame(next_event, NOTHING) * frame_count, behaviour)
+                next_empty_frame_at = time.monotonic() + EMPTY_FRAME_INTERVAL_S
 
     @staticmethod
     def _send_frame(sock: socket.socket, frame: bytes, behaviour: LogBehaviour | None) -> None:
         if behaviour is LogBehaviour.SLOW:
-            time.sleep(SLOW_FRAME_S)
-        if behaviour is not LogBehaviour.PIECES:
+            time.sleep(SLOW_FRAME_DELAY_S)
+        if behaviour is not LogBehaviour.FRAGMENTED:
             sock.sendall(frame)
             return
-        for place in range(len(frame)):
-            sock.sendall(frame[place : place + 1])
-            time.sleep(PIECE_S)
+        for index in range(len(frame)):
+            sock.sendall(frame[index : index + 1])
+            time.sleep(FRAGMENT_INTERVAL_S)
--- a/stonecove/soak/host.py
+++ b/stonecove/soak/host.py
@@ -1,4 +1,4 @@
-"""Watches the host of a soak: how late its threads run, and what the routers' processes use."""
+"""Monitors for a soak's host: thread wake-up delays, and the routers' descriptors and memory."""
 
 from __future__ import annotations
 
@@ -8,70 +8,76 @@
 
 from stonecove.trial.processes import RouterProcess
 
-STEP_S = 0.005
-SAMPLE_S = 0.2
-_KB = 1024
+SLEEP_STEP_S = 0.005
+SAMPLE_INTERVAL_S = 0.2
+_KB_PER_MB = 1024
 
 
 class HostLag:
-    """Measures by how much a sleeping thread of this process wakes late."""
+    """Measures how late a sleeping thread of this process wakes up."""
 
     def __init__(self) -> None:
-        """Begin to measure."""
-        self._late: list[tuple[float, float]] = []  # when, and by how many seconds; those over a step alone
-        self._over = threading.Event()
-        self._thread = threading.Thread(target=self._watch, daemon=True)
+        """Start the measuring thread."""
+        # Unix seconds and delay in seconds; only sleeps that took over two steps.
+        self._delays: list[tuple[float, float]] = []
+        self._stopped = threading.Event()
+        self._thread = threading.Thread(target=self._run, daemon=True)
         self._thread.start()
 
-    def _watch(self) -> None:
-        last = time.time()
-        while not self._over.is_set():
-            time.sleep(STEP_S)
+    def _run(self) -> None:
+        last_woke_at = time.time()
+        while not self._stopped.is_set():
+            time.sleep(SLEEP_STEP_S)
             now = time.time()
-            if now - last > 2.0 * STEP_S:
-                self._late.append((now, now - last - STEP_S))
-            last = now
+            if now - last_woke_at > 2.0 * SLEEP_STEP_S:
+                self._delays.append((now, now - last_woke_at - SLEEP_STEP_S))
+            last_woke_at = now
 
-    def worst(self, since: float, until: float) -> float:
-        """Return the longest delay, in seconds, that ended between two Unix seconds or just after them."""
-        return max((late for at, late in self._late if since <= at <= until + 0.1 + late), default=0.0)
+    def worst_s(self, since: float, until: float) -> float:
+        """Return the longest delay in seconds that ended between two Unix times or shortly after."""
+        return max(
+            (delay_s for woke_at, delay_s in self._delays if since <= woke_at <= until + 0.1 + delay_s),
+            default=0.0,
+        )
 
     def close(self) -> None:
-        """Stop measuring."""
-        self._over.set()
+        """Stop the measuring thread and wait for it."""
+        self._stopped.set()
         self._thread.join()
 
 
-class ProcessUse:
-    """Samples descriptors and memory of routers while they run."""
+class ProcessUsage:
+    """Samples the peak descriptor count and memory of each running router."""
 
     def __init__(self, routers: list[RouterProcess]) -> None:
-        """Begin to sample."""
+        """Start the sampling thread."""
         self.descriptors = [0] * len(routers)
         self.memory_mb = [0.0] * len(routers)
         self._routers = routers
-        self._over = threading.Event()
-        self._thread = threading.Thread(target=self._watch, daemon=True)
+        self._stopped = threading.Event()
+        self._thread = threading.Thread(target=self._run, daemon=True)
         self._thread.start()
 
-    def _watch(self) -> None:
-        while not self._over.wait(SAMPLE_S):
-            for place, router in enumerate(self._routers):
+    def _run(self) -> None:
+        while not self._stopped.wait(SAMPLE_INTERVAL_S):
+            for router_index, router in enumerate(self._routers):
                 if router.process is not None and router.running:
-                    self._sample(place, router.process.pid)
+                    self._sample(router_index, router.process.pid)
 
-    def _sample(self, place: int, pid: int) -> None:
+    def _sample(self, router_index: int, pid: int) -> None:
         try:
-            count = sum(1 for _ in Path(f"/proc/{pid}/fd").iterdir())
+            descriptor_count = sum(1 for _ in Path(f"/proc/{pid}/fd").iterdir())
             status = Path(f"/proc/{pid}/status").read_text()
-        except OSError:  # it has ended just now
+        except OSError:  # the process has just exited
             return
-        self.descriptors[place] = max(self.descriptors[place], count)
+        self.descriptors[router_index] = max(self.descriptors[router_index], descriptor_count)
         for line in status.splitlines():
             if line.startswith("VmHWM:"):
-                self.memory_mb[place] = max(self.memory_mb[place], int(line.split()[1]) / _KB)
+                self.memory_mb[router_index] = max(
+                    self.memory_mb[router_index], int(line.split()[1]) / _KB_PER_MB
+                )
 
     def close(self) -> None:
-        """Stop sampling."""
-        self._over.set()
+        """Stop the sampling thread and wait for it."""
+        self._stopped.set()
         self._thread.join()
--- a/stonecove/soak/judge.py
+++ b/stonecove/soak/judge.py
@@ -1,7 +1,7 @@
-"""Judges a soak by what clients and servers saw, and by how the routers' processes ended.
+"""Judges a soak by the observations of clients and servers, and by the exits of the router processes.
 
-Each rule has the sentence of the protocol or deployment page that it stands for. Times have the slack of
-those pages, and the longest delay of the judging host's own threads.
+Each rule quotes the sentence of the protocol or deployment specification that it checks. Time limits include
+the tolerance of the specification and the longest wake-up delay of the judging host's threads.
 """
 
 from __future__ import annotations
@@ -11,7 +11,7 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from stonecove.soak.clients import Fate, SentRequest
+from stonecove.soak.clients import Outcome, SentRequest
 from stonecove.soak.depot import Arrival
 from stonecove.soak.plan import Effect
 from stonecove.soak.play import SoakRecord
@@ -22,10 +22,10 @@
     judge_processes,
 )
 
-LEFT_GRACE_S = 0.1  # nothing begins so long after its client left
-LEFT_SLACK_S = 0.15  # an attempt is noted once it has come whole, by threads of a busy host
-WINDOW_SLACK_S = 0.2  # an attempt is noted once it has come whole
-ERRORS = ("Traceback (most recent call last)", " internal_error ", " request_undecided ")
+DISCONNECT_GRACE_S = 0.1  # no attempt starts later than this after its client disconnected
+DISCONNECT_TOLERANCE_S = 0.15  # attempts are recorded when complete, by threads of a busy host
+WINDOW_TOLERANCE_S = 0.2  # attempts are recorded when complete
+LOG_ERROR_PATTERNS = ("Traceback (most recent call last)", " internal_error ", " request_undecided ")
 
 RULES = {
     "answer": "the request is lost if that connection ends without a whole answer",
@@ -48,46 +48,58 @@
 
 
 @dataclass(frozen=True, slots=True)
-class BrokenRule:
-    """A rule that was broken: when, in seconds after the load began, and how."""
+class SoakViolation:
+    """A violation of a rule; `at_s` is in seconds after the load began."""
 
     rule: str
-    at: float
-    what: str
+    at_s: float
+    details: str
 
     def summary(self) -> str:
-        """Return one line for people."""
-        return f"{self.rule} at {self.at:.2f} s: {self.what}"
+        """Return a one-line description for display."""
+        return f"{self.rule} at {self.at_s:.2f} s: {self.details}"
 
 
 @dataclass(slots=True)
 class SoakVerdict:
-    """What a soak broke, and its figures."""
+    """The violations and figures of a soak."""
 
     seed: int
-    broken: list[BrokenRule] = field(default_factory=list)
+    violations: list[SoakViolation] = field(default_factory=list)
     figures: dict[str, float] = field(default_factory=dict)
 
     def as_dict(self) -> dict[str, Any]:
         """Return the JSON form that `stonecove soak --json` prints."""
         return {
             "seed": self.seed,
-            "passed": not self.broken,
-            "broken": [{"rule": one.rule, "at": round(one.at, 3), "what": one.what} for one in self.broken],
+            "passed": not self.violations,
+            "broken": [
+                {"rule": violation.rule, "at": round(violation.at_s, 3), "what": violation.details}
+                for violation in self.violations
+            ],
             "figures": self.figures,
         }
 
 
 def judge_soak(record: SoakRecord) -> SoakVerdict:
-    """Return what a soak broke."""
+    """Evaluate all rules and return the verdict of a soak."""
     verdict = SoakVerdict(record.plan.seed)
-    for check in (_answers, _unasked, _repeats, _left, _trial_rules, _shutdowns, _logs, _limits):
-        verdict.broken += check(record)
-    fates = [one.fate for one in record.sent]
+    for check in (
+        _check_answers,
+        _check_unexpected_answers,
+        _check_repeats,
+        _check_disconnects,
+        _check_trial_rules,
+        _check_shutdowns,
+        _check_logs,
+        _check_limits,
+    ):
+        verdict.violations += check(record)
+    outcomes = [request.outcome for request in record.sent_requests]
     verdict.figures = {
-        "sent": len(fates),
-        **{fate.value: fates.count(fate) for fate in Fate},
-        "served": sum(one.status == "200" for one in record.sent),
+        "sent": len(outcomes),
+        **{outcome.value: outcomes.count(outcome) for outcome in Outcome},
+        "served": sum(request.status == "200" for request in record.sent_requests),
         "attempts": len(record.arrivals),
         "shutdowns": len(record.shutdowns),
         "descriptors": max(record.descriptors),
@@ -97,112 +109,140 @@
     return verdict
 
 
-def _answers(record: SoakRecord) -> Iterator[BrokenRule]:
-    for one in record.sent:
-        at = one.sent_at - record.trial.began
-        if one.fate is Fate.LOST and not _host_was_late(record, one):
-            after = one.ended_at - one.sent_at
-            yield BrokenRule("answer", at, f"{_named(one)} had none after {after:.3f} s of {one.ttl_s:.3f} s")
-        if one.again and one.fate is Fate.CROSSED:
-            yield BrokenRule("answer", at, f"{_named(one)} crossed a close once more")
-        if one.answers > 1:
-            yield BrokenRule("second answer", at, f"{_named(one)} had {one.answers} answers")
-        if not one.body_fits:
-            yield BrokenRule("body", at, f"{_named(one)} was served with what is not its own")
+def _check_answers(record: SoakRecord) -> Iterator[SoakViolation]:
+    for request in record.sent_requests:
+        at_s = request.sent_at - record.trial.began
+        if request.outcome is Outcome.LOST and not _host_was_late(record, request):
+            after_s = request.ended_at - request.sent_at
+            yield SoakViolation(
+                "answer",
+                at_s,
+                f"{_describe(request)} had no answer after {after_s:.3f} s of {request.ttl_s:.3f} s",
+            )
+        if request.is_retry and request.outcome is Outcome.CLOSE_RACE:
+            yield SoakViolation("answer", at_s, f"retry {_describe(request)} raced a close again")
+        if request.answer_count > 1:
+            yield SoakViolation(
+                "second answer", at_s, f"{_describe(request)} had {request.answer_count} answers"
+            )
+        if not request.body_matches:
+            yield SoakViolation("body", at_s, f"{_describe(request)} was answered with the wrong body")
 
 
 def _host_was_late(record: SoakRecord, request: SentRequest) -> bool:
-    """Return whether the host was so late that an answer in time could have come as late as this one."""
-    late = request.ended_at - request.lost_at
-    return 0.0 <= late < record.lag_of(request.sent_at, request.ended_at) - 0.1
+    """Return whether the host's wake-up delay could explain that an answer in time was seen too late."""
+    late_s = request.ended_at - request.counts_lost_at
+    return 0.0 <= late_s < record.lag_between(request.sent_at, request.ended_at) - 0.1
 
 
-def _named(request: SentRequest) -> str:
-    return f"{request.txn} ({request.request_class.name}, router {request.router})"
+def _describe(request: SentRequest) -> str:
+    return f"{request.txn} ({request.request_class.name}, router {request.router_index})"
 
 
-def _unasked(record: SoakRecord) -> Iterator[BrokenRule]:
-    for what in record.unasked:
-        yield BrokenRule("unasked", 0.0, what)
+def _check_unexpected_answers(record: SoakRecord) -> Iterator[SoakViolation]:
+    for description in record.unexpected_answers:
+        yield SoakViolation("unasked", 0.0, description)
 
 
-def _by_request(record: SoakRecord) -> dict[str, list[Arrival]]:
-    found: dict[str, list[Arrival]] = defaultdict(list)
-    for arrival in sorted(record.arrivals, key=lambda one: one.at):
-        found[arrival.txn].append(arrival)
-    return found
+def _arrivals_by_txn(record: SoakRecord) -> dict[str, list[Arrival]]:
+    arrivals_by_txn: dict[str, list[Arrival]] = defaultdict(list)
+    for arrival in sorted(record.arrivals, key=lambda item: item.received_at):
+        arrivals_by_txn[arrival.txn].append(arrival)
+    return arrivals_by_txn
 
 
-def _repeats(record: SoakRecord) -> Iterator[BrokenRule]:
-    classes = {one.name: one for one in record.plan.classes}
-    for txn, arrivals in _by_request(record).items():
-        effect = classes[arrivals[0].cls].effect
-        window_s = classes[arrivals[0].cls].window_ms / 1000.0
-        for place, later in enumerate(arrivals[1:], 1):
-            may_have_run = [
-                one for one in arrivals[:place] if one.proved_at is None or one.proved_at > later.at
+def _check_repeats(record: SoakRecord) -> Iterator[SoakViolation]:
+    classes = {request_class.name: request_class for request_class in record.plan.classes}
+    for txn, arrivals in _arrivals_by_txn(record).items():
+        effect = classes[arrivals[0].class_name].effect
+        window_s = classes[arrivals[0].class_name].window_ms / 1000.0
+        for index, later in enumerate(arrivals[1:], 1):
+            possibly_executed = [
+                earlier
+                for earlier in arrivals[:index]
+                if earlier.rejected_at is None or earlier.rejected_at > later.received_at
             ]
-            at = later.at - record.trial.began
-            if not may_have_run or effect is Effect.PURE:
+            at_s = later.received_at - record.trial.began
+            if not possibly_executed or effect is Effect.PURE:
                 continue
             if effect is Effect.SIDE_EFFECT:
-                yield BrokenRule("repeat", at, f"{txn} ({later.cls}) came again, and may have run")
-            elif later.at > may_have_run[0].at + window_s + WINDOW_SLACK_S:
-                yield BrokenRule("window", at, f"{txn} ({later.cls}) came again after its window")
+                yield SoakViolation(
+                    "repeat", at_s, f"{txn} ({later.class_name}) repeated although it may have executed"
+                )
+            elif later.received_at > possibly_executed[0].received_at + window_s + WINDOW_TOLERANCE_S:
+                yield SoakViolation("window", at_s, f"{txn} ({later.class_name}) repeated after its window")
 
 
-def _left(record: SoakRecord) -> Iterator[BrokenRule]:
-    arrivals = _by_request(record)
-    for one in record.sent:
-        if one.fate is not Fate.LEFT:
+def _check_disconnects(record: SoakRecord) -> Iterator[SoakViolation]:
+    arrivals = _arrivals_by_txn(record)
+    for request in record.sent_requests:
+        if request.outcome is not Outcome.ABANDONED:
             continue
-        for arrival in arrivals.get(one.txn, ()):
-            allowed = LEFT_GRACE_S + LEFT_SLACK_S + record.lag_of(one.ended_at, arrival.at)
-            if arrival.at > one.ended_at + allowed:
-                after = arrival.at - one.ended_at
-                at = arrival.at - record.trial.began
-                yield BrokenRule("left", at, f"{_named(one)}: an attempt {after:.3f} s after its client left")
-
-
-def _trial_rules(record: SoakRecord) -> Iterator[BrokenRule]:
-    """Judge what a trial's judge knows: crashes, cold caches, drains and purges."""
-    found = Verdict(record.trial.trial.title)
-    judge_processes(record.trial, found)
-    judge_cold_caches(record.trial, found)
-    judge_endpoint_list(record.trial, found)
-    for one in found.violations:
-        rule = "log" if one.rule == "bug" else one.rule
-        yield BrokenRule(rule, one.at, f"{', '.join(one.processes)} {one.what}".strip())
-
-
-def _shutdowns(record: SoakRecord) -> Iterator[BrokenRule]:
-    for one in record.shutdowns:
-        at = one.asked_at - record.trial.began
-        if one.killed:
-            after = record.plan.kill_after_s
-            yield BrokenRule("exit", at, f"router {one.router} had not ended {after:.1f} s after SIGTERM")
-        elif one.exit_code:
-            yield BrokenRule("exit", at, f"router {one.router} ended with {one.exit_code}")
-    for place, router in enumerate(record.trial.routers):
+        for arrival in arrivals.get(request.txn, ()):
+            allowed_s = (
+                DISCONNECT_GRACE_S
+                + DISCONNECT_TOLERANCE_S
+                + record.lag_between(request.ended_at, arrival.received_at)
+            )
+            if arrival.received_at > request.ended_at + allowed_s:
+                after_s = arrival.received_at - request.ended_at
+                at_s = arrival.received_at - record.trial.began
+                yield SoakViolation(
+                    "left",
+                    at_s,
+                    f"{_describe(request)}: attempt {after_s:.3f} s after its client disconnected",
+                )
+
+
+def _check_trial_rules(record: SoakRecord) -> Iterator[SoakViolation]:
+    """Apply the rules shared with trials: crashes, slow start, drains and purges."""
+    trial_verdict = Verdict(record.trial.trial.title)
+    judge_processes(record.trial, trial_verdict)
+    judge_cold_caches(record.trial, trial_verdict)
+    judge_endpoint_list(record.trial, trial_verdict)
+    for violation in trial_verdict.violations:
+        rule = "log" if violation.rule == "bug" else violation.rule
+        yield SoakViolation(rule, violation.at, f"{', '.join(violation.processes)} {violation.what}".strip())
+
+
+def _check_shutdowns(record: SoakRecord) -> Iterator[SoakViolation]:
+    for shutdown in record.shutdowns:
+        at_s = shutdown.sigterm_at - record.trial.began
+        if shutdown.was_killed:
+            after_s = record.plan.sigkill_after_s
+            yield SoakViolation(
+                "exit", at_s, f"router {shutdown.router_index} had not ended {after_s:.1f} s after SIGTERM"
+            )
+        elif shutdown.exit_code:
+            yield SoakViolation(
+                "exit", at_s, f"router {shutdown.router_index} exited with {shutdown.exit_code}"
+            )
+    for router_index, router in enumerate(record.trial.routers):
         for line in router.lines("router_stopped"):
             if line["open"] != "0":
-                at = float(line["at"]) - record.trial.began
-                yield BrokenRule("left over", at, f"router {place} had {line['open']} requests open")
+                at_s = float(line["at"]) - record.trial.began
+                yield SoakViolation(
+                    "left over", at_s, f"router {router_index} had {line['open']} open requests"
+                )
 
 
-def _logs(record: SoakRecord) -> Iterator[BrokenRule]:
-    for place, router in enumerate(record.trial.routers):
+def _check_logs(record: SoakRecord) -> Iterator[SoakViolation]:
+    for router_index, router in enumerate(record.trial.routers):
         text = router.log.read_text(errors="replace")
-        for error in ERRORS:
-            if (found := text.find(error)) >= 0:
-                line = text[found : found + 300].replace("\n", " | ")
-                yield BrokenRule("log", 0.0, f"router {place}: {line}")
-
-
-def _limits(record: SoakRecord) -> Iterator[BrokenRule]:
-    for place, count in enumerate(record.descriptors):
-        if count > record.plan.sockets:
-            yield BrokenRule("descriptors", 0.0, f"router {place} held {count} of {record.plan.sockets}")
-    for place, used in enumerate(record.memory_mb):
-        if used > record.plan.memory_mb:
-            yield BrokenRule("memory", 0.0, f"router {place} used {used:.0f} of {record.plan.memory_mb} MB")
+        for error in LOG_ERROR_PATTERNS:
+            if (offset := text.find(error)) >= 0:
+                line = text[offset : offset + 300].replace("\n", " | ")
+                yield SoakViolation("log", 0.0, f"router {router_index}: {line}")
+
+
+def _check_limits(record: SoakRecord) -> Iterator[SoakViolation]:
+    for router_index, count in enumerate(record.descriptors):
+        if count > record.plan.max_sockets:
+            yield SoakViolation(
+                "descriptors", 0.0, f"router {router_index} used {count} of {record.plan.max_sockets}"
+            )
+    for router_index, used_mb in enumerate(record.memory_mb):
+        if used_mb > record.plan.max_memory_mb:
+            yield SoakViolation(
+                "memory", 0.0, f"router {router_index} used {used_mb:.0f} of {record.plan.max_memory_mb} MB"
+            )
--- a/stonecove/soak/plan.py
+++ b/stonecove/soak/plan.py
@@ -1,4 +1,4 @@
-"""Draws what happens in a soak from its seed: settings, troubles and the signals at its end."""
+"""Draws the plan of a soak from its seed: settings, faults and the signals during the final shutdown."""
 
 from __future__ import annotations
 
@@ -8,311 +8,333 @@
 
 from stonecove.trial.schedule import Expects, Fault, Trial
 
-FIRST_TROUBLE_S = 1.0
-QUIET_S = 4.0  # by which the troubles of some seeds come later
-TROUBLES = (4, 9)  # fewest and most of a seed
+FIRST_FAULT_AT_S = 1.0
+EXTRA_QUIET_S = 4.0  # extra time without faults at the start of some seeds
+FAULT_COUNT_RANGE = (4, 9)  # minimum and maximum per seed
 DEADLINES_MS = (200.0, 400.0, 1000.0, 1500.0, 3000.0, 5000.0, 9000.0)
 WINDOWS_MS = (400.0, 1500.0, 5000.0)
-SOCKETS = (96, 192, 512)
-MEMORY_MB = (96, 192)
-COUNTED_DEADLINE_S = 3.0  # a longer one counts as so long for the time of SIGKILL
-KILL_AFTER_S = 0.7  # seconds after SIGTERM and the longest deadline at which SIGKILL comes at the earliest
-WINDOW_S = 3.0
-READ_KB = 40
-KINDS = (
+MAX_SOCKETS = (96, 192, 512)
+MAX_MEMORY_MB = (96, 192)
+MAX_COUNTED_DEADLINE_S = 3.0  # longer deadlines are capped at this to compute the time of SIGKILL
+SIGKILL_MARGIN_S = 0.7  # earliest SIGKILL: SIGTERM, the longest deadline and this margin
+TRIAL_WINDOW_S = 3.0
+OBJECT_KB = 40
+FAULT_KINDS = (
     *("cache",) * 4, "log", "drain", "drain", "purge", "purge", "cold", "reset", "down",
     "reloads", "reloads", "restart", "restart", "crowd",
 )  # fmt: skip
-CACHES = 4
-RELAYED_S = 100.0
+CACHE_COUNT = 4
+RELAY_FAULT_LEAD_S = 100.0
 
 
 class Effect(Enum):
-    """What repeating a request of a class does, as the settings name it."""
+    """The effect of repeating a request of a class, under its name in the settings."""
 
     PURE = "pure"
     SIDE_EFFECT = "side_effect"
     TOKEN = "token"
 
 
-class Behaviour(Enum):
-    """How a cache treats the requests that reach it."""
+class CacheBehaviour(Enum):
+    """How a cache handles the requests that it receives."""
 
-    HANG = "hang"  # reads on, and answers nothing
+    HANG = "hang"  # keeps reading, never answers
     LATE = "late"
-    HALF = "half"  # half an answer, then the end of the connection
-    TWICE = "twice"  # the same answer a second time
-    NEVER_WHOLE = "never-whole"  # half an answer, and the connection stays open
-    REFUSE = "refuse"  # 503: it never ran
-    FAIL = "fail"  # 500: it may have run
+    TRUNCATED = "half"  # sends half an answer, then closes the connection
+    DUPLICATE = "twice"  # sends the same answer two times
+    NEVER_COMPLETE = "never-whole"  # sends half an answer and leaves the connection open
+    REFUSE = "refuse"  # 503: the request never executed
+    FAIL = "fail"  # 500: the request may have executed
     CLOSE_IDLE = "close-idle"
-    RESET = "reset"  # under requests
+    RESET = "reset"  # resets the connection instead of answering
 
 
 class LogBehaviour(Enum):
-    """How the change log tells its events."""
+    """How the change log sends its events."""
 
     SILENT = "silent"
     SLOW = "slow"
-    PIECES = "pieces"
-    CROWDED = "crowded"
+    FRAGMENTED = "pieces"
+    BURST = "crowded"
 
 
 @dataclass(frozen=True, slots=True)
 class RequestClass:
-    """A class of requests in the settings."""
+    """A request class in the settings."""
 
     name: str
     effect: Effect
     deadline_ms: float
-    window_ms: float  # within which a keyed request may be repeated
+    window_ms: float  # period within which a request with a token may be repeated
 
 
 @dataclass(frozen=True, slots=True)
-class CacheTrouble:
-    """A cache misbehaves for a while."""
+class CacheFault:
+    """A cache that misbehaves for a period."""
 
-    at: float
-    ends: float
-    cache: int
-    behaviour: Behaviour
+    at_s: float
+    ends_at_s: float
+    cache_index: int
+    behaviour: CacheBehaviour
 
     def summary(self) -> str:
-        """Return it in a few words."""
-        return f"{self.at:.1f} to {self.ends:.1f} s: cache {self.cache} {self.behaviour.value}"
+        """Return a one-line description."""
+        return f"{self.at_s:.1f} to {self.ends_at_s:.1f} s: cache {self.cache_index} {self.behaviour.value}"
 
 
 @dataclass(frozen=True, slots=True)
-class LogTrouble:
-    """The change log misbehaves for a while."""
+class ChangeLogFault:
+    """A period in which the change log misbehaves."""
 
-    at: float
-    ends: float
+    at_s: float
+    ends_at_s: float
     behaviour: LogBehaviour
 
     def summary(self) -> str:
-        """Return it in a few words."""
-        return f"{self.at:.1f} to {self.ends:.1f} s: change log {self.behaviour.value}"
+        """Return a one-line description."""
+        return f"{self.at_s:.1f} to {self.ends_at_s:.1f} s: change log {self.behaviour.value}"
 
 
 @dataclass(frozen=True, slots=True)
-class ServerTrouble:
-    """A drain, a purge, a cold restart, or a path between routers and servers that breaks."""
+class ServerFault:
+    """A drain, a purge, a restart with an empty cache, or a network fault between routers and servers."""
 
     fault: Fault
 
     @property
-    def at(self) -> float:
-        """Return when it begins."""
+    def at_s(self) -> float:
+        """Return the start in seconds after the load began."""
         return self.fault.at
 
     @property
-    def ends(self) -> float:
-        """Return when it is over."""
+    def ends_at_s(self) -> float:
+        """Return the end in seconds after the load began."""
         return max(self.fault.at, self.fault.ends)
 
     def summary(self) -> str:
-        """Return it in a few words."""
+        """Return a one-line description."""
         return self.fault.summary()
 
 
 @dataclass(frozen=True, slots=True)
 class Reloads:
-    """Several SIGHUPs to one router in a row, each after a new configuration or the same one."""
+    """Consecutive SIGHUPs to one router, each after its configuration was changed or rewritten unchanged."""
 
-    at: float
-    router: int
-    count: int
-    gap_s: float
-    changed: bool
+    at_s: float
+    router_index: int
+    signal_count: int
+    interval_s: float
+    is_changed: bool
 
     @property
-    def ends(self) -> float:
-        """Return when the last is sent."""
-        return self.at + self.count * self.gap_s
+    def ends_at_s(self) -> float:
+        """Return when all signals have been sent."""
+        return self.at_s + self.signal_count * self.interval_s
 
     def summary(self) -> str:
-        """Return it in a few words."""
-        what = "new configurations" if self.changed else "the same configuration"
-        return f"{self.at:.1f} s: router {self.router} {self.count} SIGHUPs, {what}"
+        """Return a one-line description."""
+        description = "new configurations" if self.is_changed else "the same configuration"
+        return f"{self.at_s:.1f} s: router {self.router_index} {self.signal_count} SIGHUPs, {description}"
 
 
 @dataclass(frozen=True, slots=True)
 class Restart:
-    """A router is drained, killed at the earliest moment allowed and started again, among signals."""
+    """A drain of a router with SIGKILL at the earliest allowed time, further signals and a new start."""
 
-    at: float
-    router: int
-    signals: tuple[tuple[float, str], ...]  # seconds after SIGTERM, and the signal
-    early_signal_s: float  # seconds after its start at which it gets a SIGHUP
+    at_s: float
+    router_index: int
+    signals: tuple[tuple[float, str], ...]  # seconds after SIGTERM, and the signal's name
+    sighup_after_s: float  # seconds between the new process handling signals and a SIGHUP
 
     @property
-    def ends(self) -> float:
-        """Return when the drain begins; its end depends on the deadlines."""
-        return self.at
+    def ends_at_s(self) -> float:
+        """Return the start of the drain; its end depends on the deadlines."""
+        return self.at_s
 
     def summary(self) -> str:
-        """Return it in a few words."""
-        more = "".join(f", {name} after {after:.2f} s" for after, name in self.signals)
-        return f"{self.at:.1f} s: router {self.router} SIGTERM{more}, and a new start"
+        """Return a one-line description."""
+        signals = "".join(f", {name} after {after_s:.2f} s" for after_s, name in self.signals)
+        return f"{self.at_s:.1f} s: router {self.router_index} SIGTERM{signals}, and a new start"
 
 
 @dataclass(frozen=True, slots=True)
-class Crowd:
-    """Idle clients that hold connections to a router."""
+class IdleConnections:
+    """Idle client connections to a router."""
 
-    at: float
-    router: int
-    connections: int
+    at_s: float
+    router_index: int
+    connection_count: int
 
     @property
-    def ends(self) -> float:
-        """Return when it has come; the clients stay for a while."""
-        return self.at
+    def ends_at_s(self) -> float:
+        """Return when the connections are opened; they stay open for some seconds."""
+        return self.at_s
 
     def summary(self) -> str:
-        """Return it in a few words."""
-        return f"{self.at:.1f} s: {self.connections} idle clients at router {self.router}"
+        """Return a one-line description."""
+        return f"{self.at_s:.1f} s: {self.connection_count} idle clients at router {self.router_index}"
 
 
-Trouble = CacheTrouble | LogTrouble | ServerTrouble | Reloads | Restart | Crowd
+SoakFault = CacheFault | ChangeLogFault | ServerFault | Reloads | Restart | IdleConnections
 
 
 @dataclass(frozen=True, slots=True)
 class SoakPlan:
-    """All that a seed stands for. Moments are seconds since the load began."""
+    """Everything that is drawn from a seed. Times are seconds after the load began."""
 
     seed: int
-    seconds: float
-    routers: int
+    duration_s: float
+    router_count: int
     classes: tuple[RequestClass, ...]
-    sockets: int
-    memory_mb: int
-    idle_ms: float  # after which caches close idle connections
-    rate: float  # requests a second
-    troubles: tuple[Trouble, ...]
-    last_signals: tuple[tuple[float, str], ...]  # seconds after the last SIGTERM, and the signal
+    max_sockets: int
+    max_memory_mb: int
+    idle_timeout_ms: float  # after which caches close idle connections
+    requests_per_s: float
+    faults: tuple[SoakFault, ...]
+    final_signals: tuple[tuple[float, str], ...]  # seconds after the final SIGTERM, and the signal's name
 
     @property
-    def kill_after_s(self) -> float:
-        """Return how long after SIGTERM SIGKILL comes at the earliest."""
-        longest = max(one.deadline_ms for one in self.classes) / 1000.0
-        return min(longest, COUNTED_DEADLINE_S) + KILL_AFTER_S
+    def sigkill_after_s(self) -> float:
+        """Return the seconds between SIGTERM and the earliest SIGKILL."""
+        longest_deadline_s = max(request_class.deadline_ms for request_class in self.classes) / 1000.0
+        return min(longest_deadline_s, MAX_COUNTED_DEADLINE_S) + SIGKILL_MARGIN_S
 
-    def without(self, place: int) -> SoakPlan:
-        """Return the plan with one trouble taken out."""
-        return replace(self, troubles=self.troubles[:place] + self.troubles[place + 1 :])
+    def without(self, index: int) -> SoakPlan:
+        """Return a copy of the plan without the fault at an index."""
+        return replace(self, faults=self.faults[:index] + self.faults[index + 1 :])
 
     def trial(self) -> Trial:
-        """Return what a testbed needs to know of it."""
-        faults = tuple(one.fault for one in self.troubles if isinstance(one, ServerTrouble))
-        delayed = tuple(
-            Fault(one.at, "cut", (), of=("log",), ends=one.ends)
-            for one in self.troubles
-            if isinstance(one, LogTrouble)
+        """Return the trial definition that the testbed takes."""
+        server_faults = tuple(planned.fault for planned in self.faults if isinstance(planned, ServerFault))
+        log_faults = tuple(
+            Fault(planned.at_s, "cut", (), of=("log",), ends=planned.ends_at_s)
+            for planned in self.faults
+            if isinstance(planned, ChangeLogFault)
         )
-        # One that is over before the load begins: with a fault that names servers, paths go through relays.
-        relayed = Fault(-RELAYED_S, "weather", (), of=("log",), ends=-RELAYED_S)
+        # Ends before the load begins. A fault that names servers makes the testbed route connections
+        # through relays.
+        relay_fault = Fault(-RELAY_FAULT_LEAD_S, "weather", (), of=("log",), ends=-RELAY_FAULT_LEAD_S)
         return Trial(
-            f"soak {self.seed}", self.routers, CACHES, self.seconds, 10.0, self.rate, 0.0, READ_KB, WINDOW_S,
-            False, (), 1, (), None, None, (*faults, *delayed, relayed), Expects(0, 0, None, None),
+            f"soak {self.seed}", self.router_count, CACHE_COUNT, self.duration_s, 10.0, self.requests_per_s,
+            0.0, OBJECT_KB, TRIAL_WINDOW_S, False, (), 1, (), None, None,
+            (*server_faults, *log_faults, relay_fault), Expects(0, 0, None, None),
         )  # fmt: skip
 
 
-def draw_plan(seed: int, seconds: float) -> SoakPlan:
-    """Return the plan of a seed; the same seed and length give the same plan."""
-    chooser = random.Random(f"soak-{seed}")
-    routers = chooser.choice((1, 1, 2, 3, 4))
-    sockets = chooser.choice(SOCKETS)
-    classes = _draw_classes(chooser)
-    quiet = QUIET_S if chooser.random() < 0.2 else 0.0
-    last = seconds - 1.0
-    troubles: list[Trouble] = []
-    for _ in range(chooser.randint(*TROUBLES)):
-        at = round(chooser.uniform(FIRST_TROUBLE_S + quiet, max(FIRST_TROUBLE_S + quiet, last)), 2)
-        troubles.append(_draw_trouble(chooser, at, seconds, routers, sockets))
-    if chooser.random() < 0.3:
-        troubles.append(Crowd(0.5, chooser.randrange(routers), sockets // 3 - 10))
-    if chooser.random() < 0.3:  # a cache that hangs through the whole shutdown
-        cache = chooser.randrange(CACHES)
-        troubles.append(CacheTrouble(seconds - 0.5, seconds + 10.0, cache, Behaviour.HANG))
+def draw_plan(seed: int, duration_s: float) -> SoakPlan:
+    """Return the plan of a seed; the same seed and duration give the same plan."""
+    rng = random.Random(f"soak-{seed}")
+    router_count = rng.choice((1, 1, 2, 3, 4))
+    max_sockets = rng.choice(MAX_SOCKETS)
+    classes = _draw_classes(rng)
+    quiet_s = EXTRA_QUIET_S if rng.random() < 0.2 else 0.0
+    last_fault_at_s = duration_s - 1.0
+    faults: list[SoakFault] = []
+    for _ in range(rng.randint(*FAULT_COUNT_RANGE)):
+        at_s = round(
+            rng.uniform(FIRST_FAULT_AT_S + quiet_s, max(FIRST_FAULT_AT_S + quiet_s, last_fault_at_s)), 2
+        )
+        faults.append(_draw_fault(rng, at_s, duration_s, router_count, max_sockets))
+    if rng.random() < 0.3:
+        faults.append(IdleConnections(0.5, rng.randrange(router_count), max_sockets // 3 - 10))
+    if rng.random() < 0.3:  # a cache that hangs during the entire shutdown
+        cache_index = rng.randrange(CACHE_COUNT)
+        faults.append(CacheFault(duration_s - 0.5, duration_s + 10.0, cache_index, CacheBehaviour.HANG))
     return SoakPlan(
         seed,
-        seconds,
-        routers,
+        duration_s,
+        router_count,
         classes,
-        sockets,
-        chooser.choice(MEMORY_MB),
-        chooser.choice((400.0, 1000.0, 15_000.0)),
-        chooser.choice((30.0, 60.0)),
-        tuple(sorted(_without_overlaps(troubles), key=lambda one: one.at)),
-        _draw_signals(chooser),
+        max_sockets,
+        rng.choice(MAX_MEMORY_MB),
+        rng.choice((400.0, 1000.0, 15_000.0)),
+        rng.choice((30.0, 60.0)),
+        tuple(sorted(_without_conflicts(faults), key=lambda fault: fault.at_s)),
+        _draw_signals(rng),
     )
 
 
-def _draw_classes(chooser: random.Random) -> tuple[RequestClass, ...]:
+def _draw_classes(rng: random.Random) -> tuple[RequestClass, ...]:
     names = ("item-image", "pick-confirm", "stock-count")
     effects = (Effect.PURE, Effect.SIDE_EFFECT, Effect.TOKEN)
-    window_ms = chooser.choice(WINDOWS_MS)
+    window_ms = rng.choice(WINDOWS_MS)
     return tuple(
-        RequestClass(name, effect, chooser.choice(DEADLINES_MS), window_ms)
+        RequestClass(name, effect, rng.choice(DEADLINES_MS), window_ms)
         for name, effect in zip(names, effects, strict=True)
     )
 
 
-def _draw_signals(chooser: random.Random) -> tuple[tuple[float, str], ...]:
-    """Draw what comes after SIGTERM."""
-    count = chooser.choice((0, 0, 1, 2, 3))
+def _draw_signals(rng: random.Random) -> tuple[tuple[float, str], ...]:
+    """Draw the signals that follow SIGTERM, with their delays in seconds, in order of time."""
+    signal_count = rng.choice((0, 0, 1, 2, 3))
     names = ("SIGHUP", "SIGTERM", "SIGINT")
-    drawn = [(round(chooser.uniform(0.0, 1.0), 2), chooser.choice(names)) for _ in range(count)]
-    return tuple(sorted(drawn))
+    signals = [(round(rng.uniform(0.0, 1.0), 2), rng.choice(names)) for _ in range(signal_count)]
+    return tuple(sorted(signals))
 
 
-def _draw_trouble(chooser: random.Random, at: float, seconds: float, routers: int, sockets: int) -> Trouble:
-    """Draw one trouble that begins then."""
-    router, cache = chooser.randrange(routers), chooser.randrange(CACHES)
-    ends = round(min(seconds + 2.0, at + chooser.uniform(0.5, 4.0)), 2)
-    match chooser.choice(KINDS):
+def _draw_fault(
+    rng: random.Random, at_s: float, duration_s: float, router_count: int, max_sockets: int
+) -> SoakFault:
+    """Draw one fault that begins at `at_s`."""
+    router_index, cache_index = rng.randrange(router_count), rng.randrange(CACHE_COUNT)
+    ends_at_s = round(min(duration_s + 2.0, at_s + rng.uniform(0.5, 4.0)), 2)
+    match rng.choice(FAULT_KINDS):
         case "cache":
-            return CacheTrouble(at, ends, cache, chooser.choice(tuple(Behaviour)))
-        case "log" if chooser.random() < 0.4:
-            long = min(seconds, at + chooser.choice((2.0, 8.0)))
-            return ServerTrouble(Fault(at, "down", tuple(range(routers)), of=("log",), ends=long))
+            return CacheFault(at_s, ends_at_s, cache_index, rng.choice(tuple(CacheBehaviour)))
+        case "log" if rng.random() < 0.4:
+            down_until_s = min(duration_s, at_s + rng.choice((2.0, 8.0)))
+            return ServerFault(
+                Fault(at_s, "down", tuple(range(router_count)), of=("log",), ends=down_until_s)
+            )
         case "log":
-            return LogTrouble(at, ends, chooser.choice(tuple(LogBehaviour)))
+            return ChangeLogFault(at_s, ends_at_s, rng.choice(tuple(LogBehaviour)))
         case "drain" | "purge" | "cold" | "reset" | "down" as kind:
-            return ServerTrouble(_server_fault(kind, at, min(seconds, ends), cache, tuple(range(routers))))
+            return ServerFault(
+                _server_fault(kind, at_s, min(duration_s, ends_at_s), cache_index, tuple(range(router_count)))
+            )
         case "reloads":
-            gap = chooser.choice((0.0, 0.005, 0.1))
-            return Reloads(at, router, chooser.randint(2, 6), gap, chooser.random() < 0.5)
+            interval_s = rng.choice((0.0, 0.005, 0.1))
+            return Reloads(at_s, router_index, rng.randint(2, 6), interval_s, rng.random() < 0.5)
         case "restart":
-            return Restart(at, router, _draw_signals(chooser), round(chooser.uniform(0.0, 0.6), 2))
+            return Restart(at_s, router_index, _draw_signals(rng), round(rng.uniform(0.0, 0.6), 2))
         case _:
-            return Crowd(at, router, chooser.randint(5, sockets // 3 - 10))
+            return IdleConnections(at_s, router_index, rng.randint(5, max_sockets // 3 - 10))
 
 
-def _server_fault(kind: str, at: float, ends: float, cache: int, routers: tuple[int, ...]) -> Fault:
-    """Return a fault of a cache, or on the paths to it, or a purge."""
+def _server_fault(
+    kind: str, at_s: float, ends_at_s: float, cache_index: int, router_indexes: tuple[int, ...]
+) -> Fault:
+    """Return a fault of a cache or of the connections to it, or a purge."""
     if kind in ("reset", "down"):
-        return Fault(at, kind, routers, of=(f"cache-{cache}",), ends=ends if kind == "down" else 0.0)
-    return Fault(at, kind, (), cache=cache, ends=ends if kind == "drain" else 0.0)
-
-
-def _without_overlaps(troubles: list[Trouble]) -> list[Trouble]:
-    """Leave out what can't be beside another one, such as two restarts of a router."""
-    kept: list[Trouble] = []
-    for one in sorted(troubles, key=lambda one: one.at):
-        if not any(_excludes(other, one) for other in kept):
-            kept.append(one)
-    return kept
-
-
-def _excludes(earlier: Trouble, later: Trouble) -> bool:
-    if isinstance(earlier, Restart | Crowd) and isinstance(later, Restart | Crowd):
-        return type(earlier) is type(later) and earlier.router == later.router
-    if isinstance(earlier, CacheTrouble) and isinstance(later, CacheTrouble):
-        return earlier.cache == later.cache and later.at < earlier.ends
-    if isinstance(earlier, ServerTrouble) and isinstance(later, ServerTrouble):
-        same = earlier.fault.cache == later.fault.cache or earlier.fault.of == later.fault.of != ()
-        return same and later.at < earlier.ends + 1.0
-    return isinstance(earlier, LogTrouble) and isinstance(later, LogTrouble) and later.at < earlier.ends
+        return Fault(
+            at_s,
+            kind,
+            router_indexes,
+            of=(f"cache-{cache_index}",),
+            ends=ends_at_s if kind == "down" else 0.0,
+        )
+    return Fault(at_s, kind, (), cache=cache_index, ends=ends_at_s if kind == "drain" else 0.0)
+
+
+def _without_conflicts(faults: list[SoakFault]) -> list[SoakFault]:
+    """Return the faults without those that exclude each other, such as two restarts of a router."""
+    compatible: list[SoakFault] = []
+    for candidate in sorted(faults, key=lambda fault: fault.at_s):
+        if not any(_conflicts(earlier, candidate) for earlier in compatible):
+            compatible.append(candidate)
+    return compatible
+
+
+def _conflicts(earlier: SoakFault, later: SoakFault) -> bool:
+    if isinstance(earlier, Restart | IdleConnections) and isinstance(later, Restart | IdleConnections):
+        return type(earlier) is type(later) and earlier.router_index == later.router_index
+    if isinstance(earlier, CacheFault) and isinstance(later, CacheFault):
+        return earlier.cache_index == later.cache_index and later.at_s < earlier.ends_at_s
+    if isinstance(earlier, ServerFault) and isinstance(later, ServerFault):
+        same_target = earlier.fault.cache == later.fault.cache or earlier.fault.of == later.fault.of != ()
+        return same_target and later.at_s < earlier.ends_at_s + 1.0
+    return (
+        isinstance(earlier, ChangeLogFault)
+        and isinstance(later, ChangeLogFault)
+        and later.at_s < earlier.ends_at_s
+    )
--- a/stonecove/soak/run.py
+++ b/stonecove/soak/run.py
@@ -1,4 +1,4 @@
-"""Runs soaks of many seeds, several at once; a failing one is played again alone and made smaller."""
+"""Runs soaks of many seeds in parallel; reruns a failing seed alone and reduces its plan."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from multiprocessing import get_context
 from pathlib import Path
 
-from stonecove.soak.judge import BrokenRule, SoakVerdict, judge_soak
+from stonecove.soak.judge import SoakVerdict, SoakViolation, judge_soak
 from stonecove.soak.plan import SoakPlan, draw_plan
 from stonecove.soak.play import SoakTestbed
 from stonecove.trial.testbed import TrialError
@@ -17,57 +17,57 @@
 
 @dataclass(slots=True)
 class Reduction:
-    """What is left of a failing seed: whether it failed again alone, and the troubles that it needs."""
+    """The result of reducing a failing seed: the last failing verdict and the faults that it needs."""
 
     verdict: SoakVerdict
-    troubles: list[str] = field(default_factory=list)
-    plays: int = 0
+    faults: list[str] = field(default_factory=list)
+    run_count: int = 0
 
     @property
     def failed_again(self) -> bool:
-        """Return whether the seed failed when it was played alone."""
-        return bool(self.verdict.broken)
+        """Return whether the seed failed when it ran alone."""
+        return bool(self.verdict.violations)
 
 
-def play_plan(plan: SoakPlan, folder: Path | None = None) -> SoakVerdict:
-    """Play one plan and judge it; what can't be played counts as a broken rule."""
+def run_plan(plan: SoakPlan, folder: Path | None = None) -> SoakVerdict:
+    """Run one plan and judge it; a TrialError counts as a violation of the rule `ready`."""
     with tempfile.TemporaryDirectory(prefix="stonecove-soak-") as temporary:
         testbed = SoakTestbed(plan, folder or Path(temporary))
         try:
-            return judge_soak(testbed.play_soak())
+            return judge_soak(testbed.run_soak())
         except TrialError as error:
-            return SoakVerdict(plan.seed, [BrokenRule("ready", 0.0, str(error))])
+            return SoakVerdict(plan.seed, [SoakViolation("ready", 0.0, str(error))])
         finally:
             testbed.close()
 
 
-def play_seed(seed: int, seconds: float) -> SoakVerdict:
-    """Play the plan of a seed."""
-    return play_plan(draw_plan(seed, seconds))
+def run_seed(seed: int, duration_s: float) -> SoakVerdict:
+    """Run the plan of a seed."""
+    return run_plan(draw_plan(seed, duration_s))
 
 
-def play_seeds(seeds: Iterable[int], seconds: float, jobs: int) -> Iterator[SoakVerdict]:
-    """Play seeds, so many at once in processes of their own; yields verdicts as they come."""
+def run_seeds(seeds: Iterable[int], duration_s: float, jobs: int) -> Iterator[SoakVerdict]:
+    """Run seeds in up to `jobs` processes at once; yield verdicts in order of completion."""
     with ProcessPoolExecutor(jobs, get_context("spawn"), max_tasks_per_child=1) as pool:
-        playing = [pool.submit(play_seed, seed, seconds) for seed in seeds]
-        for one in as_completed(playing):
-            yield one.result()
+        futures = [pool.submit(run_seed, seed, duration_s) for seed in seeds]
+        for future in as_completed(futures):
+            yield future.result()
 
 
-def reduce_seed(seed: int, seconds: float, play: Callable[[SoakPlan], SoakVerdict] = play_plan) -> Reduction:
-    """Play a failing seed again alone; take troubles out one by one while it breaks the same rule."""
-    plan = draw_plan(seed, seconds)
-    found = Reduction(play(plan), [one.summary() for one in plan.troubles], 1)
-    if not found.failed_again:
-        return found
-    rules = {one.rule for one in found.verdict.broken}
-    place = len(plan.troubles) - 1
-    while place >= 0:
-        smaller = plan.without(place)
-        verdict = play(smaller)
-        found.plays += 1
-        if rules & {one.rule for one in verdict.broken}:
-            plan, found.verdict = smaller, verdict
-        place -= 1
-    found.troubles = [one.summary() for one in plan.troubles]
-    return found
+def reduce_seed(seed: int, duration_s: float, run: Callable[[SoakPlan], SoakVerdict] = run_plan) -> Reduction:
+    """Rerun a failing seed alone; remove each fault without which it still violates one of the rules."""
+    plan = draw_plan(seed, duration_s)
+    reduction = Reduction(run(plan), [fault.summary() for fault in plan.faults], 1)
+    if not reduction.failed_again:
+        return reduction
+    rules = {violation.rule for violation in reduction.verdict.violations}
+    index = len(plan.faults) - 1
+    while index >= 0:
+        reduced_plan = plan.without(index)
+        verdict = run(reduced_plan)
+        reduction.run_count += 1
+        if rules & {violation.rule for violation in verdict.violations}:
+            plan, reduction.verdict = reduced_plan, verdict
+        index -= 1
+    reduction.faults = [fault.summary() for fault in plan.faults]
+    return reduction
--- a/stonecove/standins/depot.py
+++ b/stonecove/standins/depot.py
@@ -1,4 +1,4 @@
-"""A depot in threads: caches, a parent, an origin and a change log, as PROTOCOL describes them."""
+"""A depot run in threads: caches, a parent cache, an origin and a change log, as described in PROTOCOL."""
 
 from __future__ import annotations
 
@@ -16,18 +16,19 @@
 from stonecove.protocols import resp
 from stonecove.protocols.buffer import Buffer
 
-NOTHING, WHOLE_LIST, CHANGES, OBJECT_PURGE, GROUP_PURGE = range(5)  # kinds of frames
+NOTHING, WHOLE_LIST, CHANGES, OBJECT_PURGE, GROUP_PURGE = range(5)  # kinds of change log frames
 _HEAD = struct.Struct(">IQB")
 _RECORD = struct.Struct(">IIHBBBHIQ")
-_STATES = {"up": 0, "draining": 1, "removed": 2}
-SETTLES = 6000.0  # ms after a purge in which a cache drops its copies; routers ask for none till then
-_KINDS = ("small-box", "parent", "origin")
-WRITE = "pick-confirm"  # the class that has an effect
+_STATE_CODES = {"up": 0, "draining": 1, "removed": 2}
+# A cache drops its copies within this time of a purge; until then routers request none of them.
+PURGE_SETTLING_MS = 6000.0
+_MACHINE_TYPES = ("small-box", "parent", "origin")
+WRITE = "pick-confirm"  # the request class with an effect
 HOST = "127.0.0.1"
 
 
-class Fetched(NamedTuple):
-    """A request that came to a server. `source`: from where it may fill, as its id is written."""
+class ReceivedRequest(NamedTuple):
+    """A request that reached a server. `source`: id of the server that it may fill from, as sent."""
 
     at: float  # Unix ms
     cache: int
@@ -37,13 +38,13 @@
 
 
 class _Listener:
-    """Accepts connections in threads of their own, until it is closed."""
+    """Accepts connections until it is closed, and serves each in its own thread."""
 
     def __init__(self, serve: Callable[[socket.socket], None]) -> None:
         self._serve = serve
         self._sock = socket.create_server((HOST, 0))
         self.port: int = self._sock.getsockname()[1]
-        self._accepted: list[socket.socket] = []
+        self._connections: list[socket.socket] = []
         threading.Thread(target=self._accept, daemon=True).start()
 
     def _accept(self) -> None:
@@ -52,31 +53,32 @@
                 sock, _ = self._sock.accept()
             except OSError:
                 return
-            self._accepted.append(sock)
-            threading.Thread(target=self._one, args=(sock,), daemon=True).start()
+            self._connections.append(sock)
+            threading.Thread(target=self._serve_connection, args=(sock,), daemon=True).start()
 
-    def _one(self, sock: socket.socket) -> None:
+    def _serve_connection(self, sock: socket.socket) -> None:
         with contextlib.suppress(OSError, resp.RespError, struct.error), sock:
             self._serve(sock)
 
     def close(self) -> None:
-        """Ends the listener and all its connections."""
-        for sock in (self._sock, *self._accepted):
+        """Close the listening socket and all accepted connections."""
+        for sock in (self._sock, *self._connections):
             with contextlib.suppress(OSError):
                 sock.shutdown(socket.SHUT_RDWR)
             sock.close()
 
 
 class Cache:
-    """A cache that answers each fetch of an object with a copy that it made when it was first asked."""
+    """A cache that answers each fetch with a stored copy, made at the first fetch of the object."""
 
     def __init__(self, ident: int, kind: int, depot: Depot) -> None:
+        """Start a listener on a free port. `kind`: index of the machine type."""
         self.ident, self.kind = ident, kind
         self.state = "up"
-        self.zone = 0 if kind else 1  # its place in the settings' list
+        self.zone = 0 if kind else 1  # index in the list of areas in the settings
         self.fetches = 0
-        self.started = 0.0  # Unix ms; 0: long ago
-        self.book: list[float] = []  # Unix ms of each fetch since then
+        self.started_ms = 0.0  # Unix ms; 0: long ago
+        self.request_times_ms: list[float] = []  # Unix ms of each fetch since a restart
         self._depot = depot
         self._copies: dict[str, float] = {}
         self._listener = _Listener(self._serve)
@@ -98,148 +100,174 @@
         fields = resp.parse_fields(command[2])
         self.fetches += 1
         self._depot.seen.append(
-            Fetched(
+            ReceivedRequest(
                 time.time() * 1000.0, self.ident, command[1].decode(), fields["cls"], fields.get("from", "")
             )
         )
-        if self.started:
-            self.book.append(time.time() * 1000.0)
+        if self.started_ms:
+            self.request_times_ms.append(time.time() * 1000.0)
         self._depot.serve(self, sock, command[1].decode(), fields)
 
-    def holds(self, name: str, oldest: float) -> bool:
-        """Whether it has a copy that will do."""
-        now = time.time() * 1000.0
-        least = max(now - oldest if oldest else 0.0, self._depot.settled(now))
-        return name in self._copies and self._copies[name] >= least
+    def has_copy(self, name: str, max_age_ms: float) -> bool:
+        """Return whether a stored copy is no older than `max_age_ms` (0: any) and than settled purges."""
+        now_ms = time.time() * 1000.0
+        min_created_ms = max(
+            now_ms - max_age_ms if max_age_ms else 0.0, self._depot.last_settled_purge(now_ms)
+        )
+        return name in self._copies and self._copies[name] >= min_created_ms
 
-    def copy(self, name: str, oldest: float) -> tuple[float, bool]:
-        """When its copy was born, and whether it was there; one too old is made anew."""
-        held = self.holds(name, oldest)
-        if not held:
+    def copy(self, name: str, max_age_ms: float) -> tuple[float, bool]:
+        """Return the copy's creation time (Unix ms) and whether it was stored; replace an old copy."""
+        cached = self.has_copy(name, max_age_ms)
+        if not cached:
             self._copies[name] = time.time() * 1000.0
-        return self._copies[name], held
+        return self._copies[name], cached
 
-    def forget(self) -> None:
-        """Its process was started anew: it is cold and empty, and keeps the book on what it is sent."""
+    def restart_empty(self) -> None:
+        """Act as a newly started process: drop all copies, and record the time of each request."""
         self._copies.clear()
-        self.book = []
-        self.started = float(int(time.time() * 1000.0))
+        self.request_times_ms = []
+        self.started_ms = float(int(time.time() * 1000.0))
 
-    def die(self) -> None:
-        """The process ends: its connections are reset and new ones refused."""
+    def stop(self) -> None:
+        """End the process: reset its connections and refuse new ones."""
         self._listener.close()
 
 
-def name_of(fields: dict[str, str]) -> str:
-    """Of the part of an object that is asked for."""
+def part_name(fields: dict[str, str]) -> str:
+    """Return the name of the requested part of an object."""
     return f"{fields['item']}/{fields['chunk']}"
 
 
-def confirmed(txn: str) -> bytes:
-    """The answer to a write."""
-    words = [("tell", "filled"), ("ver", "c0"), ("born", f"{time.time() * 1000:.0f}")]
-    return resp.encode(txn.encode(), b"200", resp.format_fields(words), b"confirmed")
+def confirmation_response(txn: str) -> bytes:
+    """Return the response to a write."""
+    response_fields = [("tell", "filled"), ("ver", "c0"), ("born", f"{time.time() * 1000:.0f}")]
+    return resp.encode(txn.encode(), b"200", resp.format_fields(response_fields), b"confirmed")
 
 
-def copied(txn: str, fields: dict[str, str], born: float, tell: str, waited: float) -> bytes:
-    """The answer to a read: a copy that was born then, and how it came. `waited`: ms."""
+def copy_response(
+    txn: str, fields: dict[str, str], created_ms: float, cache_status: str, waited_ms: float
+) -> bytes:
+    """Return the response to a read, with the copy's creation time (Unix ms) and how it was obtained."""
     item = int(fields["item"], 16)
-    words = [("tell", tell), ("ver", f"v{item:x}"), ("born", f"{born:.0f}"), ("waited", f"{waited:.0f}")]
-    return resp.encode(txn.encode(), b"200", resp.format_fields(words), f"{item:x}:".encode() + bytes(2000))
+    response_fields = [
+        ("tell", cache_status),
+        ("ver", f"v{item:x}"),
+        ("born", f"{created_ms:.0f}"),
+        ("waited", f"{waited_ms:.0f}"),
+    ]
+    return resp.encode(
+        txn.encode(), b"200", resp.format_fields(response_fields), f"{item:x}:".encode() + bytes(2000)
+    )
 
 
-def failed(txn: str, status: bytes, tell: str) -> bytes:
-    """An answer without a copy."""
-    return resp.encode(txn.encode(), status, resp.format_fields([("tell", tell)]), b"")
+def failure_response(txn: str, status: bytes, cache_status: str) -> bytes:
+    """Return a response without a copy."""
+    return resp.encode(txn.encode(), status, resp.format_fields([("tell", cache_status)]), b"")
 
 
 def event_frame(number: int, kind: int, payload: bytes = b"") -> bytes:
-    """A frame of the change log; one of kind `NOTHING` only tells the number of the last event."""
+    """Return a change log frame; one of kind `NOTHING` only reports the number of the last event."""
     return _HEAD.pack(9 + len(payload), number, kind) + payload
 
 
 def member_record(cache: Cache, host: str, state: str, weight: float) -> bytes:
-    """What the change log tells of a server that is up, draining or removed."""
-    address, told, thousandths = int(IPv4Address(host)), _STATES[state], round(weight * 1000)
-    return _RECORD.pack(cache.ident, address, cache.port, told, cache.zone, cache.kind, 0, thousandths,
-                        int(cache.started))  # fmt: skip
+    """Return the change log record of a server that is up, draining or removed."""
+    address, code, weight_milli = (
+        int(IPv4Address(host)),
+        _STATE_CODES[state],
+        round(weight * 1000),
+    )
+    return _RECORD.pack(cache.ident, address, cache.port, code, cache.zone, cache.kind, 0, weight_milli,
+                        int(cache.started_ms))  # fmt: skip
 
 
-def object_purge(key: int, moment: float) -> bytes:
-    """The payload of an `OBJECT_PURGE` of that Unix millisecond."""
-    return struct.pack(">QQ", key, int(moment))
+def object_purge(key: int, purged_at_ms: float) -> bytes:
+    """Return the payload of an `OBJECT_PURGE` at that time (Unix ms)."""
+    return struct.pack(">QQ", key, int(purged_at_ms))
 
 
-def group_purge(group: int, moment: float) -> bytes:
-    """The payload of a `GROUP_PURGE` of that Unix millisecond."""
-    return struct.pack(">HQ", group, int(moment))
+def group_purge(group: int, purged_at_ms: float) -> bytes:
+    """Return the payload of a `GROUP_PURGE` at that time (Unix ms)."""
+    return struct.pack(">HQ", group, int(purged_at_ms))
 
 
 class Depot:
-    """All servers of a depot, and what they have seen."""
+    """All servers of a depot, and a record of the requests that they received."""
 
     cache_type: type[Cache] = Cache
 
     def __init__(self, caches: int, weight: float = 20.0, zones: int = 1) -> None:
-        """`weight`: transfers at once that a cache's link carries; caches stand in zones in turn."""
+        """Start all servers.
+
+        `weight`: concurrent transfers on a cache's link. Caches are assigned to the zones in turn.
+        """
         self.weight = weight
         self._lock = threading.Lock()
-        self._ran: Counter[str] = Counter()  # by id, for classes that have an effect
+        self._run_counts: Counter[str] = Counter()  # by transaction id, for classes with an effect
         self._purges: list[float] = []
-        self._answers: list[tuple[float, float]] = []  # when, and the birth of the copy
-        self.seen: list[Fetched] = []
+        # Unix ms of the answer, and of the copy's creation.
+        self._served_copies: list[tuple[float, float]] = []
+        self.seen: list[ReceivedRequest] = []
         self.connects: list[float] = []  # Unix ms
-        self.caches = [self.cache_type(0x11 + place, 0, self) for place in range(caches)]
-        for place, cache in enumerate(self.caches):
-            cache.zone = 1 + place % zones
+        self.caches = [self.cache_type(0x11 + index, 0, self) for index in range(caches)]
+        for index, cache in enumerate(self.caches):
+            cache.zone = 1 + index % zones
         self.parent, self.origin = self.cache_type(0x21, 1, self), self.cache_type(0x31, 2, self)
         self.servers = [*self.caches, self.parent, self.origin]
-        self._events: list[Callable[[str], bytes]] = []  # frames, by the host under which servers are known
+        # Each builds the event's frame for the host at which servers are listed.
+        self._events: list[Callable[[str], bytes]] = []
         self._followers: list[tuple[str, socket.socket]] = []
-        self._logs: list[_Listener] = []
-        self.log_port = self.log_for(HOST)
+        self._log_listeners: list[_Listener] = []
+        self.log_port = self.add_change_log(HOST)
 
     def serve(self, cache: Cache, sock: socket.socket, txn: str, fields: dict[str, str]) -> None:
-        """Answers a fetch; raises OSError if the connection is gone."""
+        """Answer a fetch; raise OSError if the connection is closed."""
         sock.sendall(self.answer(cache, txn, fields))
 
     def answer(self, cache: Cache, txn: str, fields: dict[str, str]) -> bytes:
-        """A cache's answer to a fetch."""
+        """Return a cache's response to a fetch."""
         with self._lock:
             if fields["cls"] == WRITE:
-                self._ran[txn] += 1
-                return confirmed(txn)
-            born, held = cache.copy(name_of(fields), float(fields.get("oldest", 0)))
-            self._answers.append((time.time() * 1000.0, born))
-        return copied(txn, fields, born, "hit" if held else "filled", 1.0)
-
-    def too_old(self, moment: float, grace: float = 500.0) -> int:
-        """Answers given later than `grace` ms after then from a copy older than that."""
+                self._run_counts[txn] += 1
+                return confirmation_response(txn)
+            created_ms, cached = cache.copy(part_name(fields), float(fields.get("oldest", 0)))
+            self._served_copies.append((time.time() * 1000.0, created_ms))
+        return copy_response(txn, fields, created_ms, "hit" if cached else "filled", 1.0)
+
+    def count_stale_answers(self, purged_at_ms: float, grace_ms: float = 500.0) -> int:
+        """Count answers from copies older than a purge, sent over `grace_ms` after it."""
         with self._lock:
-            return sum(at > moment + grace and born < moment for at, born in self._answers)
+            return sum(
+                answered_ms > purged_at_ms + grace_ms and created_ms < purged_at_ms
+                for answered_ms, created_ms in self._served_copies
+            )
 
-    def settled(self, now: float) -> float:
-        """The latest purge that caches have carried out themselves by then; 0 if there is none."""
-        return max((moment for moment in self._purges if moment < now - SETTLES), default=0.0)
+    def last_settled_purge(self, now_ms: float) -> float:
+        """Return the time (Unix ms) of the last purge that caches have applied by then; 0 if none."""
+        return max(
+            (purged_at_ms for purged_at_ms in self._purges if purged_at_ms < now_ms - PURGE_SETTLING_MS),
+            default=0.0,
+        )
 
-    def repeated(self) -> int:
-        """Requests with an effect that ran more than once."""
+    def count_repeated_writes(self) -> int:
+        """Return the number of requests with an effect that ran more than once."""
         with self._lock:
-            return sum(count > 1 for count in self._ran.values())
+            return sum(count > 1 for count in self._run_counts.values())
 
-    def log_for(self, host: str) -> int:
-        """The port of one more change log, which tells that all servers are at that host."""
-        self._logs.append(_Listener(partial(self._follow, host)))
-        return self._logs[-1].port
+    def add_change_log(self, host: str) -> int:
+        """Start another change log that lists all servers at that host; return its port."""
+        self._log_listeners.append(_Listener(partial(self._follow, host)))
+        return self._log_listeners[-1].port
 
     def known(self, host: str = HOST) -> dict[str, object]:
-        """The list of the start, as JSON gives it."""
+        """Return the initial endpoint list, in the form of the JSON configuration."""
         entries = [
             {
                 "instanceId": f"s-{cache.ident:08x}",
                 "hostPort": f"{host}:{cache.port}",
                 "zone": f"edge-{cache.zone}" if cache.zone else "central",
-                "machineType": _KINDS[cache.kind],
+                "machineType": _MACHINE_TYPES[cache.kind],
                 "cell": 0,
                 "lifecycle": "up",
                 "weight": self.weight,
@@ -253,9 +281,9 @@
         }
 
     def _follow(self, host: str, sock: socket.socket) -> None:
-        (last,) = struct.unpack(">Q", sock.recv(8, socket.MSG_WAITALL))
+        (last_number,) = struct.unpack(">Q", sock.recv(8, socket.MSG_WAITALL))
         with self._lock:
-            for event in self._events[max(0, last - 1) :]:
+            for event in self._events[max(0, last_number - 1) :]:
                 sock.sendall(event(host))
             self._followers.append((host, sock))
         while True:
@@ -263,7 +291,7 @@
             with self._lock:
                 sock.sendall(event_frame(len(self._events) + 1, NOTHING))
 
-    def _tell(self, kind: int, payload: Callable[[str], bytes]) -> None:
+    def _announce(self, kind: int, payload: Callable[[str], bytes]) -> None:
         with self._lock:
             number = len(self._events) + 2
 
@@ -275,21 +303,21 @@
                 with contextlib.suppress(OSError):
                     sock.sendall(frame(host))
 
-    def tell_state(self, cache: Cache, state: str) -> None:
-        """The list says that the cache is up, draining or removed."""
+    def announce_state(self, cache: Cache, state: str) -> None:
+        """Announce in the change log that the cache is up, draining or removed."""
         cache.state = state
-        self._tell(CHANGES, lambda host: member_record(cache, host, state, self.weight))
+        self._announce(CHANGES, lambda host: member_record(cache, host, state, self.weight))
 
-    def tell_purge(self, group: int) -> float:
-        """Tells of the purge of a group; the Unix millisecond of it."""
-        moment = time.time() * 1000.0
-        self._purges.append(moment)
-        self._tell(GROUP_PURGE, lambda host: group_purge(group, moment))
-        return moment
+    def announce_purge(self, group: int) -> float:
+        """Announce the purge of a group; return its time in Unix ms."""
+        purged_at_ms = time.time() * 1000.0
+        self._purges.append(purged_at_ms)
+        self._announce(GROUP_PURGE, lambda host: group_purge(group, purged_at_ms))
+        return purged_at_ms
 
     def close(self) -> None:
-        """Ends all servers."""
+        """Stop all servers and change logs."""
         for cache in self.servers:
-            cache.die()
-        for log in self._logs:
-            log.close()
+            cache.stop()
+        for listener in self._log_listeners:
+            listener.close()
--- a/stonecove/standins/loaded.py
+++ b/stonecove/standins/loaded.py
@@ -1,8 +1,8 @@
-"""A depot that bears only so much: links with places, parents that fill, an origin that stops when pressed.
+"""A depot of limited capacity: request slots, a parent cache that fills, an origin that stops under overload.
 
-What a server is given takes its time on a line with so many places. Who would wait for too long is turned
-away at once. An origin that turned away more than it serves in a second stops for a while, as one does that
-is asked again and again by all who were turned away. Answers come in any order.
+Each request takes a service time in one of a server's slots. A request that would wait too long is rejected
+at once. An origin that rejects more requests within a second than it can serve stops for a while, like one
+that is overloaded by the retries of all rejected clients. Responses are sent in any order.
 """
 
 from __future__ import annotations
@@ -17,23 +17,31 @@
 from dataclasses import dataclass
 from typing import NamedTuple
 
-from stonecove.standins.depot import WRITE, Cache, Depot, confirmed, copied, failed, name_of
+from stonecove.standins.depot import (
+    WRITE,
+    Cache,
+    Depot,
+    confirmation_response,
+    copy_response,
+    failure_response,
+    part_name,
+)
 
 
 @dataclass(frozen=True, slots=True)
-class Bears:
-    """What the servers bear. Seconds, and requests a second."""
+class ServerCapacity:
+    """Capacity of the servers, in seconds and requests per second."""
 
-    origin: float  # fetches a second
-    work: float  # of one request on a cache's or the parent's line
-    places: int = 4  # of a cache's line, and of the origin
-    parent_places: int = 16
-    patience: float = 0.4  # nobody waits for longer on a line
-    stop: float = 2.0  # for which the origin stops
+    origin_per_s: float  # fetches per second
+    work_s: float  # service time of one request at a cache or the parent
+    slots: int = 4  # concurrent requests at a cache, and at the origin
+    parent_slots: int = 16
+    max_wait_s: float = 0.4  # a request that would wait longer is rejected
+    stop_s: float = 2.0  # duration of an origin stop
 
 
 class Fetch(NamedTuple):
-    """A fill from the parent, or a fetch from the origin. `served`: it was not turned away."""
+    """A fill from the parent, or a fetch from the origin. `served`: it was not rejected."""
 
     at: float  # Unix ms
     what: str  # fill, origin
@@ -41,139 +49,145 @@
     served: bool
 
 
-class Line:
-    """So many places, each taken for as long as its work."""
+class SlotQueue:
+    """A queue before a fixed number of slots, each busy for the service time of its request."""
 
-    def __init__(self, places: int, patience: float) -> None:
-        self._free = [0.0] * places
-        self._patience = patience
+    def __init__(self, slots: int, max_wait_s: float) -> None:
+        """Create a queue whose requests wait at most `max_wait_s`."""
+        self._free_at = [0.0] * slots
+        self._max_wait_s = max_wait_s
 
-    def take(self, now: float, work: float) -> float | None:
-        """When the work is done; None where it would wait for too long."""
-        if self._free[0] > now + self._patience:
+    def reserve(self, now_s: float, work_s: float) -> float | None:
+        """Return the time at which the request completes, or None if it would wait too long."""
+        if self._free_at[0] > now_s + self._max_wait_s:
             return None
-        ends = max(now, self._free[0]) + work
-        heapq.heapreplace(self._free, ends)
-        return ends
+        ends_at = max(now_s, self._free_at[0]) + work_s
+        heapq.heapreplace(self._free_at, ends_at)
+        return ends_at
 
 
 class LoadedDepot(Depot):
-    """All servers of a depot, which bear so much and no more."""
+    """All servers of a depot, with limited capacity."""
 
-    def __init__(self, caches: int, weight: float, zones: int, bears: Bears) -> None:
-        """`weight`: as a cache's link is told in the list."""
-        self.bears, self.pace = bears, 1.0  # the origin's pace now, of what it bears
+    def __init__(self, caches: int, weight: float, zones: int, capacity: ServerCapacity) -> None:
+        """Start all servers. `weight`: link weight of a cache in the endpoint list."""
+        self.capacity, self.pace = capacity, 1.0  # pace: current fraction of the origin's capacity
         self.fetches: list[Fetch] = []
         self.stops: list[float] = []  # Unix seconds at which the origin stopped
-        self._turned: deque[float] = deque()  # when it turned somebody away, within a second
+        self._rejected_at: deque[float] = deque()  # times of the origin's rejections within the last second
         self._stopped_until = 0.0
-        self._lines: dict[int, Line] = {}
-        self._fills: dict[tuple[int, str], float] = {}  # under way at a cache or parent, until when
-        self._due: list[tuple[float, int, socket.socket, bytes]] = []
-        self._order = itertools.count()
+        self._queues: dict[int, SlotQueue] = {}
+        # By cache or parent, and part.
+        self._fill_ends_at: dict[tuple[int, str], float] = {}
+        self._pending: list[tuple[float, int, socket.socket, bytes]] = []
+        self._sequence = itertools.count()
         self._wake = threading.Condition()
-        self._over = False
+        self._closed = False
         super().__init__(caches, weight, zones)
         for server in self.servers:
-            places = bears.parent_places if server is self.parent else bears.places
-            self._lines[server.ident] = Line(places, bears.patience)
+            slots = capacity.parent_slots if server is self.parent else capacity.slots
+            self._queues[server.ident] = SlotQueue(slots, capacity.max_wait_s)
         self._answering = threading.Thread(target=self._answer_due, daemon=True)
         self._answering.start()
 
     def serve(self, cache: Cache, sock: socket.socket, txn: str, fields: dict[str, str]) -> None:
-        """Books the fetch on the lines that it takes, and answers it when it is through them."""
+        """Reserve slots for a fetch, and queue its response for the time at which it completes."""
         with self._lock:
-            at, data = self._through(cache, txn, fields, time.time())
+            answer_at, data = self._process(cache, txn, fields, time.time())
         with self._wake:
-            heapq.heappush(self._due, (at, next(self._order), sock, data))
+            heapq.heappush(self._pending, (answer_at, next(self._sequence), sock, data))
             self._wake.notify()
 
     def close(self) -> None:
-        """Ends all servers."""
+        """Stop all servers."""
         with self._wake:
-            self._over = True
+            self._closed = True
             self._wake.notify()
         self._answering.join()
         super().close()
 
     # -- within --
 
-    def _through(self, cache: Cache, txn: str, fields: dict[str, str], now: float) -> tuple[float, bytes]:
-        """When the answer comes, and which."""
-        name, source = name_of(fields), fields.get("from", "")
+    def _process(self, cache: Cache, txn: str, fields: dict[str, str], now: float) -> tuple[float, bytes]:
+        """Return the time of the response, and the response."""
+        name, source = part_name(fields), fields.get("from", "")
         write = fields["cls"] == WRITE
-        oldest = float(fields.get("oldest", 0))
-        held = not write and self._fills.get((cache.ident, name), 0.0) <= now and cache.holds(name, oldest)
-        tell, filled = "hit", now
-        if not held:
-            ends, tell = self._filled(cache, name, txn, source, now, oldest, write)
-            if ends is None:
-                return now, failed(txn, b"500", tell)
-            filled = ends
-        through = self._lines[cache.ident].take(filled, self.bears.work)
-        if through is None and not write:
-            return now, failed(txn, b"503", "")
+        max_age_ms = float(fields.get("oldest", 0))
+        cached = (
+            not write
+            and self._fill_ends_at.get((cache.ident, name), 0.0) <= now
+            and cache.has_copy(name, max_age_ms)
+        )
+        cache_status, filled_at = "hit", now
+        if not cached:
+            ends_at, cache_status = self._fill(cache, name, txn, source, now, max_age_ms, write)
+            if ends_at is None:
+                return now, failure_response(txn, b"500", cache_status)
+            filled_at = ends_at
+        answered_at = self._queues[cache.ident].reserve(filled_at, self.capacity.work_s)
+        if answered_at is None and not write:
+            return now, failure_response(txn, b"503", "")
         if write:
-            self._ran[txn] += 1
-            return filled, confirmed(txn)
-        assert through is not None
-        born, _ = cache.copy(name, oldest)
-        self._answers.append((now * 1000.0, born))
-        return through, copied(txn, fields, born, tell, (filled - now) * 1000.0)
-
-    def _filled(
-        self, cache: Cache, name: str, txn: str, source: str, now: float, oldest: float, write: bool
+            self._run_counts[txn] += 1
+            return filled_at, confirmation_response(txn)
+        assert answered_at is not None
+        created_ms, _ = cache.copy(name, max_age_ms)
+        self._served_copies.append((now * 1000.0, created_ms))
+        return answered_at, copy_response(txn, fields, created_ms, cache_status, (filled_at - now) * 1000.0)
+
+    def _fill(
+        self, cache: Cache, name: str, txn: str, source: str, now: float, max_age_ms: float, write: bool
     ) -> tuple[float | None, str]:
-        """When the bytes are there and how they came, or None and why not."""
+        """Return when the content is available and its cache status, or None and the reason for failure."""
         if not source:
             return None, "src_lacks"
-        joined = self._fills.get((cache.ident, name), 0.0)
-        if joined > now and not write:
-            return joined, "joined"
-        parent = source == f"s-{self.parent.ident:08x}"
-        ends: float | None = now
-        if parent:
-            ends = self._lines[self.parent.ident].take(now, self.bears.work)
-            self.fetches.append(Fetch(now * 1000.0, "fill", txn, ends is not None))
-            if ends is None:
+        joined_until = self._fill_ends_at.get((cache.ident, name), 0.0)
+        if joined_until > now and not write:
+            return joined_until, "joined"
+        from_parent = source == f"s-{self.parent.ident:08x}"
+        ends_at: float | None = now
+        if from_parent:
+            ends_at = self._queues[self.parent.ident].reserve(now, self.capacity.work_s)
+            self.fetches.append(Fetch(now * 1000.0, "fill", txn, ends_at is not None))
+            if ends_at is None:
                 return None, "src_refused"
-        joins = parent and not write
-        under_way = self._fills.get((self.parent.ident, name), 0.0) if joins else 0.0
-        if under_way > now or not joins or not self.parent.holds(name, oldest):
-            ends = under_way if under_way > now else self._from_origin(txn, now)
-            if ends is None:
-                return None, "origin_failed" if parent else "src_refused"
-            if joins:
-                self._fills[self.parent.ident, name] = ends
-                self.parent.copy(name, oldest)
-        assert ends is not None
+        shares_fill = from_parent and not write
+        running_fill_ends_at = self._fill_ends_at.get((self.parent.ident, name), 0.0) if shares_fill else 0.0
+        if running_fill_ends_at > now or not shares_fill or not self.parent.has_copy(name, max_age_ms):
+            ends_at = running_fill_ends_at if running_fill_ends_at > now else self._from_origin(txn, now)
+            if ends_at is None:
+                return None, "origin_failed" if from_parent else "src_refused"
+            if shares_fill:
+                self._fill_ends_at[self.parent.ident, name] = ends_at
+                self.parent.copy(name, max_age_ms)
+        assert ends_at is not None
         if not write:
-            self._fills[cache.ident, name] = ends
-        return ends, "filled" if parent else "via_origin"
+            self._fill_ends_at[cache.ident, name] = ends_at
+        return ends_at, "filled" if from_parent else "via_origin"
 
     def _from_origin(self, txn: str, now: float) -> float | None:
-        ends = None
+        ends_at = None
         if now >= self._stopped_until:
-            work = self.bears.places / (self.bears.origin * self.pace)
-            ends = self._lines[self.origin.ident].take(now, work)
-        self.fetches.append(Fetch(now * 1000.0, "origin", txn, ends is not None))
-        if ends is None and now >= self._stopped_until:
-            self._turned.append(now)
-            while self._turned[0] < now - 1.0:
-                self._turned.popleft()
-            if len(self._turned) > self.bears.origin:
+            work_s = self.capacity.slots / (self.capacity.origin_per_s * self.pace)
+            ends_at = self._queues[self.origin.ident].reserve(now, work_s)
+        self.fetches.append(Fetch(now * 1000.0, "origin", txn, ends_at is not None))
+        if ends_at is None and now >= self._stopped_until:
+            self._rejected_at.append(now)
+            while self._rejected_at[0] < now - 1.0:
+                self._rejected_at.popleft()
+            if len(self._rejected_at) > self.capacity.origin_per_s:
                 self.stops.append(now)
-                self._stopped_until = now + self.bears.stop
-                self._turned.clear()
-        return ends
+                self._stopped_until = now + self.capacity.stop_s
+                self._rejected_at.clear()
+        return ends_at
 
     def _answer_due(self) -> None:
         while True:
             with self._wake:
-                while not self._over and (not self._due or self._due[0][0] > time.time()):
-                    self._wake.wait(self._due[0][0] - time.time() if self._due else None)
-                if self._over:
+                while not self._closed and (not self._pending or self._pending[0][0] > time.time()):
+                    self._wake.wait(self._pending[0][0] - time.time() if self._pending else None)
+                if self._closed:
                     return
-                _, _, sock, data = heapq.heappop(self._due)
+                _, _, sock, data = heapq.heappop(self._pending)
             with contextlib.suppress(OSError):
                 sock.sendall(data)
--- a/stonecove/standins/webserver.py
+++ b/stonecove/standins/webserver.py
@@ -1,4 +1,4 @@
-"""A web server's side of one connection, and the settings of a made-up depot."""
+"""The web server's side of a FastCGI connection, and the settings of a sample depot."""
 
 from __future__ import annotations
 
@@ -8,12 +8,12 @@
 
 from stonecove.protocols.fastcgi import codec as fastcgi
 
-PATIENCE = 20.0  # seconds for an answer
+ANSWER_TIMEOUT_S = 20.0  # socket timeout for a response
 CLASSES = (("item-image", "pure", 3000.0), ("pick-confirm", "side_effect", 3000.0))
 
 
 def settings() -> dict[str, object]:
-    """The settings of a made-up depot, as the platform's configuration gives them."""
+    """Return the settings of a sample depot, in the form of the platform's configuration."""
     return {
         "areas": ["central", "edge-1"],
         "models": ["small-box", "parent", "origin"],
@@ -64,15 +64,16 @@
     }
 
 
-class Asker:
-    """One FastCGI connection that asks one request after the other."""
+class FastCgiClient:
+    """A FastCGI connection that sends one request at a time."""
 
     def __init__(self, port: int, host: str = "127.0.0.1") -> None:
-        self._sock = socket.create_connection((host, port), PATIENCE)
+        """Connect to a router."""
+        self._sock = socket.create_connection((host, port), ANSWER_TIMEOUT_S)
         self._stream = self._sock.makefile("rb")
 
     def closed(self) -> bool:
-        """Whether the router has closed the connection while nothing was asked on it."""
+        """Return whether the router has closed the connection while it was idle."""
         if not select.select([self._sock], [], [], 0)[0]:
             return False
         try:
@@ -80,11 +81,12 @@
         except OSError:
             return True
 
-    def ask(self, path: str, **fields: str) -> tuple[str, bytes]:
-        """The status line and the bytes of the answer; raises EOFError if there is none."""
-        table = {"SCRIPT_NAME": path, **{f"HTTP_X_{name}": value for name, value in fields.items()}}
+    def request(self, path: str, **fields: str) -> tuple[str, bytes]:
+        """Return the status line and the body of the response; raise EOFError if there is none."""
+        variables = {"SCRIPT_NAME": path, **{f"HTTP_X_{name}": value for name, value in fields.items()}}
         params = b"".join(
-            bytes((len(name), len(value))) + name.encode() + value.encode() for name, value in table.items()
+            bytes((len(name), len(value))) + name.encode() + value.encode()
+            for name, value in variables.items()
         )
         self._sock.sendall(
             fastcgi.record(fastcgi.BEGIN, 1, struct.pack(">HB5x", fastcgi.RESPONDER, fastcgi.KEEP_CONN))
@@ -92,20 +94,22 @@
             + fastcgi.record(fastcgi.PARAMS, 1)
             + fastcgi.record(fastcgi.STDIN, 1)
         )
-        out = b""
+        output = b""
         while len(head := self._stream.read(8)) == 8:
             _, kind, _, length, padding, _ = struct.unpack(">BBHHBB", head)
             content = self._stream.read(length + padding)[:length]
             if kind == fastcgi.STDOUT:
-                out += content
+                output += content
             elif kind == fastcgi.END:
-                head, _, body = out.partition(b"\r\n\r\n")
+                head, _, body = output.partition(b"\r\n\r\n")
                 return head.decode("latin-1").partition("\r\n")[0].removeprefix("Status: "), body
         raise EOFError("the router closed the connection")
 
-    def ask_item(self, number: int, item: int, cls: str = "item-image", kb: int = 40) -> tuple[str, bytes]:
-        """Asks for an object under an id that is made of the number."""
-        return self.ask(
+    def request_item(
+        self, number: int, item: int, cls: str = "item-image", kb: int = 40
+    ) -> tuple[str, bytes]:
+        """Request an object under a transaction id derived from the number."""
+        return self.request(
             f"/svc/{cls}",
             TXN=f"{number + 1:016x}",
             TTL_MS="3000",
@@ -115,5 +119,5 @@
         )
 
     def close(self) -> None:
-        """Ends the connection."""
+        """Close the connection."""
         self._sock.close()
--- a/stonecove/standins/zkdata.py
+++ b/stonecove/standins/zkdata.py
@@ -1,8 +1,8 @@
-"""The data of the stand-in coordination server: nodes, versions, access lists, transactions, watches. No I/O.
+"""Data of the stand-in ZooKeeper server: nodes, versions, access lists, transactions, watches. No I/O.
 
 Written from the ZooKeeper programmer's guide ("ZooKeeper Data Model", "ZooKeeper Watches", "Access Control")
-and `zookeeper.jute`. One `Leader` orders transactions; each server has a `Replica` that applies them, later
-if it lags.
+and `zookeeper.jute`. One `Leader` orders transactions; each server has a `Replica` that applies them, with a
+delay if it lags.
 """
 
 from __future__ import annotations
@@ -18,22 +18,23 @@
 
 READ, WRITE, CREATE, DELETE, ADMIN = 1, 2, 4, 8, 16
 EPHEMERAL, SEQUENTIAL, CONTAINER = 1, 2, 4
-Fire = Callable[[EventType, str], None]
+WatchCallback = Callable[[EventType, str], None]
 Identity = tuple[str, str]
-STATE_CONNECTED = 3  # of a session, as an event tells it
+STATE_CONNECTED = 3  # session state in a watch event
 
 
 class ZkError(Exception):
-    """A request that can't be done."""
+    """A request that fails with a ZooKeeper error code."""
 
     def __init__(self, code: Err) -> None:
+        """Create an error whose message is the code's name."""
         super().__init__(code.name)
         self.code = code
 
 
 @dataclass
 class Node:
-    """One node."""
+    """A node and its metadata."""
 
     data: bytes
     acl: tuple[Acl, ...]
@@ -46,11 +47,11 @@
     cversion: int = 0
     aversion: int = 0
     owner: int = 0
-    created: int = 0  # children ever made, for sequence numbers
+    created: int = 0  # number of children ever created, for sequence numbers
     children: set[str] = field(default_factory=set)
 
     def stat(self) -> Stat:
-        """As it is told."""
+        """Return the node's metadata as sent to clients."""
         return Stat(
             self.czxid,
             self.mzxid,
@@ -67,7 +68,7 @@
 
 
 class Change(NamedTuple):
-    """One step of a transaction: kind is create, delete, set or acl."""
+    """One operation of a transaction: kind is create, delete, set or acl."""
 
     kind: str
     path: str
@@ -77,7 +78,7 @@
 
 
 class Txn(NamedTuple):
-    """A transaction, in the one order of all."""
+    """A transaction in the total order of writes."""
 
     zxid: int
     time: int
@@ -85,107 +86,109 @@
 
 
 def watch_event(kind: EventType, path: str) -> bytes:
-    """What a server sends when a watch fires: a reply header without a zxid, then kind, state and path."""
+    """Return the frame sent when a watch fires: a reply header without a zxid, then kind, state and path."""
     header = jute.int_(XID_EVENT) + jute.long(-1) + jute.int_(0)
     return header + jute.int_(kind) + jute.int_(STATE_CONNECTED) + jute.string(path)
 
 
 def parent_of(path: str) -> str:
-    """The path above."""
+    """Return the parent path."""
     return path.rpartition("/")[0] or "/"
 
 
 def check_path(path: str) -> None:
-    """Raises ZkError for a path that is none."""
+    """Raise ZkError if the path is invalid."""
     if path == "/":
         return
-    bad = any(part in ("", ".", "..") for part in path[1:].split("/"))
-    if not path.startswith("/") or bad or "\0" in path:
+    invalid = any(part in ("", ".", "..") for part in path[1:].split("/"))
+    if not path.startswith("/") or invalid or "\0" in path:
         raise ZkError(Err.BAD_ARGUMENTS)
 
 
 def digest(credentials: bytes) -> str:
-    """The id of `user:password` in the scheme digest."""
+    """Return the identity of `user:password` in the digest scheme."""
     user = credentials.partition(b":")[0].decode("utf-8", "replace")
     return f"{user}:{base64.b64encode(hashlib.sha1(credentials).digest()).decode()}"
 
 
-def allowed(node: Node, perm: int, who: Iterable[Identity]) -> bool:
-    """Whether one of these identities has the right."""
-    mine = set(who)
+def allowed(node: Node, perm: int, identities: Iterable[Identity]) -> bool:
+    """Return whether one of the identities has the permission."""
+    known_identities = set(identities)
     return not node.acl or any(
         acl.perms & perm
-        and ((acl.scheme, acl.ident) == ("world", "anyone") or (acl.scheme, acl.ident) in mine)
+        and ((acl.scheme, acl.ident) == ("world", "anyone") or (acl.scheme, acl.ident) in known_identities)
         for acl in node.acl
     )
 
 
 class Watchers:
-    """Who watches what on one server; `Fire` is the identity of a watcher."""
+    """The watches set on one server; a watcher is identified by its callback."""
 
     def __init__(self) -> None:
-        self.data: dict[str, set[Fire]] = {}
-        self.child: dict[str, set[Fire]] = {}
-        self.persistent: dict[str, set[Fire]] = {}
-        self.recursive: dict[str, set[Fire]] = {}
-
-    def add(self, table: dict[str, set[Fire]], path: str, fire: Fire) -> None:
-        """Somebody watches."""
-        table.setdefault(path, set()).add(fire)
-
-    def drop(self, fire: Fire) -> None:
-        """A connection has gone."""
+        """Create empty watch tables."""
+        self.data: dict[str, set[WatchCallback]] = {}
+        self.child: dict[str, set[WatchCallback]] = {}
+        self.persistent: dict[str, set[WatchCallback]] = {}
+        self.recursive: dict[str, set[WatchCallback]] = {}
+
+    def add(self, table: dict[str, set[WatchCallback]], path: str, callback: WatchCallback) -> None:
+        """Add a watch on a path."""
+        table.setdefault(path, set()).add(callback)
+
+    def drop(self, callback: WatchCallback) -> None:
+        """Remove all watches of a closed connection."""
         for table in (self.data, self.child, self.persistent, self.recursive):
-            for path in [path for path, fires in table.items() if fire in fires]:
-                table[path].discard(fire)
+            for path in [path for path, callbacks in table.items() if callback in callbacks]:
+                table[path].discard(callback)
                 if not table[path]:
                     del table[path]
 
-    def fire(self, kind: EventType, path: str, tables: tuple[dict[str, set[Fire]], ...]) -> None:
-        """Tells each watcher once; one-time watches are gone by that."""
-        told: set[Fire] = set()
+    def fire(self, kind: EventType, path: str, tables: tuple[dict[str, set[WatchCallback]], ...]) -> None:
+        """Notify each watcher once, and remove the one-time watches."""
+        callbacks: set[WatchCallback] = set()
         for table in tables:
-            told |= table.pop(path, set())
-        told |= self.persistent.get(path, set())
+            callbacks |= table.pop(path, set())
+        callbacks |= self.persistent.get(path, set())
         if kind is not EventType.CHILDREN_CHANGED and self.recursive:
-            above = path
+            ancestor = path
             while True:
-                told |= self.recursive.get(above, set())
-                if above == "/":
+                callbacks |= self.recursive.get(ancestor, set())
+                if ancestor == "/":
                     break
-                above = parent_of(above)
-        for one in told:
-            one(kind, path)
+                ancestor = parent_of(ancestor)
+        for callback in callbacks:
+            callback(kind, path)
 
 
 class Replica:
-    """What one server has applied so far."""
+    """The state that one server has applied so far."""
 
     def __init__(self) -> None:
+        """Create a tree that holds only the root."""
         self.nodes: dict[str, Node] = {"/": Node(b"", ())}
         self.ephemerals: dict[int, set[str]] = {}
         self.applied = 0
         self.watchers = Watchers()
 
     def node(self, path: str) -> Node:
-        """A node; raises ZkError."""
+        """Return a node; raise ZkError if the path is invalid or missing."""
         check_path(path)
         if path not in self.nodes:
             raise ZkError(Err.NO_NODE)
         return self.nodes[path]
 
     def apply(self, txn: Txn) -> None:
-        """Applies a transaction, and fires the watches that it touches."""
+        """Apply a transaction, and fire the watches that it affects."""
         self.applied = txn.zxid
         for change in txn.changes:
             getattr(self, f"_{change.kind}")(txn, change)
 
     def _create(self, txn: Txn, change: Change) -> None:
-        above = self.nodes[parent_of(change.path)]
-        above.children.add(change.path.rpartition("/")[2])
-        above.cversion += 1
-        above.created += 1
-        above.pzxid = txn.zxid
+        parent = self.nodes[parent_of(change.path)]
+        parent.children.add(change.path.rpartition("/")[2])
+        parent.cversion += 1
+        parent.created += 1
+        parent.pzxid = txn.zxid
         self.nodes[change.path] = Node(
             change.data, change.acl, txn.zxid, txn.zxid, txn.zxid, txn.time, txn.time, owner=change.owner
         )
@@ -197,10 +200,10 @@
 
     def _delete(self, txn: Txn, change: Change) -> None:
         node = self.nodes.pop(change.path)
-        above = self.nodes[parent_of(change.path)]
-        above.children.discard(change.path.rpartition("/")[2])
-        above.cversion += 1
-        above.pzxid = txn.zxid
+        parent = self.nodes[parent_of(change.path)]
+        parent.children.discard(change.path.rpartition("/")[2])
+        parent.cversion += 1
+        parent.pzxid = txn.zxid
         if node.owner in self.ephemerals:
             self.ephemerals[node.owner].discard(change.path)
         watchers = self.watchers
@@ -218,42 +221,42 @@
         node.acl = change.acl
         node.aversion += 1
 
-    def watch_again(
+    def restore_watches(
         self,
         zxid: int,
-        fire: Fire,
+        callback: WatchCallback,
         data: list[str],
         exist: list[str],
         child: list[str],
         persistent: list[str],
         recursive: list[str],
     ) -> None:
-        """setWatches: tells at once what has changed after that transaction, and watches the rest."""
-        tables = self.watchers
+        """Handle setWatches: report what has changed since that transaction, and watch the rest."""
+        watchers = self.watchers
         for path in data:
             node = self.nodes.get(path)
             if node is None or node.mzxid > zxid:
-                fire(EventType.DELETED if node is None else EventType.DATA_CHANGED, path)
+                callback(EventType.DELETED if node is None else EventType.DATA_CHANGED, path)
             else:
-                tables.add(tables.data, path, fire)
+                watchers.add(watchers.data, path, callback)
         for path in exist:
             if path in self.nodes:
-                fire(EventType.CREATED, path)
+                callback(EventType.CREATED, path)
             else:
-                tables.add(tables.data, path, fire)
+                watchers.add(watchers.data, path, callback)
         for path in child:
             node = self.nodes.get(path)
             if node is None or node.pzxid > zxid:
-                fire(EventType.DELETED if node is None else EventType.CHILDREN_CHANGED, path)
+                callback(EventType.DELETED if node is None else EventType.CHILDREN_CHANGED, path)
             else:
-                tables.add(tables.child, path, fire)
-        for table, paths in ((tables.persistent, persistent), (tables.recursive, recursive)):
+                watchers.add(watchers.child, path, callback)
+        for table, paths in ((watchers.persistent, persistent), (watchers.recursive, recursive)):
             for path in paths:
-                tables.add(table, path, fire)
+                watchers.add(table, path, callback)
 
 
-class Wanted(NamedTuple):
-    """A write as it is asked for: kind is create, delete, set, check or acl."""
+class WriteRequest(NamedTuple):
+    """A requested write: kind is create, delete, set, check or acl."""
 
     kind: str
     path: str
@@ -267,148 +270,152 @@
     """Orders the writes. Its own replica is always up to date."""
 
     def __init__(self) -> None:
+        """Create a leader with an empty log."""
         self.replica = Replica()
         self.log: list[Txn] = []
 
     @property
     def zxid(self) -> int:
-        """The newest transaction."""
+        """Return the id of the newest transaction."""
         return self.replica.applied
 
     def write(
-        self, wanted: list[Wanted], session: int, who: list[Identity], now: int
+        self, requests: list[WriteRequest], session: int, identities: list[Identity], now_ms: int
     ) -> tuple[Txn, list[str]]:
-        """Does all or nothing; raises ZkError with the `place` of what can't be done. Returns also the
-        paths.
+        """Apply all writes or none; return the transaction and the paths.
+
+        Raises ZkError with the index of the write that fails.
         """
         changes: list[Change] = []
         paths: list[str] = []
         overlay = _Overlay(self.replica)
-        for place, one in enumerate(wanted):
+        for index, request in enumerate(requests):
             try:
-                change, path = self._one(overlay, one, session, who)
+                change, path = self._prepare(overlay, request, session, identities)
             except ZkError as error:
-                error.args = (place,)
+                error.args = (index,)
                 raise
             paths.append(path)
             if change is not None:
                 changes.append(change)
-        return self.commit(tuple(changes), now), paths
+        return self.commit(tuple(changes), now_ms), paths
 
-    def commit(self, changes: tuple[Change, ...], now: int) -> Txn:
-        """The next transaction."""
-        txn = Txn(self.zxid + 1, now, changes)
+    def commit(self, changes: tuple[Change, ...], now_ms: int) -> Txn:
+        """Append the next transaction to the log, and apply it."""
+        txn = Txn(self.zxid + 1, now_ms, changes)
         self.replica.apply(txn)
         self.log.append(txn)
         return txn
 
-    def end_session(self, session: int, now: int) -> Txn:
-        """Takes away all ephemeral nodes of a session, in one transaction."""
-        mine = sorted(self.replica.ephemerals.pop(session, set()))
-        return self.commit(tuple(Change("delete", path) for path in mine), now)
+    def end_session(self, session: int, now_ms: int) -> Txn:
+        """Delete all ephemeral nodes of a session, in one transaction."""
+        paths = sorted(self.replica.ephemerals.pop(session, set()))
+        return self.commit(tuple(Change("delete", path) for path in paths), now_ms)
 
-    def _one(
-        self, now: _Overlay, one: Wanted, session: int, who: list[Identity]
+    def _prepare(
+        self, overlay: _Overlay, request: WriteRequest, session: int, identities: list[Identity]
     ) -> tuple[Change | None, str]:
-        check_path(one.path)
-        if one.kind == "create":
-            return self._create(now, one, session, who)
-        node = now.get(one.path)
+        check_path(request.path)
+        if request.kind == "create":
+            return self._create(overlay, request, session, identities)
+        node = overlay.get(request.path)
         if node is None:
             raise ZkError(Err.NO_NODE)
-        if one.kind == "delete":
-            above = now.get(parent_of(one.path))
-            if above is None or not allowed(above, DELETE, who):
+        if request.kind == "delete":
+            parent = overlay.get(parent_of(request.path))
+            if parent is None or not allowed(parent, DELETE, identities):
                 raise ZkError(Err.NO_AUTH)
-        elif not allowed(node, {"set": WRITE, "check": READ, "acl": ADMIN}[one.kind], who):
+        elif not allowed(node, {"set": WRITE, "check": READ, "acl": ADMIN}[request.kind], identities):
             raise ZkError(Err.NO_AUTH)
-        version = node.aversion if one.kind == "acl" else now.version(one.path)
-        if one.version not in (ANY_VERSION, version):
+        version = node.aversion if request.kind == "acl" else overlay.version(request.path)
+        if request.version not in (ANY_VERSION, version):
             raise ZkError(Err.BAD_VERSION)
-        if one.kind == "check":
-            return None, one.path
-        if one.kind == "delete":
-            if now.children(one.path):
+        if request.kind == "check":
+            return None, request.path
+        if request.kind == "delete":
+            if overlay.children(request.path):
                 raise ZkError(Err.NOT_EMPTY)
-            now.delete(one.path)
-            return Change("delete", one.path), one.path
-        if one.kind == "set":
-            now.bump(one.path)
-            return Change("set", one.path, one.data), one.path
-        return Change("acl", one.path, acl=_resolved(one.acl, who)), one.path
-
-    def _create(self, now: _Overlay, one: Wanted, session: int, who: list[Identity]) -> tuple[Change, str]:
-        above = now.get(parent_of(one.path))
-        if above is None:
+            overlay.delete(request.path)
+            return Change("delete", request.path), request.path
+        if request.kind == "set":
+            overlay.increment_version(request.path)
+            return Change("set", request.path, request.data), request.path
+        return Change("acl", request.path, acl=_resolve_acl(request.acl, identities)), request.path
+
+    def _create(
+        self, overlay: _Overlay, request: WriteRequest, session: int, identities: list[Identity]
+    ) -> tuple[Change, str]:
+        parent = overlay.get(parent_of(request.path))
+        if parent is None:
             raise ZkError(Err.NO_NODE)
-        if not allowed(above, CREATE, who):
+        if not allowed(parent, CREATE, identities):
             raise ZkError(Err.NO_AUTH)
-        if above.owner:
+        if parent.owner:
             raise ZkError(Err.NO_CHILDREN_FOR_EPHEMERALS)
-        path = one.path
-        if one.flags & SEQUENTIAL:
-            path += f"{now.sequence(parent_of(one.path)):010d}"
-        if now.get(path) is not None:
+        path = request.path
+        if request.flags & SEQUENTIAL:
+            path += f"{overlay.sequence(parent_of(request.path)):010d}"
+        if overlay.get(path) is not None:
             raise ZkError(Err.NODE_EXISTS)
-        acl = _resolved(one.acl, who)
-        owner = session if one.flags & EPHEMERAL else 0
-        now.create(path, Node(one.data, acl, owner=owner))
-        return Change("create", path, one.data, acl, owner), path
-
-
-def _resolved(acl: tuple[Acl, ...], who: list[Identity]) -> tuple[Acl, ...]:
-    """The scheme auth stands for who asks; raises ZkError for a list that says nothing."""
-    found: list[Acl] = []
-    for one in acl:
-        if one.scheme == "auth":
-            found += [Acl(one.perms, *identity) for identity in who if identity[0] != "ip"]
+        acl = _resolve_acl(request.acl, identities)
+        owner = session if request.flags & EPHEMERAL else 0
+        overlay.create(path, Node(request.data, acl, owner=owner))
+        return Change("create", path, request.data, acl, owner), path
+
+
+def _resolve_acl(acl: tuple[Acl, ...], identities: list[Identity]) -> tuple[Acl, ...]:
+    """Replace the scheme auth by the client's identities; raise ZkError if no entry remains."""
+    resolved: list[Acl] = []
+    for entry in acl:
+        if entry.scheme == "auth":
+            resolved += [Acl(entry.perms, *identity) for identity in identities if identity[0] != "ip"]
         else:
-            found.append(one)
-    if not found:
+            resolved.append(entry)
+    if not resolved:
         raise ZkError(Err.INVALID_ACL)
-    return tuple(found)
+    return tuple(resolved)
 
 
 class _Overlay:
-    """The leader's data as it will be after the first operations of a multi."""
+    """The leader's data with the effects of the preceding operations of a multi."""
 
     def __init__(self, replica: Replica) -> None:
         self._replica = replica
         self._nodes: dict[str, Node | None] = {}
-        self._bumps: dict[str, int] = {}
-        self._made: dict[str, int] = {}
+        self._version_increments: dict[str, int] = {}
+        self._created_children: dict[str, int] = {}
 
     def get(self, path: str) -> Node | None:
-        """A node, or None."""
+        """Return a node, or None if it does not exist."""
         return self._nodes[path] if path in self._nodes else self._replica.nodes.get(path)
 
     def children(self, path: str) -> bool:
-        """Whether there are nodes below."""
+        """Return whether the node has children."""
         node = self._replica.nodes.get(path)
         names = {f"{path.rstrip('/')}/{name}" for name in node.children} if node else set()
         names |= {name for name in self._nodes if parent_of(name) == path and name != path}
         return any(self.get(name) is not None for name in names)
 
     def version(self, path: str) -> int:
-        """The version of the data."""
+        """Return the version of the data."""
         node = self.get(path)
-        return (node.version if node else 0) + self._bumps.get(path, 0)
+        return (node.version if node else 0) + self._version_increments.get(path, 0)
 
     def sequence(self, path: str) -> int:
-        """The next sequence number below a node."""
+        """Return the next sequence number for children of a node."""
         node = self._replica.nodes.get(path)
-        return (node.created if node else 0) + self._made.get(path, 0)
+        return (node.created if node else 0) + self._created_children.get(path, 0)
 
     def create(self, path: str, node: Node) -> None:
-        """Will be there."""
+        """Record a created node."""
         self._nodes[path] = node
-        above = parent_of(path)
-        self._made[above] = self._made.get(above, 0) + 1
+        parent = parent_of(path)
+        self._created_children[parent] = self._created_children.get(parent, 0) + 1
 
     def delete(self, path: str) -> None:
-        """Will be gone."""
+        """Record a deleted node."""
         self._nodes[path] = None
 
-    def bump(self, path: str) -> None:
-        """Will have another version."""
-        self._bumps[path] = self._bumps.get(path, 0) + 1
+    def increment_version(self, path: str) -> None:
+        """Record a change of a node's data."""
+        self._version_increments[path] = self._version_increments.get(path, 0) + 1
--- a/stonecove/standins/zookeeper.py
+++ b/stonecove/standins/zookeeper.py
@@ -1,19 +1,19 @@
-"""A stand-in for a ZooKeeper ensemble, on loopback: for tests, measurements and trying things out.
-
-It speaks the client protocol of 3.4 to 3.9 to any client, and takes line commands on a control port:
-
-    expire SESSION | expire-path PATH    the session ends now, with its ephemeral nodes
-    drop SESSION                         its connection is reset, the session lives on
-    partition [SERVER] | heal            connections stay open and silent, from now until healed
-    lag MS [SERVER]                      that server (the last one) applies transactions so much later
-    garble N [SESSION]                   the next N frames that go out (to that session) are noise
-    slow MS                              each reply waits so long
-    readonly on|off                      new connections are told that the server is read-only
-    restart                              all sessions are lost, with their ephemeral nodes; the rest stays
-    trace                                all that happened, a JSON object a line
+"""A stand-in for a ZooKeeper ensemble on loopback, for tests, benchmarks and experiments.
+
+It serves the client protocol of ZooKeeper 3.4 to 3.9, and takes line commands on a control port:
+
+    expire SESSION | expire-path PATH    end the session now, with its ephemeral nodes
+    drop SESSION                         reset its connection; the session stays
+    partition [SERVER] | heal            keep connections open but silent until healed
+    lag MS [SERVER]                      delay transactions at that server (default: the last one)
+    garble N [SESSION]                   replace the next N outgoing frames (of that session) by noise
+    slow MS                              delay each reply
+    readonly on|off                      report a read-only server to new connections
+    restart                              lose all sessions with their ephemeral nodes; other nodes stay
+    trace                                list all recorded events, one JSON object per line
     sessions | tree PATH | create PATH DATA | set PATH DATA | delete PATH
 
-Each is answered by lines, the last of which is `ok`, or `error WHY`.
+The answer to each ends with a line `ok` or `error REASON`.
 """
 
 from __future__ import annotations
@@ -38,16 +38,16 @@
     Identity,
     Leader,
     Replica,
-    Wanted,
+    WriteRequest,
     ZkError,
     allowed,
     digest,
     watch_event,
 )
 
-LEAST_TIMEOUT, MOST_TIMEOUT = 200, 600_000  # ms that are granted to a session
-CHECK_EVERY = 0.02  # seconds between two looks for sessions whose time is over
-MOST_TRACE = 200_000
+MIN_SESSION_TIMEOUT_MS, MAX_SESSION_TIMEOUT_MS = 200, 600_000  # range granted to a session
+SESSION_CHECK_INTERVAL_S = 0.02  # between checks for expired sessions
+MAX_TRACE_ENTRIES = 200_000
 
 
 def _now() -> int:
@@ -55,53 +55,60 @@
 
 
 class Session:
-    """A session, known to all servers."""
+    """A session, shared by all servers."""
 
-    def __init__(self, ident: int, timeout: int) -> None:
+    def __init__(self, ident: int, timeout_ms: int) -> None:
+        """Create a session with a random password; `timeout_ms` as granted."""
         self.ident = ident
         self.password = os.urandom(16)
-        self.timeout = timeout
-        self.heard = time.monotonic()
+        self.timeout_ms = timeout_ms
+        self.last_heard_at = time.monotonic()
         self.connection: Connection | None = None
-        self.who: list[Identity] = []
+        self.identities: list[Identity] = []
 
 
 class Connection:
-    """One client on one server."""
+    """One client's connection to one server."""
 
     def __init__(self, server: Server, stream: trio.SocketStream) -> None:
+        """Create a connection that has no session yet."""
         self.server = server
         self.stream = stream
         self.session: Session | None = None
         self.scope = trio.CancelScope()
-        self._out: deque[tuple[float, bytes]] = deque()
+        self._outgoing: deque[tuple[float, bytes]] = deque()
         self._wake = trio.Event()
-        self.fire = self._fire  # one object: the watchers know us by it
+        self.fire = self._fire  # a single bound method, which identifies this connection among the watchers
 
-    def push(self, payload: bytes) -> None:
-        """A frame goes out, after what went before."""
+    def send(self, payload: bytes) -> None:
+        """Queue a frame after those queued before."""
         ensemble = self.server.ensemble
         data = len(payload).to_bytes(4, "big") + payload
-        if ensemble.garble > 0 and ensemble.garble_of in (0, self.session.ident if self.session else 0):
-            ensemble.garble -= 1
+        if ensemble.frames_to_garble > 0 and ensemble.garbled_session_id in (
+            0,
+            self.session.ident if self.session else 0,
+        ):
+            ensemble.frames_to_garble -= 1
             data = ensemble.noise(len(data))
-        self._out.append((time.monotonic() + ensemble.slow, data))
+        self._outgoing.append((time.monotonic() + ensemble.reply_delay_s, data))
         self._wake.set()
 
     def reply(self, xid: int, error: Err, body: bytes = b"", zxid: int | None = None) -> None:
-        """The answer to a request."""
-        told = self.server.replica.applied if zxid is None else zxid
-        self.push(jute.int_(xid) + jute.long(told) + jute.int_(error) + (body if error is Err.OK else b""))
+        """Send the reply to a request."""
+        reply_zxid = self.server.replica.applied if zxid is None else zxid
+        self.send(
+            jute.int_(xid) + jute.long(reply_zxid) + jute.int_(error) + (body if error is Err.OK else b"")
+        )
 
     def _fire(self, kind: EventType, path: str) -> None:
-        self.push(watch_event(kind, path))
+        self.send(watch_event(kind, path))
 
     def close(self) -> None:
-        """Resets the connection."""
+        """Reset the connection."""
         self.scope.cancel()
 
     async def run(self) -> None:
-        """Serves until either side ends it."""
+        """Serve until either side closes the connection."""
         try:
             with self.scope:
                 async with trio.open_nursery() as nursery:
@@ -119,33 +126,33 @@
 
     async def _write(self) -> None:
         while True:
-            while self._out:
-                due, _ = self._out[0]
-                if due > time.monotonic():
-                    await trio.sleep(due - time.monotonic())
-                await self.server.open()
+            while self._outgoing:
+                due_at, _ = self._outgoing[0]
+                if due_at > time.monotonic():
+                    await trio.sleep(due_at - time.monotonic())
+                await self.server.wait_until_healed()
                 now, parts = time.monotonic(), []
-                while self._out and self._out[0][0] <= now:
-                    parts.append(self._out.popleft()[1])
+                while self._outgoing and self._outgoing[0][0] <= now:
+                    parts.append(self._outgoing.popleft()[1])
                 if parts:
                     await self.stream.send_all(b"".join(parts))
             self._wake = trio.Event()
-            if not self._out:
+            if not self._outgoing:
                 await self._wake.wait()
 
     async def _read(self) -> None:
         buffer = Buffer(zk.MAX_FRAME_BYTES * 2)
-        greeted = False
+        handshake_done = False
         while data := await self.stream.receive_some(65_536):
-            await self.server.open()
+            await self.server.wait_until_healed()
             buffer.feed(data)
             try:
                 for payload in zk.frames(buffer):
-                    await self.server.open()
-                    if not greeted:
-                        greeted = True
-                        if not self.server.greet(self, Reader(payload)):
-                            await trio.sleep(0.05)  # the refusal is written out
+                    await self.server.wait_until_healed()
+                    if not handshake_done:
+                        handshake_done = True
+                        if not self.server.handle_connect(self, Reader(payload)):
+                            await trio.sleep(0.05)  # time to send the rejection
                             return
                     elif not await self._request(payload):
                         return
@@ -155,7 +162,7 @@
     async def _request(self, payload: bytes) -> bool:
         session = self.session
         assert session is not None
-        session.heard = time.monotonic()
+        session.last_heard_at = time.monotonic()
         reader = Reader(payload)
         xid, kind = reader.int_(), reader.int_()
         if session.connection is not self:
@@ -168,7 +175,7 @@
             self.reply(xid, Err.UNIMPLEMENTED)
             return True
         if op is Op.CLOSE_SESSION:
-            self.server.ensemble.end(session, "closed")
+            self.server.ensemble.end_session(session, "closed")
             self.reply(xid, Err.OK)
             await trio.sleep(0.05)
             return False
@@ -185,31 +192,31 @@
             self.reply(xid, Err.OK, body)
         return True
 
-    async def write(self, wanted: list[Wanted]) -> list[str]:
-        """Has writes done, and waits until this server has applied them; the paths."""
+    async def write(self, requests: list[WriteRequest]) -> list[str]:
+        """Order writes and wait until this server has applied them; return the paths."""
         assert self.session is not None
         ensemble = self.server.ensemble
         try:
-            txn, paths = ensemble.leader.write(wanted, self.session.ident, self.who(), _now())
+            txn, paths = ensemble.leader.write(requests, self.session.ident, self.identities(), _now())
         except ZkError:
-            # A write that fails is ordered among the others, too: its reply comes after what went before it.
+            # A failed write is ordered among the others, too: its reply follows those of earlier writes.
             await self.server.wait_for(ensemble.leader.zxid)
             raise
-        ensemble.spread()
-        for one, path in zip(wanted, paths, strict=True):
-            ensemble.note(one.kind, path=path, zxid=txn.zxid, session=f"{self.session.ident:#x}")
+        ensemble.replicate()
+        for request, path in zip(requests, paths, strict=True):
+            ensemble.record_event(request.kind, path=path, zxid=txn.zxid, session=f"{self.session.ident:#x}")
         await self.server.wait_for(txn.zxid)
         return paths
 
-    def who(self) -> list[Identity]:
-        """Who the client is."""
+    def identities(self) -> list[Identity]:
+        """Return the client's identities."""
         assert self.session is not None
-        return [*self.session.who, ("ip", "127.0.0.1")]
+        return [*self.session.identities, ("ip", "127.0.0.1")]
 
-    def readable(self, path: str) -> bytes:
-        """The data of a node that may be read; raises ZkError."""
+    def read_data(self, path: str) -> bytes:
+        """Return the data of a node; raise ZkError if it may not be read."""
         node = self.server.replica.node(path)
-        if not allowed(node, READ, self.who()):
+        if not allowed(node, READ, self.identities()):
             raise ZkError(Err.NO_AUTH)
         return node.data
 
@@ -218,63 +225,64 @@
     """One server of the ensemble."""
 
     def __init__(self, ensemble: Ensemble, number: int) -> None:
+        """Create a server with an empty replica."""
         self.ensemble = ensemble
         self.number = number
         self.replica = Replica()
-        self.lag = 0.0  # seconds
-        self._todo: deque[tuple[float, int]] = deque()  # when, and the place in the log
+        self.lag_s = 0.0
+        self._pending: deque[tuple[float, int]] = deque()  # when to apply it, and its index in the log
         self._applied = trio.Event()
         self._arrived = trio.Event()
         self._healed = trio.Event()
         self._healed.set()
 
-    async def open(self) -> None:
-        """Waits while this server is cut off."""
+    async def wait_until_healed(self) -> None:
+        """Wait while this server is partitioned."""
         while not self._healed.is_set():
             await self._healed.wait()
 
     def partition(self) -> None:
-        """Cut off from now on."""
+        """Partition this server from its clients."""
         if self._healed.is_set():
             self._healed = trio.Event()
 
     def heal(self) -> None:
-        """Cut off no more."""
+        """End the partition."""
         self._healed.set()
 
-    def arrive(self, place: int) -> None:
-        """A transaction was ordered."""
-        self._todo.append((time.monotonic() + self.lag, place))
-        if self.lag <= 0 and len(self._todo) == 1:
+    def enqueue(self, log_index: int) -> None:
+        """Apply an ordered transaction, or queue it if this server lags."""
+        self._pending.append((time.monotonic() + self.lag_s, log_index))
+        if self.lag_s <= 0 and len(self._pending) == 1:
             self._apply_due()
         else:
             self._arrived.set()
 
     def _apply_due(self) -> None:
-        while self._todo and self._todo[0][0] <= time.monotonic():
-            self.replica.apply(self.ensemble.leader.log[self._todo.popleft()[1]])
+        while self._pending and self._pending[0][0] <= time.monotonic():
+            self.replica.apply(self.ensemble.leader.log[self._pending.popleft()[1]])
             self._applied.set()
             self._applied = trio.Event()
 
     async def run(self) -> None:
-        """Applies what has been waiting for its time."""
+        """Apply queued transactions when they are due."""
         while True:
             self._apply_due()
-            if self._todo:
-                await trio.sleep(max(0.0, self._todo[0][0] - time.monotonic()))
+            if self._pending:
+                await trio.sleep(max(0.0, self._pending[0][0] - time.monotonic()))
             else:
                 self._arrived = trio.Event()
                 await self._arrived.wait()
 
     async def wait_for(self, zxid: int) -> None:
-        """Until that transaction is applied here."""
+        """Wait until this server has applied that transaction."""
         while self.replica.applied < zxid:
             await self._applied.wait()
 
     async def serve(self, stream: trio.SocketStream) -> None:
-        """One client."""
+        """Serve one client."""
         self.ensemble.connects += 1
-        self.ensemble.note("connect", server=self.number)
+        self.ensemble.record_event("connect", server=self.number)
         connection = Connection(self, stream)
         self.ensemble.connections.add(connection)
         try:
@@ -282,141 +290,149 @@
         finally:
             self.ensemble.connections.discard(connection)
 
-    def greet(self, connection: Connection, reader: Reader) -> bool:
-        """ConnectRequest; False if the connection is to be closed."""
+    def handle_connect(self, connection: Connection, reader: Reader) -> bool:
+        """Handle a ConnectRequest; return False if the connection is to be closed."""
         reader.int_()
-        zxid, timeout, ident, password = reader.long(), reader.int_(), reader.long(), reader.buffer() or b""
-        reader_knows = reader.remaining > 0
+        zxid, timeout_ms, ident, password = (
+            reader.long(),
+            reader.int_(),
+            reader.long(),
+            reader.buffer() or b"",
+        )
+        client_knows_read_only = reader.remaining > 0
         ensemble = self.ensemble
         if zxid > self.replica.applied:
-            ensemble.note("refused-behind", server=self.number, seen=zxid, has=self.replica.applied)
+            ensemble.record_event("refused-behind", server=self.number, seen=zxid, has=self.replica.applied)
             return False
-        timeout = min(max(timeout, LEAST_TIMEOUT), MOST_TIMEOUT)
-        session = ensemble.sessions.get(ident) if ident else ensemble.open_session(timeout)
+        timeout_ms = min(max(timeout_ms, MIN_SESSION_TIMEOUT_MS), MAX_SESSION_TIMEOUT_MS)
+        session = ensemble.sessions.get(ident) if ident else ensemble.open_session(timeout_ms)
         if session is None or (ident and session.password != password):
-            connection.push(
+            connection.send(
                 jute.int_(0)
                 + jute.int_(0)
                 + jute.long(0)
                 + jute.buffer(bytes(16))
-                + (jute.boolean(False) if reader_knows else b"")
+                + (jute.boolean(False) if client_knows_read_only else b"")
             )
             return False
         if session.connection is not None and session.connection is not connection:
             session.connection.close()
-        session.connection, session.heard, connection.session = connection, time.monotonic(), session
-        ensemble.note(
+        session.connection, session.last_heard_at, connection.session = connection, time.monotonic(), session
+        ensemble.record_event(
             "session-resumed" if ident else "session-new", session=f"{session.ident:#x}", server=self.number
         )
-        connection.push(
+        connection.send(
             jute.int_(0)
-            + jute.int_(session.timeout)
+            + jute.int_(session.timeout_ms)
             + jute.long(session.ident)
             + jute.buffer(session.password)
-            + (jute.boolean(ensemble.read_only) if reader_knows else b"")
+            + (jute.boolean(ensemble.read_only) if client_knows_read_only else b"")
         )
         return True
 
 
 class Ensemble:
-    """All servers, their sessions, and what is done to them."""
+    """All servers, their sessions and the faults injected into them."""
 
     def __init__(self, servers: int, seed: int = 1) -> None:
+        """Create the servers; `seed` determines the noise of garbled frames."""
         self.leader = Leader()
         self.servers = [Server(self, number) for number in range(servers)]
         self.sessions: dict[int, Session] = {}
         self.connections: set[Connection] = set()
         self.connects = 0
-        self.garble = 0  # frames that are still to be spoilt
-        self.garble_of = 0  # the session that gets them; 0: any
-        self.slow = 0.0
+        self.frames_to_garble = 0
+        self.garbled_session_id = 0  # 0: any session
+        self.reply_delay_s = 0.0
         self.read_only = False
-        self.trace: deque[dict[str, object]] = deque(maxlen=MOST_TRACE)
+        self.trace: deque[dict[str, object]] = deque(maxlen=MAX_TRACE_ENTRIES)
         self._random = random.Random(seed)
-        self._spread = 0
+        self._replicated = 0
         self._next_session = (_now() << 16) & 0x7FFFFFFFFFFFFFFF
 
-    def note(self, what: str, **fields: object) -> None:
-        """Into the trace."""
-        self.trace.append({"at": time.time() * 1000, "what": what, **fields})
+    def record_event(self, event: str, **fields: object) -> None:
+        """Add an event to the trace."""
+        self.trace.append({"at": time.time() * 1000, "what": event, **fields})
 
     def noise(self, count: int) -> bytes:
-        """Bytes that are no frame: the length that they begin with is negative."""
+        """Return bytes that are not a frame: the length that they begin with is negative."""
         return b"\xff" + self._random.randbytes(max(7, count - 1))
 
-    def spread(self) -> None:
-        """Hands new transactions to all servers."""
-        while self._spread < len(self.leader.log):
+    def replicate(self) -> None:
+        """Pass new transactions to all servers."""
+        while self._replicated < len(self.leader.log):
             for server in self.servers:
-                server.arrive(self._spread)
-            self._spread += 1
+                server.enqueue(self._replicated)
+            self._replicated += 1
 
-    def open_session(self, timeout: int) -> Session:
-        """A new session."""
+    def open_session(self, timeout_ms: int) -> Session:
+        """Create a session."""
         self._next_session += 1
-        session = Session(self._next_session, timeout)
+        session = Session(self._next_session, timeout_ms)
         self.sessions[session.ident] = session
         return session
 
-    def end(self, session: Session, why: str) -> None:
-        """A session is over, by the client's word or by time."""
+    def end_session(self, session: Session, why: str) -> None:
+        """End a session, closed by its client, expired or lost."""
         self.sessions.pop(session.ident, None)
         paths = sorted(self.leader.replica.ephemerals.get(session.ident, set()))
         self.leader.end_session(session.ident, _now())
-        self.spread()
-        self.note("session-end", session=f"{session.ident:#x}", why=why, paths=paths)
+        self.replicate()
+        self.record_event("session-end", session=f"{session.ident:#x}", why=why, paths=paths)
         if why != "closed" and session.connection is not None:
             session.connection.close()
 
     async def run(self) -> None:
-        """Ends sessions that have said nothing for their time-out."""
+        """End sessions that were silent for their timeout."""
         async with trio.open_nursery() as nursery:
             for server in self.servers:
                 nursery.start_soon(server.run)
             while True:
-                await trio.sleep(CHECK_EVERY)
+                await trio.sleep(SESSION_CHECK_INTERVAL_S)
                 now = time.monotonic()
                 for session in list(self.sessions.values()):
-                    if now > session.heard + session.timeout / 1000:
-                        self.end(session, "silent")
+                    if now > session.last_heard_at + session.timeout_ms / 1000:
+                        self.end_session(session, "silent")
 
     # -- commands --
 
     def command(self, line: str) -> list[str]:
-        """One line of the control port; raises ValueError with what is wrong."""
-        word, *rest = line.split(maxsplit=1)
+        """Run one line of the control port; raise ValueError if it is invalid."""
+        verb, *rest = line.split(maxsplit=1)
         arguments = rest[0].split() if rest else []
-        match word:
+        match verb:
             case "expire":
-                self.end(self._session(arguments[0]), "expired by command")
+                self.end_session(self._session(arguments[0]), "expired by command")
             case "expire-path":
                 owner = self.leader.replica.node(arguments[0]).owner
                 if owner not in self.sessions:
-                    raise ValueError(f"{arguments[0]} is of no session")
-                self.end(self.sessions[owner], "expired by command")
+                    raise ValueError(f"{arguments[0]} does not belong to a session")
+                self.end_session(self.sessions[owner], "expired by command")
             case "drop":
                 connection = self._session(arguments[0]).connection
                 if connection is not None:
                     connection.close()
             case "partition" | "heal":
-                chosen = [self.servers[int(arguments[0])]] if arguments else self.servers
-                for server in chosen:
-                    server.partition() if word == "partition" else server.heal()
+                targets = [self.servers[int(arguments[0])]] if arguments else self.servers
+                for server in targets:
+                    server.partition() if verb == "partition" else server.heal()
             case "lag":
-                self.servers[int(arguments[1]) if len(arguments) > 1 else -1].lag = float(arguments[0]) / 1000
+                self.servers[int(arguments[1]) if len(arguments) > 1 else -1].lag_s = (
+                    float(arguments[0]) / 1000
+                )
             case "garble":
-                self.garble_of = int(arguments[1], 0) if len(arguments) > 1 else 0
-                self.garble = int(arguments[0])
+                self.garbled_session_id = int(arguments[1], 0) if len(arguments) > 1 else 0
+                self.frames_to_garble = int(arguments[0])
             case "slow":
-                self.slow = float(arguments[0]) / 1000
+                self.reply_delay_s = float(arguments[0]) / 1000
             case "readonly":
                 self.read_only = arguments[0] == "on"
             case "restart":
-                self.note("restart")
+                self.record_event("restart")
                 for connection in list(self.connections):
                     connection.close()
                 for session in list(self.sessions.values()):
-                    self.end(session, "restart")
+                    self.end_session(session, "restart")
             case "trace":
                 return [json.dumps(entry) for entry in self.trace]
             case "sessions":
@@ -430,24 +446,24 @@
             case "create" | "set" | "delete":
                 path, _, data = (rest[0] if rest else "").partition(" ")
                 acl = (Acl(31, "world", "anyone"),)
-                self.leader.write([Wanted(word, path, data.encode(), acl)], 0, [], _now())
-                self.spread()
-                self.note(word, path=path, session="control")
+                self.leader.write([WriteRequest(verb, path, data.encode(), acl)], 0, [], _now())
+                self.replicate()
+                self.record_event(verb, path=path, session="control")
             case "connects":
                 return [str(self.connects)]
             case _:
-                raise ValueError(f"no command {word!r}")
-        self.note("command", line=line)
+                raise ValueError(f"unknown command {verb!r}")
+        self.record_event("command", line=line)
         return []
 
     def _session(self, text: str) -> Session:
         ident = int(text, 0)
         if ident not in self.sessions:
-            raise ValueError(f"no session {text}")
+            raise ValueError(f"unknown session {text}")
         return self.sessions[ident]
 
     async def control(self, stream: trio.SocketStream) -> None:
-        """One connection to the control port."""
+        """Serve one connection to the control port."""
         buffered = b""
         try:
             while data := await stream.receive_some(65_536):
@@ -457,12 +473,12 @@
                     if not line.strip():
                         continue
                     try:
-                        out = [*self.command(line.decode().strip()), "ok"]
+                        response = [*self.command(line.decode().strip()), "ok"]
                     except (ValueError, IndexError) as error:
-                        out = [f"error {error}"]
+                        response = [f"error {error}"]
                     except ZkError as error:
-                        out = [f"error {error.code.name}"]
-                    await stream.send_all(("\n".join(out) + "\n").encode())
+                        response = [f"error {error.code.name}"]
+                    await stream.send_all(("\n".join(response) + "\n").encode())
         except (OSError, trio.BrokenResourceError):
             pass
 
@@ -470,30 +486,28 @@
 # -- requests --
 
 
-def _acls(reader: Reader) -> tuple[Acl, ...]:
+def _read_acls(reader: Reader) -> tuple[Acl, ...]:
     return tuple(reader.vector(lambda: Acl(reader.int_(), reader.string(), reader.string())))
 
 
-def _wanted(op: Op, reader: Reader) -> Wanted:
-    """A write as it stands in a request or in a multi."""
+def _read_write_request(op: Op, reader: Reader) -> WriteRequest:
+    """Read a write from a request or from a multi."""
     if op in (Op.CREATE, Op.CREATE2, Op.CREATE_CONTAINER, Op.CREATE_TTL):
-        path, data, acl, flags = reader.string(), reader.buffer() or b"", _acls(reader), reader.int_()
+        path, data, acl, flags = reader.string(), reader.buffer() or b"", _read_acls(reader), reader.int_()
         if flags > 4 or op is Op.CREATE_TTL:
             raise ZkError(Err.UNIMPLEMENTED)
-        return Wanted("create", path, data, acl, 0 if flags == 4 else flags)
+        return WriteRequest("create", path, data, acl, 0 if flags == 4 else flags)
     if op is Op.DELETE:
-        return Wanted("delete", reader.string(), version=reader.int_())
+        return WriteRequest("delete", reader.string(), version=reader.int_())
     if op is Op.SET_DATA:
-        return Wanted("set", reader.string(), reader.buffer() or b"", version=reader.int_())
+        return WriteRequest("set", reader.string(), reader.buffer() or b"", version=reader.int_())
     if op is Op.CHECK:
-        return Wanted("check", reader.string(), version=reader.int_())
+        return WriteRequest("check", reader.string(), version=reader.int_())
     raise ZkError(Err.BAD_ARGUMENTS)
 
 
 def _result(op: Op, path: str, replica: Replica) -> bytes:
-    """The body of the reply to a write that was done; what was deleted again in the same multi has no
-    stat.
-    """
+    """Return the body of a successful write's reply; a node deleted later in the same multi has no stat."""
     stat = replica.nodes[path].stat() if path in replica.nodes else zk.Stat()
     if op in (Op.CREATE2, Op.CREATE_CONTAINER):
         return jute.string(path) + stat.encode()
@@ -505,33 +519,37 @@
 
 
 async def _write(op: Op, connection: Connection, reader: Reader) -> bytes:
-    paths = await connection.write([_wanted(op, reader)])
+    paths = await connection.write([_read_write_request(op, reader)])
     return _result(op, paths[0], connection.server.replica)
 
 
 async def _set_acl(connection: Connection, reader: Reader) -> bytes:
-    path, acl, version = reader.string(), _acls(reader), reader.int_()
-    await connection.write([Wanted("acl", path, acl=acl, version=version)])
+    path, acl, version = reader.string(), _read_acls(reader), reader.int_()
+    await connection.write([WriteRequest("acl", path, acl=acl, version=version)])
     return _result(Op.SET_ACL, path, connection.server.replica)
 
 
 async def _multi(connection: Connection, reader: Reader) -> bytes:
     ops: list[Op] = []
-    wanted: list[Wanted] = []
+    requests: list[WriteRequest] = []
     while True:
-        kind, done, _ = reader.int_(), reader.boolean(), reader.int_()
+        op_code, done, _ = reader.int_(), reader.boolean(), reader.int_()
         if done:
             break
-        ops.append(Op(kind))
-        wanted.append(_wanted(ops[-1], reader))
+        ops.append(Op(op_code))
+        requests.append(_read_write_request(ops[-1], reader))
     end = jute.int_(-1) + jute.boolean(True) + jute.int_(-1)
     try:
-        paths = await connection.write(wanted)
+        paths = await connection.write(requests)
     except ZkError as error:
-        at = error.args[0]
+        failed_index = error.args[0]
         codes = [
-            Err.OK if place < at else error.code if place == at else Err.RUNTIME_INCONSISTENCY
-            for place in range(len(ops))
+            Err.OK
+            if index < failed_index
+            else error.code
+            if index == failed_index
+            else Err.RUNTIME_INCONSISTENCY
+            for index in range(len(ops))
         ]
         return (
             b"".join(
@@ -558,7 +576,7 @@
 
 async def _get_data(connection: Connection, reader: Reader) -> bytes:
     path, watch = reader.string(), reader.boolean()
-    data = connection.readable(path)
+    data = connection.read_data(path)
     watchers = connection.server.replica.watchers
     if watch:
         watchers.add(watchers.data, path, connection.fire)
@@ -567,7 +585,7 @@
 
 async def _children(with_stat: bool, connection: Connection, reader: Reader) -> bytes:
     path, watch = reader.string(), reader.boolean()
-    connection.readable(path)
+    connection.read_data(path)
     node, watchers = connection.server.replica.node(path), connection.server.replica.watchers
     if watch:
         watchers.add(watchers.child, path, connection.fire)
@@ -585,10 +603,10 @@
     return jute.string(path)
 
 
-async def _set_watches(new: bool, connection: Connection, reader: Reader) -> bytes:
+async def _set_watches(with_persistent: bool, connection: Connection, reader: Reader) -> bytes:
     zxid, data, exist, child = reader.long(), reader.strings(), reader.strings(), reader.strings()
-    more = (reader.strings(), reader.strings()) if new else ([], [])
-    connection.server.replica.watch_again(zxid, connection.fire, data, exist, child, *more)
+    persistent = (reader.strings(), reader.strings()) if with_persistent else ([], [])
+    connection.server.replica.restore_watches(zxid, connection.fire, data, exist, child, *persistent)
     return b""
 
 
@@ -605,7 +623,7 @@
     assert connection.session is not None
     if scheme != "digest" or b":" not in credentials:
         raise ZkError(Err.AUTH_FAILED)
-    connection.session.who.append(("digest", digest(credentials)))
+    connection.session.identities.append(("digest", digest(credentials)))
     return b""
 
 
@@ -635,19 +653,17 @@
 
 
 async def serve(
-    host: str, ports: list[int], control: tuple[str, int], lag: float, say: Callable[[str], None]
+    host: str, ports: list[int], control: tuple[str, int], lag_ms: float, announce: Callable[[str], None]
 ) -> None:
-    """Runs an ensemble of as many servers as there are ports; the last one lags by so many ms. 0: any
-    port.
-    """
+    """Run an ensemble with one server per port; the last one lags by `lag_ms`. Port 0: any free port."""
     ensemble = Ensemble(len(ports))
-    ensemble.servers[-1].lag = lag / 1000.0
+    ensemble.servers[-1].lag_s = lag_ms / 1000.0
     async with trio.open_nursery() as nursery:
         nursery.start_soon(ensemble.run)
         for server, port in zip(ensemble.servers, ports, strict=True):
             listeners = await trio.open_tcp_listeners(port, host=host, backlog=1024)
-            say(f"listening on {host}:{listeners[0].socket.getsockname()[1]}")
+            announce(f"listening on {host}:{listeners[0].socket.getsockname()[1]}")
             nursery.start_soon(trio.serve_listeners, server.serve, listeners)
         listeners = await trio.open_tcp_listeners(control[1], host=control[0])
-        say(f"control on {control[0]}:{listeners[0].socket.getsockname()[1]}")
+        announce(f"control on {control[0]}:{listeners[0].socket.getsockname()[1]}")
         nursery.start_soon(trio.serve_listeners, ensemble.control, listeners)
--- a/stonecove/trial/__init__.py
+++ b/stonecove/trial/__init__.py
@@ -1,1 +1,1 @@
-"""The testbed: many routers together, as real processes or as simulated decisions, with faults injected."""
+"""The testbed: runs many routers, as real processes or simulated, and injects faults."""
--- a/stonecove/trial/judge.py
+++ b/stonecove/trial/judge.py
@@ -1,4 +1,4 @@
-"""Checks whether a trial kept the rules, from the records of stand-ins and clients and the routers' logs."""
+"""Checks whether a trial kept all rules, from the records of stand-ins and clients and the routers' logs."""
 
 from __future__ import annotations
 
@@ -26,16 +26,16 @@
 from stonecove.trial.schedule import PACE, Trial
 from stonecove.trial.testbed import WEIGHT, Testbed, TrialRecord
 
-GRACE = 25.0  # seconds after a kill or a pause within which a request is lost to it: clients wait so long
-SLACK = 0.5  # seconds by which a stand-in on a busy machine may note a request late
-KNOWS = 2.0  # seconds after its start in which a router may not have heard of all others yet
-RECONNECT = 2.0  # seconds in which a router reads the change log again once it can be reached
-TOLD_BY = 7.0  # seconds by which an event counts as told, where the change log is cut off
+CLIENT_TIMEOUT_S = 25.0  # clients wait so long: a request lost within it is blamed on the kill or pause
+RECORD_DELAY_S = 0.5  # a stand-in on a busy machine may record a request late by this much
+DISCOVERY_S = 2.0  # after its start a router may not know all other members yet
+RECONNECT_S = 2.0  # time to read the change log again once it is reachable
+MAX_NOTIFICATION_DELAY_S = 7.0  # maximum allowance for an event while the change log is cut off
 
 
 @dataclass(frozen=True, slots=True)
 class RuleViolation:
-    """A rule that was broken: when (seconds after the load began), and by which processes."""
+    """A violated rule: the time in seconds after the load began, and the processes involved."""
 
     rule: str
     at: float
@@ -43,386 +43,454 @@
     what: str
 
     def summary(self) -> str:
-        """One line for people."""
+        """Return one line for people."""
         return f"{self.rule} at {self.at:.2f} s, {', '.join(self.processes) or 'nobody'}: {self.what}"
 
 
 @dataclass(slots=True)
 class Verdict:
-    """The violations and figures of a trial."""
+    """The rule violations and figures of a trial."""
 
     title: str
     violations: list[RuleViolation] = field(default_factory=list)
     figures: dict[str, float] = field(default_factory=dict)
 
     def as_dict(self) -> dict[str, Any]:
-        """The JSON form that `stonecove trial run --json` prints."""
+        """Return the JSON form that `stonecove trial run --json` prints."""
         return {
             "title": self.title,
             "passed": not self.violations,
-            "broken": [asdict(one) for one in self.violations],
+            "broken": [asdict(violation) for violation in self.violations],
             "figures": self.figures,
         }
 
 
 def play(trial: Trial, seed: int, folder: Path) -> tuple[TrialRecord, Verdict]:
-    """Runs a trial and judges it; raises TrialError or OSError if it can't be run."""
+    """Run a trial and judge it; raise TrialError or OSError if it cannot be run."""
     testbed = Testbed(trial, seed, folder)
     try:
-        played = testbed.play()
+        record = testbed.play()
     finally:
         testbed.close()
-    return played, judge(played)
-
-
-def judge(played: TrialRecord) -> Verdict:
-    """Checks all rules on one trial."""
-    verdict = Verdict(played.trial.title)
-    _answers(played, verdict)
-    judge_processes(played, verdict)
-    judge_cold_caches(played, verdict)
-    judge_endpoint_list(played, verdict)
-    if isinstance(played.clients, OpenLoopClients):
-        _open_loop(played, played.clients, verdict)
-    if played.trial.swarm:
-        _shares(played, verdict)
-        _members(played, verdict)
+    return record, judge(record)
+
+
+def judge(record: TrialRecord) -> Verdict:
+    """Check all rules on one trial."""
+    verdict = Verdict(record.trial.title)
+    _check_answers(record, verdict)
+    judge_processes(record, verdict)
+    judge_cold_caches(record, verdict)
+    judge_endpoint_list(record, verdict)
+    if isinstance(record.clients, OpenLoopClients):
+        _check_open_loop(record, record.clients, verdict)
+    if record.trial.swarm:
+        _check_shares(record, verdict)
+        _check_membership(record, verdict)
     return verdict
 
 
-def _answers(played: TrialRecord, verdict: Verdict) -> None:
-    """Each request that was accepted gets one final answer, and no write runs twice."""
-    clients, expects = played.clients, played.trial.expects
+def _check_answers(record: TrialRecord, verdict: Verdict) -> None:
+    """Check that each accepted request got one final answer, and that no write ran twice."""
+    clients, expects = record.clients, record.trial.expects
     assert clients is not None
     lost = [
-        (at, place) for at, place in clients.lost
-        if not any(place == who and since - 0.1 <= at <= until + GRACE
-                   for since, until, who, _ in played.troubled)
+        (lost_at, router_index) for lost_at, router_index in clients.lost
+        if not any(router_index == who and start - 0.1 <= lost_at <= end + CLIENT_TIMEOUT_S
+                   for start, end, who, _ in record.router_faults)
     ]  # fmt: skip
     if len(lost) > expects.lost:
-        at, place = lost[0]
+        lost_at, router_index = lost[0]
         verdict.violations.append(
             RuleViolation(
                 "answer",
-                at - played.began,
-                (played.routers[place].name,),
+                lost_at - record.began,
+                (record.routers[router_index].name,),
                 f"{len(lost)} taken requests had no answer, though nothing ended them",
             )
         )
-    if played.repeated:
+    if record.repeated:
         verdict.violations.append(
             RuleViolation(
                 "write",
-                played.ended - played.began,
+                record.ended - record.began,
                 (),
-                f"{played.repeated} requests with an effect ran more than once",
+                f"{record.repeated} requests with an effect ran more than once",
             )
         )
-    total = sum(clients.answers.values())  # of open-loop clients, those of all tries
+    total = sum(clients.answers.values())  # for open-loop clients, the answers to all attempts
     verdict.figures |= {
         "answers": total, "served": clients.answers["200"] / max(1, total), "lost": len(lost),
-        "lost_to_faults": len(clients.lost) - len(lost), "writes_twice": played.repeated,
-        "p50_ms": clients.took.get_value_at_percentile(50) / 1000.0,
-        "p99_ms": clients.took.get_value_at_percentile(99) / 1000.0,
+        "lost_to_faults": len(clients.lost) - len(lost), "writes_twice": record.repeated,
+        "p50_ms": clients.latency_us.get_value_at_percentile(50) / 1000.0,
+        "p99_ms": clients.latency_us.get_value_at_percentile(99) / 1000.0,
     }  # fmt: skip
 
 
-def judge_processes(played: TrialRecord, verdict: Verdict) -> None:
-    """No router crashes or logs a bug."""
-    for place, code in played.codes:
+def judge_processes(record: TrialRecord, verdict: Verdict) -> None:
+    """Check that no router crashed or logged an internal error."""
+    for router_index, exit_code in record.codes:
         verdict.violations.append(
             RuleViolation(
-                "crash", played.ended - played.began, (played.routers[place].name,), f"ended with {code}"
+                "crash",
+                record.ended - record.began,
+                (record.routers[router_index].name,),
+                f"ended with {exit_code}",
             )
         )
-    for router in played.routers:
-        if bugs := router.lines("internal_error"):
+    for router in record.routers:
+        if bug_lines := router.lines("internal_error"):
             verdict.violations.append(
                 RuleViolation(
                     "bug",
-                    float(bugs[0]["at"]) - played.began,
+                    float(bug_lines[0]["at"]) - record.began,
                     (router.name,),
-                    f"{len(bugs)} in its log: {bugs[0]}",
+                    f"{len(bug_lines)} in its log: {bug_lines[0]}",
                 )
             )
 
 
-def judge_cold_caches(played: TrialRecord, verdict: Verdict) -> None:
-    """All routers together send a cold cache no more than the rule allows; 1.0 is that bound."""
-    worst = 0.0
-    for started, cache, book in played.colds:
-        at, part = cold_part(book, started, played.trial.window, played.trial.kb)
-        if part > 1.0:
+def judge_cold_caches(record: TrialRecord, verdict: Verdict) -> None:
+    """Check that all routers together sent no cold cache more than the rule allows; 1.0 is that limit."""
+    max_ratio = 0.0
+    for started_at, cache, requested_at_ms in record.colds:
+        peak_at, load_ratio = cold_part(requested_at_ms, started_at, record.trial.window, record.trial.kb)
+        if load_ratio > 1.0:
             verdict.violations.append(
                 RuleViolation(
                     "cold",
-                    at - played.began,
-                    tuple(r.name for r in played.routers),
-                    f"{cache} was sent {part:.2f} of what it bears",
+                    peak_at - record.began,
+                    tuple(router.name for router in record.routers),
+                    f"{cache} was sent {load_ratio:.2f} of what it bears",
                 )
             )
-        worst = max(worst, part)
-    verdict.figures["cold_worst"] = worst
+        max_ratio = max(max_ratio, load_ratio)
+    verdict.figures["cold_worst"] = max_ratio
 
 
 def cold_part(book: list[float], started: float, window: float, kb: float) -> tuple[float, float]:
-    """When a cache that started then was sent most, and as a part of what the rule allows.
+    """Return when a cache's load in one window peaked, and that load as a fraction of what the rule allows.
 
-    `book`: Unix ms of each request, `kb` of work each; `started` and `window` in seconds.
+    `book`: Unix ms of each request, `kb` of work each; `started`: Unix time of the cache's start; `window` in
+    seconds.
     """
     rules: Any = settings()["rules"]
-    work, most = kb / PACE * 1000.0, (started, 0.0)
-    asked = sorted(at / 1000.0 for at in book)
-    for number, at in enumerate(asked):
-        age = at - started
-        if age > rules["warm_up"] / 1000.0:
+    work_ms, peak = kb / PACE * 1000.0, (started, 0.0)
+    requested_at = sorted(request_at / 1000.0 for request_at in book)
+    for index, request_at in enumerate(requested_at):
+        age_s = request_at - started
+        if age_s > rules["warm_up"] / 1000.0:
             break
-        within = sum(at - window < other <= at for other in asked[: number + 1]) * work
-        warmed = max(0.0, age - window) / (rules["warm_up"] / 1000.0)
-        present = min(1.0, rules["cold_from"] + (1.0 - rules["cold_from"]) * warmed)
-        part = within / (rules["tip_multiple"] * present * window * 1000.0 * WEIGHT)
-        if part > most[1]:
-            most = at, part
-    return most
-
-
-def judge_endpoint_list(played: TrialRecord, verdict: Verdict) -> None:
-    """After its grace a drained cache is not used, and no answer is older than a purge."""
-    for since, until, ident in played.drains:
-        grace = since + settings_of("rules", "drain_grace") / 1000.0 + SLACK + _told_late(played, since)
-        asked = [
-            one
-            for one in played.depot.seen
-            if grace < one.at / 1000.0 < until and (one.cache == ident or one.source == f"s-{ident:08x}")
+        window_work_ms = (
+            sum(request_at - window < other_at <= request_at for other_at in requested_at[: index + 1])
+            * work_ms
+        )
+        warm_up_fraction = max(0.0, age_s - window) / (rules["warm_up"] / 1000.0)
+        capacity_fraction = min(1.0, rules["cold_from"] + (1.0 - rules["cold_from"]) * warm_up_fraction)
+        load_ratio = window_work_ms / (rules["tip_multiple"] * capacity_fraction * window * 1000.0 * WEIGHT)
+        if load_ratio > peak[1]:
+            peak = request_at, load_ratio
+    return peak
+
+
+def judge_endpoint_list(record: TrialRecord, verdict: Verdict) -> None:
+    """Check that a drained cache is not used after its grace period, and that no answer predates a purge."""
+    for drain_start, drain_end, cache_id in record.drains:
+        grace = (
+            drain_start
+            + settings_of("rules", "drain_grace") / 1000.0
+            + RECORD_DELAY_S
+            + _notification_delay_s(record, drain_start)
+        )
+        late_fetches = [
+            fetch
+            for fetch in record.depot.seen
+            if grace < fetch.at / 1000.0 < drain_end
+            and (fetch.cache == cache_id or fetch.source == f"s-{cache_id:08x}")
         ]
-        if asked:
+        if late_fetches:
             verdict.violations.append(
                 RuleViolation(
                     "drain",
-                    asked[0].at / 1000.0 - played.began,
+                    late_fetches[0].at / 1000.0 - record.began,
                     (),
-                    f"s-{ident:08x} was asked {len(asked)} times after its grace",
+                    f"s-{cache_id:08x} was asked {len(late_fetches)} times after its grace",
                 )
             )
-    for moment in played.purges:
-        late = SLACK + _told_late(played, moment / 1000.0)
-        grace = settings_of("domain", "heed_within") + late * 1000.0
-        if old := played.depot.too_old(moment, grace):
+    for purged_at_ms in record.purges:
+        delay_s = RECORD_DELAY_S + _notification_delay_s(record, purged_at_ms / 1000.0)
+        grace = settings_of("domain", "heed_within") + delay_s * 1000.0
+        if stale_count := record.depot.count_stale_answers(purged_at_ms, grace):
             verdict.violations.append(
                 RuleViolation(
                     "purge",
-                    moment / 1000.0 - played.began,
+                    purged_at_ms / 1000.0 - record.began,
                     (),
-                    f"{old} answers were older than it after its grace",
+                    f"{stale_count} answers were older than it after its grace",
                 )
             )
 
 
-def events_of(played: TrialRecord) -> list[LoadEvent]:
-    """All events that requests caused, as recorded by clients and servers; seconds since the load began."""
-    depot, found, seen = played.depot, list[LoadEvent](), set[str]()
-    if isinstance(played.clients, OpenLoopClients):
-        found += [event._replace(at_s=event.at_s - played.began) for event in played.clients.events]
-    for one in depot.seen:
-        at, meaning = one.at / 1000.0 - played.began, meaning_of(one.txn)
-        found.append(LoadEvent(at, ATTEMPT, meaning, one.cls))
-        if one.txn in seen:
-            found.append(LoadEvent(at, REPEAT, meaning, one.cls))
-        seen.add(one.txn)
+def events_of(record: TrialRecord) -> list[LoadEvent]:
+    """Return all events that requests caused, as clients and servers recorded them.
+
+    Their times are seconds since the load began.
+    """
+    depot, events, seen_ids = record.depot, list[LoadEvent](), set[str]()
+    if isinstance(record.clients, OpenLoopClients):
+        events += [event._replace(at_s=event.at_s - record.began) for event in record.clients.events]
+    for fetch in depot.seen:
+        at_s, request_number = fetch.at / 1000.0 - record.began, meaning_of(fetch.txn)
+        events.append(LoadEvent(at_s, ATTEMPT, request_number, fetch.cls))
+        if fetch.txn in seen_ids:
+            events.append(LoadEvent(at_s, REPEAT, request_number, fetch.cls))
+        seen_ids.add(fetch.txn)
     if isinstance(depot, LoadedDepot):
-        found += [LoadEvent(one.at / 1000.0 - played.began, FILL if one.what == "fill" else ORIGIN,
-                        meaning_of(one.txn)) for one in depot.fetches]  # fmt: skip
-    found += [LoadEvent(at / 1000.0 - played.began, CONNECT) for at in depot.connects]
-    return [event for event in found if event.at_s >= 0]
-
-
-def _open_loop(played: TrialRecord, clients: OpenLoopClients, verdict: Verdict) -> None:
-    """How many intended requests were served, and whether service recovered."""
-    expects, book = played.trial.expects, AmplificationStatistics(events_of(played))
-    first, last = played.trial.span
-    at, attempts = book.worst_second(ATTEMPT)
-    back = book.recovery_s(last)
-    writes = book.by_class[WRITE]
-    valued = writes[SERVED] / max(1, writes[INTENDED])
+        events += [LoadEvent(fetch.at / 1000.0 - record.began, FILL if fetch.what == "fill" else ORIGIN,
+                        meaning_of(fetch.txn)) for fetch in depot.fetches]  # fmt: skip
+    events += [
+        LoadEvent(connected_at_ms / 1000.0 - record.began, CONNECT) for connected_at_ms in depot.connects
+    ]
+    return [event for event in events if event.at_s >= 0]
+
+
+def _check_open_loop(record: TrialRecord, clients: OpenLoopClients, verdict: Verdict) -> None:
+    """Check how many intended requests were served, and whether service recovered."""
+    expects, statistics = record.trial.expects, AmplificationStatistics(events_of(record))
+    first_fault_s, last_fault_s = record.trial.span
+    worst_second, max_attempts = statistics.worst_second(ATTEMPT)
+    recovery_s = statistics.recovery_s(last_fault_s)
+    writes = statistics.by_class[WRITE]
+    valued_fraction = writes[SERVED] / max(1, writes[INTENDED])
     verdict.figures |= {
-        "meant": book.intended, "served_of_meant": book.total(SERVED) / max(1, book.intended),
-        "valued": valued,
-        "amplification_worst": attempts, "origin_worst": book.worst_second(ORIGIN)[1],
-        "repeats_worst": book.worst_second(REPEAT)[1], "recovery_s": back,
-        "origin_stops": len(played.depot.stops) if isinstance(played.depot, LoadedDepot) else 0,
+        "meant": statistics.intended,
+        "served_of_meant": statistics.total(SERVED) / max(1, statistics.intended),
+        "valued": valued_fraction,
+        "amplification_worst": max_attempts, "origin_worst": statistics.worst_second(ORIGIN)[1],
+        "repeats_worst": statistics.worst_second(REPEAT)[1], "recovery_s": recovery_s,
+        "origin_stops": len(record.depot.stops) if isinstance(record.depot, LoadedDepot) else 0,
     }  # fmt: skip
-    if expects.amplification is not None and attempts > expects.amplification:
+    if expects.amplification is not None and max_attempts > expects.amplification:
         verdict.violations.append(
             RuleViolation(
-                "amplification", float(at), (), f"{attempts:.2f} attempts for each request that was meant"
+                "amplification",
+                float(worst_second),
+                (),
+                f"{max_attempts:.2f} attempts for each request that was meant",
             )
         )
-    if expects.recovers_within is not None and back > expects.recovers_within:
-        sustained = ", ".join(f"{cause} {times:.1f} times" for cause, times in book.sustained_by(last, first))
+    if expects.recovers_within is not None and recovery_s > expects.recovers_within:
+        sustained = ", ".join(
+            f"{cause} {ratio:.1f} times"
+            for cause, ratio in statistics.sustained_by(last_fault_s, first_fault_s)
+        )
         verdict.violations.append(
-            RuleViolation("recovery", last, (), f"good again after {back:.1f} s; {sustained}")
+            RuleViolation("recovery", last_fault_s, (), f"good again after {recovery_s:.1f} s; {sustained}")
         )
-    if expects.valued is not None and valued < expects.valued:
+    if expects.valued is not None and valued_fraction < expects.valued:
         verdict.violations.append(
-            RuleViolation("valued", 0.0, (), f"{valued:.3f} of the valued class was served")
+            RuleViolation("valued", 0.0, (), f"{valued_fraction:.3f} of the valued class was served")
         )
 
 
-def _told_late(played: TrialRecord, at: float) -> float:
-    """Seconds by which an event of that moment may arrive late because a change log was cut off."""
-    cuts = [
-        played.began + fault.ends
-        for fault in played.trial.faults
-        if "log" in fault.of and fault.at <= at - played.began + RECONNECT and fault.ends
+def _notification_delay_s(record: TrialRecord, event_at: float) -> float:
+    """Return the seconds by which an event of that time may arrive late because a change log was cut off."""
+    cut_ends = [
+        record.began + fault.ends
+        for fault in record.trial.faults
+        if "log" in fault.of and fault.at <= event_at - record.began + RECONNECT_S and fault.ends
     ]
-    return max(0.0, min(TOLD_BY, max((end - at + RECONNECT for end in cuts), default=0.0)))
-
-
-def settings_of(part: str, name: str) -> float:
-    """A figure of the trials' settings."""
-    table: Any = settings()[part]
+    return max(
+        0.0,
+        min(
+            MAX_NOTIFICATION_DELAY_S,
+            max((cut_end - event_at + RECONNECT_S for cut_end in cut_ends), default=0.0),
+        ),
+    )
+
+
+def settings_of(section: str, name: str) -> float:
+    """Return a value of the trials' settings."""
+    table: Any = settings()[section]
     return float(table[name])
 
 
-def _shares(played: TrialRecord, verdict: Verdict) -> None:
-    """Within any window, the shares that routers act upon add up to 1 at most."""
-    window = played.trial.window
-    # from, to, share, router, its life; with the window after it
+def _check_shares(record: TrialRecord, verdict: Verdict) -> None:
+    """Check that within any window the shares that routers act upon sum to at most 1."""
+    window = record.trial.window
+    # start, end (with the window after it), share, router, start of its process
     spans: list[tuple[float, float, float, str, float]] = []
-    for router in played.routers:
+    for router in record.routers:
         for started, ended in router.lives:
-            # Its last word comes after `stopped`, and nothing goes to caches then.
-            over = min(
+            # After `router_stopped` it still logs, but sends nothing to caches.
+            released_at = min(
                 [
                     float(line["at"])
                     for line in router.lines("router_stopped")
-                    if started <= float(line["at"]) <= (ended or played.ended)
+                    if started <= float(line["at"]) <= (ended or record.ended)
                 ],
-                default=ended or played.ended,
+                default=ended or record.ended,
             )
-            told = [
+            share_changes = [
                 (float(line["at"]), float(line["unleased_fraction"]) / max(1, int(line["fleet_size"])))
                 for line in router.lines("gossip_share_changed")
-                if started <= float(line["at"]) <= over
+                if started <= float(line["at"]) <= released_at
             ]
-            for (at, share), (then, _) in zip(told, [*told[1:], (over, 0.0)], strict=True):
-                spans.append((at, then + window, share, router.name, started))
-    worst, moment, who = 0.0, played.began, tuple[str, ...]()
-    for at in sorted({span[0] for span in spans}):
-        most: dict[tuple[str, float], float] = {}
-        for since, until, share, name, life in spans:
-            if since <= at < until:
-                most[name, life] = max(most.get((name, life), 0.0), share)
-        if sum(most.values()) > worst:
-            worst, moment, who = sum(most.values()), at, tuple(sorted({name for name, _ in most}))
-    if worst > 1.0 + len(played.routers) * 0.001:  # the log has three digits
+            for (changed_at, share), (next_change_at, _) in zip(
+                share_changes, [*share_changes[1:], (released_at, 0.0)], strict=True
+            ):
+                spans.append((changed_at, next_change_at + window, share, router.name, started))
+    max_sum, worst_at, worst_routers = 0.0, record.began, tuple[str, ...]()
+    for changed_at in sorted({span[0] for span in spans}):
+        max_shares: dict[tuple[str, float], float] = {}
+        for since, until, share, name, process_start in spans:
+            if since <= changed_at < until:
+                max_shares[name, process_start] = max(max_shares.get((name, process_start), 0.0), share)
+        if sum(max_shares.values()) > max_sum:
+            max_sum, worst_at, worst_routers = (
+                sum(max_shares.values()),
+                changed_at,
+                tuple(sorted({name for name, _ in max_shares})),
+            )
+    if max_sum > 1.0 + len(record.routers) * 0.001:  # the log rounds shares to three digits
         verdict.violations.append(
-            RuleViolation("shares", moment - played.began, who, f"add up to {worst:.3f}")
+            RuleViolation("shares", worst_at - record.began, worst_routers, f"add up to {max_sum:.3f}")
         )
-    verdict.figures["rule_worst"] = min(worst, 1.0) if worst <= 1.0 + len(played.routers) * 0.001 else worst
-
-
-def _members(played: TrialRecord, verdict: Verdict) -> None:
-    """Which routers were declared failed, how soon after their end, and in how many views."""
-    expects, places = played.trial.expects, {ident: place for place, ident in enumerate(played.ids)}
-    falsely: list[tuple[float, str, str]] = []
-    known: dict[tuple[int, str], list[float]] = {}
-    lives: dict[tuple[str, int], int] = {}
-    for router in played.routers:
+    verdict.figures["rule_worst"] = (
+        min(max_sum, 1.0) if max_sum <= 1.0 + len(record.routers) * 0.001 else max_sum
+    )
+
+
+def _check_membership(record: TrialRecord, verdict: Verdict) -> None:
+    """Check which routers were declared failed, how soon after their end, and in how many views."""
+    expects, index_by_id = (
+        record.trial.expects,
+        {member_id: router_index for router_index, member_id in enumerate(record.ids)},
+    )
+    false_failures: list[tuple[float, str, str]] = []
+    learned_at: dict[tuple[int, str], list[float]] = {}
+    generations: dict[tuple[str, int], int] = {}
+    for router in record.routers:
         for line in router.lines("gossip_member_changed"):
-            at, place = float(line["at"]), places.get(line["member"])
-            if place is None or at > played.ended:
+            changed_at, router_index = float(line["at"]), index_by_id.get(line["member"])
+            if router_index is None or changed_at > record.ended:
                 continue
-            later = int(line["generation"]) > lives.get((router.name, place), 0)
-            lives[router.name, place] = max(int(line["generation"]), lives.get((router.name, place), 0))
-            if line["state"] in ("failed", "gone") or later:  # a later life tells the end of the one before
-                known.setdefault((place, router.name), []).append(at)
+            is_newer_generation = int(line["generation"]) > generations.get((router.name, router_index), 0)
+            generations[router.name, router_index] = max(
+                int(line["generation"]), generations.get((router.name, router_index), 0)
+            )
+            # A newer generation proves that the previous process has ended.
+            if line["state"] in ("failed", "gone") or is_newer_generation:
+                learned_at.setdefault((router_index, router.name), []).append(changed_at)
             if line["state"] not in ("failed", "gone"):
                 continue
-            lived = any(
-                since < at - 0.05
-                and (ended is None or at < ended)
-                and int(line["generation"]) / 1000.0 - played.routers[place].shift_at(since) >= since - 0.1
-                for since, ended in played.routers[place].lives
+            was_running = any(
+                since < changed_at - 0.05
+                and (ended is None or changed_at < ended)
+                and int(line["generation"]) / 1000.0 - record.routers[router_index].shift_at(since)
+                >= since - 0.1
+                for since, ended in record.routers[router_index].lives
             )
-            if lived:
-                falsely.append((at, router.name, played.routers[place].name))
-    if len(falsely) > expects.false_failed:
-        at, by, of = falsely[0]
+            if was_running:
+                false_failures.append((changed_at, router.name, record.routers[router_index].name))
+    if len(false_failures) > expects.false_failed:
+        changed_at, observer, member = false_failures[0]
         verdict.violations.append(
             RuleViolation(
                 "failed",
-                at - played.began,
-                (by, of),
-                f"{by} declared {of} over, which was there ({len(falsely)} in all)",
+                changed_at - record.began,
+                (observer, member),
+                f"{observer} declared {member} over, which was there ({len(false_failures)} in all)",
             )
         )
-    took = sorted(_detected(played, known))
+    delays_s = sorted(_detection_delays_s(record, learned_at))
     verdict.figures |= {
-        "false_failed": len(falsely),
-        "detect_p50_ms": _part(took, 0.5) * 1000.0, "detect_p99_ms": _part(took, 0.99) * 1000.0,
+        "false_failed": len(false_failures),
+        "detect_p50_ms": _quantile(delays_s, 0.5) * 1000.0,
+        "detect_p99_ms": _quantile(delays_s, 0.99) * 1000.0,
     }  # fmt: skip
-    _views(played, verdict)
-    last = played.trial.span[1]
+    _check_views(record, verdict)
+    last_fault_s = record.trial.span[1]
     if expects.joined_within is not None:
-        after = math.inf if played.joined_at is None else played.joined_at - played.began - last
-        verdict.figures["joined_s"] = after
-        if after > longest_rejoin(
-            expects.joined_within, played.routers, played.began + last, played.trial.window
+        join_delay_s = (
+            math.inf if record.joined_at is None else record.joined_at - record.began - last_fault_s
+        )
+        verdict.figures["joined_s"] = join_delay_s
+        if join_delay_s > longest_rejoin(
+            expects.joined_within, record.routers, record.began + last_fault_s, record.trial.window
         ):
             verdict.violations.append(
                 RuleViolation(
-                    "joined", played.trial.lasts, (), f"all were joined {after:.1f} s after the last fault"
+                    "joined",
+                    record.trial.lasts,
+                    (),
+                    f"all were joined {join_delay_s:.1f} s after the last fault",
                 )
             )
 
 
-def _detected(played: TrialRecord, known: dict[tuple[int, str], list[float]]) -> list[float]:
-    """Seconds from each kill until each router that kept running knew of it; infinite if it never did."""
-    took = []
-    for since, _, place, what in played.troubled:
-        if what not in ("kill", "restart"):
+def _detection_delays_s(record: TrialRecord, learned_at: dict[tuple[int, str], list[float]]) -> list[float]:
+    """Return the seconds from each kill until each router that kept running learned of it.
+
+    Infinite for a router that never did.
+    """
+    delays_s = []
+    for fault_at, _, router_index, action in record.router_faults:
+        if action not in ("kill", "restart"):
             continue
-        ended = next((end for _, end in played.routers[place].lives if end and end >= since), None)
-        if ended is None:
+        ended_at = next(
+            (end for _, end in record.routers[router_index].lives if end and end >= fault_at), None
+        )
+        if ended_at is None:
             continue
-        for router in played.routers:
-            there = any(
-                start < ended - KNOWS and (end is None or end > ended + 10.0) for start, end in router.lives
+        for router in record.routers:
+            was_running = any(
+                start < ended_at - DISCOVERY_S and (end is None or end > ended_at + 10.0)
+                for start, end in router.lives
             )
-            if router is played.routers[place] or not there:
+            if router is record.routers[router_index] or not was_running:
                 continue
-            took.append(
+            delays_s.append(
                 min(
-                    (at - ended for at in known.get((place, router.name), ()) if at >= ended - 0.05),
+                    (
+                        known_at - ended_at
+                        for known_at in learned_at.get((router_index, router.name), ())
+                        if known_at >= ended_at - 0.05
+                    ),
                     default=math.inf,
                 )
             )
-    return took
+    return delays_s
 
 
-def _views(played: TrialRecord, verdict: Verdict) -> None:
-    expects, most, whose = played.trial.expects, 0, ""
-    first = played.trial.span[0] + played.began
-    for router in played.routers:
-        started = router.lives[-1][0] if router.lives else 0.0
-        count = sum(
-            max(first, started) <= float(line["at"]) <= played.ended
+def _check_views(record: TrialRecord, verdict: Verdict) -> None:
+    """Check that no router went through more membership views than expected."""
+    expects, max_views, router_name = record.trial.expects, 0, ""
+    first_fault_at = record.trial.span[0] + record.began
+    for router in record.routers:
+        started_at = router.lives[-1][0] if router.lives else 0.0
+        view_count = sum(
+            max(first_fault_at, started_at) <= float(line["at"]) <= record.ended
             for line in router.lines("gossip_view_changed")
         )
-        if count > most:
-            most, whose = count, router.name
-    verdict.figures["views"] = most
-    if expects.views is not None and most > expects.views:
+        if view_count > max_views:
+            max_views, router_name = view_count, router.name
+    verdict.figures["views"] = max_views
+    if expects.views is not None and max_views > expects.views:
         verdict.violations.append(
             RuleViolation(
                 "views",
-                played.trial.lasts,
-                (whose,),
-                f"{most} views, {expects.views} at the most were expected",
+                record.trial.lasts,
+                (router_name,),
+                f"{max_views} views, {expects.views} at the most were expected",
             )
         )
 
 
-def _part(ordered: list[float], part: float) -> float:
-    return ordered[min(len(ordered) - 1, int(part * len(ordered)))] if ordered else 0.0
+def _quantile(sorted_values: list[float], fraction: float) -> float:
+    """Return a quantile of sorted values, 0.0 if there are none."""
+    return (
+        sorted_values[min(len(sorted_values) - 1, int(fraction * len(sorted_values)))]
+        if sorted_values
+        else 0.0
+    )
