--- a/stonecove/trial/plot.py
+++ b/stonecove/trial/plot.py
@@ -1,4 +1,4 @@
-"""A picture of a trial: what each router held of each other, over time, with the faults drawn in."""
+"""Draws a trial: the member states that each router reported over time, with the faults marked."""
 
 from __future__ import annotations
 
@@ -20,37 +20,37 @@
     "alive": "#d8ead3", "paused": "#c9daf8", "suspect": "#ffe599", "unreachable": "#f9cb9c",
     "leaving": "#d9d2e9", "left": "#b4a7d6", "failed": "#e06666", "gone": "#666666",
 }  # fmt: skip
-MOMENT = re.compile(r"^([0-9.]+) s:")
+FAULT_TIME = re.compile(r"^([0-9.]+) s:")
 
 
 def draw(folder: Path) -> Path:
-    """Draws `trial.png` there; raises OSError, ValueError or KeyError where the samples can't be used."""
-    found = json.loads((folder / "samples.json").read_text())
-    ids, samples = found["ids"], found["samples"]
+    """Draw `trial.png` in the folder; raise OSError, ValueError or KeyError if the samples cannot be used."""
+    record = json.loads((folder / "samples.json").read_text())
+    ids, samples = record["ids"], record["samples"]
     count = len(ids)
     figure, axes = plt.subplots(figsize=(14, 1.5 + 0.18 * count * count))
-    last: dict[tuple[int, int], tuple[float, str]] = {}
+    last_states: dict[tuple[int, int], tuple[float, str]] = {}
     for sample in samples:
         for member in sample["members"]:
             if member["member"] not in ids:
                 continue
             pair = sample["by"], ids.index(member["member"])
             row = pair[0] * (count + 1) + pair[1]
-            if pair in last and sample["at"] - last[pair][0] < 1.0:
-                since, state = last[pair]
+            if pair in last_states and sample["at"] - last_states[pair][0] < 1.0:
+                since_s, state = last_states[pair]
                 axes.barh(
                     row,
-                    sample["at"] - since,
-                    left=since,
+                    sample["at"] - since_s,
+                    left=since_s,
                     height=1.0,
                     color=COLOURS.get(state, "white"),
                     linewidth=0,
                 )
-            last[pair] = sample["at"], member["state"]
-    _faults(axes, found["faults"], -1.5)
+            last_states[pair] = sample["at"], member["state"]
+    _draw_faults(axes, record["faults"], -1.5)
     axes.set_yticks(
-        [by * (count + 1) + (count - 1) / 2 for by in range(count)],
-        [f"as {by} sees them" for by in range(count)],
+        [router_index * (count + 1) + (count - 1) / 2 for router_index in range(count)],
+        [f"as {router_index} sees them" for router_index in range(count)],
     )
     axes.invert_yaxis()
     axes.set_xlabel("seconds since the load began")
@@ -66,31 +66,38 @@
     return path
 
 
-def _faults(axes: Axes, faults: list[str], height: float) -> None:
+def _draw_faults(axes: Axes, faults: list[str], text_y: float) -> None:
     for fault in faults:
-        if (moment := MOMENT.match(fault)) is not None:
-            axes.axvline(float(moment[1]), color="black", linewidth=0.8)
+        if (match := FAULT_TIME.match(fault)) is not None:
+            axes.axvline(float(match[1]), color="black", linewidth=0.8)
             text = fault.partition(": ")[2]
-            axes.text(float(moment[1]), height, text, rotation=30, fontsize=7, va="bottom")
+            axes.text(float(match[1]), text_y, text, rotation=30, fontsize=7, va="bottom")
 
 
-def draw_book(folder: Path, title: str, faults: list[str], book: AmplificationStatistics) -> Path:
-    """Draws `overload.png` there: what was meant and served, and what came of each, by second."""
+def draw_book(folder: Path, title: str, faults: list[str], statistics: AmplificationStatistics) -> Path:
+    """Draw `overload.png` in the folder: intended and served requests, and the work for each, by second."""
     figure, (demand, ratios) = plt.subplots(2, 1, figsize=(12, 7), sharex=True)
-    seconds = sorted(book.seconds)
-    demand.plot(seconds, [book.seconds[at].intended for at in seconds], label="meant", color="black")
-    demand.plot(seconds, [book.seconds[at].ended[SERVED] for at in seconds], label="served", color="#38761d")
+    seconds = sorted(statistics.seconds)
+    demand.plot(
+        seconds, [statistics.seconds[second].intended for second in seconds], label="meant", color="black"
+    )
+    demand.plot(
+        seconds,
+        [statistics.seconds[second].ended[SERVED] for second in seconds],
+        label="served",
+        color="#38761d",
+    )
     demand.set_ylabel("requests a second")
     for cause in WORK_KINDS:
         ratios.plot(
             seconds,
-            [book.seconds[at].ratio(cause) for at in seconds],
+            [statistics.seconds[second].ratio(cause) for second in seconds],
             label=cause,
             linewidth=2.0 if cause == ATTEMPT else 1.0,
         )
     ratios.set_ylabel("for each that was meant")
     ratios.set_xlabel("seconds since the load began")
-    _faults(demand, faults, demand.get_ylim()[1])
+    _draw_faults(demand, faults, demand.get_ylim()[1])
     for axes in (demand, ratios):
         axes.legend(loc="upper left", bbox_to_anchor=(1.0, 1.0), fontsize=8)
     figure.suptitle(title, y=0.02, fontsize=9)
--- a/stonecove/trial/rejoin.py
+++ b/stonecove/trial/rejoin.py
@@ -1,7 +1,7 @@
-"""Reads from the logs of a trial's routers when each was joined for good.
+"""Reads from the logs of a trial's routers when each joined for the last time.
 
-A router is joined while it acts on its whole share (`gossip/shares.py`, rule 3). It logs each change of its
-share, so the moment is known whenever somebody looks.
+A router is joined while it acts on its full share (`gossip/shares.py`, rule 3). It logs each change of its
+share, so the time does not depend on when the routers are sampled.
 """
 
 from __future__ import annotations
@@ -11,17 +11,18 @@
 
 from stonecove.trial.processes import RouterProcess
 
-# Seconds in which a router learns that it was held for failed, asks all and is answered: each router asks one
-# that it gave up every lease / 4 / N seconds (20 s / 4 / 4 = 1.25 s among five), and again after 0.3 s.
-REJOINS_WITHIN = 2.0
+# Time in which a router learns that it was declared failed, queries all others and is answered: each router
+# probes one failed member every lease / 4 / N seconds (20 s / 4 / 4 = 1.25 s among five), and again after
+# 0.3 s.
+REJOIN_TIMEOUT_S = 2.0
 
 
 def joined_for_good(router: RouterProcess, until: float) -> float:
-    """Return the Unix second from which the present process was joined until then, infinity if it was not."""
-    started = router.lives[-1][0]
+    """Return the Unix second since which the current process is joined at `until`; infinity if it is not."""
+    started_at = router.lives[-1][0]
     joined_at = math.inf
     for line in router.lines("gossip_share_changed"):
-        if not started <= float(line["at"]) <= until:
+        if not started_at <= float(line["at"]) <= until:
             continue
         if line["joined"] != "True":
             joined_at = math.inf
@@ -31,22 +32,22 @@
 
 
 def all_joined_for_good(routers: Iterable[RouterProcess], since: float, until: float) -> float | None:
-    """Return from when, `since` at the earliest, all were joined until then; None if one was not."""
+    """Return since when all are joined at `until`, `since` at the earliest; None if one is not."""
     joined_at = max((joined_for_good(router, until) for router in routers), default=since)
     return None if joined_at == math.inf else max(since, joined_at)
 
 
 def longest_rejoin(
-    expected: float, routers: Iterable[RouterProcess], last_fault: float, window: float
+    expected_s: float, routers: Iterable[RouterProcess], last_fault_at: float, window_s: float
 ) -> float:
-    """Return the seconds after the last fault in which all have to be joined.
+    """Return the seconds after the last fault within which all routers have to join.
 
-    That is what the trial expects, or rule 3's window and the time to learn and ask for a router that learned
-    after the fault, or less than a window before it, that it was held for failed.
+    That is what the trial expects, or rule 3's window plus the time to learn and query for a router that
+    learned after the fault, or less than a window before it, that others had declared it failed.
     """
     suspected = any(
-        float(line["at"]) >= last_fault - window
+        float(line["at"]) >= last_fault_at - window_s
         for router in routers
         for line in router.lines("gossip_suspected")
     )
-    return max(expected, window + REJOINS_WITHIN) if suspected else expected
+    return max(expected_s, window_s + REJOIN_TIMEOUT_S) if suspected else expected_s
--- a/stonecove/trial/relay.py
+++ b/stonecove/trial/relay.py
@@ -1,8 +1,9 @@
 """UDP relays between the routers under trial, which can lose, delay, duplicate, reorder or drop datagrams.
 
-Each router has an address of its own for each other one: what it sends there comes out at the other, from the
-address by which that one knows the sender. While a router's process is down and both directions are open, its
-addresses refuse, as those of a process that has ended do; a direction that is cut drops all, refusals too.
+Each router has its own address for each other router: a datagram sent there is delivered to that router, from
+the address by which it knows the sender. While a router's process is down and both directions are open, its
+addresses refuse datagrams like those of a process that has ended; a partitioned direction drops everything,
+including refusals.
 """
 
 from __future__ import annotations
@@ -22,7 +23,7 @@
 from stonecove.trial.thread import TrioThread
 
 Address = tuple[str, int]
-MOST = 65_536
+MAX_DATAGRAM_BYTES = 65_536
 
 
 @dataclass(slots=True)
@@ -30,13 +31,13 @@
     """Faults injected into the datagrams of one direction between two routers."""
 
     lose: float = 0.0
-    delay: tuple[float, float] = (0.0, 0.0)  # seconds; where they differ, datagrams overtake each other
+    delay: tuple[float, float] = (0.0, 0.0)  # range in seconds; if it is not one value, the order changes
     repeat: float = 0.0
     cut: bool = False
 
 
 def _own_address(viewer: int, viewed: int) -> str:
-    """A loopback address that no other pair uses, so that nobody takes its port while it is closed."""
+    """Return a loopback address that no other pair uses, so that nobody takes its port while it is closed."""
     return f"127.{64 + viewer}.{1 + viewed}.7"
 
 
@@ -44,13 +45,13 @@
     """Relays in both directions between all pairs of `count` routers."""
 
     def __init__(self, count: int, seed: int) -> None:
-        """All routers count as down at first."""
+        """Open no address yet: all routers count as down at first."""
         self.count = count
-        self.weather = Faults()  # of all directions, in addition to their own
+        self.global_faults = Faults()  # of all directions, in addition to their own faults
         self.faults = {(a, b): Faults() for a in range(count) for b in range(count) if a != b}
         self.counts: Counter[str] = Counter()
         self._random = random.Random(seed)
-        self._up: dict[int, Address] = {}
+        self._listen_addresses: dict[int, Address] = {}
         self._sockets: dict[tuple[int, int], socket.socket] = {}
         self._ports: dict[tuple[int, int], int] = {}
         self._scopes: dict[tuple[int, int], trio.CancelScope] = {}
@@ -61,112 +62,119 @@
         super().__init__()
 
     def address(self, viewer: int, viewed: int) -> Address:
-        """The address by which one router knows another."""
+        """Return the address by which one router knows another."""
         return _own_address(viewer, viewed), self._ports[viewer, viewed]
 
-    def up(self, place: int, listen: Address) -> None:
-        """The router's process is about to start, and will listen at that address."""
-        self._call(partial(self._set_up, place, listen))
+    def up(self, router_index: int, listen: Address) -> None:
+        """Announce that the router's process is about to start and will listen at that address."""
+        self._call(partial(self._set_up, router_index, listen))
 
-    def down(self, place: int) -> None:
-        """Its process has ended."""
-        self._call(partial(self._set_up, place, None))
+    def down(self, router_index: int) -> None:
+        """Announce that the router's process has ended."""
+        self._call(partial(self._set_up, router_index, None))
 
     def change(self, change: Callable[[], None]) -> None:
-        """Applies a change of the faults."""
+        """Apply a change of the faults, then open and close addresses as needed."""
 
-        def both() -> None:
+        def change_and_update() -> None:
             change()
-            self._settle()
+            self._update_sockets()
 
-        self._call(both)
+        self._call(change_and_update)
 
-    # -- within its thread --
+    # -- in the relay's thread --
 
-    def _set_up(self, place: int, listen: Address | None) -> None:
+    def _set_up(self, router_index: int, listen: Address | None) -> None:
         if listen is None:
-            self._up.pop(place, None)
+            self._listen_addresses.pop(router_index, None)
         else:
-            self._up[place] = listen
-        self._settle()
+            self._listen_addresses[router_index] = listen
+        self._update_sockets()
 
-    def _settle(self) -> None:
-        """Opens and closes addresses: one refuses if its router is down and both directions are open."""
+    def _update_sockets(self) -> None:
+        """Open and close addresses: one refuses if its router is down and both directions are open."""
         for (viewer, viewed), faults in self.faults.items():
-            cut = faults.cut or self.faults[viewed, viewer].cut
-            wanted, key = viewed in self._up or cut, (viewer, viewed)
+            partitioned = faults.cut or self.faults[viewed, viewer].cut
+            wanted, key = viewed in self._listen_addresses or partitioned, (viewer, viewed)
             if wanted and key not in self._sockets:
                 sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
                 sock.setblocking(False)
                 sock.bind(self.address(viewer, viewed))
                 self._sockets[key] = sock
                 self._scopes[key] = trio.CancelScope()
-                self._nursery.start_soon(self._carry, key, sock, self._scopes[key])
+                self._nursery.start_soon(self._relay, key, sock, self._scopes[key])
             elif not wanted and key in self._sockets:
                 self._scopes.pop(key).cancel()
                 self._sockets.pop(key).close()
 
-    async def _carry(self, key: tuple[int, int], sock: socket.socket, scope: trio.CancelScope) -> None:
+    async def _relay(self, key: tuple[int, int], sock: socket.socket, scope: trio.CancelScope) -> None:
         with scope:
             while True:
                 try:
                     await trio.lowlevel.wait_readable(sock)
-                    data = sock.recv(MOST)
+                    data = sock.recv(MAX_DATAGRAM_BYTES)
                 except BlockingIOError:
                     continue
                 except (OSError, trio.ClosedResourceError):
                     if sock.fileno() < 0:
                         return
-                    continue  # the word that what was sent on was refused
-                self._sent(key, data)
+                    continue  # an earlier datagram that was forwarded has been refused
+                self._forward(key, data)
 
-    def _sent(self, key: tuple[int, int], data: bytes) -> None:
-        """The router `viewer` has sent to the one it knows as `viewed`."""
-        one, all_ = self.faults[key], self.weather
+    def _forward(self, key: tuple[int, int], data: bytes) -> None:
+        """Forward a datagram of the router `viewer` to the one it knows as `viewed`."""
+        path_faults, global_faults = self.faults[key], self.global_faults
         self.counts["sent"] += 1
-        if one.cut:
+        if path_faults.cut:
             self.counts["cut"] += 1
             return
-        for _ in range(1 + (self._random.random() < one.repeat + all_.repeat)):
-            if self._random.random() < 1.0 - (1.0 - one.lose) * (1.0 - all_.lose):
+        for _ in range(1 + (self._random.random() < path_faults.repeat + global_faults.repeat)):
+            if self._random.random() < 1.0 - (1.0 - path_faults.lose) * (1.0 - global_faults.lose):
                 self.counts["lost"] += 1
                 continue
-            delay = self._random.uniform(*one.delay) + self._random.uniform(*all_.delay)
-            if delay > 0:
-                self._nursery.start_soon(self._later, delay, key, data)
+            delay_s = self._random.uniform(*path_faults.delay) + self._random.uniform(*global_faults.delay)
+            if delay_s > 0:
+                self._nursery.start_soon(self._deliver_later, delay_s, key, data)
             else:
                 self._deliver(key, data)
 
-    async def _later(self, delay: float, key: tuple[int, int], data: bytes) -> None:
-        await trio.sleep(delay)
+    async def _deliver_later(self, delay_s: float, key: tuple[int, int], data: bytes) -> None:
+        await trio.sleep(delay_s)
         self._deliver(key, data)
 
     def _deliver(self, key: tuple[int, int], data: bytes) -> None:
         viewer, viewed = key
-        sock, to = self._sockets.get((viewed, viewer)), self._up.get(viewed)
-        if to is None:
+        sock, target = self._sockets.get((viewed, viewer)), self._listen_addresses.get(viewed)
+        if target is None:
             return
         try:
             if sock is not None:
-                sock.sendto(data, to)
+                sock.sendto(data, target)
                 return
-            # What a router that has ended since had sent: it comes from its address all the same.
-            with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as late:
-                late.bind(self.address(viewed, viewer))
-                late.sendto(data, to)
+            # The sender has ended since; its datagram still has to come from its address.
+            with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as late_socket:
+                late_socket.bind(self.address(viewed, viewer))
+                late_socket.sendto(data, target)
         except OSError:
             self.counts["undelivered"] += 1
 
-    def flood(self, listen: Address, place: int, rate: float, seconds: float, over: threading.Event) -> None:
-        """Sends malformed datagrams to a router, from a peer's address and from an unknown one."""
-        chooser = random.Random(7)
-        peer = next(viewer for viewer, viewed in self._sockets if viewer == place)
-        known = next(sock for key, sock in self._sockets.items() if key[0] == peer)
-        step, until = 0.01, time.monotonic() + seconds
-        with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as stranger:
-            while time.monotonic() < until and not over.is_set():
-                for number in range(round(rate * step)):
-                    data = chooser.randbytes(chooser.randrange(0, 400))
+    def flood(
+        self,
+        listen: Address,
+        router_index: int,
+        rate_per_s: float,
+        duration_s: float,
+        stopping: threading.Event,
+    ) -> None:
+        """Send malformed datagrams to a router, from a peer's address and from an unknown one."""
+        rng = random.Random(7)
+        peer = next(viewer for viewer, viewed in self._sockets if viewer == router_index)
+        peer_socket = next(sock for key, sock in self._sockets.items() if key[0] == peer)
+        interval_s, until = 0.01, time.monotonic() + duration_s
+        with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as unknown_socket:
+            while time.monotonic() < until and not stopping.is_set():
+                for number in range(round(rate_per_s * interval_s)):
+                    data = rng.randbytes(rng.randrange(0, 400))
                     with contextlib.suppress(OSError):
-                        (known if number % 2 else stranger).sendto(data, listen)
-                time.sleep(step)
+                        (peer_socket if number % 2 else unknown_socket).sendto(data, listen)
+                time.sleep(interval_s)
--- a/stonecove/trial/schedule.py
+++ b/stonecove/trial/schedule.py
@@ -1,4 +1,4 @@
-"""Trial files: who takes part and what breaks when, as frozen records. Durations are in seconds."""
+"""Trial files: the participants of a trial and its faults, as frozen records. Durations are in seconds."""
 
 from __future__ import annotations
 
@@ -11,12 +11,13 @@
 from stonecove.operator_config.evaluate import value_at_path
 from stonecove.operator_config.reader import read_source_text, validate_against_schema
 from stonecove.operator_config.values import Diagnostics, Value
-from stonecove.standins.loaded import Bears
+from stonecove.standins.loaded import ServerCapacity
 from stonecove.trial.open_loop import ClientBehaviour
 
 SCHEMA = "schema.cue"
-PACE = 4200.0  # KB a second of one transfer, as in the trials' settings
-LASTING = (
+PACE = 4200.0  # KB/s of one transfer, as in the trials' settings
+# faults that need a duration
+LASTING_FAULTS = (
     "pause",
     "starve",
     "cut",
@@ -27,14 +28,23 @@
     "drain",
     "surge",
     "slow",
-)  # that need an end
-TO_SERVERS = ("reset", "swallow", "down")  # that need `of`
-NOBODYS = ("weather", "cold", "drain", "purge", "surge", "slow", *TO_SERVERS)  # that need not tell who
+)
+SERVER_FAULTS = ("reset", "swallow", "down")  # faults that need `of`
+# faults that need not name routers
+FAULTS_WITHOUT_ROUTERS = (
+    "weather",
+    "cold",
+    "drain",
+    "purge",
+    "surge",
+    "slow",
+    *SERVER_FAULTS,
+)
 
 
 @dataclass(frozen=True, slots=True)
 class Fault:
-    """One thing that breaks. `ends`: when it is over, for those that last."""
+    """One fault; `ends`: its end in seconds, for faults that last."""
 
     at: float
     do: str
@@ -51,20 +61,20 @@
     factor: float = 1.0
 
     def summary(self) -> str:
-        """In a few words."""
-        whom = ",".join(map(str, self.who)) or "all ways"
-        to = f" {'and' if self.both else 'to'} {','.join(map(str, self.to))}" if self.to else ""
-        to = f" and {', '.join(self.of)}" if self.of else to
-        what = f"cache {self.cache}" if self.do in ("cold", "drain") else whom
-        what = f"{whom} by {self.shift:+.1f} s" if self.shift else what
-        what = f"{self.factor:g} times" if self.factor != 1.0 else what
-        lasts = f" until {self.ends:.1f} s" if self.ends else ""
-        return f"{self.at:.1f} s: {self.do} {what}{to}{lasts}"
+        """Return a short description for people."""
+        routers = ",".join(map(str, self.who)) or "all ways"
+        targets = f" {'and' if self.both else 'to'} {','.join(map(str, self.to))}" if self.to else ""
+        targets = f" and {', '.join(self.of)}" if self.of else targets
+        subject = f"cache {self.cache}" if self.do in ("cold", "drain") else routers
+        subject = f"{routers} by {self.shift:+.1f} s" if self.shift else subject
+        subject = f"{self.factor:g} times" if self.factor != 1.0 else subject
+        duration = f" until {self.ends:.1f} s" if self.ends else ""
+        return f"{self.at:.1f} s: {self.do} {subject}{targets}{duration}"
 
 
 @dataclass(frozen=True, slots=True)
 class Expects:
-    """What holds besides the rules; None: nothing is said."""
+    """What has to hold besides the rules; None: not checked."""
 
     false_failed: int
     lost: int
@@ -77,7 +87,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Trial:
-    """One trial."""
+    """One trial: its participants, load, faults and expectations."""
 
     title: str
     routers: int
@@ -92,37 +102,37 @@
     twins: tuple[int, ...]
     zones: int
     ahead: tuple[float, ...]
-    open_loop: ClientBehaviour | None  # None: clients wait for an answer before they ask again
-    bears: Bears | None
+    open_loop: ClientBehaviour | None  # None: clients wait for an answer before the next request
+    bears: ServerCapacity | None
     faults: tuple[Fault, ...]
     expects: Expects
 
-    def zone(self, place: int) -> int:
-        """In which zone that router, or that cache, stands."""
-        return 1 + place % self.zones
+    def zone(self, index: int) -> int:
+        """Return the zone of that router or cache."""
+        return 1 + index % self.zones
 
     @property
     def span(self) -> tuple[float, float]:
-        """When the first fault begins and when the last is over; 0.0 without any."""
+        """The start of the first fault and the end of the last, in seconds; 0.0 without any."""
         ends = [max(fault.at, fault.ends) for fault in self.faults]
         return min((fault.at for fault in self.faults), default=0.0), max(ends, default=0.0)
 
     @property
     def relayed(self) -> bool:
-        """Whether ways to servers break, so that they need relays."""
+        """Whether faults affect connections to servers, so that these need relays."""
         return any(fault.of for fault in self.faults)
 
 
 def read_trial(path: Path, seed: int) -> Trial:
-    """Reads a file; raises OperatorError with all that is wrong. The same seed draws the same routers."""
+    """Read a trial file; raise OperatorError with all errors. The same seed draws the same routers."""
     return trial_of(read_source_text(path), str(path), seed)
 
 
 def trial_of(text: str, name: str, seed: int) -> Trial:
-    """The same for a text that is at hand."""
+    """Parse the text of a trial file, as `read_trial` does; `name` is used in messages."""
     schema = resources.files("stonecove.trial").joinpath(SCHEMA).read_text()
     table, _ = validate_against_schema(text, name, schema, "#Trial", _check)
-    chooser = random.Random(seed)
+    rng = random.Random(seed)
     expects = table["expects"]
 
     def seconds(name: str) -> float | None:
@@ -133,92 +143,99 @@
         table["joins"] / 1000.0, float(table["rate"]), float(table["writes"]), table["kb"],
         table["window"] / 1000.0, table["swarm"], tuple(table["twins"]),
         table["zones"], tuple(ahead / 1000.0 for ahead in table["ahead"]),
-        _open_loop(table), _bears(table),
-        tuple(sorted((_fault(one, table, chooser) for one in table["faults"]),
-                     key=lambda one: one.at)),
+        _client_behaviour(table), _origin_capacity(table),
+        tuple(sorted((_fault_of(fault, table, rng) for fault in table["faults"]),
+                     key=lambda fault: fault.at)),
         Expects(expects["false_failed"], expects["lost"], expects.get("views"), seconds("joined_within"),
                 expects.get("amplification"), seconds("recovers_within"), expects.get("valued")),
     )  # fmt: skip
 
 
-def _open_loop(table: dict[str, Any]) -> ClientBehaviour | None:
-    if (crowd := table.get("crowd")) is None:
+def _client_behaviour(table: dict[str, Any]) -> ClientBehaviour | None:
+    if (clients := table.get("crowd")) is None:
         return None
     return ClientBehaviour(
-        crowd["tries"],
-        crowd["patience"] / 1000.0,
-        crowd["heeds"],
-        crowd["items"],
+        clients["tries"],
+        clients["patience"] / 1000.0,
+        clients["heeds"],
+        clients["items"],
         table["kb"],
         float(table["writes"]),
     )
 
 
-def _bears(table: dict[str, Any]) -> Bears | None:
-    if (bears := table.get("bears")) is None:
+def _origin_capacity(table: dict[str, Any]) -> ServerCapacity | None:
+    if (capacity := table.get("bears")) is None:
         return None
-    return Bears(float(bears["origin"]), table["kb"] / PACE, bears["places"], stop=bears["stop"] / 1000.0)
+    return ServerCapacity(
+        float(capacity["origin"]), table["kb"] / PACE, capacity["places"], stop_s=capacity["stop"] / 1000.0
+    )
 
 
-def _fault(table: dict[str, Any], trial: dict[str, Any], chooser: random.Random) -> Fault:
+def _fault_of(table: dict[str, Any], trial: dict[str, Any], rng: random.Random) -> Fault:
     routers, of, to = trial["routers"], tuple(table.get("of", ())), tuple(table.get("to", ()))
-    who = tuple(table.get("who", ())) or tuple(sorted(chooser.sample(range(routers), table.get("some", 0))))
+    who = tuple(table.get("who", ())) or tuple(sorted(rng.sample(range(routers), table.get("some", 0))))
     if "zone" in table:
-        who = tuple(place for place in range(routers) if 1 + place % trial["zones"] == table["zone"])
+        who = tuple(
+            router_index
+            for router_index in range(routers)
+            if 1 + router_index % trial["zones"] == table["zone"]
+        )
     if of and not who:
         who = tuple(range(routers))
     if table["do"] == "cut" and not to and not of:
-        to = tuple(place for place in range(routers) if place not in who)
-    low, high = table["delay"]
-    at = table["at"] / 1000.0
-    ends = at + table["for"] / 1000.0 if "for" in table else 0.0
-    return Fault(at, table["do"], who, to, table["both"], ends, table["lose"], (low / 1000.0, high / 1000.0),
+        to = tuple(router_index for router_index in range(routers) if router_index not in who)
+    min_delay, max_delay = table["delay"]
+    at_s = table["at"] / 1000.0
+    ends_s = at_s + table["for"] / 1000.0 if "for" in table else 0.0
+    return Fault(at_s, table["do"], who, to, table["both"], ends_s, table["lose"],
+                 (min_delay / 1000.0, max_delay / 1000.0),
                  table["repeat"], table["cache"], of, (table["ahead"] - table["back"]) / 1000.0,
                  table["factor"])  # fmt: skip
 
 
 def _check(table: dict[str, Any], value: Value, notes: Diagnostics) -> None:
-    """What one field alone can't show."""
-
-    def fault(path: str, text: str) -> None:
-        found = value_at_path(value, path)
-        notes.add(found.at if found is not None else (), path, text)
-
-    if beyond := [who for who in table["twins"] if who >= table["routers"]]:
-        fault("twins", f"names router {beyond[0]}, and there are {table['routers']}")
-    for place, one in enumerate(table["faults"]):
-        path = f"faults[{place}]"
-        named = [*one.get("who", ()), *one.get("to", ())]
-        if beyond := [who for who in named if who >= table["routers"]]:
-            fault(path, f"names router {beyond[0]}, and there are {table['routers']}")
-        if one.get("some", 0) > table["routers"]:
-            fault(path, f"wants {one['some']} of {table['routers']} routers")
-        told = one.get("who") or one.get("some") or one.get("zone") or one.get("of")
-        if one["do"] not in NOBODYS and not told:
-            fault(path, "tells neither who nor some")
-        if one.get("zone", 1) > table["zones"]:
-            fault(path, f"names zone {one['zone']}, and there are {table['zones']}")
-        if one["do"] in TO_SERVERS and not one.get("of"):
-            fault(path, f"{one['do']} needs of: it breaks ways to servers")
-        for name in one.get("of", ()):
-            if name not in _servers(table):
-                fault(path, f"names {name}, and there are {', '.join(_servers(table))}")
-        if one["do"] == "surge" and "crowd" not in table:
-            fault(path, "surge needs a crowd")
-        if one["do"] == "slow" and "bears" not in table:
-            fault(path, "slow needs bears: an origin with a pace")
-        if one["do"] == "clock" and one["ahead"] == one["back"]:
-            fault(path, "clock needs ahead or back")
-        if one["do"] in LASTING and "for" not in one:
-            fault(path, f"{one['do']} needs for: it would never end")
-        if one["at"] + one.get("for", 0) > table["lasts"]:
-            fault(path, "is not over when the load ends")
-        if one["delay"][0] > one["delay"][1]:
-            fault(path, "has a least delay above the most")
-        if one["do"] in ("cold", "drain") and one["cache"] >= table["caches"]:
-            fault(path, f"names cache {one['cache']}, and there are {table['caches']}")
-
-
-def _servers(table: dict[str, Any]) -> list[str]:
-    return [*(f"cache-{place}" for place in range(table["caches"])),
+    """Check what the schema cannot: relations between several fields."""
+
+    def report(path: str, text: str) -> None:
+        location = value_at_path(value, path)
+        notes.add(location.at if location is not None else (), path, text)
+
+    if unknown := [who for who in table["twins"] if who >= table["routers"]]:
+        report("twins", f"names router {unknown[0]}, and there are {table['routers']}")
+    for index, fault in enumerate(table["faults"]):
+        path = f"faults[{index}]"
+        router_indices = [*fault.get("who", ()), *fault.get("to", ())]
+        if unknown := [who for who in router_indices if who >= table["routers"]]:
+            report(path, f"names router {unknown[0]}, and there are {table['routers']}")
+        if fault.get("some", 0) > table["routers"]:
+            report(path, f"wants {fault['some']} of {table['routers']} routers")
+        has_routers = fault.get("who") or fault.get("some") or fault.get("zone") or fault.get("of")
+        if fault["do"] not in FAULTS_WITHOUT_ROUTERS and not has_routers:
+            report(path, "tells neither who nor some")
+        if fault.get("zone", 1) > table["zones"]:
+            report(path, f"names zone {fault['zone']}, and there are {table['zones']}")
+        if fault["do"] in SERVER_FAULTS and not fault.get("of"):
+            report(path, f"{fault['do']} needs of: it breaks ways to servers")
+        for name in fault.get("of", ()):
+            if name not in _server_names(table):
+                report(path, f"names {name}, and there are {', '.join(_server_names(table))}")
+        if fault["do"] == "surge" and "crowd" not in table:
+            report(path, "surge needs a crowd")
+        if fault["do"] == "slow" and "bears" not in table:
+            report(path, "slow needs bears: an origin with a pace")
+        if fault["do"] == "clock" and fault["ahead"] == fault["back"]:
+            report(path, "clock needs ahead or back")
+        if fault["do"] in LASTING_FAULTS and "for" not in fault:
+            report(path, f"{fault['do']} needs for: it would never end")
+        if fault["at"] + fault.get("for", 0) > table["lasts"]:
+            report(path, "is not over when the load ends")
+        if fault["delay"][0] > fault["delay"][1]:
+            report(path, "has a least delay above the most")
+        if fault["do"] in ("cold", "drain") and fault["cache"] >= table["caches"]:
+            report(path, f"names cache {fault['cache']}, and there are {table['caches']}")
+
+
+def _server_names(table: dict[str, Any]) -> list[str]:
+    return [*(f"cache-{index}" for index in range(table["caches"])),
             *(f"zone-{1 + zone}" for zone in range(table["zones"])), "parent", "origin", "log"]  # fmt: skip
--- a/stonecove/trial/shifted.py
+++ b/stonecove/trial/shifted.py
@@ -1,8 +1,8 @@
-"""The program with a clock that a trial sets: `python -m stonecove.trial.shifted run ...`.
+"""Runs the program with a wall clock that a trial can set: `python -m stonecove.trial.shifted run ...`.
 
-STONECOVE_TRIAL_CLOCK names a file of eight bytes, seconds that are added to what the system's clock tells.
-The trial writes there at any moment, as if somebody had set this host's clock. Steady clocks go on as they
-are.
+STONECOVE_TRIAL_CLOCK names a file of eight bytes: the offset in seconds that is added to the system's wall
+clock. The trial may write it at any time, as if the host's clock had been set. Monotonic clocks are not
+affected.
 """
 
 from __future__ import annotations
@@ -14,22 +14,22 @@
 import time
 from pathlib import Path
 
-VARIABLE = "STONECOVE_TRIAL_CLOCK"
-_SECONDS = struct.Struct("=d")
+CLOCK_FILE_VARIABLE = "STONECOVE_TRIAL_CLOCK"
+_OFFSET = struct.Struct("=d")
 
 
-def write(path: Path, seconds: float) -> None:
-    """Sets that clock."""
+def write(path: Path, offset_s: float) -> None:
+    """Set the clock offset to so many seconds."""
     with path.open("r+b" if path.exists() else "wb") as file:
-        file.write(_SECONDS.pack(seconds))
+        file.write(_OFFSET.pack(offset_s))
 
 
 def main() -> None:
-    """Puts the clock in place of the system's before anything of the program is there, and starts it."""
-    with open(os.environ[VARIABLE], "rb") as file:
-        shift = mmap.mmap(file.fileno(), _SECONDS.size, access=mmap.ACCESS_READ)
-    system = time.time
-    time.time = lambda: system() + float(_SECONDS.unpack_from(shift)[0])
+    """Replace `time.time` before any module of the program is imported, then run the program."""
+    with open(os.environ[CLOCK_FILE_VARIABLE], "rb") as file:
+        offset = mmap.mmap(file.fileno(), _OFFSET.size, access=mmap.ACCESS_READ)
+    system_time = time.time
+    time.time = lambda: system_time() + float(_OFFSET.unpack_from(offset)[0])
     runpy.run_module("stonecove", run_name="__main__")
 
 
--- a/stonecove/trial/streams.py
+++ b/stonecove/trial/streams.py
@@ -1,8 +1,8 @@
-"""TCP relays between each router and each server: silence, lost answers, resets and refusals.
+"""TCP relays between each router and each server: silence, lost responses, resets and refusals.
 
-Each router knows the servers at a loopback address of its own, by their own ports. What it opens there goes
-on to the server. A path that is cut acts as a network does: what is open stays open and quiet, no new
-connection comes up, and what was sent comes late once the cut has ended.
+Each router knows the servers at a loopback address of its own, by the servers' own ports. A connection to it
+is relayed to the server. A partitioned path behaves like a network: open connections stay open and silent, no
+new connection is established, and data arrives late, once the partition has ended.
 """
 
 from __future__ import annotations
@@ -22,24 +22,24 @@
 from stonecove.trial.thread import TrioThread
 
 BACKLOG = 128
-MOST = 65_536
-AGAIN = 0.2  # seconds until what was lost is sent again
-_RESET = struct.pack("ii", 1, 0)  # linger: on, for no time at all
+MAX_READ_BYTES = 65_536
+RETRANSMIT_DELAY_S = 0.2  # until lost data is retransmitted
+_RESET = struct.pack("ii", 1, 0)  # SO_LINGER on with 0 s: closing sends a reset
 
 
 def host_of(router: int) -> str:
-    """The address at which that router finds all servers."""
+    """Return the address at which that router reaches all servers."""
     return f"127.100.{1 + router}.1"
 
 
 @dataclass(slots=True)
 class StreamFaults:
-    """What becomes of connections on one path. `lose`: the part of pieces that come a repeat later."""
+    """Faults of one path's connections; `lose`: probability that a chunk has to be retransmitted."""
 
     cut: bool = False
-    swallow: bool = False  # answers never come back
-    down: bool = False  # refuses, and resets what is open
-    delay: tuple[float, float] = (0.0, 0.0)  # seconds, in each direction; the order stays
+    swallow: bool = False  # drops all responses
+    down: bool = False  # refuses connections, and resets open ones
+    delay: tuple[float, float] = (0.0, 0.0)  # range in seconds, in each direction; order is kept
     lose: float = 0.0
 
 
@@ -51,45 +51,46 @@
     server: Address
     faults: StreamFaults = field(default_factory=StreamFaults)
     sock: socket.socket | None = None
-    fillers: list[socket.socket] = field(default_factory=list)  # that keep others from coming up
-    open: trio.Event = field(default_factory=trio.Event)  # while it is not cut
+    # occupy the accept queue, so that no other connection is established
+    fillers: list[socket.socket] = field(default_factory=list)
+    open: trio.Event = field(default_factory=trio.Event)  # set while it is not partitioned
     pairs: list[tuple[socket.socket, socket.socket]] = field(default_factory=list)
     scope: trio.CancelScope = field(default_factory=trio.CancelScope)
 
 
 class StreamRelays(TrioThread):
-    """All paths between routers and servers. Servers are called by their ports."""
+    """All paths between routers and servers; a server is identified by its port."""
 
     def __init__(self, routers: int, servers: Iterable[Address], seed: int) -> None:
-        """All paths are open."""
+        """Open all paths."""
         super().__init__()
         self.counts: Counter[str] = Counter()
         self._random = random.Random(seed)
         self._paths = {(router, port): _StreamPath((host_of(router), port), (host, port))
                       for router in range(routers) for host, port in servers}  # fmt: skip
-        self._each(self._paths.values(), self._listen)
+        self._apply(self._paths.values(), self._listen)
 
     def change(self, paths: Iterable[tuple[int, int]], change: Callable[[StreamFaults], None]) -> None:
-        """Changes what becomes of connections on these paths, each from a router to a port."""
+        """Change the faults of these paths, each from a router to a port."""
 
-        def both(path: _StreamPath) -> None:
+        def change_and_apply(path: _StreamPath) -> None:
             change(path.faults)
-            self._settle(path)
+            self._apply_faults(path)
 
-        self._each([self._paths[path] for path in paths], both)
+        self._apply([self._paths[path] for path in paths], change_and_apply)
 
     def reset(self, paths: Iterable[tuple[int, int]]) -> None:
-        """Resets what is open on these, on both sides."""
-        self._each([self._paths[path] for path in paths], self._reset)
+        """Reset the open connections of these paths, on both sides."""
+        self._apply([self._paths[path] for path in paths], self._reset)
 
-    def _each(self, paths: Iterable[_StreamPath], call: Callable[[_StreamPath], None]) -> None:
-        def all_() -> None:
+    def _apply(self, paths: Iterable[_StreamPath], call: Callable[[_StreamPath], None]) -> None:
+        def apply_to_all() -> None:
             for path in paths:
                 call(path)
 
-        self._call(all_)
+        self._call(apply_to_all)
 
-    # -- within its thread --
+    # -- in the relay's thread --
 
     def _listen(self, path: _StreamPath) -> None:
         path.sock = socket.socket()
@@ -101,7 +102,7 @@
         path.open.set()
         self._nursery.start_soon(self._accept, path, path.sock, path.scope)
 
-    def _settle(self, path: _StreamPath) -> None:
+    def _apply_faults(self, path: _StreamPath) -> None:
         if path.faults.down and path.sock is not None:
             path.scope.cancel()
             path.sock.close()
@@ -112,7 +113,7 @@
         if path.faults.cut and path.open.is_set():
             path.open = trio.Event()
             if path.sock is not None:
-                # A queue of one that is full lets nobody else come up.
+                # With its accept queue of one full, the socket establishes no other connection.
                 path.sock.listen(0)
                 path.fillers = [socket.socket() for _ in range(2)]
                 for filler in path.fillers:
@@ -131,7 +132,7 @@
             for sock in pair:
                 with contextlib.suppress(OSError):
                     sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, _RESET)
-                _closed(sock)
+                _close_socket(sock)
         self.counts["reset"] += len(path.pairs)
         path.pairs = []
 
@@ -150,81 +151,83 @@
                 self._nursery.start_soon(self._serve, path, client)
 
     async def _serve(self, path: _StreamPath, client: socket.socket) -> None:
-        """One connection, until both sides have ended."""
+        """Relay one connection until both sides have ended."""
         server = socket.socket()
         server.setblocking(False)
         pair = client, server
         path.pairs.append(pair)
         with client, server:
-            code = server.connect_ex(path.server)
-            if code == errno.EINPROGRESS:
+            error_code = server.connect_ex(path.server)
+            if error_code == errno.EINPROGRESS:
                 with contextlib.suppress(trio.ClosedResourceError):
                     await trio.lowlevel.wait_writable(server)
-                    code = server.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
-            if code == 0:
+                    error_code = server.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
+            if error_code == 0:
                 self.counts["opened"] += 1
                 async with trio.open_nursery() as nursery:
                     nursery.start_soon(self._pump, path, client, server, False)
                     nursery.start_soon(self._pump, path, server, client, True)
             if pair in path.pairs:
                 path.pairs.remove(pair)
-            _closed(client)
-            _closed(server)
+            _close_socket(client)
+            _close_socket(server)
 
-    async def _pump(self, path: _StreamPath, source: socket.socket, to: socket.socket, answers: bool) -> None:
+    async def _pump(
+        self, path: _StreamPath, source: socket.socket, target: socket.socket, is_response: bool
+    ) -> None:
         with contextlib.suppress(trio.ClosedResourceError):
             while True:
                 await trio.lowlevel.wait_readable(source)
                 try:
-                    data = source.recv(MOST)
+                    data = source.recv(MAX_READ_BYTES)
                 except BlockingIOError:
                     continue
-                except OSError:  # reset by the one, so by the other
+                except OSError:  # one side has reset the connection: reset the other
                     with contextlib.suppress(OSError):
-                        to.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, _RESET)
-                    _closed(to)
+                        target.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, _RESET)
+                    _close_socket(target)
                     return
-                await self._delayed(path)
-                if answers and path.faults.swallow:
+                await self._wait_delay(path)
+                if is_response and path.faults.swallow:
                     self.counts["swallowed"] += len(data)
                     if data:
                         continue
                 if not data:
                     with contextlib.suppress(OSError):
-                        to.shutdown(socket.SHUT_WR)
+                        target.shutdown(socket.SHUT_WR)
                     return
-                if not await _sent(to, data):
-                    _closed(source)
+                if not await _send_all(target, data):
+                    _close_socket(source)
                     return
 
-    async def _delayed(self, path: _StreamPath) -> None:
-        """As long as the network takes."""
+    async def _wait_delay(self, path: _StreamPath) -> None:
+        """Wait for as long as the network delays a chunk."""
         while not path.open.is_set():
             await path.open.wait()
-        delay = self._random.uniform(*path.faults.delay)
+        delay_s = self._random.uniform(*path.faults.delay)
         while self._random.random() < path.faults.lose:
-            delay += AGAIN
-        if delay > 0:
-            await trio.sleep(delay)
+            delay_s += RETRANSMIT_DELAY_S
+        if delay_s > 0:
+            await trio.sleep(delay_s)
         while not path.open.is_set():
             await path.open.wait()
 
 
-async def _sent(to: socket.socket, data: bytes) -> bool:
-    """Whether all of it could be passed on."""
-    left = memoryview(data)
-    while left:
+async def _send_all(target: socket.socket, data: bytes) -> bool:
+    """Send all of the data; return whether that succeeded."""
+    remaining = memoryview(data)
+    while remaining:
         try:
-            left = left[to.send(left) :]
+            remaining = remaining[target.send(remaining) :]
         except BlockingIOError:
-            await trio.lowlevel.wait_writable(to)
+            await trio.lowlevel.wait_writable(target)
         except OSError:
             return False
     return True
 
 
-def _closed(sock: socket.socket) -> None:
-    """Closes it, and lets whoever waits for it know."""
+def _close_socket(sock: socket.socket) -> None:
+    """Close the socket and wake all tasks that wait for it."""
     if sock.fileno() >= 0:
         trio.lowlevel.notify_closing(sock)
         sock.close()
--- a/stonecove/trial/testbed.py
+++ b/stonecove/trial/testbed.py
@@ -1,4 +1,4 @@
-"""Runs one trial on real processes: routers, caches, relays between them, load, and faults at set times."""
+"""Runs one trial with real processes: routers, caches, relays between them, load, and scheduled faults."""
 
 from __future__ import annotations
 
@@ -22,60 +22,61 @@
 from stonecove.trial.schedule import Fault, Trial
 from stonecove.trial.streams import StreamFaults, StreamRelays, host_of
 
-SAMPLE = 0.25  # seconds between two looks at what routers hold of each other
-STARVE = 0.05  # seconds stopped, and as long running, in turn
-FLOOD_RATE = 10_000.0  # datagrams a second
-SETTLES = 1.0  # seconds after the load in which what is under way comes to its end
-WEIGHT = 1.0  # transfers at once that a cache's link carries: cold ones bear little
-AREA_LINK = 6e6
-GROUP = 17  # of all objects that the load asks for
+SAMPLE_INTERVAL_S = 0.25  # between two samples of the routers' member tables
+STARVE_INTERVAL_S = 0.05  # suspended and running in turn, for so long each
+FLOOD_DATAGRAMS_PER_S = 10_000.0
+SETTLE_TIME_S = 1.0  # after the load, for requests in flight to end
+WEIGHT = 1.0  # concurrent transfers that a cache's link carries; a cold cache takes few
+ZONE_LINK_KB_PER_S = 6e6
+GROUP = 17  # invalidation group of all objects that the load requests
 
 
 class TrialError(Exception):
-    """A trial that could not be run; the text says why."""
+    """Raised with the reason if a trial cannot be run."""
 
 
 @dataclass(slots=True)
 class TrialRecord:
-    """What a trial recorded, for the judge. Moments are Unix seconds."""
+    """What a trial recorded for the judge; times are Unix seconds."""
 
     trial: Trial
     began: float
     ended: float
     routers: list[RouterProcess]
     ids: list[str]
-    clients: ClosedLoopClients | OpenLoopClients | None  # None: they are judged elsewhere
+    clients: ClosedLoopClients | OpenLoopClients | None  # None: judged elsewhere
     depot: Depot
     repeated: int
-    colds: list[tuple[float, str, list[float]]]  # start, cache, when it was asked
-    troubled: list[tuple[float, float, int, str]] = field(default_factory=list)  # from, to, router, what
-    codes: list[tuple[int, int]] = field(default_factory=list)  # router and exit code that nobody asked for
+    colds: list[tuple[float, str, list[float]]]  # start, cache, Unix ms of each request
+    # start, end, router, fault
+    router_faults: list[tuple[float, float, int, str]] = field(default_factory=list)
+    codes: list[tuple[int, int]] = field(default_factory=list)  # router and exit code of unexpected ends
     samples: list[tuple[float, int, dict[str, Any]]] = field(default_factory=list)
-    drains: list[tuple[float, float, int]] = field(default_factory=list)  # from, until, cache
+    drains: list[tuple[float, float, int]] = field(default_factory=list)  # start, end, cache
     purges: list[float] = field(default_factory=list)  # Unix ms
-    joined_at: float | None = None  # from when all who run were joined for good, after the last fault
+    joined_at: float | None = None  # since when all running routers had joined, after the last fault
 
 
 class Testbed:
     """All processes, stand-ins and relays of one trial; `close` ends everything that was started."""
 
-    __test__ = False  # for pytest, which takes a class of a name like this for tests
+    __test__ = False  # pytest would collect a class of this name
 
     def __init__(self, trial: Trial, seed: int, folder: Path, more: str = "") -> None:
-        """Starts no router yet. `more`: text added to the operator's file of each router."""
-        self.trial, self.folder, self._more = trial, folder, more
+        """Start no router yet; `more`: text added to the operator file of each router."""
+        self.trial, self.folder, self._extra_operator_config = trial, folder, more
         self.depot = self._depot()
         self.clients: ClosedLoopClients | OpenLoopClients | None = None
         self._log_ports = [self.depot.log_port] * trial.routers
         self.streams = self._streams(seed) if trial.relayed else None
         self.relays = DatagramRelays(trial.routers, seed)
-        self.names = [f"edge-{place}" for place in range(trial.routers)]
+        self.names = [f"edge-{router_index}" for router_index in range(trial.routers)]
         for twin in trial.twins[1:]:
             self.names[twin] = self.names[trial.twins[0]]
         self.ids = [format_member_id(ident_of(name)) for name in self.names]
-        self.listens = [free_address(f"127.41.0.{1 + place}") for place in range(trial.routers)]
-        self.routers = [self._router(place, seed) for place in range(trial.routers)]
-        self.troubled: list[tuple[float, float, int, str]] = []
+        self.listens = [free_address(f"127.41.0.{1 + router_index}") for router_index in range(trial.routers)]
+        self.routers = [self._router(router_index, seed) for router_index in range(trial.routers)]
+        self.router_faults: list[tuple[float, float, int, str]] = []
         self.colds: list[tuple[float, str, list[float]]] = []
         self.drains: list[tuple[float, float, int]] = []
         self.purges: list[float] = []
@@ -83,230 +84,246 @@
         self._over = threading.Event()
         self._threads: list[threading.Thread] = []
 
-    def _settings(self, place: int) -> dict[str, Any]:
-        """The settings of that router."""
-        trial, made = self.trial, settings()
+    def _settings(self, router_index: int) -> dict[str, Any]:
+        """Return the settings of that router."""
+        trial, values = self.trial, settings()
         zones = [trial.zone(other) for other in range(trial.routers)]
-        made["fleet_size"] = trial.routers
-        made["zone"] = trial.zone(place)
-        made["areas"] = ["central", *(f"edge-{1 + zone}" for zone in range(trial.zones))]
-        made["domain"]["instances_by_zone"] = [zones.count(zone) for zone in range(1 + trial.zones)]  # type: ignore[index]
-        made["domain"]["zone_link_kb_per_s"] = [0.0] + [AREA_LINK] * trial.zones  # type: ignore[index]
-        made["limits"]["peers"] = True  # type: ignore[index]
-        made["rules"]["overload_for"] = trial.window * 1000.0  # type: ignore[index]
-        return made
+        values["fleet_size"] = trial.routers
+        values["zone"] = trial.zone(router_index)
+        values["areas"] = ["central", *(f"edge-{1 + zone}" for zone in range(trial.zones))]
+        values["domain"]["instances_by_zone"] = [zones.count(zone) for zone in range(1 + trial.zones)]  # type: ignore[index]
+        values["domain"]["zone_link_kb_per_s"] = [0.0] + [ZONE_LINK_KB_PER_S] * trial.zones  # type: ignore[index]
+        values["limits"]["peers"] = True  # type: ignore[index]
+        values["rules"]["overload_for"] = trial.window * 1000.0  # type: ignore[index]
+        return values
 
     def _limits(self) -> dict[str, float]:
-        """What each router may use."""
+        """Return the resource limits of each router."""
         return {"cores": 1.0, "memory_mb": 192, "sockets": 256}
 
-    def _config(self, place: int, seed: int, address: Address) -> dict[str, Any]:
-        """The configuration of that router, which listens there."""
+    def _config(self, router_index: int, seed: int, address: Address) -> dict[str, Any]:
+        """Return the configuration of that router, which listens at `address`."""
         host, port = address
-        others = [other for other in range(self.trial.routers) if other != place]
-        servers = host_of(place) if self.streams is not None else HOST
+        others = [other for other in range(self.trial.routers) if other != router_index]
+        servers = host_of(router_index) if self.streams is not None else HOST
         return {
-            "name": self.names[place], "listen": f"{host}:{port}", "seed": f"{seed + place:x}",
-            "changelog": f"{servers}:{self._log_ports[place]}", "known": self.depot.known(servers),
-            "settings": self._settings(place),
+            "name": self.names[router_index], "listen": f"{host}:{port}", "seed": f"{seed + router_index:x}",
+            "changelog": f"{servers}:{self._log_ports[router_index]}", "known": self.depot.known(servers),
+            "settings": self._settings(router_index),
             "limits": self._limits(),
-            "peer_listen": ":".join(map(str, self.listens[place])),
-            "peers": [":".join(map(str, self.relays.address(place, other))) for other in others],
+            "peer_listen": ":".join(map(str, self.listens[router_index])),
+            "peers": [":".join(map(str, self.relays.address(router_index, other))) for other in others],
         }  # fmt: skip
 
-    def _router(self, place: int, seed: int) -> RouterProcess:
+    def _router(self, router_index: int, seed: int) -> RouterProcess:
         trial = self.trial
-        config = self._config(place, seed, free_address(f"127.40.0.{1 + place}"))
+        config = self._config(router_index, seed, free_address(f"127.40.0.{1 + router_index}"))
         router = RouterProcess(
-            self.folder / f"edge-{place}",
-            f"edge-{place}",
+            self.folder / f"edge-{router_index}",
+            f"edge-{router_index}",
             config,
-            ("swarm: {}\n" if trial.swarm else "") + self._more,
+            ("swarm: {}\n" if trial.swarm else "") + self._extra_operator_config,
         )
         if trial.ahead or any(fault.do == "clock" for fault in trial.faults):
-            router.set_clock(dict(enumerate(trial.ahead)).get(place, 0.0))
+            router.set_clock(dict(enumerate(trial.ahead)).get(router_index, 0.0))
         return router
 
     def _depot(self) -> Depot:
         trial = self.trial
         if trial.bears is None:
             return Depot(trial.caches, WEIGHT, trial.zones)
-        return LoadedDepot(trial.caches, float(trial.bears.places), trial.zones, trial.bears)
+        return LoadedDepot(trial.caches, float(trial.bears.slots), trial.zones, trial.bears)
 
     def _streams(self, seed: int) -> StreamRelays:
-        """Relays to all servers, and a change log for each router that tells its own addresses of them."""
-        self._log_ports = [self.depot.log_for(host_of(place)) for place in range(self.trial.routers)]
+        """Create relays to all servers, and a change log per router that lists its own addresses of them."""
+        self._log_ports = [
+            self.depot.add_change_log(host_of(router_index)) for router_index in range(self.trial.routers)
+        ]
         ports = [*(server.port for server in self.depot.servers), *self._log_ports]
         return StreamRelays(self.trial.routers, [(HOST, port) for port in ports], seed)
 
-    # -- what a schedule does --
-
-    def start(self, place: int) -> None:
-        """Starts a process of that router."""
-        self.relays.up(place, self.listens[place])
-        self.routers[place].start()
-
-    def kill(self, place: int) -> None:
-        """Kills the router's process with SIGKILL."""
-        self.routers[place].kill()
-        self.relays.down(place)
-
-    def terminate(self, place: int) -> None:
-        """Sends SIGTERM, and waits until the process has ended."""
-        self.routers[place].signal(signal.SIGTERM)
-        self._ended(place)
-
-    def _ended(self, place: int) -> None:
-        code = self.routers[place].wait()
-        self.relays.down(place)
-        if code:
-            self.codes.append((place, code))
-
-    def wait_ready(self, places: list[int], patience: float = 30.0) -> None:
-        """Raises TrialError if one is not ready in time."""
-        limit = time.monotonic() + patience
-        for place in places:
-            while not self.routers[place].ready():
-                if time.monotonic() > limit or not self.routers[place].running:
-                    raise TrialError(f"{self.names[place]} did not become ready: {self.routers[place].log}")
+    # -- actions of a schedule --
+
+    def start(self, router_index: int) -> None:
+        """Start a process of that router."""
+        self.relays.up(router_index, self.listens[router_index])
+        self.routers[router_index].start()
+
+    def kill(self, router_index: int) -> None:
+        """Kill the router's process with SIGKILL."""
+        self.routers[router_index].kill()
+        self.relays.down(router_index)
+
+    def terminate(self, router_index: int) -> None:
+        """Send SIGTERM to the router and wait until its process has ended."""
+        self.routers[router_index].signal(signal.SIGTERM)
+        self._wait_exit(router_index)
+
+    def _wait_exit(self, router_index: int) -> None:
+        exit_code = self.routers[router_index].wait()
+        self.relays.down(router_index)
+        if exit_code:
+            self.codes.append((router_index, exit_code))
+
+    def wait_ready(self, router_indices: list[int], timeout_s: float = 30.0) -> None:
+        """Wait until all are ready; raise TrialError if one is not in time."""
+        deadline = time.monotonic() + timeout_s
+        for router_index in router_indices:
+            while not self.routers[router_index].ready():
+                if time.monotonic() > deadline or not self.routers[router_index].running:
+                    raise TrialError(
+                        f"{self.names[router_index]} did not become ready: {self.routers[router_index].log}"
+                    )
                 time.sleep(0.02)
 
     def joined(self) -> bool:
-        """Whether all running routers have their full share."""
-        found = [router.ask("swarm status") for router in self._awake()]
-        return bool(found) and all(one is not None and one["status"]["joined"] for one in found)
-
-    def _settled(self) -> bool:
-        """Whether all have their share and one view: guards against a first view that counts as a change."""
-        found = [router.ask("swarm status") for router in self._awake()]
-        told = [one["status"] for one in found if one is not None]
+        """Return whether all running routers have their full share."""
+        reports = [router.ask("swarm status") for router in self._responsive_routers()]
+        return bool(reports) and all(report is not None and report["status"]["joined"] for report in reports)
+
+    def _views_agree(self) -> bool:
+        """Return whether all have joined with the same view: a later first view would count as a change."""
+        reports = [router.ask("swarm status") for router in self._responsive_routers()]
+        statuses = [status["status"] for status in reports if status is not None]
         return (
-            len(told) == len(found) > 0
-            and all(one["joined"] and one["view"] for one in told)
-            and (len({one["digest"] for one in told}) == 1)
+            len(statuses) == len(reports) > 0
+            and all(status["joined"] and status["view"] for status in statuses)
+            and (len({status["digest"] for status in statuses}) == 1)
         )
 
-    def _awake(self) -> list[RouterProcess]:
+    def _responsive_routers(self) -> list[RouterProcess]:
         return [router for router in self.routers if router.running and not router.stopped]
 
-    def until(self, holds: Any, patience: float) -> bool:
-        """Waits up to `patience` seconds for a condition; returns whether it came true."""
-        limit = time.monotonic() + patience
-        while not holds():
-            if time.monotonic() > limit:
+    def until(self, condition: Any, timeout_s: float) -> bool:
+        """Wait up to `timeout_s` for a condition; return whether it came true."""
+        deadline = time.monotonic() + timeout_s
+        while not condition():
+            if time.monotonic() > deadline:
                 return False
             time.sleep(0.05)
         return True
 
     def do(self, fault: Fault) -> None:
-        """Injects a fault; one that lasts is ended by `undo`."""
+        """Inject a fault; one that lasts is ended by `undo`."""
         now = time.time()
         match fault.do:
             case "kill":
-                for place in fault.who:
-                    self._trouble(now, place, fault)
-                    self.kill(place)
+                for router_index in fault.who:
+                    self._note_router_fault(now, router_index, fault)
+                    self.kill(router_index)
             case "start" | "restart":
-                for place in fault.who:
-                    if self.routers[place].running:
-                        self._trouble(now, place, fault)
-                        self.kill(place)
-                    self.start(place)
+                for router_index in fault.who:
+                    if self.routers[router_index].running:
+                        self._note_router_fault(now, router_index, fault)
+                        self.kill(router_index)
+                    self.start(router_index)
             case "roll":
                 self._spawn(lambda: self._roll(fault.who))
             case "terminate":
-                for place in fault.who:
-                    self._spawn(lambda place=place: self.terminate(place))
+                for router_index in fault.who:
+                    self._spawn(lambda router_index=router_index: self.terminate(router_index))
             case "pause":
-                for place in fault.who:
-                    self._trouble(now, place, fault)
-                    self.routers[place].pause()
+                for router_index in fault.who:
+                    self._note_router_fault(now, router_index, fault)
+                    self.routers[router_index].pause()
             case "starve":
-                for place in fault.who:
-                    self._trouble(now, place, fault)
-                    self._spawn(lambda place=place: self._starve(place, now + fault.ends - fault.at))
+                for router_index in fault.who:
+                    self._note_router_fault(now, router_index, fault)
+                    self._spawn(
+                        lambda router_index=router_index: self._starve(
+                            router_index, now + fault.ends - fault.at
+                        )
+                    )
             case "flood":
-                for place in fault.who:
-                    self._spawn(lambda place=place: self._flood(place, now + fault.ends - fault.at))
+                for router_index in fault.who:
+                    self._spawn(
+                        lambda router_index=router_index: self._flood(
+                            router_index, now + fault.ends - fault.at
+                        )
+                    )
             case _ if fault.of:
-                self._to_servers(fault, True)
+                self._change_server_faults(fault, True)
             case "cut":
-                self._cut(fault, True)
+                self._set_partition(fault, True)
             case "weather":
-                self._weather(fault.lose, fault.delay, fault.repeat)
+                self._set_network_faults(fault.lose, fault.delay, fault.repeat)
             case "cold":
-                self._cold(self.depot.caches[fault.cache])
+                self._restart_cold(self.depot.caches[fault.cache])
             case "drain":
                 cache = self.depot.caches[fault.cache]
                 self.drains.append((now, now + fault.ends - fault.at, cache.ident))
-                self.depot.tell_state(cache, "draining")
+                self.depot.announce_state(cache, "draining")
             case "purge":
-                self.purges.append(self.depot.tell_purge(GROUP))
+                self.purges.append(self.depot.announce_purge(GROUP))
             case "surge":
-                self._pace(fault.factor)
+                self._set_load_factor(fault.factor)
             case "slow":
-                self._slow(fault.factor)
+                self._set_origin_pace(fault.factor)
             case "clock":
-                for place in fault.who:
-                    self.routers[place].set_clock(fault.shift)
+                for router_index in fault.who:
+                    self.routers[router_index].set_clock(fault.shift)
 
     def undo(self, fault: Fault) -> None:
-        """Ends a fault that lasts."""
+        """End a fault that lasts."""
         match fault.do:
             case "pause":
-                for place in fault.who:
-                    self.routers[place].resume()
+                for router_index in fault.who:
+                    self.routers[router_index].resume()
             case _ if fault.of:
-                self._to_servers(fault, False)
+                self._change_server_faults(fault, False)
             case "surge":
-                self._pace(1.0)
+                self._set_load_factor(1.0)
             case "slow":
-                self._slow(1.0)
+                self._set_origin_pace(1.0)
             case "drain":
-                self.depot.tell_state(self.depot.caches[fault.cache], "up")
+                self.depot.announce_state(self.depot.caches[fault.cache], "up")
             case "cut":
-                self._cut(fault, False)
+                self._set_partition(fault, False)
             case "weather":
-                self._weather(0.0, (0.0, 0.0), 0.0)
+                self._set_network_faults(0.0, (0.0, 0.0), 0.0)
 
-    def _trouble(self, now: float, place: int, fault: Fault) -> None:
-        ends = now + fault.ends - fault.at if fault.ends else now
-        self.troubled.append((now, ends, place, fault.do))
+    def _note_router_fault(self, started_at: float, router_index: int, fault: Fault) -> None:
+        ends_at = started_at + fault.ends - fault.at if fault.ends else started_at
+        self.router_faults.append((started_at, ends_at, router_index, fault.do))
 
-    def _cut(self, fault: Fault, cut: bool) -> None:
+    def _set_partition(self, fault: Fault, partitioned: bool) -> None:
         def change() -> None:
-            for one in fault.who:
-                for other in fault.to:
-                    if one != other:
-                        self.relays.faults[one, other].cut = cut
+            for router_index in fault.who:
+                for peer_index in fault.to:
+                    if router_index != peer_index:
+                        self.relays.faults[router_index, peer_index].cut = partitioned
                         if fault.both:
-                            self.relays.faults[other, one].cut = cut
+                            self.relays.faults[peer_index, router_index].cut = partitioned
 
         self.relays.change(change)
 
-    def _pace(self, factor: float) -> None:
+    def _set_load_factor(self, factor: float) -> None:
         assert isinstance(self.clients, OpenLoopClients)
         self.clients.rate = self.trial.rate * factor
 
-    def _slow(self, factor: float) -> None:
+    def _set_origin_pace(self, factor: float) -> None:
         assert isinstance(self.depot, LoadedDepot)
         self.depot.pace = factor
 
-    def _cold(self, cache: Cache) -> None:
-        """Restarts a cache cold and empty, and updates the list."""
-        cache.forget()
-        self.colds.append((cache.started / 1000.0, f"s-{cache.ident:08x}", cache.book))
-        self.depot.tell_state(cache, "up")
+    def _restart_cold(self, cache: Cache) -> None:
+        """Restart a cache empty, and publish it in the endpoint list."""
+        cache.restart_empty()
+        self.colds.append((cache.started_ms / 1000.0, f"s-{cache.ident:08x}", cache.request_times_ms))
+        self.depot.announce_state(cache, "up")
 
-    def _to_servers(self, fault: Fault, begins: bool) -> None:
-        """Begins or ends a fault between routers and servers."""
+    def _change_server_faults(self, fault: Fault, begins: bool) -> None:
+        """Begin or end a fault between routers and servers."""
         assert self.streams is not None
-        servers = [server for name in fault.of for server in self._named(name)]
-        ways = [(place, server.port) for place in fault.who for server in servers]
+        servers = [server for name in fault.of for server in self._servers_named(name)]
+        paths = [(router_index, server.port) for router_index in fault.who for server in servers]
         if "log" in fault.of:
-            ways += [(place, port) for place in fault.who for port in self._log_ports_of(place)]
+            paths += [
+                (router_index, port)
+                for router_index in fault.who
+                for port in self._log_ports_of(router_index)
+            ]
         if fault.do == "reset":
-            return self.streams.reset(ways)
+            return self.streams.reset(paths)
 
         def change(faults: StreamFaults) -> None:
             match fault.do:
@@ -319,17 +336,17 @@
                 case "weather":
                     faults.lose, faults.delay = (fault.lose, fault.delay) if begins else (0.0, (0.0, 0.0))
 
-        self.streams.change(ways, change)
+        self.streams.change(paths, change)
         if fault.do == "down" and not begins:
             for server in servers:
-                self._cold(server)
+                self._restart_cold(server)
 
-    def _log_ports_of(self, place: int) -> list[int]:
-        """The ports at which that router may follow the change log."""
-        return [self._log_ports[place]]
+    def _log_ports_of(self, router_index: int) -> list[int]:
+        """Return the ports at which that router may follow the change log."""
+        return [self._log_ports[router_index]]
 
-    def _named(self, name: str) -> list[Cache]:
-        """The servers that a schedule means by a name."""
+    def _servers_named(self, name: str) -> list[Cache]:
+        """Return the servers that a schedule means by a name."""
         kind, _, number = name.partition("-")
         match kind:
             case "cache":
@@ -342,48 +359,50 @@
                 return [self.depot.origin]
         return []
 
-    def _weather(self, lose: float, delay: tuple[float, float], repeat: float) -> None:
+    def _set_network_faults(self, lose: float, delay: tuple[float, float], repeat: float) -> None:
         def change() -> None:
-            self.relays.weather = Faults(lose, delay, repeat)
+            self.relays.global_faults = Faults(lose, delay, repeat)
 
         self.relays.change(change)
 
-    def _roll(self, places: tuple[int, ...]) -> None:
-        """A rolling restart: each router is terminated and started again, the next once it is ready."""
-        for place in places:
+    def _roll(self, router_indices: tuple[int, ...]) -> None:
+        """Terminate and start the routers one by one, the next once the last is ready."""
+        for router_index in router_indices:
             if not self._over.is_set():
-                self.terminate(place)
-                self.start(place)
-                self.until(self.routers[place].ready, 30.0)
-
-    def _starve(self, place: int, until: float) -> None:
-        while time.time() < until and not self._over.is_set():
-            self.routers[place].signal(signal.SIGSTOP)
-            time.sleep(STARVE)
-            self.routers[place].signal(signal.SIGCONT)
-            time.sleep(STARVE)
-
-    def _flood(self, place: int, until: float) -> None:
-        """Sends malformed datagrams from a peer's address and from unknown ones."""
-        self.relays.flood(self.listens[place], place, FLOOD_RATE, until - time.time(), self._over)
+                self.terminate(router_index)
+                self.start(router_index)
+                self.until(self.routers[router_index].ready, 30.0)
+
+    def _starve(self, router_index: int, end: float) -> None:
+        while time.time() < end and not self._over.is_set():
+            self.routers[router_index].signal(signal.SIGSTOP)
+            time.sleep(STARVE_INTERVAL_S)
+            self.routers[router_index].signal(signal.SIGCONT)
+            time.sleep(STARVE_INTERVAL_S)
+
+    def _flood(self, router_index: int, end: float) -> None:
+        """Send malformed datagrams from a peer's address and from an unknown one."""
+        self.relays.flood(
+            self.listens[router_index], router_index, FLOOD_DATAGRAMS_PER_S, end - time.time(), self._over
+        )
 
     def _spawn(self, call: Any) -> None:
         thread = threading.Thread(target=call)
         thread.start()
         self._threads.append(thread)
 
-    # -- the whole --
+    # -- the trial --
 
     def play(self) -> TrialRecord:
-        """Runs the trial; raises TrialError if the routers did not become ready, or did not join."""
-        trial, places = self.trial, list(range(self.trial.routers))
-        for place in places:
-            self.start(place)
-        self.wait_ready(places)
-        if trial.swarm and not self.until(self._settled, trial.joins):
-            raise TrialError("the routers did not count each other in time")
+        """Run the trial; raise TrialError if the routers do not become ready or do not join."""
+        trial, router_indices = self.trial, list(range(self.trial.routers))
+        for router_index in router_indices:
+            self.start(router_index)
+        self.wait_ready(router_indices)
+        if trial.swarm and not self.until(self._views_agree, trial.joins):
+            raise TrialError("the routers did not join the swarm in time")
         addresses = [router.address for router in self.routers]
-        began = time.time()
+        load_started_at = time.time()
         clients: ClosedLoopClients | OpenLoopClients
         if trial.open_loop is None:
             clients = ClosedLoopClients(addresses, trial.rate, kb=trial.kb, writes=trial.writes)
@@ -393,38 +412,40 @@
         samples: list[tuple[float, int, dict[str, Any]]] = []
         try:
             if trial.swarm:
-                self._spawn(lambda: self._sample(samples))
-            self._faults(began)
-            time.sleep(max(0.0, began + trial.lasts - time.time()))
+                self._spawn(lambda: self._collect_samples(samples))
+            self._run_schedule(load_started_at)
+            time.sleep(max(0.0, load_started_at + trial.lasts - time.time()))
         finally:
             self._over.set()
             clients.end()
         for thread in self._threads:
             thread.join()
-        time.sleep(SETTLES)
-        ended = time.time()
-        for place, router in enumerate(self.routers):
+        time.sleep(SETTLE_TIME_S)
+        ended_at = time.time()
+        for router_index, router in enumerate(self.routers):
             if not router.running and router.lives[-1][1] is None:
-                self.codes.append((place, router.wait()))
-        running = [place for place in places if self.routers[place].running]
+                self.codes.append((router_index, router.wait()))
+        running = [router_index for router_index in router_indices if self.routers[router_index].running]
         joined_at = all_joined_for_good(
-            [self.routers[place] for place in running], began + trial.span[1], ended
+            [self.routers[router_index] for router_index in running],
+            load_started_at + trial.span[1],
+            ended_at,
         )
-        for place in running:
-            self.routers[place].signal(signal.SIGTERM)
-        for place in running:
-            self._ended(place)
+        for router_index in running:
+            self.routers[router_index].signal(signal.SIGTERM)
+        for router_index in running:
+            self._wait_exit(router_index)
         return TrialRecord(
             trial,
-            began,
-            ended,
+            load_started_at,
+            ended_at,
             self.routers,
             self.ids,
             clients,
             self.depot,
-            self.depot.repeated(),
+            self.depot.count_repeated_writes(),
             self.colds,
-            self.troubled,
+            self.router_faults,
             self.codes,
             samples,
             self.drains,
@@ -432,25 +453,25 @@
             joined_at,
         )
 
-    def _faults(self, began: float) -> None:
-        """Begins and ends all faults in the order of time."""
+    def _run_schedule(self, load_started_at: float) -> None:
+        """Begin and end all faults in chronological order."""
         steps = [(fault.at, 1, fault) for fault in self.trial.faults]
         steps += [(fault.ends, 0, fault) for fault in self.trial.faults if fault.ends]
-        for at, begins, fault in sorted(steps, key=lambda step: step[:2]):
-            time.sleep(max(0.0, began + at - time.time()))
+        for at_s, begins, fault in sorted(steps, key=lambda step: step[:2]):
+            time.sleep(max(0.0, load_started_at + at_s - time.time()))
             if begins:
                 self.do(fault)
             else:
                 self.undo(fault)
 
-    def _sample(self, samples: list[tuple[float, int, dict[str, Any]]]) -> None:
-        while not self._over.wait(SAMPLE):
-            for router in self._awake():
-                if (found := router.ask("swarm status")) is not None:
-                    samples.append((time.time(), self.routers.index(router), found))
+    def _collect_samples(self, samples: list[tuple[float, int, dict[str, Any]]]) -> None:
+        while not self._over.wait(SAMPLE_INTERVAL_S):
+            for router in self._responsive_routers():
+                if (report := router.ask("swarm status")) is not None:
+                    samples.append((time.time(), self.routers.index(router), report))
 
     def close(self) -> None:
-        """Ends all processes, threads and relays, stopped processes included."""
+        """End all processes, threads and relays, suspended processes included."""
         self._over.set()
         for router in self.routers:
             if router.running:
--- a/stonecove/trial/thread.py
+++ b/stonecove/trial/thread.py
@@ -1,4 +1,4 @@
-"""A trio nursery in a thread of its own, beside a trial that waits for processes."""
+"""Runs a trio nursery in a thread of its own, beside a trial that blocks while it waits for processes."""
 
 from __future__ import annotations
 
@@ -10,16 +10,17 @@
 
 
 class TrioThread:
-    """What runs in it may be changed from any other thread."""
+    """A nursery that runs in its own thread; other threads schedule changes in it."""
 
     def __init__(self) -> None:
+        """Start the thread and wait until its nursery is open."""
         self._ready = threading.Event()
         self._thread = threading.Thread(target=trio.run, args=(self._main,), daemon=True)
         self._thread.start()
         self._ready.wait()
 
     def close(self) -> None:
-        """Ends all that runs there."""
+        """Cancel all tasks and wait for the thread to end."""
         self._call(self._nursery.cancel_scope.cancel)
         self._thread.join()
 
--- a/tests/golden_coordination_frames.py
+++ b/tests/golden_coordination_frames.py
@@ -208,11 +208,22 @@
     return reply_frame(-1, -1, 0, struct.pack(">ii", kind, state) + text_field(path))
 
 
-def stat_field(czxid: int = 0x21, version: int = 0, owner: int = 0, **more: int) -> bytes:
-    mzxid, length, children = more.get("mzxid", czxid), more.get("length", 0), more.get("children", 0)
-    form = ">qqqqiiiqiiq"
+def stat_field(czxid: int = 0x21, version: int = 0, owner: int = 0, **fields: int) -> bytes:
+    mzxid, length, children = fields.get("mzxid", czxid), fields.get("length", 0), fields.get("children", 0)
+    layout = ">qqqqiiiqiiq"
     return struct.pack(
-        form, czxid, mzxid, 1_764_576_000_123, 1_764_576_000_456, version, 5, 6, owner, length, children, 0x99
+        layout,
+        czxid,
+        mzxid,
+        1_764_576_000_123,
+        1_764_576_000_456,
+        version,
+        5,
+        6,
+        owner,
+        length,
+        children,
+        0x99,
     )
 
 
@@ -307,7 +318,7 @@
     if isinstance(result, zk.Created):
         stat = None if result.stat is None else describe_stat(result.stat)
         return {"path": result.path, "stat": stat}
-    return [describe_result(one) for one in result]
+    return [describe_result(item) for item in result]
 
 
 def describe_event(event: zk.WatchEvent) -> Meaning:
@@ -318,12 +329,12 @@
 
 def _read_reply(operation: str, payload: bytes) -> Meaning:
     if operation == "connect":
-        found = zk.read_connected(payload)
+        connected = zk.read_connected(payload)
         return {
-            "timeout_ms": found.timeout,
-            "session": found.session,
-            "password": packed(found.password),
-            "read_only": found.read_only,
+            "timeout_ms": connected.timeout,
+            "session": connected.session,
+            "password": packed(connected.password),
+            "read_only": connected.read_only,
         }
     header, reader = zk.read_header(payload)
     meaning: Meaning = {"xid": header.xid, "zxid": header.zxid, "error": int(header.error)}
@@ -337,18 +348,18 @@
 def play_replies(inputs: list[Meaning]) -> list[Any]:
     """Read each input's bytes as frames from a server, and return what they mean."""
     outputs: list[Any] = []
-    for one in inputs:
+    for entry in inputs:
         buffer = Buffer(1 << 21)
-        buffer.feed(unpacked(one["bytes"]))
+        buffer.feed(unpacked(entry["bytes"]))
         try:
-            outputs.append([_read_reply(one["operation"], payload) for payload in zk.frames(buffer)])
+            outputs.append([_read_reply(entry["operation"], payload) for payload in zk.frames(buffer)])
         except zk.ZooKeeperError:
             outputs.append("malformed")
     return outputs
 
 
 def _reply_script() -> list[Meaning]:
-    good: list[tuple[str, bytes]] = [
+    valid: list[tuple[str, bytes]] = [
         ("connect", connected_frame(10_000, 0xABCDEF)),
         ("connect", connected_frame(4_000, 0xABCDEF, True)),
         ("connect", connected_frame(0, 0, None)),
@@ -373,7 +384,7 @@
         ("header", reply_frame(9, 0x31)[:-1]),
         ("header", reply_frame(9, 0x31) + reply_frame(10, 0x32)[:5]),
     ]
-    broken: list[tuple[str, bytes]] = [
+    malformed: list[tuple[str, bytes]] = [
         ("header", int_field(-1)),
         ("header", int_field((1 << 20) + 1)),
         ("header", _frame(b"\0" * 15)),
@@ -389,7 +400,7 @@
         ("multi", reply_frame(8, 0x29, 0, _multi_results()[:-9])),
         ("multi", reply_frame(8, 0x29, 0, struct.pack(">ibi", 4, False, -1))),
     ]
-    return [{"operation": operation, "bytes": packed(data)} for operation, data in (*good, *broken)]
+    return [{"operation": operation, "bytes": packed(data)} for operation, data in (*valid, *malformed)]
 
 
 REPLIES = Replay("zookeeper-replies", _reply_script, play_replies)
--- a/tests/golden_coordination_sessions.py
+++ b/tests/golden_coordination_sessions.py
@@ -61,7 +61,7 @@
     "behind": "server behind",
 }
 SERVERS = (("10.0.0.1", 2181), ("10.0.0.2", 2181), ("10.0.0.3", 2181))
-FIGURES = SessionConfig(10.0, 1.0, (0.05, 5.0), 0.5, (("digest", b"router:secret"),))
+CONFIG = SessionConfig(10.0, 1.0, (0.05, 5.0), 0.5, (("digest", b"router:secret"),))
 
 
 def _disconnect(why: str) -> str:
@@ -69,7 +69,7 @@
 
 
 def describe_session_event(event: SessionEvent) -> Meaning:
-    """Return the meaning of what a session tells its owner."""
+    """Return the meaning of an event that a session reports to its owner."""
     if isinstance(event, Up):
         return {"event": "connected", "session": event.session, "resumed": event.resumed}
     if isinstance(event, Down):
@@ -97,29 +97,29 @@
 
 
 class Client:
-    """A session without I/O and who uses it, driven by the steps of a script.
+    """A session without I/O and its users, driven by the steps of a script.
 
-    It hands events over as the program's own owner of a session does: a reply to who asked, all else to every
-    user in the order in which they were added.
+    It dispatches events as the router does: a reply to the sender of its request, all else to every user in
+    the order in which they were added.
     """
 
     def __init__(self) -> None:
-        self.session = Session(SERVERS, 7, FIGURES)
+        self.session = Session(SERVERS, 7, CONFIG)
         self.now = 0.0
-        self.told: list[Meaning] = []
+        self.reports: list[Meaning] = []
         self.feeds: list[Callable[[SessionEvent], None]] = []
         self.commands: dict[str, Callable[[Meaning], None]] = {}
         self._calls: dict[int, Callable[[Reply], None]] = {}
         self._token = 1000
 
-    def ask(self, what: zk.Request, call: Callable[[Reply], None]) -> None:
+    def ask(self, request: zk.Request, call: Callable[[Reply], None]) -> None:
         """Send a request whose reply goes to `call`."""
         self._token += 1
         self._calls[self._token] = call
-        self.session.send_request(self._token, what, self.now)
+        self.session.send_request(self._token, request, self.now)
 
     def play(self, step: Meaning) -> Meaning:
-        """Do one step, and return what came of it."""
+        """Run one step, and return its outcome."""
         self.now, session = step["at_s"], self.session
         match step["do"]:
             case "connecting":
@@ -153,22 +153,22 @@
 
     def _outcome(self, events: list[Meaning]) -> Meaning:
         plan = self.session.plan(self.now)
-        told = list(self.told)
-        self.told.clear()
-        state = next(name for name, one in SESSION_STATES.items() if one is self.session.state)
+        reports = list(self.reports)
+        self.reports.clear()
+        state = next(name for name, candidate in SESSION_STATES.items() if candidate is self.session.state)
         outcome: Meaning = {
             "state": state,
             "connect_to": None if plan.connect is None else list(plan.connect),
             "next_due_s": None if math.isinf(plan.until) else round(plan.until, 6),
             "sent": _split(self.session.data_to_send()),
             "events": events,
-            "told": told,
+            "told": reports,
         }
         return {name: value for name, value in outcome.items() if value not in ([], None)}
 
 
 class Script:
-    """Writes the steps of a script; replies bear the xids of requests in the order of their sending."""
+    """Builds the steps of a script; replies have the xids of the requests in the order of sending."""
 
     def __init__(self) -> None:
         self.steps: list[Meaning] = []
@@ -176,10 +176,10 @@
         self._xid = 0
         self.zxid = 0x100
 
-    def do(self, what: str, after: float = 0.01, **more: Any) -> None:
+    def do(self, what: str, after: float = 0.01, **fields: Any) -> None:
         """Add a step."""
         self._now = round(self._now + after, 6)
-        self.steps.append({"at_s": self._now, "do": what, **more})
+        self.steps.append({"at_s": self._now, "do": what, **fields})
 
     def received(self, *frames: bytes, after: float = 0.01) -> None:
         """Add bytes from the server."""
@@ -193,7 +193,7 @@
         self.received(reply_frame(-4, self.zxid))
 
     def reply(self, error: int = 0, body: bytes = b"") -> None:
-        """Answer the oldest request that has no answer."""
+        """Answer the oldest unanswered request."""
         self._xid += 1
         self.zxid += 1
         self.received(reply_frame(self._xid, self.zxid, error, body))
@@ -217,9 +217,9 @@
     script = Script()
     script.do("connecting")
     script.do("opened")
-    whole = connected_frame(9_000, 0xABCDEF)
-    script.received(whole[:7])
-    script.received(whole[7:])
+    connected = connected_frame(9_000, 0xABCDEF)
+    script.received(connected[:7])
+    script.received(connected[7:])
     script.received(reply_frame(-4, 0x100))
     requests: list[tuple[Meaning, int, bytes]] = [
         (operation_request("get_data", "/a/b", watch=True), 0, data_field(b"one", mzxid=0x80)),
@@ -257,10 +257,10 @@
     return script.steps
 
 
-def _trouble_script() -> list[Meaning]:
+def _failure_script() -> list[Meaning]:
     script = Script()
     script.do("connecting")
-    script.do("time_passes", 1.5)  # it never comes up
+    script.do("time_passes", 1.5)  # the connection is never established
     script.do("connecting", 0.1)
     script.do("opened")
     script.received(connected_frame(9_000, 0xABCDEF, True))  # no leader
@@ -268,12 +268,12 @@
     script.do("opened")
     script.received(int_field(-1))  # malformed
     script.do("connecting", 0.1)
-    script.do("lost", reason="refused")  # the wait has grown
+    script.do("lost", reason="refused")  # the backoff has grown
     script.do("connecting", 0.5)
     script.do("opened")
     script.received(connected_frame(9_000, 0xABCDEF))
     script.received(reply_frame(-4, 0x200))
-    script.received(reply_frame(-2, 0x1FF))  # behind what it told before
+    script.received(reply_frame(-2, 0x1FF))  # older than its previous zxid
     script.connect(after=0.1)
     script.steps[-1]["bytes"] = packed(reply_frame(-4, 0x200))
     script.ask(1, operation_request("get_data", "/a", watch=True))
@@ -301,54 +301,57 @@
     script.do("opened")
     script.received(connected_frame(9_000, 0x123))
     script.ask(3, operation_request("get_data", "/a", watch=False))
-    script.received(reply_frame(3, 0x10, -112))  # the servers' word in a reply that it has expired
+    script.received(reply_frame(3, 0x10, -112))  # a reply reports that the session has expired
     script.do("close")
     return script.steps
 
 
 SESSION = Replay("zookeeper-session", _session_script, _play_session)
-TROUBLE = Replay("zookeeper-session-trouble", _trouble_script, _play_session)
+FAILURES = Replay("zookeeper-session-trouble", _failure_script, _play_session)
 
-# -- a router's own node, and one node that is watched --
+# -- a router's own node, and a single watched node --
 
-OURS, OTHERS = b'{"name": "r1", "listen": "10.0.0.4:6565"}', b'{"name": "r1", "listen": "10.0.0.5:6565"}'
+OWN_RECORD, OTHER_RECORD = (
+    b'{"name": "r1", "listen": "10.0.0.4:6565"}',
+    b'{"name": "r1", "listen": "10.0.0.5:6565"}',
+)
 
 
 class _NodeNotes:
-    """Notes what a watched node is found to hold."""
+    """Records the reported state of a watched node."""
 
-    def __init__(self, told: Callable[[Meaning], None]) -> None:
-        self._told = told
+    def __init__(self, report: Callable[[Meaning], None]) -> None:
+        self._report = report
 
     def put(self, data: bytes, stat: zk.Stat) -> None:
-        self._told({"node": "present", "data": packed(data), "mzxid": stat.mzxid})
+        self._report({"node": "present", "data": packed(data), "mzxid": stat.mzxid})
 
     def absent(self) -> None:
-        self._told({"node": "absent"})
+        self._report({"node": "absent"})
 
     def unreadable(self, error: zk.Err) -> None:
-        self._told({"node": "unreadable", "error": int(error)})
+        self._report({"node": "unreadable", "error": int(error)})
 
 
 def _play_presence(steps: list[Meaning]) -> list[Any]:
     client = Client()
 
-    def tell(meaning: Meaning) -> None:
-        client.told.append(meaning)
+    def report(meaning: Meaning) -> None:
+        client.reports.append(meaning)
 
     registrar = Registrar(
         "/fleet/routers",
         "r1",
-        OURS,
+        OWN_RECORD,
         client.ask,
         lambda: client.session.session,
-        lambda data: data == OURS,
-        lambda event, **fields: tell({"alarm": "name not registered"}),
+        lambda data: data == OWN_RECORD,
+        lambda event, **fields: report({"alarm": "name not registered"}),
     )
     client.feeds.append(registrar.feed)
 
     def change(step: Meaning) -> None:
-        registrar.update_record(unpacked(step["record"]), lambda: tell({"record": "stored"}))
+        registrar.update_record(unpacked(step["record"]), lambda: report({"record": "stored"}))
 
     client.commands = {
         "change_record": change,
@@ -362,7 +365,7 @@
 def _presence_script() -> list[Meaning]:
     script, exists, missing = Script(), -110, -101
     script.connect()
-    script.reply(missing)  # the path is made from above
+    script.reply(missing)  # the path is created from the root down
     script.reply(missing)
     script.reply(0, text_field("/fleet"))
     script.reply(missing)
@@ -373,39 +376,39 @@
     script.reply(0, stat_field(version=1))
     script.reply(0, stat_field(version=2))
     script.do("change_record", record=packed(b'{"state": "left"}'))
-    script.do("change_record", record=packed(OURS))
-    script.reply(missing)  # it is gone: made again
+    script.do("change_record", record=packed(OWN_RECORD))
+    script.reply(missing)  # the node is gone: created again
     script.reply(0, text_field("/fleet/routers/r1"))
     script.do("node_vanished")
-    script.lose(1)  # its create, of which no reply comes
+    script.lose(1)  # the create request, which gets no reply
     script.connect(after=0.1)
     script.reply(exists)
-    script.reply(0, data_field(OURS, owner=0xABCDEF))  # it was done
+    script.reply(0, data_field(OWN_RECORD, owner=0xABCDEF))  # the create had succeeded
     script.lose()
     script.do("connecting", 0.1)
     script.do("opened")
     script.received(connected_frame(0, 0))
     script.connect(0xABCDF0, after=0.1)
-    script.reply(exists)  # of the process before the restart: deleted
-    script.reply(0, data_field(OURS, owner=0x77, version=3))
+    script.reply(exists)  # left by the process before the restart: deleted
+    script.reply(0, data_field(OWN_RECORD, owner=0x77, version=3))
     script.reply()
     script.reply(0, text_field("/fleet/routers/r1"))
     script.do("node_vanished")
-    script.reply(exists)  # somebody else's
-    script.reply(0, data_field(OTHERS, owner=0x78, version=1))
-    script.do("change_record", record=packed(OTHERS))
+    script.reply(exists)  # owned by another router
+    script.reply(0, data_field(OTHER_RECORD, owner=0x78, version=1))
+    script.do("change_record", record=packed(OTHER_RECORD))
     script.do("retry_name")
     script.reply(-102)  # not allowed
     script.do("retry_name")
     script.reply(0, text_field("/fleet/routers/r1"))
     script.do("retire")
-    script.do("change_record", record=packed(OURS))
+    script.do("change_record", record=packed(OWN_RECORD))
     return script.steps
 
 
 def _play_node_watch(steps: list[Meaning]) -> list[Any]:
     client = Client()
-    watch = NodeWatch("/configuration/target", client.ask, _NodeNotes(client.told.append))
+    watch = NodeWatch("/configuration/target", client.ask, _NodeNotes(client.reports.append))
     client.feeds.append(watch.feed)
     return [client.play(step) for step in steps]
 
@@ -418,12 +421,12 @@
     script.received(event_frame(1, path))
     script.reply(0, data_field(b"v1", mzxid=0x31))
     script.received(event_frame(3, path), event_frame(3, "/configuration/other"))
-    script.received(event_frame(3, path))  # while it is being read
+    script.received(event_frame(3, path))  # during a read
     script.reply(0, data_field(b"v2", mzxid=0x32))
     script.reply(0, data_field(b"v3", mzxid=0x33))
     script.received(event_frame(2, path))
     script.reply(missing)
-    script.reply(0, stat_field())  # it was made in between
+    script.reply(0, stat_field())  # it was created in between
     script.reply(0, data_field(b"v4", mzxid=0x34))
     script.received(event_frame(3, path))
     script.reply(-102)
@@ -441,28 +444,28 @@
 
 
 class _TreeNotes:
-    """Notes what is found below a path."""
+    """Records the reported state of the nodes below a path."""
 
-    def __init__(self, told: Callable[[Meaning], None]) -> None:
-        self._told = told
+    def __init__(self, report: Callable[[Meaning], None]) -> None:
+        self._report = report
 
     def put(self, name: str, data: bytes, stat: zk.Stat) -> None:
-        self._told({"present": name, "data": packed(data), "czxid": stat.czxid})
+        self._report({"present": name, "data": packed(data), "czxid": stat.czxid})
 
     def removed(self, names: Iterable[str]) -> None:
-        self._told({"removed": sorted(names)})
+        self._report({"removed": sorted(names)})
 
     def list_complete(self, names: frozenset[str], confirmed: bool) -> None:
-        self._told({"list_read": sorted(names), "after_sync": confirmed})
+        self._report({"list_read": sorted(names), "after_sync": confirmed})
 
     def absent(self, confirmed: bool) -> None:
-        self._told({"path": "absent", "after_sync": confirmed})
+        self._report({"path": "absent", "after_sync": confirmed})
 
 
 def _play_tree(recursive: bool) -> Callable[[list[Meaning]], list[Any]]:
     def play(steps: list[Meaning]) -> list[Any]:
         client = Client()
-        tree = TreeWatch("/caches", client.ask, _TreeNotes(client.told.append), recursive)
+        tree = TreeWatch("/caches", client.ask, _TreeNotes(client.reports.append), recursive)
         client.feeds.append(tree.feed)
         client.commands = {"confirm": lambda step: tree.confirm()}
         return [client.play(step) for step in steps]
@@ -478,7 +481,7 @@
     script.reply(0, children_field("n1", "n2", "n3"))
     script.reply(0, data_field(b"a1", czxid=0x11))
     script.reply(0, data_field(b"a2", czxid=0x12))
-    script.reply(-101)  # it is gone by now
+    script.reply(-101)  # it is already deleted
     script.received(event_frame(4, "/caches"))
     script.reply(0, children_field("n1", "n4"))
     script.reply(0, data_field(b"a4", czxid=0x14))
@@ -488,7 +491,7 @@
     script.received(event_frame(1, "/caches/n5"))
     script.reply(0, data_field(b"a5", czxid=0x15))
     script.received(event_frame(3, "/caches/n1"))
-    script.reply(0, data_field(b"c1", czxid=0x16))  # deleted and made again
+    script.reply(0, data_field(b"c1", czxid=0x16))  # deleted and created again
     script.do("confirm")
     script.reply(0, text_field("/caches"))
     script.reply(0, children_field("n1", "n5"))
@@ -497,7 +500,7 @@
     script.connect(after=0.1)
     script.reply(0, children_field("n1", "n5"))
     script.reply(0, data_field(b"d1", czxid=0x16))
-    if recursive and not watch_error:  # what was missed is not told: all is read again
+    if recursive and not watch_error:  # missed events are not reported: all nodes are read again
         script.reply(0, data_field(b"d5", czxid=0x15))
     return script.steps
 
@@ -507,4 +510,4 @@
     Replay("zookeeper-tree-recursive", lambda: _tree_script(True), _play_tree(True)),
     Replay("zookeeper-tree-recursive-unknown", lambda: _tree_script(True, -6), _play_tree(True)),
 )
-CASES = (SESSION, TROUBLE, PRESENCE, NODE_WATCH, *TREES)
+CASES = (SESSION, FAILURES, PRESENCE, NODE_WATCH, *TREES)
--- a/tests/golden_tools_cases.py
+++ b/tests/golden_tools_cases.py
@@ -10,7 +10,7 @@
 from stonecove.explore.scope import Scope
 from stonecove.explore.search import Found, Frontier, Result
 from stonecove.explore.trace import Trace
-from stonecove.scale.ledger import Life
+from stonecove.scale.ledger import Incarnation
 from stonecove.scale.options import ScaleOptions
 from stonecove.scale.results import Delays
 from stonecove.trial.schedule import Fault, Trial
@@ -146,15 +146,15 @@
     return {"count": delays.count, "p50_ms": delays.p50_ms, "p99_ms": delays.p99_ms, "max_ms": delays.max_ms}
 
 
-def describe_life(life: Life) -> dict[str, Any]:
+def describe_life(life: Incarnation) -> dict[str, Any]:
     """Return when a router took each event in force."""
     return {
         "router": life.router,
         "known_up_to": life.last,
-        "began_ns": life.began,
-        "ended_ns": life.ended,
+        "began_ns": life.started_at_ns,
+        "ended_ns": life.ended_at_ns,
         "repeated": life.repeated,
-        "taken_ns": life.taken.tolist(),
+        "taken_ns": life.applied_at_ns.tolist(),
     }
 
 
@@ -202,8 +202,8 @@
         if clients is None
         else {
             "tries": clients.tries,
-            "patience_s": clients.patience,
-            "respect_retry_after": clients.heeds,
+            "patience_s": clients.timeout_s,
+            "respect_retry_after": clients.obeys_retry_after,
             "items": clients.items,
             "read_kb": clients.kb,
             "write_fraction": clients.writes,
@@ -211,12 +211,12 @@
         "capacity": None
         if capacity is None
         else {
-            "origin_fetches_per_s": capacity.origin,
-            "request_work_s": capacity.work,
-            "places": capacity.places,
-            "parent_places": capacity.parent_places,
-            "patience_s": capacity.patience,
-            "origin_stops_s": capacity.stop,
+            "origin_fetches_per_s": capacity.origin_per_s,
+            "request_work_s": capacity.work_s,
+            "places": capacity.slots,
+            "parent_places": capacity.parent_slots,
+            "patience_s": capacity.max_wait_s,
+            "origin_stops_s": capacity.stop_s,
         },
         "faults": [describe_fault(one) for one in trial.faults],
         "faults_span_s": list(trial.span),
--- a/tests/gossip_cuts.py
+++ b/tests/gossip_cuts.py
@@ -1,4 +1,4 @@
-"""A simulated fleet under partitions, and which members its routers declared failed though reachable."""
+"""A simulated fleet under partitions, and the reachable members that its routers declared failed."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class PartitionedFleet:
-    """A joined fleet, and all pairs of routers that were ever partitioned, in any direction."""
+    """A joined fleet, and all pairs of routers that were ever partitioned, in either direction."""
 
     def __init__(self, count: int, seed: int, zones: int) -> None:
         """Start all routers and wait until they have joined."""
@@ -34,8 +34,8 @@
         others = [index for index in range(len(self.model.routers)) if index not in zone]
         before = set(self.model.cuts)
         self.model.cut(zone, others, both)
-        for one, other in self.model.cuts - before:
-            self.severed |= {(one, other), (other, one)}
+        for source, target in self.model.cuts - before:
+            self.severed |= {(source, target), (target, source)}
 
     def heal(self, *still_partitioned: int) -> None:
         """End all partitions but those of the zones given."""
@@ -49,8 +49,8 @@
             format_member_id(ident_of(f"router-{index}")): index for index in range(len(self.model.routers))
         }
         return [
-            (by, indices[str(fields["member"])])
-            for _, by, event, fields in self.model.notes
+            (observer, indices[str(fields["member"])])
+            for _, observer, event, fields in self.model.notes
             if event == "gossip_member_changed" and fields["state"] == "failed"
         ]
 
@@ -69,9 +69,9 @@
         """Return the different tables of all running routers; each with the router's own claim."""
         return {
             frozenset(
-                [(one.claim.ident, one.claim.order()) for one in router.swarm.gossip.table]
+                [(member.claim.ident, member.claim.order()) for member in router.swarm.gossip.table]
                 + [(router.swarm.gossip.own_claim.ident, router.swarm.gossip.own_claim.order())]
             )
-            for router in self.model.here()
+            for router in self.model.running_routers()
             if router.swarm is not None
         }
--- a/tests/keeper.py
+++ b/tests/keeper.py
@@ -80,18 +80,18 @@
 class RegisteredCache:
     """A cache's session, with its ephemeral node."""
 
-    def __init__(self, keeper: CoordinationEnsemble, record: dict[str, Any], name: str) -> None:
+    def __init__(self, ensemble: CoordinationEnsemble, record: dict[str, Any], name: str) -> None:
         self.record, self.path = record, f"{BOXES}/{name}"
-        self.client = keeper.client()
+        self.client = ensemble.client()
         self.client.create(self.path, json.dumps(record).encode(), ephemeral=True, makepath=True)
         self.session = f"{self.client.client_id[0]:#x}"
 
     def say(self, **changes: Any) -> float:
         """Change the record; return the time before it was sent, in Unix milliseconds."""
         self.record = {**self.record, **changes}
-        moment = time.time() * 1000
+        sent_after_ms = time.time() * 1000
         self.client.set(self.path, json.dumps(self.record).encode())
-        return moment
+        return sent_after_ms
 
     def leave(self) -> None:
         """Close the session explicitly."""
@@ -117,10 +117,10 @@
 
 
 def operator_text(
-    keeper: CoordinationEnsemble, socket_path: Path | None, more: str = "", zookeeper: str = ""
+    ensemble: CoordinationEnsemble, socket_path: Path | None, more: str = "", zookeeper: str = ""
 ) -> str:
     """Return an operator file for the test stand."""
-    servers = ", ".join(f'"{server}"' for server in keeper.servers)
+    servers = ", ".join(f'"{server}"' for server in ensemble.servers)
     return f"""
 sources: zookeeper: {{
     servers: [{servers}]
@@ -143,16 +143,16 @@
     """A test stand whose router uses an ensemble, with queries by `stonecove members`."""
 
     def __init__(
-        self, keeper: CoordinationEnsemble, folder: Path, more: str = "", zookeeper: str = "", **stand: Any
+        self, ensemble: CoordinationEnsemble, folder: Path, more: str = "", zookeeper: str = "", **stand: Any
     ) -> None:
-        self.keeper, self.socket = keeper, folder / "members.sock"
+        self.ensemble, self.socket = ensemble, folder / "members.sock"
         self.operator = folder / "operator.cue"
-        self.operator.write_text(operator_text(keeper, self.socket, more, zookeeper))
+        self.operator.write_text(operator_text(ensemble, self.socket, more, zookeeper))
         self.stand = Stand(env={"STONECOVE_OPERATOR": str(self.operator)}, **stand)
 
     def ask(self, *words: str) -> Any:
         """Return the JSON output of `stonecove members`."""
-        done = subprocess.run(
+        completed = subprocess.run(
             [sys.executable, "-m", "stonecove", "members", "--socket", str(self.socket), "--json", *words],
             capture_output=True,
             text=True,
@@ -160,7 +160,11 @@
             check=False,
             env=dict(os.environ),
         )
-        return json.loads(done.stdout) if done.stdout else {"exit": done.returncode, "why": done.stderr}
+        return (
+            json.loads(completed.stdout)
+            if completed.stdout
+            else {"exit": completed.returncode, "why": completed.stderr}
+        )
 
     def question(self, *words: str) -> Any:
         """Return the answer to the same query, sent directly to the members socket."""
@@ -172,8 +176,8 @@
 
     def state(self, ident: int) -> str:
         """Return the state that a node has for the router."""
-        found = self.question("explain", f"s-{ident:08x}")
-        return str(found["node"]["state"]) if "node" in found else "unknown"
+        answer = self.question("explain", f"s-{ident:08x}")
+        return str(answer["node"]["state"]) if "node" in answer else "unknown"
 
     def wait_state(self, ident: int, *states: str) -> None:
         """Wait until a node has one of the states."""
--- a/tests/soak_faults.py
+++ b/tests/soak_faults.py
@@ -1,9 +1,9 @@
-"""Faults to plant in a copy of the program, each of which a soak of 50 seeds has to find by one of its rules.
+"""Planted faults, each of which a soak of 50 seeds must detect by one of its expected rules.
 
     python tests/soak_faults.py [--seeds 1-50] [--jobs 4] [NAME ...]
 
-Copies the package into a temporary folder, plants one fault after the other there and plays seeds until a
-rule is broken. Prints the seed and the rule for each; ends with 1 if a fault was not found.
+Plants each fault in a temporary copy of the package and runs seeds until an expected rule is violated. Prints
+the seed and the rule for each fault; exits with 1 if a fault was not detected.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Edit:
-    """A piece of a source that stands there once, and what takes its place."""
+    """A replacement of text that occurs exactly once in a source file."""
 
     path: str
     before: str
@@ -32,7 +32,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PlantedFault:
-    """A fault and the rules of which one has to find it."""
+    """A fault and the rules of which at least one must detect it."""
 
     name: str
     rules: tuple[str, ...]
@@ -226,53 +226,56 @@
 
 
 def plant(fault: PlantedFault, package: Path) -> None:
-    """Write a fault into a copy of the package; raises ValueError if a piece does not stand there once."""
+    """Apply a fault to a copy of the package; raises ValueError if a text does not occur exactly once."""
     for edit in fault.edits:
         path = package / edit.path
         text = path.read_text()
         if text.count(edit.before) != 1:
-            raise ValueError(f"{fault.name}: {edit.path} has the piece {text.count(edit.before)} times")
+            raise ValueError(f"{fault.name}: {edit.path} contains the text {text.count(edit.before)} times")
         path.write_text(text.replace(edit.before, edit.after))
 
 
 def find(fault: PlantedFault, seeds: str, jobs: int) -> tuple[int, str] | None:
-    """Play seeds with the fault until a rule of its own is broken; return the seed and the rule."""
+    """Run seeds with the fault until an expected rule is violated; return the seed and the rule, or None."""
     first, _, last = seeds.partition("-")
-    wanted = list(range(int(first), int(last or first) + 1))
+    seed_numbers = list(range(int(first), int(last or first) + 1))
     with tempfile.TemporaryDirectory(prefix="stonecove-planted-") as folder:
         copy = Path(folder)
         shutil.copytree(ROOT / PACKAGE, copy / PACKAGE, ignore=shutil.ignore_patterns("__pycache__"))
         plant(fault, copy / PACKAGE)
-        for start in range(0, len(wanted), jobs):
-            some = wanted[start : start + jobs]
-            done = subprocess.run(
+        for start in range(0, len(seed_numbers), jobs):
+            batch = seed_numbers[start : start + jobs]
+            completed = subprocess.run(
                 [sys.executable, "-m", PACKAGE, "soak", "--no-reduce", "--json", "--jobs", str(jobs),
-                 "--seeds", f"{some[0]}-{some[-1]}"],
+                 "--seeds", f"{batch[0]}-{batch[-1]}"],
                 cwd=copy, capture_output=True, text=True, check=False,
             )  # fmt: skip
-            for line in done.stdout.splitlines():
+            for line in completed.stdout.splitlines():
                 verdict = json.loads(line)
-                for broken in verdict["broken"]:
-                    if broken["rule"] in fault.rules:
-                        return verdict["seed"], broken["rule"]
+                for violation in verdict["broken"]:
+                    if violation["rule"] in fault.rules:
+                        return verdict["seed"], violation["rule"]
     return None
 
 
 def main() -> int:
-    """Look for all faults, or those named."""
+    """Run the soak with all planted faults, or with those named in the arguments; return the exit code."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("names", nargs="*")
     parser.add_argument("--seeds", default="1-50")
     parser.add_argument("--jobs", type=int, default=4)
-    given = parser.parse_args()
-    missed = 0
+    arguments = parser.parse_args()
+    missed_count = 0
     for fault in FAULTS:
-        if given.names and fault.name not in given.names:
+        if arguments.names and fault.name not in arguments.names:
             continue
-        found = find(fault, given.seeds, given.jobs)
-        missed += found is None
-        print(f"{fault.name}: {'NOT FOUND' if found is None else f'seed {found[0]}, {found[1]}'}", flush=True)
-    return 1 if missed else 0
+        detection = find(fault, arguments.seeds, arguments.jobs)
+        missed_count += detection is None
+        print(
+            f"{fault.name}: {'NOT FOUND' if detection is None else f'seed {detection[0]}, {detection[1]}'}",
+            flush=True,
+        )
+    return 1 if missed_count else 0
 
 
 if __name__ == "__main__":
--- a/tests/test_golden_tools.py
+++ b/tests/test_golden_tools.py
@@ -1,6 +1,6 @@
-"""The command line, its exit codes and what it prints for programs, and the environment variables.
+"""Golden tests of the command line, its exit codes and output, and the environment variables.
 
-Record anew with `PYTHONPATH=. python tests/test_golden_tools.py --record` from the repository's root.
+Record again with `PYTHONPATH=. python tests/test_golden_tools.py --record` from the repository's root.
 """
 
 from __future__ import annotations
@@ -31,7 +31,7 @@
 from stonecove.rollout.messages import Report, Target
 
 NAMES = re.compile(r"^(STONECOVE|RELAY|NOTIFY|WATCHDOG)_[A-Z_]+$")
-MENTIONS = re.compile(r"environ|getenv|\benv\b|STONECOVE_|RELAY_|NOTIFY_|WATCHDOG_")  # worth a closer look
+MENTIONS = re.compile(r"environ|getenv|\benv\b|STONECOVE_|RELAY_|NOTIFY_|WATCHDOG_")  # modules to parse
 BAD_INPUT: tuple[tuple[str, ...], ...] = (
     ("nonsense",), ("config", "nonsense"), ("config", "check", "FOLDER/nothing.cue"),
     ("config", "check", "FOLDER/bad.cue"), ("config", "show", "--operator", "FOLDER/bad.cue"),
@@ -118,65 +118,68 @@
 def command_tree() -> Any:
     """Return all verbs with their options and arguments: names, forms and defaults."""
     return {
-        path: [_parameter(one) for one in command.params] for path, command in _commands(cli, "stonecove")
+        path: [_parameter(parameter) for parameter in command.params]
+        for path, command in _commands(cli, "stonecove")
     }
 
 
 # -- commands on bad input, and on the operators' files --
 
 
-def _run(folder: str, *words: str, **environment: str) -> dict[str, Any]:
-    """Return exit code and output of a command; texts of click are left out, as they are its own."""
-    done = CliRunner().invoke(cli, [word.replace("FOLDER", folder) for word in words], env=environment)
-    own = not any(text in done.stderr for text in ("Usage: ", "No such option"))
-    error = "" if not own else done.stderr.replace(folder, "FOLDER")
+def _run(folder: str, *arguments: str, **environment: str) -> dict[str, Any]:
+    """Return exit code and output of a command, without usage texts, which belong to click."""
+    result = CliRunner().invoke(
+        cli, [argument.replace("FOLDER", folder) for argument in arguments], env=environment
+    )
+    is_own_text = not any(text in result.stderr for text in ("Usage: ", "No such option"))
+    stderr = "" if not is_own_text else result.stderr.replace(folder, "FOLDER")
     return {
-        "arguments": list(words),
-        "exit_code": done.exit_code,
-        "stdout": done.stdout.replace(folder, "FOLDER").splitlines(),
-        "stderr": error.splitlines(),
+        "arguments": list(arguments),
+        "exit_code": result.exit_code,
+        "stdout": result.stdout.replace(folder, "FOLDER").splitlines(),
+        "stderr": stderr.splitlines(),
     }
 
 
 def bad_input() -> Any:
-    """Return what comes of input that can't be used."""
-    told = []
-    with tempfile.TemporaryDirectory() as name:
-        for file, text in FILES.items():
-            Path(name, file).write_text(text)
-        for words in BAD_INPUT:
-            told.append(_run(name, *words, STONECOVE_OPERATOR=f"{name}/nothing.cue"))
-    return told
+    """Return the results of commands with invalid input."""
+    results = []
+    with tempfile.TemporaryDirectory() as folder:
+        for file_name, text in FILES.items():
+            Path(folder, file_name).write_text(text)
+        for arguments in BAD_INPUT:
+            results.append(_run(folder, *arguments, STONECOVE_OPERATOR=f"{folder}/nothing.cue"))
+    return results
 
 
 def config_commands() -> Any:
-    """Return what `stonecove config` tells of the operator's file that comes along, and of an empty one."""
-    given, told = str(ROOT / "deploy" / "operator.cue"), []
-    with tempfile.TemporaryDirectory() as name:
-        Path(name, "empty.cue").write_text("")
-        Path(name, "given.cue").write_bytes(Path(given).read_bytes())
+    """Return the output of `stonecove config` for the bundled operator's file and an empty one."""
+    bundled_file, results = str(ROOT / "deploy" / "operator.cue"), []
+    with tempfile.TemporaryDirectory() as folder:
+        Path(folder, "empty.cue").write_text("")
+        Path(folder, "given.cue").write_bytes(Path(bundled_file).read_bytes())
         for file in ("FOLDER/empty.cue", "FOLDER/given.cue"):
-            told += [
-                _run(name, "config", "check", file),
-                _run(name, "config", "check", "--operator", file),
-                _run(name, "config", "show", "--operator", file),
-                _run(name, "config", "explain", "--operator", file, "members.keep"),
-                _run(name, "config", "explain", "--operator", file, "sources.changelog"),
-                _run(name, "config", "explain", "--operator", file, "nothing.at.all"),
+            results += [
+                _run(folder, "config", "check", file),
+                _run(folder, "config", "check", "--operator", file),
+                _run(folder, "config", "show", "--operator", file),
+                _run(folder, "config", "explain", "--operator", file, "members.keep"),
+                _run(folder, "config", "explain", "--operator", file, "sources.changelog"),
+                _run(folder, "config", "explain", "--operator", file, "nothing.at.all"),
             ]
-        told.append(_run(name, "config", "check", STONECOVE_OPERATOR=f"{name}/given.cue"))
-    return told
+        results.append(_run(folder, "config", "check", STONECOVE_OPERATOR=f"{folder}/given.cue"))
+    return results
 
 
 def run_without_configuration() -> Any:
-    """Return what `stonecove run`, as a process, tells of a configuration that can't be used."""
-    told = []
-    with tempfile.TemporaryDirectory() as name:
-        Path(name, "empty.json").write_text("{}")
-        for config in (None, f"{name}/nothing.json", f"{name}/empty.json"):
-            kept = {key: value for key, value in os.environ.items() if not NAMES.match(key)}
-            environment = kept | ({"RELAY_CONFIG": config} if config else {})
-            done = subprocess.run(
+    """Return the output of the router process for invalid configurations."""
+    results = []
+    with tempfile.TemporaryDirectory() as folder:
+        Path(folder, "empty.json").write_text("{}")
+        for config in (None, f"{folder}/nothing.json", f"{folder}/empty.json"):
+            inherited = {key: value for key, value in os.environ.items() if not NAMES.match(key)}
+            environment = inherited | ({"RELAY_CONFIG": config} if config else {})
+            process = subprocess.run(
                 [sys.executable, "-m", "stonecove"],
                 env=environment,
                 cwd=ROOT,
@@ -184,18 +187,18 @@
                 text=True,
                 check=False,
             )
-            texts = [text.replace(name, "FOLDER").splitlines() for text in (done.stdout, done.stderr)]
-            told.append({"exit_code": done.returncode, "stdout": texts[0], "stderr": texts[1]})
-    return told
+            texts = [text.replace(folder, "FOLDER").splitlines() for text in (process.stdout, process.stderr)]
+            results.append({"exit_code": process.returncode, "stdout": texts[0], "stderr": texts[1]})
+    return results
 
 
-# -- commands that ask somebody --
+# -- commands that query a router or supervisor --
 
 
 @contextlib.contextmanager
 def _answering(path: Path, answer: Any) -> Iterator[list[str]]:
-    """Answer all questions at a socket by one answer, as JSON; yields the questions."""
-    asked: list[str] = []
+    """Answer every request on a socket with the same JSON; yield the list of requests."""
+    requests: list[str] = []
     listener = socket.socket(socket.AF_UNIX)
     listener.bind(str(path))
     listener.listen()
@@ -204,16 +207,16 @@
         while True:
             sock, _ = listener.accept()
             with sock:
-                question = sock.makefile().readline().strip()
-                if not question:
+                request = sock.makefile().readline().strip()
+                if not request:
                     return
-                asked.append(question)
+                requests.append(request)
                 sock.sendall(json.dumps(answer).encode() + b"\n")
 
     thread = threading.Thread(target=serve)
     thread.start()
     try:
-        yield asked
+        yield requests
     finally:
         with socket.socket(socket.AF_UNIX) as last:
             last.connect(str(path))
@@ -221,91 +224,96 @@
         listener.close()
 
 
-def asking_commands() -> Any:
-    """Return what commands ask of a router or supervisor, and what they make of its answer."""
-    told = []
-    with mock.patch.dict(os.environ, {"TZ": "UTC", "COLUMNS": "160"}), tempfile.TemporaryDirectory() as name:
+def query_commands() -> Any:
+    """Return the requests that commands send to a router or supervisor, and their output for its answer."""
+    results = []
+    with (
+        mock.patch.dict(os.environ, {"TZ": "UTC", "COLUMNS": "160"}),
+        tempfile.TemporaryDirectory() as folder,
+    ):
         time.tzset()
         for case in load("asked_answers.json"):
-            path = Path(name, "control.sock" if case["command"][0] == "fleet" else "members.sock")
-            to = ["--folder", name] if case["command"][0] == "fleet" else ["--socket", str(path)]
+            path = Path(folder, "control.sock" if case["command"][0] == "fleet" else "members.sock")
+            target = ["--folder", folder] if case["command"][0] == "fleet" else ["--socket", str(path)]
             group, *rest = case["command"]
             for json_option in ([], ["--json"]):
-                with _answering(path, case["answer"]) as asked:
-                    done = _run(name, group, *to, *json_option, *rest)
+                with _answering(path, case["answer"]) as requests:
+                    result = _run(folder, group, *target, *json_option, *rest)
                 path.unlink()
-                done["arguments"] = [word.replace(name, "FOLDER") for word in done["arguments"]]
-                told.append({**done, "asked": asked})
+                result["arguments"] = [word.replace(folder, "FOLDER") for word in result["arguments"]]
+                results.append({**result, "asked": requests})
     time.tzset()
-    return told
+    return results
 
 
 def rollout_commands() -> Any:
-    """Return what `stonecove configuration` tells of targets and reports, and its exit codes."""
-    told = []
+    """Return the output and exit codes of `stonecove configuration` for targets and reports."""
+    results = []
     for case in load("rollout_states.json"):
         target = Target.decode(json.dumps(case["target"]).encode()) if case["target"] else None
-        reports = {name: Report.decode(json.dumps(one).encode()) for name, one in case["reports"].items()}
+        reports = {
+            name: Report.decode(json.dumps(report).encode()) for name, report in case["reports"].items()
+        }
         for verb in ("status", "halt", "resume", "rollback"):
-            words = [
+            arguments = [
                 "configuration",
                 verb,
                 "--servers",
                 "127.0.0.1:1",
                 *(["1"] if verb == "rollback" else []),
             ]
-            found = target, reports
-            with mock.patch.object(trio, "run", lambda _session, found=found: found):
-                done = _run("FOLDER", *words, COLUMNS="120")
-            told.append({"case": case["name"], **done})
-    return told
+            outcome = target, reports
+            with mock.patch.object(trio, "run", lambda _session, outcome=outcome: outcome):
+                result = _run("FOLDER", *arguments, COLUMNS="120")
+            results.append({"case": case["name"], **result})
+    return results
 
 
 # -- files that commands read --
 
 
 def fleet_files() -> Any:
-    """Return what `fleet logs` and `fleet trace` make of the files that instances have written."""
-    told = []
-    with tempfile.TemporaryDirectory() as name:
-        for file, text in load("fleet_files.json").items():
-            path = Path(name, file)
+    """Return the output of `fleet logs` and `fleet trace` for files that instances have written."""
+    results = []
+    with tempfile.TemporaryDirectory() as folder:
+        for file_name, text in load("fleet_files.json").items():
+            path = Path(folder, file_name)
             path.parent.mkdir(exist_ok=True)
             path.write_text(text)
-        for words in (
+        for arguments in (
             ("logs",), ("logs", "edge-1"), ("logs", "--lines", "2"), ("logs", "--since", "1800000002"),
             ("logs", "--grep", "ready"), ("trace", "2a"), ("trace", "2b"),
         ):  # fmt: skip
             for json_option in ((), ("--json",)):
-                told.append(_run(name, "fleet", "--folder", "FOLDER", *json_option, *words))
-    return told
+                results.append(_run(folder, "fleet", "--folder", "FOLDER", *json_option, *arguments))
+    return results
 
 
 # -- the environment --
 
 
 def _is_environment(node: ast.AST) -> bool:
-    """Return whether an expression is the environment, or a parameter that stands for it."""
+    """Return whether an expression is the environment or a parameter that holds it."""
     if isinstance(node, ast.Attribute):
         return node.attr in ("environ", "environb")
     return isinstance(node, ast.Name) and node.id in ("env", "environ", "environment")
 
 
 def _keys(tree: ast.AST) -> Iterator[ast.expr]:
-    """Yield what a module looks up in the environment, or takes out of it."""
+    """Yield the keys that a module reads or removes from the environment."""
     for node in ast.walk(tree):
         if isinstance(node, ast.Subscript) and _is_environment(node.value):
             yield node.slice
         elif isinstance(node, ast.Call) and isinstance(node.func, ast.Attribute) and node.args:
-            of_environment = node.func.attr in ("get", "pop", "setdefault") and _is_environment(
+            reads_environment = node.func.attr in ("get", "pop", "setdefault") and _is_environment(
                 node.func.value
             )
-            if of_environment or node.func.attr == "getenv":
+            if reads_environment or node.func.attr == "getenv":
                 yield node.args[0]
 
 
 def _variables(tree: ast.Module) -> set[str]:
-    """Return the environment variables of a module: those looked up, and texts that are such names."""
+    """Return a module's environment variables: looked-up keys, and strings that match such a name."""
     constants = {
         target.id: statement.value.value
         for statement in tree.body
@@ -318,17 +326,17 @@
         for node in ast.walk(tree)
         if isinstance(node, ast.Constant) and isinstance(node.value, str)
     }
-    found = {text for text in texts if NAMES.match(text)}
+    names = {text for text in texts if NAMES.match(text)}
     for key in _keys(tree):
         if isinstance(key, ast.Constant):
-            found.add(str(key.value))
+            names.add(str(key.value))
         else:
-            found.add(str(constants.get(key.id, "unknown")) if isinstance(key, ast.Name) else "unknown")
-    return found
+            names.add(str(constants.get(key.id, "unknown")) if isinstance(key, ast.Name) else "unknown")
+    return names
 
 
 def environment() -> Any:
-    """Return the environment variables that the program reads or sets for its children, sorted."""
+    """Return, sorted, the environment variables that the program reads or sets for its child processes."""
     texts = [path.read_text() for path in (ROOT / "stonecove").rglob("*.py")]
     return sorted(set[str]().union(*(_variables(ast.parse(text)) for text in texts if MENTIONS.search(text))))
 
@@ -338,7 +346,7 @@
     "bad_input.json": bad_input,
     "config_commands.json": config_commands,
     "run_without_configuration.json": run_without_configuration,
-    "asking_commands.json": asking_commands,
+    "asking_commands.json": query_commands,
     "rollout_commands.json": rollout_commands,
     "fleet_files_commands.json": fleet_files,
     "environment.json": environment,
@@ -346,16 +354,16 @@
 
 
 @pytest.mark.parametrize("name", OUTPUTS)
-def test_commands_give_what_was_recorded(name: str) -> None:
+def test_command_output_matches_golden_files(name: str) -> None:
     assert as_json(OUTPUTS[name]()) == recorded(name)
 
 
-def test_every_command_tells_its_help() -> None:
+def test_every_command_prints_help() -> None:
     for path in load("command_tree.json"):
-        words = path.split()[1:]
-        done = CliRunner().invoke(cli, [*words, "--help"])
-        assert done.exit_code == 0, path
-        assert done.stdout.startswith("Usage: "), path
+        arguments = path.split()[1:]
+        result = CliRunner().invoke(cli, [*arguments, "--help"])
+        assert result.exit_code == 0, path
+        assert result.stdout.startswith("Usage: "), path
 
 
 def record() -> None:
--- a/tests/test_golden_tools_runs.py
+++ b/tests/test_golden_tools_runs.py
@@ -37,7 +37,7 @@
 from stonecove.scale import ledger, options, report
 from stonecove.scale.results import ControlCost, Delays, FaultResult, MachineCost, Measurement
 from stonecove.scale.series import Series, play_series
-from stonecove.standins.depot import Fetched
+from stonecove.standins.depot import ReceivedRequest
 from stonecove.standins.loaded import Fetch, LoadedDepot
 from stonecove.trial.judge import cold_part, judge
 from stonecove.trial.open_loop import OpenLoopClients
@@ -69,7 +69,7 @@
             "hollow_processes": [one.hollow_processes(size) for size in one.sizes],
             "processes": options.processes_needed(one),
             "descriptors": options.descriptors_needed(one),
-            "memory_mb": options.memory_needed(one),
+            "memory_mb": options.memory_needed_mb(one),
         }
         for name, one in found.items()
     }
@@ -202,30 +202,33 @@
         ledger.Ledger(1, 13, 60 * MS),
     )
     for number, moment in ((11, 20), (12, 22), (12, 23), (14, 26), (13, 27), (10, 28)):
-        first.took(number, moment * MS)
+        first.record_applied(number, moment * MS)
     for number, moment in ((11, 21), (13, 25)):
-        second.took(number, moment * MS)
-    second.ended = 30 * MS
+        second.record_applied(number, moment * MS)
+    second.ended_at_ns = 30 * MS
     for number, moment in ((14, 70), (15, 71)):
-        third.took(number, moment * MS)
-    lives = [ledger.Life.of(one) for one in (first, second, third)]
-    bytes_told = ledger.earliest([[18 * MS, 0, 24 * MS, 25 * MS, 0], [19 * MS, 21 * MS, 23 * MS], [0] * 6], 5)
+        third.record_applied(number, moment * MS)
+    lives = [ledger.Incarnation.of(one) for one in (first, second, third)]
+    bytes_told = ledger.earliest_first_bytes_ns(
+        [[18 * MS, 0, 24 * MS, 25 * MS, 0], [19 * MS, 21 * MS, 23 * MS], [0] * 6], 5
+    )
     published = ledger.Published(11, bytes_told, frozenset({11, 12, 14}))
     return {
         "lives": [describe_life(one) for one in lives],
         "newest": [one.newest for one in (first, second, third)],
         "first_bytes_ns": bytes_told.tolist(),
         "last_published": published.last,
-        "lost": [ledger.lost(some, published) for some in (lives, lives[:1], lives[1:])],
-        "repeated": ledger.repeated(lives),
+        "lost": [ledger.count_lost(some, published) for some in (lives, lives[:1], lives[1:])],
+        "repeated": ledger.count_repeated(lives),
         "purges": [
             describe_delays(ledger.purge_delays(some, published, 11, last))
             for some in (lives[:1], lives[:2])
             for last in (14, 15)
         ],
-        "level_ns": [ledger.level_at(lives[:1], published, number) for number in (9, 11, 14, 15)],
+        "level_ns": [ledger.caught_up_at_ns(lives[:1], published, number) for number in (9, 11, 14, 15)],
         "delays": [
-            describe_delays(ledger.delays_of(some)) for some in ([], [3.0], list(np.arange(1.0, 101.0)))
+            describe_delays(ledger.summarize_delays(some))
+            for some in ([], [3.0], list(np.arange(1.0, 101.0)))
         ],
     }
 
@@ -280,19 +283,19 @@
     def __init__(self, bad: bool) -> None:
         ms = BEGAN * 1000.0
         self.seen = [
-            Fetched(
+            ReceivedRequest(
                 ms + 1000.0 + 40.0 * number, 0x11 + number % 2, f"{16 * number:x}", "item-image", "s-00000021"
             )
             for number in range(1, 220)
             for _ in range(2 if bad else 1)
         ]
-        self.seen += [Fetched(ms + 2000.0, 0x11, f"{16 * 3:x}", "item-image", "s-00000021")]
+        self.seen += [ReceivedRequest(ms + 2000.0, 0x11, f"{16 * 3:x}", "item-image", "s-00000021")]
         self.fetches = [Fetch(ms + 1500.0, "fill", "30", True), Fetch(ms + 1600.0, "origin", "30", False)]
         self.connects = [ms + 500.0, ms + 900.0]
         self.stops = [ms + 3000.0] if bad else []
         self._bad = bad
 
-    def too_old(self, moment: float, grace: float = 500.0) -> int:
+    def count_stale_answers(self, purged_at_ms: float, grace_ms: float = 500.0) -> int:
         """Return how many answers were older than a purge."""
         return 2 if self._bad else 0
 
@@ -301,7 +304,7 @@
     """Return what clients would have recorded, without any thread."""
     clients = OpenLoopClients.__new__(OpenLoopClients)
     clients.events, clients.answers, clients.lost = [], Counter({"200": 203, "503": 16}), []
-    clients.took = HdrHistogram(1, 60_000_000, 3)
+    clients.latency_us = HdrHistogram(1, 60_000_000, 3)
     for number in range(1, 220):
         at, cls = BEGAN + 1.0 + 0.04 * number, "pick-confirm" if number % 10 == 0 else "item-image"
         served = number % 13 != 0 and not (bad and number > 60)
@@ -310,7 +313,7 @@
             LoadEvent(at, "try", number, cls),
             LoadEvent(at + 0.02, "served" if served else "refused", number, cls),
         ]
-        clients.took.record_value(1000 * number)
+        clients.latency_us.record_value(1000 * number)
     if bad:
         clients.lost = [(BEGAN + 2.0, 1)]
     return clients
--- a/tests/test_gossip_refutation.py
+++ b/tests/test_gossip_refutation.py
@@ -137,7 +137,7 @@
         fleet.model.run(delay)
         _vanish(fleet, 4)
     # Suspected within two probe intervals and a ping timeout, then for at most twice the minimum suspicion.
-    assert fleet.model.until(lambda: fleet.model.known_over(4), 18.0) < 18.0
+    assert fleet.model.until(lambda: fleet.model.known_ended(4), 18.0) < 18.0
 
 
 def _vanish(fleet: PartitionedFleet, index: int) -> None:
@@ -157,7 +157,7 @@
     def record_failures() -> None:
         count = sum(
             swarm.gossip.table.members[ident].claim.state >= 3
-            for router in fleet.model.here()
+            for router in fleet.model.running_routers()
             if (swarm := router.swarm) is not None
         )
         failed_at.extend([fleet.model.now] * (count - len(failed_at)))
--- a/tests/test_overload.py
+++ b/tests/test_overload.py
@@ -23,7 +23,7 @@
     LoadEvent,
 )  # fmt: skip
 from stonecove.standins.depot import Depot
-from stonecove.standins.loaded import Bears, Line, LoadedDepot
+from stonecove.standins.loaded import LoadedDepot, ServerCapacity, SlotQueue
 from stonecove.trial.judge import events_of, judge
 from stonecove.trial.schedule import trial_of
 from stonecove.trial.testbed import Testbed
@@ -80,20 +80,20 @@
 
 
 def test_a_queue_rejects_at_once_what_would_wait_too_long() -> None:
-    queue = Line(2, 0.5)
-    assert [queue.take(0.0, 0.3) for _ in range(4)] == [0.3, 0.3, 0.6, 0.6]
-    assert queue.take(0.0, 0.3) is None
-    assert queue.take(0.2, 0.3) == pytest.approx(0.9)
+    queue = SlotQueue(2, 0.5)
+    assert [queue.reserve(0.0, 0.3) for _ in range(4)] == [0.3, 0.3, 0.6, 0.6]
+    assert queue.reserve(0.0, 0.3) is None
+    assert queue.reserve(0.2, 0.3) == pytest.approx(0.9)
 
 
 def test_an_overloaded_origin_stops_and_another_serves_at_its_rate() -> None:
-    depot = LoadedDepot(1, 4.0, 1, Bears(origin=10.0, work=0.001, stop=1.0))
+    depot = LoadedDepot(1, 4.0, 1, ServerCapacity(origin_per_s=10.0, work_s=0.001, stop_s=1.0))
     try:
         cache = depot.caches[0]
         source = {"from": f"s-{depot.origin.ident:08x}", "chunk": "0", "cls": READ}
 
         def fetch(item: int, now: float) -> tuple[float, bytes]:
-            return depot._through(cache, f"{item:x}", {"item": f"{item:x}", **source}, now)
+            return depot._process(cache, f"{item:x}", {"item": f"{item:x}", **source}, now)
 
         results = [fetch(item, 100.0) for item in range(40)]
         served = [at for at, data in results if b"via_origin" in data]
@@ -113,7 +113,7 @@
         instances = depot.known("127.9.9.9")["results"][0]["fleet"]["instances"]  # type: ignore[index]
         assert [(one["hostPort"].split(":")[0], one["zone"]) for one in instances[:2]] == [
             ("127.9.9.9", "edge-1"), ("127.9.9.9", "edge-2")]  # fmt: skip
-        assert depot.log_for("127.9.9.9") != depot.log_port
+        assert depot.add_change_log("127.9.9.9") != depot.log_port
     finally:
         depot.close()
 
--- a/tests/test_scale_hollow.py
+++ b/tests/test_scale_hollow.py
@@ -1,4 +1,4 @@
-"""The ledger, the control machine, and hollow routers that follow it."""
+"""Test the ledger, the control machine, and hollow routers that follow it."""
 
 from __future__ import annotations
 
@@ -15,92 +15,101 @@
 from stonecove.scale.faults import SlowReader
 from stonecove.scale.hollow_fleet import HollowFleet
 from stonecove.scale.ledger import (
+    Incarnation,
     Ledger,
-    Life,
     Published,
-    earliest,
-    level_at,
-    lost,
+    caught_up_at_ns,
+    count_lost,
+    count_repeated,
+    earliest_first_bytes_ns,
     purge_delays,
-    repeated,
 )
-from stonecove.scale.router_tables import own_table, peer_tables, shared_table
-from stonecove.scale.topology import MACHINES, REGIONS, SITES, ZONES, control_address, place_of, zones_of
+from stonecove.scale.router_tables import peer_tables, router_table, shared_table
+from stonecove.scale.topology import MACHINES, REGIONS, SITES, ZONES, control_address, location_of, zones_of
 from stonecove.standins.depot import OBJECT_PURGE, Depot, object_purge
 
-MS = 1_000_000  # nanoseconds
-FLEET = 8
-LARGE = 20_000  # bytes of an event that nobody knows the kind of; a router passes over it
+NS_PER_MS = 1_000_000
+ROUTER_COUNT = 8
+LARGE_EVENT_BYTES = 20_000  # size of an event of an unknown kind, which routers ignore
 UNKNOWN_KIND = 77
 
 
-def _life(router: int, moments: list[int], last: int = 1, began: int = 0, ended: int = 0) -> Life:
-    ledger = Ledger(router, last, began)
-    for place, moment in enumerate(moments):
-        if moment:
-            ledger.took(last + 1 + place, moment)
-    ledger.ended = ended
-    return Life.of(ledger)
+def _incarnation(
+    router: int, times_ns: list[int], last: int = 1, started_at_ns: int = 0, ended_at_ns: int = 0
+) -> Incarnation:
+    ledger = Ledger(router, last, started_at_ns)
+    for index, time_ns in enumerate(times_ns):
+        if time_ns:
+            ledger.record_applied(last + 1 + index, time_ns)
+    ledger.ended_at_ns = ended_at_ns
+    return Incarnation.of(ledger)
 
 
 def _published(*first_bytes: int, purges: frozenset[int] = frozenset()) -> Published:
     return Published(FIRST_NUMBER, np.array(first_bytes, dtype=np.int64), purges)
 
 
-def test_an_event_that_a_router_never_had_is_told_as_lost() -> None:
+def test_an_event_that_a_router_never_applied_counts_as_lost() -> None:
     published = _published(10, 20, 30)
-    whole, gap, late = _life(0, [11, 21, 31]), _life(1, [12, 0, 32]), _life(2, [11, 21])
-    assert lost([whole], published) == 0
-    assert lost([whole, gap], published) == 1
-    assert lost([whole, gap, late], published) == 2
+    complete, gap, late = (
+        _incarnation(0, [11, 21, 31]),
+        _incarnation(1, [12, 0, 32]),
+        _incarnation(2, [11, 21]),
+    )
+    assert count_lost([complete], published) == 0
+    assert count_lost([complete, gap], published) == 1
+    assert count_lost([complete, gap, late], published) == 2
 
 
-def test_of_a_life_that_was_ended_only_gaps_are_lost() -> None:
+def test_for_an_ended_incarnation_only_gaps_count_as_lost() -> None:
     published = _published(10, 20, 30)
-    assert lost([_life(0, [11, 21], ended=25)], published) == 0
-    assert lost([_life(0, [0, 21], ended=25)], published) == 1
-    assert lost([_life(0, [], ended=25)], published) == 0
+    assert count_lost([_incarnation(0, [11, 21], ended_at_ns=25)], published) == 0
+    assert count_lost([_incarnation(0, [0, 21], ended_at_ns=25)], published) == 1
+    assert count_lost([_incarnation(0, [], ended_at_ns=25)], published) == 0
 
 
-def test_a_life_that_begins_later_owes_only_what_came_after_its_list() -> None:
-    assert lost([_life(0, [31], last=3)], _published(10, 20, 30)) == 0
+def test_a_later_incarnation_only_needs_events_after_its_endpoint_list() -> None:
+    assert count_lost([_incarnation(0, [31], last=3)], _published(10, 20, 30)) == 0
 
 
-def test_an_event_that_is_taken_twice_is_told_as_repeated() -> None:
+def test_an_event_that_is_applied_twice_counts_as_repeated() -> None:
     ledger = Ledger(0, 1, 0)
-    ledger.took(2, 10)
-    assert repeated([Life.of(ledger)]) == 0
-    ledger.took(2, 12)
-    ledger.took(1, 13)  # its configuration has told that already
-    assert repeated([Life.of(ledger)]) == 2
-    assert ledger.taken[0] == 10
-
-
-def test_a_purge_is_done_when_the_last_router_has_it() -> None:
-    published = _published(10 * MS, 20 * MS, 30 * MS, purges=frozenset({2, 4}))
-    lives = [_life(0, [11 * MS, 900 * MS, 31 * MS]), _life(1, [14 * MS, 900 * MS, 38 * MS])]
-    delays = purge_delays(lives, published, 2, 4)
+    ledger.record_applied(2, 10)
+    assert count_repeated([Incarnation.of(ledger)]) == 0
+    ledger.record_applied(2, 12)
+    ledger.record_applied(1, 13)  # already covered by its configuration
+    assert count_repeated([Incarnation.of(ledger)]) == 2
+    assert ledger.applied_at_ns[0] == 10
+
+
+def test_a_purge_is_complete_when_the_last_router_applied_it() -> None:
+    published = _published(10 * NS_PER_MS, 20 * NS_PER_MS, 30 * NS_PER_MS, purges=frozenset({2, 4}))
+    incarnations = [
+        _incarnation(0, [11 * NS_PER_MS, 900 * NS_PER_MS, 31 * NS_PER_MS]),
+        _incarnation(1, [14 * NS_PER_MS, 900 * NS_PER_MS, 38 * NS_PER_MS]),
+    ]
+    delays = purge_delays(incarnations, published, 2, 4)
     assert (delays.count, delays.p50_ms, delays.max_ms) == (2, 6.0, 8.0)
-    assert purge_delays(lives, published, 2, 3).max_ms == 4.0
+    assert purge_delays(incarnations, published, 2, 3).max_ms == 4.0
 
 
-def test_routers_are_level_once_the_last_has_everything() -> None:
+def test_routers_have_caught_up_once_the_last_applied_every_event() -> None:
     published = _published(10, 20)
-    assert level_at([_life(0, [11, 21]), _life(1, [15, 44])], published, 3) == 44
-    assert level_at([_life(0, [11, 21]), _life(1, [15])], published, 3) == 0
-    assert level_at([_life(0, [11, 21]), _life(1, [15])], published, 2) == 15
+    assert caught_up_at_ns([_incarnation(0, [11, 21]), _incarnation(1, [15, 44])], published, 3) == 44
+    assert caught_up_at_ns([_incarnation(0, [11, 21]), _incarnation(1, [15])], published, 3) == 0
+    assert caught_up_at_ns([_incarnation(0, [11, 21]), _incarnation(1, [15])], published, 2) == 15
 
 
-def test_the_first_byte_is_the_earliest_at_any_machine() -> None:
-    assert list(earliest([[5, 0], [4, 9], [7]], 3)) == [4, 9, 0]
+def test_the_first_byte_is_the_earliest_of_all_machines() -> None:
+    assert list(earliest_first_bytes_ns([[5, 0], [4, 9], [7]], 3)) == [4, 9, 0]
 
 
-def test_routers_stand_in_all_sites_zones_and_regions() -> None:
-    places = [place_of(router) for router in range(730)]
-    assert {place.site for place in places} == set(range(SITES))
-    assert {place.zone for place in places} == set(range(1, ZONES + 1))
-    assert {place.region for place in places} == set(range(REGIONS))
-    assert [sum(place.machine == machine for place in places) for machine in range(MACHINES)] == [
+def test_routers_are_located_in_all_sites_zones_and_regions() -> None:
+    locations = [location_of(router) for router in range(730)]
+    assert {location.site for location in locations} == set(range(SITES))
+    assert {location.zone for location in locations} == set(range(1, ZONES + 1))
+    assert {location.region for location in locations} == set(range(REGIONS))
+    assert [sum(location.machine == machine for location in locations) for machine in range(MACHINES)] == [
         244,
         243,
         243,
@@ -108,31 +117,31 @@
     assert sorted(zone for region in range(REGIONS) for zone in zones_of(region)) == list(range(1, ZONES + 1))
 
 
-class Fleet:
+class FleetHarness:
     """Control machines and one process of hollow routers."""
 
-    def __init__(self, folder: Path, most_behind: int = 65_536, swarm: bool = False) -> None:
+    def __init__(self, folder: Path, max_lag_bytes: int = 65_536, swarm: bool = False) -> None:
         self.log = EventLog()
         self.depot = Depot(5, zones=ZONES)
-        self.control = ControlPlane(folder, self.log, most_behind)
-        places = [place_of(router) for router in range(FLEET)]
-        shared = shared_table(places, self.depot, swarm)
-        tables = {place.router: own_table(place, self.control.ports, 1) for place in places}
+        self.control = ControlPlane(folder, self.log, max_lag_bytes)
+        locations = [location_of(router) for router in range(ROUTER_COUNT)]
+        shared = shared_table(locations, self.depot, swarm)
+        tables = {location.router: router_table(location, self.control.ports, 1) for location in locations}
         if swarm:
-            peers = peer_tables(places)
+            peers = peer_tables(locations)
             tables = {router: table | peers[router] for router, table in tables.items()}
-        self.hollow = HollowFleet(folder, shared, tables, FLEET)
+        self.hollow = HollowFleet(folder, shared, tables, ROUTER_COUNT)
         self.hollow.start_all()
-        self.settle()
+        self.wait_until_caught_up()
 
-    def purge(self, count: int = 1) -> int:
+    def publish_purges(self, count: int = 1) -> int:
         for _ in range(count):
             number = self.log.publish(OBJECT_PURGE, object_purge(77, time.time() * 1000.0))
         return number
 
-    def settle(self) -> None:
-        Stand.wait(lambda: self.hollow.sample().heard == FLEET, "all routers to hear")
-        Stand.wait(lambda: not self.hollow.behind(self.log.last), "all routers to be level")
+    def wait_until_caught_up(self) -> None:
+        Stand.wait(lambda: self.hollow.sample().receiving == ROUTER_COUNT, "all routers to receive a frame")
+        Stand.wait(lambda: not self.hollow.count_lagging(self.log.last), "all routers to catch up")
 
     def reports(self) -> list[MachineReport]:
         return self.control.reports()
@@ -143,22 +152,25 @@
         self.depot.close()
 
 
-def _lost_and_repeated(fleet: Fleet) -> tuple[int, int]:
-    lives = fleet.hollow.lives()
-    first_bytes = earliest((report.first_bytes for report in fleet.reports()), fleet.log.last - 1)
-    return lost(lives, Published(FIRST_NUMBER, first_bytes)), repeated(lives)
+def _lost_and_repeated(fleet: FleetHarness) -> tuple[int, int]:
+    incarnations = fleet.hollow.incarnations()
+    first_bytes = earliest_first_bytes_ns(
+        (report.first_bytes for report in fleet.reports()), fleet.log.last - 1
+    )
+    return count_lost(incarnations, Published(FIRST_NUMBER, first_bytes)), count_repeated(incarnations)
 
 
-def test_hollow_routers_take_every_event_once_and_are_counted(tmp_path: Path) -> None:
-    fleet = Fleet(tmp_path)
+def test_hollow_routers_apply_every_event_once_and_their_traffic_is_counted(tmp_path: Path) -> None:
+    fleet = FleetHarness(tmp_path)
     try:
         before = fleet.hollow.sample()
-        fleet.purge(100)
-        fleet.settle()
+        fleet.publish_purges(100)
+        fleet.wait_until_caught_up()
         after = fleet.hollow.sample()
         assert _lost_and_repeated(fleet) == (0, 0)
-        assert after.received - before.received >= FLEET * 100 * 29  # a frame of a purge: 13 and 16 bytes
-        assert after.sent == FLEET * 8  # the number of the last event, once
+        # The frame of a purge has 13 and 16 bytes.
+        assert after.received - before.received >= ROUTER_COUNT * 100 * 29
+        assert after.sent == ROUTER_COUNT * 8  # the number of the last event, sent once
         assert after.headers > before.headers
         assert after.memory_mb > 0
         assert not after.bugs
@@ -166,100 +178,104 @@
         fleet.close()
 
 
-def test_a_control_machine_that_was_killed_comes_back_with_everything(tmp_path: Path) -> None:
-    fleet = Fleet(tmp_path)
+def test_a_restarted_control_machine_has_all_events(tmp_path: Path) -> None:
+    fleet = FleetHarness(tmp_path)
     try:
-        fleet.purge(10)
-        fleet.settle()
+        fleet.publish_purges(10)
+        fleet.wait_until_caught_up()
         fleet.control.kill(0)
-        number = fleet.purge(10)
-        Stand.wait(lambda: fleet.hollow.behind(number) == 3, "the others to go on")  # routers 0, 3 and 6
+        number = fleet.publish_purges(10)
+        # Routers 0, 3 and 6 follow machine 0.
+        Stand.wait(lambda: fleet.hollow.count_lagging(number) == 3, "the other routers to receive it")
         fleet.control.start(0)
-        fleet.settle()
+        fleet.wait_until_caught_up()
         assert _lost_and_repeated(fleet) == (0, 0)
     finally:
         fleet.close()
 
 
-def test_routers_of_a_zone_that_was_cut_catch_up(tmp_path: Path) -> None:
-    fleet = Fleet(tmp_path)
+def test_routers_of_a_partitioned_zone_catch_up(tmp_path: Path) -> None:
+    fleet = FleetHarness(tmp_path)
     try:
-        zone = place_of(0).zone
-        fleet.control.cut([zone], True)
-        number = fleet.purge()
-        Stand.wait(lambda: fleet.hollow.behind(number) == 1, "all others to have it")
-        # The connections that it gives up meanwhile come up all at once when the cut ends.
+        zone = location_of(0).zone
+        fleet.control.partition([zone], True)
+        number = fleet.publish_purges()
+        Stand.wait(lambda: fleet.hollow.count_lagging(number) == 1, "all others to receive it")
+        # All connections that it closes meanwhile are established at once when the partition ends.
         Stand.wait(
-            lambda: fleet.hollow.sample().events["change_log_disconnected"] >= 2, "it to give up twice"
+            lambda: fleet.hollow.sample().events["change_log_disconnected"] >= 2,
+            "it to close two connections",
         )
-        fleet.control.cut([zone], False)
-        fleet.settle()
+        fleet.control.partition([zone], False)
+        fleet.wait_until_caught_up()
         assert _lost_and_repeated(fleet) == (0, 0)
     finally:
         fleet.close()
 
 
-def test_routers_that_were_killed_begin_with_their_list(tmp_path: Path) -> None:
-    fleet = Fleet(tmp_path)
+def test_restarted_routers_begin_with_their_endpoint_list(tmp_path: Path) -> None:
+    fleet = FleetHarness(tmp_path)
     try:
-        number = fleet.purge(10)
-        fleet.settle()
+        number = fleet.publish_purges(10)
+        fleet.wait_until_caught_up()
         fleet.hollow.kill({1, 2})
-        assert fleet.hollow.behind(number) == 2
+        assert fleet.hollow.count_lagging(number) == 2
         fleet.hollow.start({1, 2}, 0.0)
-        fleet.settle()
-        assert len(fleet.hollow.lives()) == FLEET + 2
+        fleet.wait_until_caught_up()
+        assert len(fleet.hollow.incarnations()) == ROUTER_COUNT + 2
         assert _lost_and_repeated(fleet) == (0, 0)
     finally:
         fleet.close()
 
 
-def test_a_slow_reader_is_cut_off_and_holds_nobody_up(tmp_path: Path) -> None:
-    bound = 60_000
-    fleet = Fleet(tmp_path, bound)
-    reader = SlowReader(control_address(place_of(0), fleet.control.ports))
+def test_a_slow_reader_is_disconnected_and_delays_no_other_router(tmp_path: Path) -> None:
+    max_lag_bytes = 60_000
+    fleet = FleetHarness(tmp_path, max_lag_bytes)
+    reader = SlowReader(control_address(location_of(0), fleet.control.ports))
     try:
-        fleet.settle()
+        fleet.wait_until_caught_up()
         reader.start()
-        Stand.wait(lambda: reader.received > 0, "the slow reader to be there")
+        Stand.wait(lambda: reader.received > 0, "the slow reader to receive data")
 
-        def told_until_cut_off() -> bool:
-            fleet.log.publish(UNKNOWN_KIND, bytes(LARGE))
-            number = fleet.purge()
-            Stand.wait(lambda: not fleet.hollow.behind(number), "all others to have it")
+        def publish_until_disconnected() -> bool:
+            fleet.log.publish(UNKNOWN_KIND, bytes(LARGE_EVENT_BYTES))
+            number = fleet.publish_purges()
+            Stand.wait(lambda: not fleet.hollow.count_lagging(number), "all others to receive it")
             return fleet.reports()[0].cut_off > 0
 
-        Stand.wait(told_until_cut_off, "the slow reader to be cut off")
-        assert fleet.reports()[0].most_behind <= bound + 2 * LARGE + 1000
-        reader.piece, reader.pause = 65_536, 0.001  # it reads what is left, and comes again by its number
-        Stand.wait(lambda: reader.last == fleet.log.last, "it to be level")
+        Stand.wait(publish_until_disconnected, "the slow reader to be disconnected")
+        assert fleet.reports()[0].most_behind <= max_lag_bytes + 2 * LARGE_EVENT_BYTES + 1000
+        # It reads the rest, and reconnects with the number of its last event.
+        reader.max_read_bytes, reader.read_interval_s = 65_536, 0.001
+        Stand.wait(lambda: reader.last == fleet.log.last, "it to catch up")
         assert reader.connections == 2
     finally:
         reader.close()
         fleet.close()
 
 
-def test_hollow_routers_may_form_a_swarm(tmp_path: Path) -> None:
-    fleet = Fleet(tmp_path, swarm=True)
+def test_hollow_routers_can_take_part_in_gossip(tmp_path: Path) -> None:
+    fleet = FleetHarness(tmp_path, swarm=True)
     try:
         Stand.wait(
-            lambda: fleet.hollow.sample().events["gossip_share_changed"] >= 2 * FLEET, "all to hear of others"
+            lambda: fleet.hollow.sample().events["gossip_share_changed"] >= 2 * ROUTER_COUNT,
+            "all to receive claims of others",
         )
         sample = fleet.hollow.sample()
-        assert sample.sent > FLEET * 8 + FLEET * 100  # more than what they tell control machines
+        assert sample.sent > ROUTER_COUNT * 8 + ROUTER_COUNT * 100  # more than they send to control machines
         assert not sample.bugs
         fleet.hollow.kill({1})
-        number = fleet.purge()
-        Stand.wait(lambda: fleet.hollow.behind(number) == 1, "all others to have it")
+        number = fleet.publish_purges()
+        Stand.wait(lambda: fleet.hollow.count_lagging(number) == 1, "all others to receive it")
         fleet.hollow.start({1}, 0.0)
-        fleet.settle()
+        fleet.wait_until_caught_up()
         assert _lost_and_repeated(fleet) == (0, 0)
     finally:
         fleet.close()
 
 
-def test_children_end_with_their_orders(tmp_path: Path) -> None:
+def test_a_child_exits_when_its_command_pipe_closes(tmp_path: Path) -> None:
     child = Child("stonecove.scale.hollow_process", tmp_path / "log")
-    assert child.ask("idle")["memory_mb"] > 0
+    assert child.request("idle")["memory_mb"] > 0
     child.close()
     assert child.process.returncode == 0
--- a/tests/test_scale_options.py
+++ b/tests/test_scale_options.py
@@ -1,4 +1,4 @@
-"""Options of scale runs: what a file changes, and that nothing starts where something can't be used."""
+"""Test options of scale runs: what a file changes, and that nothing starts with invalid options."""
 
 from __future__ import annotations
 
@@ -19,22 +19,22 @@
 
 @pytest.fixture
 def started(monkeypatch: pytest.MonkeyPatch) -> list[ScaleOptions]:
-    """What was asked to be played; it ends at once as what can't be."""
-    asked: list[ScaleOptions] = []
+    """Return the list of the options that are played; each play fails at once."""
+    played: list[ScaleOptions] = []
 
     def play_series(options: ScaleOptions, play: series.Play, listener: series.Listener) -> series.Series:
-        asked.append(options)
+        played.append(options)
         raise OSError("only options are tested here")
 
     monkeypatch.setattr(series, "play_series", play_series)
-    return asked
+    return played
 
 
-def run(*words: str) -> Result:
-    return CliRunner().invoke(command.scale, ["run", *words])
+def run(*arguments: str) -> Result:
+    return CliRunner().invoke(command.scale, ["run", *arguments])
 
 
-def test_a_file_changes_what_it_names_and_options_go_before_it(
+def test_a_file_changes_the_fields_it_names_and_command_line_options_override_it(
     tmp_path: Path, started: list[ScaleOptions]
 ) -> None:
     file = tmp_path / "one.cue"
@@ -55,16 +55,16 @@
     )
 
 
-def test_the_schema_of_files_names_each_option_and_each_fault() -> None:
+def test_the_schema_names_each_option_and_each_fault() -> None:
     schema = Path(scale_options.__file__).with_name(scale_options.SCHEMA).read_text()
     named = {line.strip().partition("?:")[0] for line in schema.splitlines() if "?:" in line}
     assert named == {field.name for field in dataclasses.fields(ScaleOptions)} - {"folder"}
     assert all(f'"{fault}"' in schema for fault in FAULTS)
-    assert tuple(faults.FAULTS) == FAULTS  # each can be played
+    assert tuple(faults.FAULTS) == FAULTS  # each has an implementation
 
 
 @pytest.mark.parametrize(
-    ("words", "field"),
+    ("arguments", "field"),
     [
         (["--sizes", "50,150,400"], "sizes"),
         (["--sizes", "50,150,150,400"], "sizes"),
@@ -86,10 +86,10 @@
         (["one.cue", "two.cue"], "two.cue"),
     ],
 )
-def test_what_cannot_be_used_is_one_line_before_anything_starts(
-    words: list[str], field: str, started: list[ScaleOptions]
+def test_invalid_arguments_give_one_error_line_before_anything_starts(
+    arguments: list[str], field: str, started: list[ScaleOptions]
 ) -> None:
-    result = run(*words)
+    result = run(*arguments)
     assert (result.exit_code, result.stdout, started) == (2, "", [])
     assert len(result.stderr.splitlines()) == 1
     assert result.stderr.startswith("stonecove scale: ") and field in result.stderr
@@ -110,7 +110,7 @@
         ("seconds: 3\nreal: 99\ncaches: 0", "real"),
     ],
 )
-def test_a_file_that_cannot_be_used_is_one_line_that_names_the_field(
+def test_an_invalid_file_gives_one_error_line_that_names_the_field(
     text: str, field: str, tmp_path: Path, started: list[ScaleOptions]
 ) -> None:
     file = tmp_path / "one.cue"
@@ -122,7 +122,7 @@
 
 
 @pytest.mark.parametrize("option", ["--plot", "--logs"])
-def test_a_folder_that_cannot_be_made_is_told_before_anything_starts(
+def test_a_folder_that_cannot_be_created_is_reported_before_anything_starts(
     option: str, tmp_path: Path, started: list[ScaleOptions]
 ) -> None:
     file = tmp_path / "file"
@@ -144,17 +144,17 @@
 )
 def test_a_value_out_of_range_names_its_field(change: dict[str, float], field: str) -> None:
     options = dataclasses.replace(ScaleOptions(), **change)  # type: ignore[arg-type]
-    with pytest.raises(OptionError) as found:
+    with pytest.raises(OptionError) as caught:
         check_options(options)
-    assert found.value.field == field
+    assert caught.value.field == field
 
 
-def test_defaults_can_be_used() -> None:
+def test_defaults_are_valid() -> None:
     check_options(ScaleOptions())
     check_options(SHORT)
 
 
-def test_more_than_200_processes_are_refused(tmp_path: Path, started: list[ScaleOptions]) -> None:
+def test_more_than_200_processes_are_rejected(tmp_path: Path, started: list[ScaleOptions]) -> None:
     file = tmp_path / "one.cue"
     file.write_text("hollow_per_process: 3")
     result = run(str(file))
@@ -163,12 +163,12 @@
     assert len(result.stderr.splitlines()) == 1
 
 
-def test_too_little_memory_is_told(
+def test_too_little_memory_is_reported(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, started: list[ScaleOptions]
 ) -> None:
-    told = tmp_path / "meminfo"
-    told.write_text("MemFree: 1000 kB\nMemTotal: 1024000 kB\n")
-    monkeypatch.setattr(scale_options, "MEMORY_INFO", told)
+    meminfo = tmp_path / "meminfo"
+    meminfo.write_text("MemFree: 1000 kB\nMemTotal: 1024000 kB\n")
+    monkeypatch.setattr(scale_options, "MEMORY_INFO", meminfo)
     result = run()
     assert (result.exit_code, started) == (2, [])
     assert result.stderr.startswith("stonecove scale: sizes: 730 routers need about ")
@@ -176,30 +176,30 @@
     assert len(result.stderr.splitlines()) == 1
 
 
-def test_too_few_descriptors_are_told_by_the_real_command() -> None:
-    def lower() -> None:
+def test_too_few_descriptors_are_reported_by_the_command() -> None:
+    def lower_limit() -> None:
         resource.setrlimit(resource.RLIMIT_NOFILE, (256, 256))
 
-    found = subprocess.run(
+    result = subprocess.run(
         [sys.executable, "-m", "stonecove", "scale", "run"],
         capture_output=True,
         text=True,
         check=False,
-        preexec_fn=lower,
+        preexec_fn=lower_limit,
         timeout=30,
     )
-    assert (found.returncode, found.stdout) == (2, "")
-    assert len(found.stderr.splitlines()) == 1
-    assert "sizes: 730 routers need" in found.stderr and "256 are allowed (RLIMIT_NOFILE)" in found.stderr
+    assert (result.returncode, result.stdout) == (2, "")
+    assert len(result.stderr.splitlines()) == 1
+    assert "sizes: 730 routers need" in result.stderr and "256 are allowed (RLIMIT_NOFILE)" in result.stderr
 
 
-def test_a_play_that_cannot_be_started_is_one_line(started: list[ScaleOptions]) -> None:
+def test_a_run_that_cannot_be_started_gives_one_error_line(started: list[ScaleOptions]) -> None:
     result = run("--short")
     assert (result.exit_code, len(started)) == (2, 1)
     assert result.stderr == "stonecove scale: only options are tested here\n"
 
 
-def test_roll_outs_are_counted_before_anything_starts() -> None:
+def test_roll_outs_count_in_the_needed_processes_and_descriptors() -> None:
     plain = ScaleOptions(sizes=(2, 3, 4, 400), real=0, caches=1, hollow_per_process=300)
     with_rollout = dataclasses.replace(plain, rollout=True)
     assert scale_options.processes_needed(with_rollout) == scale_options.processes_needed(plain) + 1
--- a/tests/test_scale_run.py
+++ b/tests/test_scale_run.py
@@ -1,4 +1,4 @@
-"""One size of a scale run, played small."""
+"""Test one small size of a scale run."""
 
 from __future__ import annotations
 
@@ -18,21 +18,21 @@
 from stonecove.scale.options import FAULTS, MACHINE_KILLED, ScaleOptions
 from stonecove.scale.run import ScaleRun, play
 
-SMALL = ScaleOptions(
+SMALL_RUN = ScaleOptions(
     caches=20, real=1, hollow_per_process=6, seconds=3.0, faults=(), requests_a_second=20.0, day_factor=3000.0
 )
 ROUTERS = 13
 
 
 def _children(parent: int) -> set[int]:
-    """The processes that all threads of one have started; proc(5)."""
-    lists = [path.read_text() for path in Path(f"/proc/{parent}/task").glob("*/children")]
-    return {int(pid) for listed in lists for pid in listed.split()}
+    """Return the child processes of all threads of a process, from proc(5)."""
+    pid_lists = [path.read_text() for path in Path(f"/proc/{parent}/task").glob("*/children")]
+    return {int(pid) for pids in pid_lists for pid in pids.split()}
 
 
-def test_a_small_size_loses_and_repeats_nothing(tmp_path: Path) -> None:
+def test_a_small_run_loses_and_repeats_no_event(tmp_path: Path) -> None:
     before = _children(os.getpid())
-    measured = play(dataclasses.replace(SMALL, folder=tmp_path), ROUTERS)
+    measured = play(dataclasses.replace(SMALL_RUN, folder=tmp_path), ROUTERS)
     assert (measured.routers, measured.hollow, measured.real, measured.caches) == (ROUTERS, 12, 1, 20)
     assert (measured.lost, measured.repeated) == (0, 0)
     assert measured.purge.count == measured.purges > 0
@@ -49,10 +49,10 @@
     assert _children(os.getpid()) <= before
 
 
-def test_a_killed_control_machine_costs_only_time(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(faults, "LASTS", 1.0)
-    monkeypatch.setattr(faults, "AFTER", 0.2)
-    options = dataclasses.replace(SMALL, real=0, seconds=1.0, faults=(MACHINE_KILLED,))
+def test_a_killed_control_machine_loses_no_event(monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch.setattr(faults, "FAULT_DURATION_S", 1.0)
+    monkeypatch.setattr(faults, "PAUSE_AFTER_FAULT_S", 0.2)
+    options = dataclasses.replace(SMALL_RUN, real=0, seconds=1.0, faults=(MACHINE_KILLED,))
     measured = play(options, ROUTERS)
     (fault,) = measured.faults
     assert fault.name == MACHINE_KILLED
@@ -61,27 +61,27 @@
     assert (measured.lost, measured.repeated) == (0, 0)
 
 
-def test_every_fault_of_the_options_can_be_played() -> None:
+def test_every_fault_in_the_options_has_an_implementation() -> None:
     assert set(faults.FAULTS) == set(FAULTS)
 
 
-def test_a_start_that_fails_leaves_nothing_behind(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    before, join = _children(os.getpid()), ControlPlane._join
+def test_a_failed_start_leaves_no_process(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+    before, attach = _children(os.getpid()), ControlPlane._attach
 
-    def fail_at_last(plane: ControlPlane, machine: int) -> None:
+    def fail_on_last_machine(plane: ControlPlane, machine: int) -> None:
         if machine == 2:
-            raise ChildError("none to be had")
-        join(plane, machine)
+            raise ChildError("no process available")
+        attach(plane, machine)
 
-    monkeypatch.setattr(ControlPlane, "_join", fail_at_last)
-    run = ScaleRun(SMALL, ROUTERS, tmp_path)
+    monkeypatch.setattr(ControlPlane, "_attach", fail_on_last_machine)
+    run = ScaleRun(SMALL_RUN, ROUTERS, tmp_path)
     with pytest.raises(ChildError):
         run.start()
     run.close()
     assert _children(os.getpid()) <= before
 
 
-def test_sigterm_ends_all_that_was_started(tmp_path: Path) -> None:
+def test_sigterm_ends_all_child_processes(tmp_path: Path) -> None:
     program = (
         "import pathlib, sys; from stonecove.scale.options import ScaleOptions; "
         "from stonecove.scale.run import play; "
@@ -95,4 +95,4 @@
     assert len(children) >= 5
     process.send_signal(signal.SIGTERM)
     assert process.wait(30.0) == 128 + signal.SIGTERM
-    Stand.wait(lambda: not any(Path(f"/proc/{pid}").exists() for pid in children), "all to have ended")
+    Stand.wait(lambda: not any(Path(f"/proc/{pid}").exists() for pid in children), "all processes to exit")
--- a/tests/test_scale_slopes.py
+++ b/tests/test_scale_slopes.py
@@ -1,4 +1,4 @@
-"""Lines over the number of routers: exact on known lines, told before the last size, and what ends with 1."""
+"""Test fitted lines, predictions before the last size, reports and exit codes of scale runs."""
 
 from __future__ import annotations
 
@@ -21,8 +21,8 @@
 Play = Callable[[ScaleOptions, int], Measurement]
 
 
-def on_lines(routers: int) -> Measurement:
-    """A measurement whose every figure is on a known line over the routers."""
+def measurement_on_lines(routers: int) -> Measurement:
+    """Return a measurement whose every figure is on a known line over the routers."""
     return Measurement(
         routers=routers,
         hollow=routers - 1,
@@ -43,7 +43,7 @@
 
 @pytest.fixture
 def scale_run(monkeypatch: pytest.MonkeyPatch) -> Callable[..., Result]:
-    """Runs the command on a play that is given."""
+    """Return a function that runs the command with a given play."""
 
     def run(play: Play, *words: str) -> Result:
         monkeypatch.setattr(command, "_player", lambda: play)
@@ -53,23 +53,23 @@
     return run
 
 
-def last_line(result: Result) -> dict[str, float]:
+def parse_last_line(result: Result) -> dict[str, float]:
     pairs = (word.partition("=") for word in result.stdout.splitlines()[-1].split())
     return {key: float(value) for key, _, value in pairs}
 
 
-def test_a_fit_finds_a_known_line_and_the_least_squares_of_points_beside_one() -> None:
+def test_fit_is_exact_on_a_line_and_least_squares_otherwise() -> None:
     line = fit([(10, 25.0), (20, 45.0), (40, 85.0)])
     assert line.slope == pytest.approx(2.0)
     assert line.intercept == pytest.approx(5.0)
-    beside = fit([(0, 0.0), (1, 2.0), (2, 1.0)])  # by hand: mean 1, slope (1 * 1) / 2, intercept 1/2
-    assert beside.slope == pytest.approx(0.5)
-    assert beside.intercept == pytest.approx(0.5)
-    assert beside.at(10) == pytest.approx(5.5)
+    least_squares = fit([(0, 0.0), (1, 2.0), (2, 1.0)])  # by hand: mean 1, slope (1 * 1) / 2, intercept 1/2
+    assert least_squares.slope == pytest.approx(0.5)
+    assert least_squares.intercept == pytest.approx(0.5)
+    assert least_squares.at(10) == pytest.approx(5.5)
 
 
-def test_the_prediction_on_lines_is_exact_for_each_figure() -> None:
-    predictions = predict([on_lines(size) for size in SIZES[:-1]], 60)
+def test_predictions_are_exact_for_figures_on_lines() -> None:
+    predictions = predict([measurement_on_lines(size) for size in SIZES[:-1]], 60)
     assert [prediction.figure for prediction in predictions] == list(FIGURES)
     found = {prediction.figure.name: prediction.value for prediction in predictions}
     assert found == {
@@ -82,49 +82,54 @@
         "control_machine_mb": pytest.approx(52.0),
         "control_machine_sent_bytes_a_second": pytest.approx(60_000.0),
     }
-    assert worst(compare(predictions, on_lines(60))).error_percent == pytest.approx(0.0, abs=1e-9)
+    assert worst(compare(predictions, measurement_on_lines(60))).error_percent == pytest.approx(0.0, abs=1e-9)
 
 
-def test_the_error_is_in_percent_of_what_was_measured_and_the_worst_is_named() -> None:
-    predictions = predict([on_lines(size) for size in SIZES[:-1]], 60)
-    measured = replace(on_lines(60), purge=Delays(88, 5.0, 50.0, 64.0))
-    found = {one.prediction.figure.name: one.error_percent for one in compare(predictions, measured)}
+def test_the_error_is_in_percent_of_the_measured_value_and_the_worst_is_found() -> None:
+    predictions = predict([measurement_on_lines(size) for size in SIZES[:-1]], 60)
+    measured = replace(measurement_on_lines(60), purge=Delays(88, 5.0, 50.0, 64.0))
+    found = {
+        comparison.prediction.figure.name: comparison.error_percent
+        for comparison in compare(predictions, measured)
+    }
     assert found["purge_p99_ms"] == pytest.approx(20.0)  # 40 predicted, 50 measured
     assert found["purge_max_ms"] == pytest.approx(25.0)  # 80 predicted, 64 measured
     assert worst(compare(predictions, measured)).prediction.figure.name == "purge_max_ms"
-    nothing = replace(measured, purge=Delays(88, 5.0, 0.0, 64.0))
-    assert worst(compare(predictions, nothing)).error_percent == math.inf
+    with_zero = replace(measured, purge=Delays(88, 5.0, 0.0, 64.0))
+    assert worst(compare(predictions, with_zero)).error_percent == math.inf
 
 
 def test_the_prediction_is_printed_before_the_last_size_is_played(
     monkeypatch: pytest.MonkeyPatch, scale_run: Callable[..., Result]
 ) -> None:
-    happened: list[str] = []
+    events: list[str] = []
     echo = click.echo
 
-    def noted(message: str, err: bool = False) -> None:
-        happened.append(message)
+    def record_echo(message: str, err: bool = False) -> None:
+        events.append(message)
         echo(message, err=err)
 
     def play(options: ScaleOptions, routers: int) -> Measurement:
-        happened.append(f"play {routers}")
-        return on_lines(routers)
+        events.append(f"play {routers}")
+        return measurement_on_lines(routers)
 
-    monkeypatch.setattr(click, "echo", noted)
+    monkeypatch.setattr(click, "echo", record_echo)
     result = scale_run(play)
     assert result.exit_code == 0
-    told = next(place for place, what in enumerate(happened) if what.startswith("predicted for 60 routers"))
-    assert happened.index("play 30") < told < happened.index("play 60")
-    assert [what for what in happened if what.startswith("play")] == [f"play {size}" for size in SIZES]
-    before = happened[: happened.index("play 60")]
-    assert any("purge_max_ms = 20 +1 * routers = 80 ms" in what for what in before)
+    predicted_index = next(
+        index for index, entry in enumerate(events) if entry.startswith("predicted for 60 routers")
+    )
+    assert events.index("play 30") < predicted_index < events.index("play 60")
+    assert [entry for entry in events if entry.startswith("play")] == [f"play {size}" for size in SIZES]
+    before = events[: events.index("play 60")]
+    assert any("purge_max_ms = 20 +1 * routers = 80 ms" in entry for entry in before)
 
 
-def test_the_last_line_tells_the_figures_of_the_last_size(scale_run: Callable[..., Result]) -> None:
+def test_the_last_line_has_the_figures_of_the_last_size(scale_run: Callable[..., Result]) -> None:
     cuts = (FaultResult("zone-cut", 900.0, 30.0), FaultResult("region-cut", 1234.0, 40.0, "of 7"),
             FaultResult("routers-killed", 5000.0, 40.0))  # fmt: skip
-    result = scale_run(lambda options, routers: replace(on_lines(routers), faults=cuts))
-    figures = last_line(result)
+    result = scale_run(lambda options, routers: replace(measurement_on_lines(routers), faults=cuts))
+    figures = parse_last_line(result)
     assert result.exit_code == 0
     assert figures == {
         "routers": 60, "hollow": 59, "real": 1, "caches": 290, "purges": 352, "purge_p99_ms": 40,
@@ -142,60 +147,71 @@
 
 
 @pytest.mark.parametrize(
-    ("break_it", "told"),
+    ("break_it", "message"),
     [
-        (lambda one: replace(one, lost=1), "lost: 1 events"),
-        (lambda one: replace(one, repeated=2), "repeated: 2 events"),
-        (lambda one: replace(one, purge=Delays(0, 0.0, 0.0, 0.0)), "purges: none"),
-        (lambda one: replace(one, purge=Delays(9, 1.0, 10.0, 7801.0)), "purge_max_ms: 7801 is above 7800"),
-        (lambda one: replace(one, purge=Delays(9, 1.0, math.nan, 10.0)), "purge_p99_ms: nan is above"),
-        (lambda one: replace(one, config=Delays(9, 1.0, 10.0, 8001.0)), "config_max_ms: 8001 is above 8000"),
-        (lambda one: with_cost(one, sent_bytes_a_second=1900.0), "control_bytes_a_second: "),
-        (lambda one: with_cost(one, cpu_percent=3.4), "control_cpu_percent: 3.4 is above 3.3"),
-        (lambda one: with_cost(one, memory_mb=64.5), "control_mb: 64.5 is above 64"),
+        (lambda measured: replace(measured, lost=1), "lost: 1 events"),
+        (lambda measured: replace(measured, repeated=2), "repeated: 2 events"),
+        (lambda measured: replace(measured, purge=Delays(0, 0.0, 0.0, 0.0)), "purges: none"),
+        (
+            lambda measured: replace(measured, purge=Delays(9, 1.0, 10.0, 7801.0)),
+            "purge_max_ms: 7801 is above 7800",
+        ),
+        (
+            lambda measured: replace(measured, purge=Delays(9, 1.0, math.nan, 10.0)),
+            "purge_p99_ms: nan is above",
+        ),
+        (
+            lambda measured: replace(measured, config=Delays(9, 1.0, 10.0, 8001.0)),
+            "config_max_ms: 8001 is above 8000",
+        ),
+        (lambda measured: with_cost(measured, sent_bytes_a_second=1900.0), "control_bytes_a_second: "),
+        (lambda measured: with_cost(measured, cpu_percent=3.4), "control_cpu_percent: 3.4 is above 3.3"),
+        (lambda measured: with_cost(measured, memory_mb=64.5), "control_mb: 64.5 is above 64"),
         (
-            lambda one: replace(one, machines=(MachineCost("a", 101.0, 1.0, 1.0, 1), *one.machines)),
+            lambda measured: replace(
+                measured, machines=(MachineCost("a", 101.0, 1.0, 1.0, 1), *measured.machines)
+            ),
             "control_machine_cpu_percent: 101 is above 100",
         ),
         (
-            lambda one: replace(one, faults=(FaultResult("zone-cut", -1.0, 5.0),)),
+            lambda measured: replace(measured, faults=(FaultResult("zone-cut", -1.0, 5.0),)),
             "zone-cut: routers were never level again",
         ),
         (
-            lambda one: replace(one, faults=(FaultResult("zone-cut", 1.0, 7900.0),)),
+            lambda measured: replace(measured, faults=(FaultResult("zone-cut", 1.0, 7900.0),)),
             "zone-cut: purge_max_ms of routers beside it: 7900 is above 7800",
         ),
     ],
 )
 @pytest.mark.parametrize("size", [20, 60])
-def test_what_is_lost_or_beyond_a_bound_ends_with_1_and_is_named(
-    break_it: Callable[[Measurement], Measurement], told: str, size: int, scale_run: Callable[..., Result]
+def test_losses_and_exceeded_bounds_are_reported_with_exit_code_1(
+    break_it: Callable[[Measurement], Measurement], message: str, size: int, scale_run: Callable[..., Result]
 ) -> None:
     def play(options: ScaleOptions, routers: int) -> Measurement:
-        return break_it(on_lines(routers)) if routers == size else on_lines(routers)
+        return break_it(measurement_on_lines(routers)) if routers == size else measurement_on_lines(routers)
 
     result = scale_run(play)
     assert result.exit_code == 1
     broken = [line for line in result.stdout.splitlines() if line.startswith("BROKEN")]
-    assert len(broken) == 1 and broken[0].startswith(f"BROKEN {size} routers: {told}")
+    assert len(broken) == 1 and broken[0].startswith(f"BROKEN {size} routers: {message}")
 
 
-def test_the_record_for_programs_is_all_that_standard_output_has(scale_run: Callable[..., Result]) -> None:
+def test_json_is_the_only_standard_output(scale_run: Callable[..., Result]) -> None:
     def play(options: ScaleOptions, routers: int) -> Measurement:
-        return replace(on_lines(routers), lost=1 if routers == 60 else 0, machines=())
+        return replace(measurement_on_lines(routers), lost=1 if routers == 60 else 0, machines=())
 
     result = scale_run(play, "--json")
     found = json.loads(result.stdout)
     assert result.exit_code == 1 and found["figures"]["lost"] == 1
     assert found["broken"] == ["60 routers: lost: 1 events never came to all routers"]
-    assert [one["routers"] for one in found["measurements"]] == list(SIZES)
-    by_name = {one["figure"]: one for one in found["predictions"]}
+    assert [measurement["routers"] for measurement in found["measurements"]] == list(SIZES)
+    by_name = {prediction["figure"]: prediction for prediction in found["predictions"]}
     assert by_name["control_bytes_a_second"]["slope"] == pytest.approx(1.0)
     assert by_name["control_bytes_a_second"]["bound"] == 2000.0
     assert "predicted for 60 routers" in result.stderr
 
 
-def test_a_picture_is_drawn_each_size_has_its_folder_and_the_last_its_faults(
+def test_a_plot_is_written_each_size_has_a_folder_and_only_the_last_has_faults(
     tmp_path: Path, scale_run: Callable[..., Result]
 ) -> None:
     folders: list[Path | None] = []
@@ -204,7 +220,7 @@
     def play(options: ScaleOptions, routers: int) -> Measurement:
         folders.append(options.folder)
         faults.append(options.faults)
-        return on_lines(routers)
+        return measurement_on_lines(routers)
 
     result = scale_run(play, "--plot", str(tmp_path / "plots"), "--logs", str(tmp_path / "logs"))
     assert result.exit_code == 0
@@ -214,20 +230,24 @@
     assert faults == [(), (), (), SHORT.faults]
 
 
-def test_notes_name_their_sizes_where_they_do_not_hold_for_all(scale_run: Callable[..., Result]) -> None:
+def test_notes_that_do_not_hold_for_all_sizes_name_theirs(scale_run: Callable[..., Result]) -> None:
     def play(options: ScaleOptions, routers: int) -> Measurement:
-        return replace(on_lines(routers), notes=("everywhere", "small" if routers < 30 else "large"))
+        return replace(
+            measurement_on_lines(routers), notes=("everywhere", "small" if routers < 30 else "large")
+        )
 
     lines = scale_run(play).stdout.splitlines()
     notes = [line for line in lines if line.startswith("note")]
     assert notes == ["note: everywhere", "note (10, 20 routers): small", "note (30, 60 routers): large"]
 
 
-def test_the_table_shows_names_whole_with_prediction_error_and_bound(
+def test_the_table_shows_full_names_prediction_error_and_bound(
     scale_run: Callable[..., Result],
 ) -> None:
     def play(options: ScaleOptions, routers: int) -> Measurement:
-        return replace(on_lines(routers), purge=Delays(88, 5.0, 50.0 if routers == 60 else 25.0, 60.0))
+        return replace(
+            measurement_on_lines(routers), purge=Delays(88, 5.0, 50.0 if routers == 60 else 25.0, 60.0)
+        )
 
     cells = [
         [cell.strip() for cell in line.split("│")[1:-1]]
