--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -1,4 +1,4 @@
-"""The soak: plans of seeds, its rules over made-up records, planted faults, and some seeds on processes."""
+"""Tests of the soak: drawn plans, rules on constructed records, planted faults, and seeds on processes."""
 
 from __future__ import annotations
 
@@ -13,162 +13,174 @@
 from click.testing import CliRunner
 
 from stonecove.commands.main import cli
-from stonecove.soak.clients import Fate, SentRequest
+from stonecove.soak.clients import Outcome, SentRequest
 from stonecove.soak.depot import Arrival, SoakDepot
-from stonecove.soak.judge import RULES, BrokenRule, SoakVerdict, judge_soak
-from stonecove.soak.plan import Crowd, Effect, Reloads, Restart, SoakPlan, draw_plan
+from stonecove.soak.judge import RULES, SoakVerdict, SoakViolation, judge_soak
+from stonecove.soak.plan import Effect, IdleConnections, Reloads, Restart, SoakPlan, draw_plan
 from stonecove.soak.play import Shutdown, SoakRecord
-from stonecove.soak.run import play_seeds, reduce_seed
+from stonecove.soak.run import reduce_seed, run_seeds
 from stonecove.trial.processes import RouterProcess
 from stonecove.trial.testbed import TrialRecord
 
-BEGAN = 1_800_000_000.0
+STARTED_AT = 1_800_000_000.0
 CI_SEEDS = range(1, 9)
-CI_SECONDS = 8.0
+CI_DURATION_S = 8.0
 CI_JOBS = 2
 
 
 # -- plans --
 
 
-def test_the_same_seed_gives_the_same_plan() -> None:
+def test_same_seed_draws_same_plan() -> None:
     assert [draw_plan(seed, 10.0) for seed in range(1, 30)] == [
         draw_plan(seed, 10.0) for seed in range(1, 30)
     ]
     assert draw_plan(1, 10.0) != draw_plan(2, 10.0)
 
 
-def test_fifty_seeds_hold_each_kind_of_trouble_and_of_signal() -> None:
+def test_fifty_seeds_contain_each_kind_of_fault_and_signal() -> None:
     plans = [draw_plan(seed, 10.0) for seed in range(1, 51)]
-    troubles = [one for plan in plans for one in plan.troubles]
-    assert {type(one).__name__ for one in troubles} == {
-        "CacheTrouble", "LogTrouble", "ServerTrouble", "Reloads", "Restart", "Crowd"
+    faults = [fault for plan in plans for fault in plan.faults]
+    assert {type(fault).__name__ for fault in faults} == {
+        "CacheFault", "ChangeLogFault", "ServerFault", "Reloads", "Restart", "IdleConnections"
     }  # fmt: skip
-    signals = [name for plan in plans for _, name in plan.last_signals]
-    signals += [name for one in troubles if isinstance(one, Restart) for _, name in one.signals]
+    signals = [name for plan in plans for _, name in plan.final_signals]
+    signals += [name for fault in faults if isinstance(fault, Restart) for _, name in fault.signals]
     assert set(signals) == {"SIGHUP", "SIGTERM", "SIGINT"}
-    assert any(one.count > 3 for one in troubles if isinstance(one, Reloads))
-    assert {plan.routers for plan in plans} == {1, 2, 3, 4}
+    assert any(fault.signal_count > 3 for fault in faults if isinstance(fault, Reloads))
+    assert {plan.router_count for plan in plans} == {1, 2, 3, 4}
     for plan in plans:
-        assert 0.9 <= plan.kill_after_s <= 3.7
-        for one in plan.troubles:
-            if isinstance(one, Crowd):
-                assert one.connections <= plan.sockets // 3
+        assert 0.9 <= plan.sigkill_after_s <= 3.7
+        for fault in plan.faults:
+            if isinstance(fault, IdleConnections):
+                assert fault.connection_count <= plan.max_sockets // 3
 
 
 # -- rules --
 
 
 class _Records:
-    """A soak in which all rules were kept, to be broken one by one."""
+    """The record of a soak without violations, to which tests add observations."""
 
     def __init__(self, folder: Path) -> None:
-        self.plan: SoakPlan = replace(draw_plan(1, 10.0), routers=1, troubles=())
-        self.by_effect = {one.effect: one for one in self.plan.classes}
+        self.plan: SoakPlan = replace(draw_plan(1, 10.0), router_count=1, faults=())
+        self.by_effect = {request_class.effect: request_class for request_class in self.plan.classes}
         self.depot = SoakDepot(2, 20.0, 1000.0)
         self.router = RouterProcess(folder / "edge-0", "edge-0", {"listen": "127.0.0.1:1"}, None)
-        self.router.lives = [(BEGAN, BEGAN + 11.0)]
-        self.router.log.write_text(f"{BEGAN + 10.5:.3f} router_stopped open=0\n")
+        self.router.lives = [(STARTED_AT, STARTED_AT + 11.0)]
+        self.router.log.write_text(f"{STARTED_AT + 10.5:.3f} router_stopped open=0\n")
         trial = TrialRecord(
-            self.plan.trial(), BEGAN, BEGAN + 11.0, [self.router], ["a"], None, self.depot, 0, []
+            self.plan.trial(), STARTED_AT, STARTED_AT + 11.0, [self.router], ["a"], None, self.depot, 0, []
         )
-        shutdown = Shutdown(0, BEGAN + 10.0, BEGAN + 10.5, 0, False)
+        shutdown = Shutdown(0, STARTED_AT + 10.0, STARTED_AT + 10.5, 0, False)
         self.record = SoakRecord(self.plan, trial, [], [], [], [shutdown], [40], [30.0], 0.0)
 
-    def sent(self, effect: Effect, fate: Fate, **more: Any) -> SentRequest:
+    def add_sent(self, effect: Effect, outcome: Outcome, **attributes: Any) -> SentRequest:
         request_class = self.by_effect[effect]
-        request = SentRequest(f"{len(self.record.sent):016x}", request_class, 0, 7, 0.5, 1)
-        request.sent_at, request.ended_at = BEGAN + 1.0, BEGAN + 1.2
-        request.fate, request.answers, request.status = fate, 1, "200"
-        for name, value in more.items():
+        request = SentRequest(f"{len(self.record.sent_requests):016x}", request_class, 0, 7, 0.5, 1)
+        request.sent_at, request.ended_at = STARTED_AT + 1.0, STARTED_AT + 1.2
+        request.outcome, request.answer_count, request.status = outcome, 1, "200"
+        for name, value in attributes.items():
             setattr(request, name, value)
-        self.record.sent.append(request)
+        self.record.sent_requests.append(request)
         return request
 
-    def arrived(self, request: SentRequest, after: float, proved: float | None = None) -> None:
-        at = request.sent_at + after
-        one = Arrival(
-            at, 0x11, request.txn, request.request_class.name, "", proved and request.sent_at + proved
+    def add_arrival(
+        self, request: SentRequest, after_s: float, rejected_after_s: float | None = None
+    ) -> None:
+        received_at = request.sent_at + after_s
+        arrival = Arrival(
+            received_at,
+            0x11,
+            request.txn,
+            request.request_class.name,
+            "",
+            rejected_after_s and request.sent_at + rejected_after_s,
         )
-        self.record.arrivals.append(one)
+        self.record.arrivals.append(arrival)
 
-    def broken(self) -> list[str]:
-        return [one.rule for one in judge_soak(self.record).broken]
+    def violated_rules(self) -> list[str]:
+        return [violation.rule for violation in judge_soak(self.record).violations]
 
 
 @pytest.fixture
 def records(tmp_path: Path) -> Iterator[_Records]:
-    found = _Records(tmp_path)
-    yield found
-    found.depot.close()
-
-
-def test_a_record_without_fault_keeps_all_rules(records: _Records) -> None:
-    request = records.sent(Effect.SIDE_EFFECT, Fate.ANSWERED)
-    records.arrived(request, 0.01, proved=0.02)
-    records.arrived(request, 0.03)
-    records.sent(Effect.PURE, Fate.CROSSED, answers=0)
-    left = records.sent(Effect.PURE, Fate.LEFT, answers=0)
-    records.arrived(left, 0.25)
-    assert records.broken() == []
-
-
-def test_each_rule_is_found_broken(records: _Records) -> None:
-    """One record for each rule; those of the trials' judge have their own test beside it."""
-    records.sent(Effect.PURE, Fate.LOST, answers=0, ended_at=BEGAN + 2.5)
-    records.sent(Effect.PURE, Fate.ANSWERED, answers=2)
-    records.sent(Effect.PURE, Fate.ANSWERED, body_fits=False)
-    records.record.unasked.append("an answer under id 9 that was not asked")
-    twice = records.sent(Effect.SIDE_EFFECT, Fate.ANSWERED)
-    records.arrived(twice, 0.01, proved=0.05)
-    records.arrived(twice, 0.03)
-    keyed = records.sent(Effect.TOKEN, Fate.ANSWERED)
-    records.arrived(keyed, 0.0)
-    records.arrived(keyed, records.by_effect[Effect.TOKEN].window_ms / 1000.0 + 0.3)
-    left = records.sent(Effect.PURE, Fate.LEFT, answers=0)
-    records.arrived(left, 0.5)
-    records.record.shutdowns += [Shutdown(0, BEGAN, BEGAN, 1, False), Shutdown(0, BEGAN, BEGAN, -9, True)]
-    records.record.descriptors[0] = records.plan.sockets + 1
-    records.record.memory_mb[0] = records.plan.memory_mb + 1.0
+    soak_records = _Records(tmp_path)
+    yield soak_records
+    soak_records.depot.close()
+
+
+def test_record_without_fault_violates_no_rule(records: _Records) -> None:
+    request = records.add_sent(Effect.SIDE_EFFECT, Outcome.ANSWERED)
+    records.add_arrival(request, 0.01, rejected_after_s=0.02)
+    records.add_arrival(request, 0.03)
+    records.add_sent(Effect.PURE, Outcome.CLOSE_RACE, answer_count=0)
+    abandoned = records.add_sent(Effect.PURE, Outcome.ABANDONED, answer_count=0)
+    records.add_arrival(abandoned, 0.25)
+    assert records.violated_rules() == []
+
+
+def test_each_rule_detects_its_violation(records: _Records) -> None:
+    """One violation for each rule of the soak; rules shared with trials are tested with the trial judge."""
+    records.add_sent(Effect.PURE, Outcome.LOST, answer_count=0, ended_at=STARTED_AT + 2.5)
+    records.add_sent(Effect.PURE, Outcome.ANSWERED, answer_count=2)
+    records.add_sent(Effect.PURE, Outcome.ANSWERED, body_matches=False)
+    records.record.unexpected_answers.append("answer to unknown request id 9")
+    repeated = records.add_sent(Effect.SIDE_EFFECT, Outcome.ANSWERED)
+    records.add_arrival(repeated, 0.01, rejected_after_s=0.05)
+    records.add_arrival(repeated, 0.03)
+    keyed = records.add_sent(Effect.TOKEN, Outcome.ANSWERED)
+    records.add_arrival(keyed, 0.0)
+    records.add_arrival(keyed, records.by_effect[Effect.TOKEN].window_ms / 1000.0 + 0.3)
+    abandoned = records.add_sent(Effect.PURE, Outcome.ABANDONED, answer_count=0)
+    records.add_arrival(abandoned, 0.5)
+    records.record.shutdowns += [
+        Shutdown(0, STARTED_AT, STARTED_AT, 1, False),
+        Shutdown(0, STARTED_AT, STARTED_AT, -9, True),
+    ]
+    records.record.descriptors[0] = records.plan.max_sockets + 1
+    records.record.memory_mb[0] = records.plan.max_memory_mb + 1.0
     with records.router.log.open("a") as log:
-        log.write(f"{BEGAN + 1.0:.3f} internal_error where=x\n{BEGAN + 9.0:.3f} router_stopped open=2\n")
+        log.write(
+            f"{STARTED_AT + 1.0:.3f} internal_error where=x\n{STARTED_AT + 9.0:.3f} router_stopped open=2\n"
+        )
         log.write("Traceback (most recent call last)\n")
-    found = records.broken()
-    assert found.count("answer") == found.count("second answer") == found.count("body") == 1
+    rules = records.violated_rules()
+    assert rules.count("answer") == rules.count("second answer") == rules.count("body") == 1
     assert (
-        found.count("repeat") == found.count("window") == found.count("left") == found.count("unasked") == 1
+        rules.count("repeat") == rules.count("window") == rules.count("left") == rules.count("unasked") == 1
     )
-    assert found.count("exit") == 2 and found.count("log") == 3 and found.count("left over") == 1
-    assert found.count("descriptors") == found.count("memory") == 1
-    assert set(found) <= set(RULES)
+    assert rules.count("exit") == 2 and rules.count("log") == 3 and rules.count("left over") == 1
+    assert rules.count("descriptors") == rules.count("memory") == 1
+    assert set(rules) <= set(RULES)
 
 
-# -- making a failing seed smaller --
+# -- reduction of a failing seed --
 
 
-def test_a_failing_seed_keeps_the_troubles_that_it_needs() -> None:
+def test_reduction_keeps_only_required_faults() -> None:
     plan = draw_plan(3, 10.0)
-    needed = plan.troubles[1]
+    required = plan.faults[1]
 
-    def play(smaller: SoakPlan) -> SoakVerdict:
-        broken = [BrokenRule("answer", 1.0, "lost")] if needed in smaller.troubles else []
-        return SoakVerdict(3, broken)
+    def run(reduced_plan: SoakPlan) -> SoakVerdict:
+        violations = [SoakViolation("answer", 1.0, "lost")] if required in reduced_plan.faults else []
+        return SoakVerdict(3, violations)
 
-    found = reduce_seed(3, 10.0, play)
-    assert found.failed_again and found.troubles == [needed.summary()]
-    assert found.plays == 1 + len(plan.troubles)
+    reduction = reduce_seed(3, 10.0, run)
+    assert reduction.failed_again and reduction.faults == [required.summary()]
+    assert reduction.run_count == 1 + len(plan.faults)
 
 
-def test_a_seed_that_does_not_fail_again_is_told_as_such() -> None:
-    found = reduce_seed(3, 10.0, lambda plan: SoakVerdict(plan.seed))
-    assert not found.failed_again and found.plays == 1
+def test_reduction_reports_seed_that_passes_alone() -> None:
+    reduction = reduce_seed(3, 10.0, lambda plan: SoakVerdict(plan.seed))
+    assert not reduction.failed_again and reduction.run_count == 1
 
 
 # -- planted faults and the command --
 
 
 @pytest.mark.parametrize("fault", soak_faults.FAULTS, ids=lambda fault: fault.name)
-def test_planted_faults_fit_the_sources_and_name_rules(
+def test_planted_faults_match_sources_and_name_existing_rules(
     fault: soak_faults.PlantedFault, tmp_path: Path
 ) -> None:
     assert set(fault.rules) <= set(RULES)
@@ -181,12 +193,14 @@
 
 
 @pytest.mark.parametrize("seeds", ["", "x", "3-", "1-b"])
-def test_seeds_that_name_none_are_refused(seeds: str) -> None:
-    done = CliRunner().invoke(cli, ["soak", "--seeds", seeds])
-    assert done.exit_code == 2 and "--seeds" in done.stderr
+def test_invalid_seed_lists_are_rejected(seeds: str) -> None:
+    result = CliRunner().invoke(cli, ["soak", "--seeds", seeds])
+    assert result.exit_code == 2 and "--seeds" in result.stderr
 
 
 def test_seeded_soaks_keep_all_rules() -> None:
-    verdicts = list(play_seeds(CI_SEEDS, CI_SECONDS, CI_JOBS))
-    assert [(one.seed, broken.summary()) for one in verdicts for broken in one.broken] == []
-    assert all(one.figures["answered"] > 50 for one in verdicts)
+    verdicts = list(run_seeds(CI_SEEDS, CI_DURATION_S, CI_JOBS))
+    assert [
+        (verdict.seed, violation.summary()) for verdict in verdicts for violation in verdict.violations
+    ] == []
+    assert all(verdict.figures["answered"] > 50 for verdict in verdicts)
--- a/tests/test_swarm.py
+++ b/tests/test_swarm.py
@@ -219,7 +219,7 @@
             model.run(rng.choice((0.05, 0.3, 1.0, 6.0)))
             freed += sum(
                 not router.swarm.gossip.shares.is_counted(slot, model.now) and one.ended_at == math.inf
-                for router in model.here()
+                for router in model.running_routers()
                 if router.swarm is not None
                 for slot, one in enumerate(router.swarm.gossip.shares.slots)
             )
@@ -251,12 +251,16 @@
 def test_killed_routers_are_detected_by_all_within_a_few_views() -> None:
     model = joined_fleet(20)
     model.kill(3)
-    assert model.until(lambda: model.known_over(3), 3.0) <= 3.0
+    assert model.until(lambda: model.known_ended(3), 3.0) <= 3.0
     for index in range(4, 18):
         model.kill(index)
-    assert model.until(lambda: all(model.known_over(index) for index in range(4, 18)), 6.0) <= 6.0
+    assert model.until(lambda: all(model.known_ended(index) for index in range(4, 18)), 6.0) <= 6.0
     model.run(6.0)
-    views = {router.swarm.gossip.views.current[:2] for router in model.here() if router.swarm is not None}
+    views = {
+        router.swarm.gossip.views.current[:2]
+        for router in model.running_routers()
+        if router.swarm is not None
+    }
     assert len(views) == 1 and views.pop()[0] <= 3
 
 
@@ -275,7 +279,7 @@
     model = joined_fleet(5)
     model.cut([0], [1], both=False)
     model.run(30.0)
-    assert (model.stands(1, by=0), model.stands(0, by=2)) == ("unreachable", "alive")
+    assert (model.state_of(1, by=0), model.state_of(0, by=2)) == ("unreachable", "alive")
     assert failures(model) == []
 
 
@@ -283,11 +287,11 @@
     model = joined_fleet(5)
     model.cut([0], range(1, 5))
     model.run(40.0)
-    assert all(model.stands(0, by=index) == "failed" for index in range(1, 5))
-    assert all(model.stands(index, by=0) not in ("failed", "gone") for index in range(1, 5))
+    assert all(model.state_of(0, by=index) == "failed" for index in range(1, 5))
+    assert all(model.state_of(index, by=0) not in ("failed", "gone") for index in range(1, 5))
     assert model.shares() == pytest.approx(1.0)  # nothing was freed: it may still run
     model.cuts.clear()
-    assert model.until(lambda: all(model.stands(0, by=p) == "alive" for p in range(1, 5)), 30.0) < 30.0
+    assert model.until(lambda: all(model.state_of(0, by=p) == "alive" for p in range(1, 5)), 30.0) < 30.0
 
 
 def test_verdicts_of_a_cut_are_not_believed_by_those_who_hear_the_router() -> None:
@@ -319,7 +323,7 @@
     model.kill(2)  # nothing reaches its address, so it refuses nothing
     model.run(5.0)
     assert failures(model) == []
-    assert model.until(lambda: model.known_over(2), 30.0) < 30.0
+    assert model.until(lambda: model.known_ended(2), 30.0) < 30.0
     model.run(20.0)
     assert model.shares() == pytest.approx(0.8)
     assert model.until(lambda: model.shares() > 0.9, 40.0) < 40.0
@@ -353,7 +357,7 @@
     assert swarm is not None
     swarm.declare_gone(1, model.now)
     model.run(3.5)
-    assert (model.stands(2, by=0), model.stands(2, by=1)) == ("gone", "gone")
+    assert (model.state_of(2, by=0), model.state_of(2, by=1)) == ("gone", "gone")
     assert model.shares() == pytest.approx(0.9)
 
 
@@ -362,7 +366,7 @@
     model.kill(1)
     model.run(1.0)
     model.start(1, skew=-3600.0)
-    assert model.until(lambda: model.joined() and model.stands(1, by=0) == "alive", 30.0) < 30.0
+    assert model.until(lambda: model.joined() and model.state_of(1, by=0) == "alive", 30.0) < 30.0
     assert any(event == "gossip_generation_raised" for _, index, event, _ in model.notes if index == 1)
     assert model.worst <= 1.0 + 1e-9
 
@@ -371,7 +375,7 @@
     model = joined_fleet(4)
     model.kill(1)
     model.start(1, name="somebody-else")
-    assert model.until(lambda: all(model.stands(1, by=p) == "gone" for p in (0, 2, 3)), 5.0) < 5.0
+    assert model.until(lambda: all(model.state_of(1, by=p) == "gone" for p in (0, 2, 3)), 5.0) < 5.0
     assert model.until(model.joined, 10.0) < 10.0
     assert model.shares() == pytest.approx(1.0)
 
@@ -406,7 +410,7 @@
     model.run(2.0)  # datagrams from it arrive meanwhile
     swarm.receive_refusal(0, number, model.now)
     model.run(0.1)
-    assert model.stands(1, by=0) == "alive" and failures(model) == []
+    assert model.state_of(1, by=0) == "alive" and failures(model) == []
 
 
 def test_the_load_of_a_router_does_not_grow_with_the_fleet() -> None:
@@ -423,16 +427,16 @@
     assert swarm is not None
     swarm.announce_leaving(model.now)
     model.run(1.0)
-    assert model.stands(2, by=0) == "leaving"
+    assert model.state_of(2, by=0) == "leaving"
     swarm.announce_left(model.now)
-    model._flush(model.routers[2], swarm)
+    model._send_outgoing(model.routers[2], swarm)
     model.cut([2], range(4))  # its last claim alone proves it, no refusal
     model.kill(2)
     model.run(1.0)
-    assert [model.stands(2, by=index) for index in (0, 1, 3)] == ["left"] * 3
+    assert [model.state_of(2, by=index) for index in (0, 1, 3)] == ["left"] * 3
     assert all(
         has_ended(router.swarm.gossip.table.members[ident_of("router-2")].claim.state)
-        for router in model.here()
+        for router in model.running_routers()
         if router.swarm is not None
     )
     model.run(3.0)
--- a/tests/test_swarm_beside.py
+++ b/tests/test_swarm_beside.py
@@ -148,8 +148,8 @@
     before = fleet.pids()
     try:
         cache = fleet.depot.caches[0]
-        cache.forget()
-        fleet.depot.tell_state(cache, "up")
+        cache.restart_empty()
+        fleet.depot.announce_state(cache, "up")
         time.sleep(1.0)
         if fault == "holder killed":
             os.kill(stopped, signal.SIGKILL)
@@ -175,8 +175,8 @@
     finally:
         clients.end()
         fleet.close()
-    _, fraction = cold_part(cache.book, cache.started / 1000.0, WINDOW, KB)
+    _, fraction = cold_part(cache.request_times_ms, cache.started_ms / 1000.0, WINDOW, KB)
     assert 0 < fraction <= 1.0
-    assert fleet.depot.repeated() == 0
+    assert fleet.depot.count_repeated_writes() == 0
     lost_at = [at for at, index in clients.lost if index == 1 and fault.startswith("holder")]
     assert len(clients.lost) == len(lost_at)
--- a/tests/test_token_commands.py
+++ b/tests/test_token_commands.py
@@ -14,6 +14,7 @@
 
 
 def run(*arguments: str, code: int = 0) -> str:
+    """Run a command, check its exit code and return its output."""
     result = CliRunner().invoke(cli, list(arguments))
     assert result.exit_code == code, (arguments, result.exit_code, result.output)
     return result.output.strip()
@@ -21,14 +22,18 @@
 
 @pytest.fixture
 def operator(tmp_path: Path) -> Path:
+    """Return an operator's file whose key ring has a key for each token format."""
     ring = tmp_path / "ring.json"
-    for ident, algorithm, form in (
+    for key_id, algorithm, token_format in (
         ("rsa", "RSA-SHA256", "cloudfront"),
         ("mac", "HMAC-SHA256", "edge-auth"),
         ("ec", "ES256", "cdni"),
         ("web", "ES256", "bearer"),
     ):
-        assert run("keys", "generate", str(ring), ident, "--algorithm", algorithm, "--use", form) == ident
+        assert (
+            run("keys", "generate", str(ring), key_id, "--algorithm", algorithm, "--use", token_format)
+            == key_id
+        )
     assert ring.stat().st_mode & 0o777 == 0o600
     path = tmp_path / "operator.cue"
     path.write_text(f'access: {{ring: "{ring}"\npolicies: [{{prefix: "/svc"}}]}}\n')
@@ -59,16 +64,16 @@
     signed = run("token", "sign", "--ring", str(ring), "--url", URL)
     run("keys", "rotate", str(ring), "web", "web2", "--overlap", "0")
     states = {
-        one["id"]: one["state"]
-        for one in map(json.loads, run("keys", "list", str(ring), "--json").splitlines())
+        key["id"]: key["state"]
+        for key in map(json.loads, run("keys", "list", str(ring), "--json").splitlines())
     }
     assert states["web"] == "verifies" and states["web2"] == "signs"
     assert run("token", "verify", "--operator", str(operator), URL, "--field", signed) == "good"
     secrets = [
-        one[name]
-        for one in json.loads(ring.read_text())["keys"]
+        key[name]
+        for key in json.loads(ring.read_text())["keys"]
         for name in ("secret", "private")
-        if name in one
+        if name in key
     ]
     shown = run("keys", "list", str(ring))
     assert len(secrets) == 5 and not any(secret in shown for secret in secrets)
--- a/tests/test_trial.py
+++ b/tests/test_trial.py
@@ -1,4 +1,4 @@
-"""Routers as real processes with faults between them, and the judge over them."""
+"""Trials with routers as real processes and faults between them, and the judge of their records."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 from stonecove.explore.simulation import Simulation
 from stonecove.explore.trace import simulation_start
 from stonecove.operator_config.grammar import OperatorError
-from stonecove.standins.depot import Fetched
+from stonecove.standins.depot import ReceivedRequest
 from stonecove.trial.judge import judge
 from stonecove.trial.processes import RouterProcess
 from stonecove.trial.rejoin import all_joined_for_good, joined_for_good, longest_rejoin
@@ -27,7 +27,7 @@
 from stonecove.trial.testbed import Testbed, TrialRecord
 
 TRIALS = Path(__file__).parent.parent / "stonecove" / "trial" / "trials"
-SMALL = 'title: "t", lasts: 4s, window: 300ms, rate: 30\n'
+SMALL_TRIAL = 'title: "t", lasts: 4s, window: 300ms, rate: 30\n'
 Play = Callable[[Trial], TrialRecord]
 
 
@@ -35,29 +35,32 @@
 def play(tmp_path: Path) -> Iterator[Play]:
     testbeds = []
 
-    def played(trial: Trial) -> TrialRecord:
+    def play_trial(trial: Trial) -> TrialRecord:
         testbeds.append(Testbed(trial, 5, tmp_path))
         return testbeds[-1].play()
 
-    yield played
+    yield play_trial
     for testbed in testbeds:
         testbed.close()
 
 
-SHORT = [path for path in sorted(TRIALS.glob("*.cue")) if not path.stem.endswith("-long")]
+SHORT_TRIALS = [path for path in sorted(TRIALS.glob("*.cue")) if not path.stem.endswith("-long")]
 
 
-@pytest.mark.parametrize("path", SHORT, ids=lambda path: path.stem)
-def test_the_trials_that_come_along_keep_all_rules(path: Path, play: Play) -> None:
-    """Stops, loss, one-sided and whole cuts, a mass kill, a roll, late words, twins, a flood, 20 starts."""
-    played = play(read_trial(path, 5))
-    verdict = judge(played)
-    assert [one.summary() for one in verdict.violations] == []
+@pytest.mark.parametrize("path", SHORT_TRIALS, ids=lambda path: path.stem)
+def test_bundled_trials_violate_no_rule(path: Path, play: Play) -> None:
+    """Suspension, loss, one-sided and full partitions, a mass kill, a rolling restart, late datagrams.
+
+    Also twins, a flood, and 20 starts.
+    """
+    record = play(read_trial(path, 5))
+    verdict = judge(record)
+    assert [violation.summary() for violation in verdict.violations] == []
     assert verdict.figures["answers"] > 0
-    if path.stem == "zone-cut":  # the cut lasts 9 s: some are held for failed, and wait for a window of 3 s
+    if path.stem == "zone-cut":  # after the 9 s partition, routers declared failed wait for a window of 3 s
         assert 3.0 <= verdict.figures["joined_s"] <= 5.0
     if path.stem == "twins":
-        assert all(router.lines("gossip_name_conflict") for router in played.routers[1:3])
+        assert all(router.lines("gossip_name_conflict") for router in record.routers[1:3])
 
 
 @pytest.mark.parametrize(
@@ -76,90 +79,98 @@
         ('title: "t", lasts: 5s, faults: [{at: 1s, do: "clock", who: [0]}]', "ahead or back"),
     ],
 )
-def test_a_trial_that_makes_no_sense_is_refused_naming_what_is_wrong(
-    text: str, named: str, tmp_path: Path
-) -> None:
-    with pytest.raises(OperatorError) as refused:
+def test_invalid_trial_is_rejected_with_the_reason(text: str, named: str, tmp_path: Path) -> None:
+    with pytest.raises(OperatorError) as rejected:
         trial_of(text, "t.cue", 1)
-    assert named in str(refused.value)
+    assert named in str(rejected.value)
     path = tmp_path / "t.cue"
     path.write_text(text)
-    found = subprocess.run(
+    completed = subprocess.run(
         [sys.executable, "-m", "stonecove", "trial", "run", str(path)],
         capture_output=True,
         text=True,
         check=False,
     )
-    assert (found.returncode, named in found.stderr) == (2, True)
+    assert (completed.returncode, named in completed.stderr) == (2, True)
 
 
 def test_the_same_seed_draws_the_same_routers() -> None:
     text = 'title: "t", lasts: 5s, routers: 20, faults: [{at: 1s, do: "kill", some: 5}]'
-    drawn = [trial_of(text, "t", number).faults[0].who for number in (1, 1, 2)]
+    drawn = [trial_of(text, "t", seed).faults[0].who for seed in (1, 1, 2)]
     assert drawn[0] == drawn[1] != drawn[2]
 
 
-def test_the_judge_names_rule_time_and_process(play: Play) -> None:
-    """Each rule is broken in what a real trial left behind, and found."""
-    played = play(trial_of(SMALL + "routers: 2", "t", 1))
-    assert judge(played).violations == []
-    now = played.began + 1.0
-    with played.routers[0].log.open("a") as log:
+def test_judge_reports_rule_time_and_processes(play: Play) -> None:
+    """Every rule is violated in the record of a real trial, and each violation is found."""
+    record = play(trial_of(SMALL_TRIAL + "routers: 2", "t", 1))
+    assert judge(record).violations == []
+    now = record.began + 1.0
+    with record.routers[0].log.open("a") as log:
         log.write(
             f"{now:.3f} gossip_share_changed joined=True unleased_fraction=1.000 fleet_size=1 "
             "by_zone=0,1 view=1\n"
         )
         log.write(
-            f"{now:.3f} gossip_member_changed member={played.ids[1]} state=failed generation=9999999999999\n"
+            f"{now:.3f} gossip_member_changed member={record.ids[1]} state=failed generation=9999999999999\n"
         )
         log.write(f"{now:.3f} internal_error where=x\n")
-    assert played.clients is not None
-    played.clients.lost.append((now, 1))
-    played.repeated = 1
-    played.codes.append((0, -6))
-    played.colds.append((now, "s-1", [now * 1000.0 + 5.0] * 4000))
-    played.drains.append((now - 2.0, now + 1.0, 0x21))
-    played.depot.seen.append(Fetched(now * 1000.0, 0x11, "1", "item-image", "s-00000021"))
+    assert record.clients is not None
+    record.clients.lost.append((now, 1))
+    record.repeated = 1
+    record.codes.append((0, -6))
+    record.colds.append((now, "s-1", [now * 1000.0 + 5.0] * 4000))
+    record.drains.append((now - 2.0, now + 1.0, 0x21))
+    record.depot.seen.append(ReceivedRequest(now * 1000.0, 0x11, "1", "item-image", "s-00000021"))
     item = {"item": "7", "chunk": "0", "cls": "item-image"}
-    played.depot.caches[0].copy("7/0", 0.0)
-    played.purges.append(time.time() * 1000.0)
-    for _ in range(2):  # the second, once the grace is over, is the copy of before
-        played.depot.answer(played.depot.caches[0], "2", item)
+    record.depot.caches[0].copy("7/0", 0.0)
+    record.purges.append(time.time() * 1000.0)
+    for _ in range(2):  # the second answer, after the grace period, is older than the purge
+        record.depot.answer(record.depot.caches[0], "2", item)
         time.sleep(1.1)
-    found = {one.rule: one for one in judge(played).violations}
-    assert set(found) == {"answer", "write", "crash", "bug", "cold", "shares", "failed", "drain", "purge"}
-    assert found["failed"].processes == ("edge-0", "edge-1")
-    assert 0.9 <= found["shares"].at <= 1.1
-
-
-def test_people_are_told_how_the_swarm_stands(tmp_path: Path) -> None:
-    testbed = Testbed(trial_of(SMALL + "routers: 3", "t", 1), 5, tmp_path)
-
-    def asked(*words: str) -> subprocess.CompletedProcess[str]:
+    violations = {violation.rule: violation for violation in judge(record).violations}
+    assert set(violations) == {
+        "answer",
+        "write",
+        "crash",
+        "bug",
+        "cold",
+        "shares",
+        "failed",
+        "drain",
+        "purge",
+    }
+    assert violations["failed"].processes == ("edge-0", "edge-1")
+    assert 0.9 <= violations["shares"].at <= 1.1
+
+
+def test_swarm_commands_report_member_states(tmp_path: Path) -> None:
+    testbed = Testbed(trial_of(SMALL_TRIAL + "routers: 3", "t", 1), 5, tmp_path)
+
+    def run_command(*arguments: str) -> subprocess.CompletedProcess[str]:
         return subprocess.run(
-            [sys.executable, "-m", "stonecove", "swarm", "--socket", testbed.routers[0].socket, *words],
+            [sys.executable, "-m", "stonecove", "swarm", "--socket", testbed.routers[0].socket, *arguments],
             capture_output=True, text=True, check=False,
         )  # fmt: skip
 
     try:
-        for place in range(3):
-            testbed.start(place)
+        for index in range(3):
+            testbed.start(index)
         assert testbed.until(testbed.joined, 30.0)
-        assert testbed.until(lambda: "of 3 members" in asked("status").stdout, 30.0)
-        assert testbed.until(lambda: asked("status").returncode == 0, 30.0)
-        assert "edge-1" in asked("explain", "edge-1").stdout
-        assert asked("explain", "nobody").returncode == 1
+        assert testbed.until(lambda: "of 3 members" in run_command("status").stdout, 30.0)
+        assert testbed.until(lambda: run_command("status").returncode == 0, 30.0)
+        assert "edge-1" in run_command("explain", "edge-1").stdout
+        assert run_command("explain", "nobody").returncode == 1
         testbed.kill(1)
-        assert testbed.until(lambda: "is gone" in asked("explain", "edge-1").stdout, 30.0)
-        assert re.search("gone: (its address refused|told by)", asked("explain", "edge-1").stdout)
-        assert testbed.until(lambda: len(asked("history").stdout.splitlines()) > 5, 30.0)
-        told = json.loads(asked("--json", "status").stdout)["status"]
-        assert told["states"] == {"alive": 1, "gone": 1}
+        assert testbed.until(lambda: "is gone" in run_command("explain", "edge-1").stdout, 30.0)
+        assert re.search("gone: (its address refused|told by)", run_command("explain", "edge-1").stdout)
+        assert testbed.until(lambda: len(run_command("history").stdout.splitlines()) > 5, 30.0)
+        status = json.loads(run_command("--json", "status").stdout)["status"]
+        assert status["states"] == {"alive": 1, "gone": 1}
         address = ":".join(map(str, testbed.relays.address(0, 2)))
-        assert asked("gone", "--yes", "127.0.0.1:1").returncode == 1
-        assert asked("gone", "--yes", address).returncode == 0
+        assert run_command("gone", "--yes", "127.0.0.1:1").returncode == 1
+        assert run_command("gone", "--yes", address).returncode == 0
         testbed.kill(0)
-        assert asked("status").returncode == 2
+        assert run_command("status").returncode == 2
     finally:
         testbed.close()
 
@@ -175,7 +186,7 @@
         ("swarm: {}", {"may": False}, "allow no messages"),
     ],
 )
-def test_a_swarm_that_can_not_be_had_is_one_line_and_code_2(
+def test_invalid_swarm_configuration_exits_with_code_2_and_one_line(
     record: str, changes: dict[str, object], named: str, tmp_path: Path
 ) -> None:
     config = json.loads(json.dumps(Stand.plain_config()))
@@ -185,34 +196,34 @@
     path, operator = tmp_path / "config.json", tmp_path / "operator.cue"
     path.write_text(json.dumps(config))
     operator.write_text(record + "\n")
-    found = subprocess.run(
+    completed = subprocess.run(
         [sys.executable, "-m", "stonecove", "run", "--operator", str(operator)],
         env={"RELAY_CONFIG": str(path)},
         capture_output=True,
         text=True,
         check=False,
     )
-    assert found.returncode == 2
-    assert named in found.stderr and len(found.stderr.splitlines()) == 1
+    assert completed.returncode == 2
+    assert named in completed.stderr and len(completed.stderr.splitlines()) == 1
 
 
-def test_what_was_decided_before_a_stop_is_decided_anew() -> None:
-    """The last look before the first byte: an attempt that has outlived its share never goes."""
+def test_outdated_decision_is_made_again_before_the_first_byte() -> None:
+    """The check before the first byte: an attempt whose share has expired is never sent."""
     simulation = run(simulation_start(scope.named(scope.SMALL, "links")), ("ask 0", "decide"))
     assert isinstance(simulation, Simulation)
-    outlived = [True]
-    simulation.route.send.is_decision_outdated = lambda attempt: bool(outlived) and outlived.pop()
+    outdated = [True]
+    simulation.route.send.is_decision_outdated = lambda attempt: bool(outdated) and outdated.pop()
     simulation.do("up c1.0")
     (request,) = simulation.route.requests
     assert [(one.ended, one.written_at_ms > 0) for one in request.attempts] == [(True, False), (False, False)]
     assert simulation.route.recorder.counts["moot"] == 1
 
 
-def test_a_router_that_was_stopped_says_so_and_one_that_ends_in_order_too(tmp_path: Path) -> None:
-    testbed = Testbed(trial_of(SMALL + "routers: 2", "t", 1), 5, tmp_path)
+def test_suspended_and_terminated_routers_announce_it(tmp_path: Path) -> None:
+    testbed = Testbed(trial_of(SMALL_TRIAL + "routers: 2", "t", 1), 5, tmp_path)
     try:
-        for place in range(2):
-            testbed.start(place)
+        for index in range(2):
+            testbed.start(index)
         assert testbed.until(testbed.joined, 30.0)
         testbed.routers[0].pause()
         time.sleep(1.2)
@@ -220,16 +231,16 @@
         assert testbed.until(lambda: testbed.routers[0].lines("gossip_stopped"), 30.0)
         testbed.routers[0].signal(signal.SIGTERM)
         assert testbed.routers[0].wait() == 0
-        stands = [line["state"] for line in testbed.routers[1].lines("gossip_member_changed")]
+        states = [line["state"] for line in testbed.routers[1].lines("gossip_member_changed")]
         assert testbed.until(
             lambda: testbed.routers[1].lines("gossip_member_changed")[-1]["state"] == "left", 30.0
         )
-        assert "leaving" in stands and "failed" not in stands
+        assert "leaving" in states and "failed" not in states
     finally:
         testbed.close()
 
 
-# -- the moment of joining for good --
+# -- when a router joined for the last time --
 
 
 def _router_with_log(folder: Path, *lines: str) -> RouterProcess:
@@ -239,8 +250,8 @@
     return router
 
 
-def test_a_router_has_joined_for_good_after_its_last_time_without_its_share(tmp_path: Path) -> None:
-    """Guard against a first look at which all are joined, as they have not learned yet what they missed."""
+def test_router_is_joined_since_it_last_regained_its_share(tmp_path: Path) -> None:
+    """Guard against sampling too early: all look joined while none has learned of the fault yet."""
     first = _router_with_log(
         tmp_path / "a",
         "90.000 gossip_share_changed joined=False",  # an earlier process
@@ -253,7 +264,7 @@
     second = _router_with_log(tmp_path / "b", "104.000 gossip_share_changed joined=True")
     assert (joined_for_good(first, 120.0), joined_for_good(second, 120.0)) == (113.5, 104.0)
     assert all_joined_for_good([first, second], 110.0, 120.0) == 113.5
-    assert all_joined_for_good([second], 110.0, 120.0) == 110.0  # all the time
+    assert all_joined_for_good([second], 110.0, 120.0) == 110.0  # joined throughout
     assert all_joined_for_good([first, second], 110.0, 113.0) is None
     assert longest_rejoin(3.0, [first, second], 110.0, 3.0) == 5.0
     assert longest_rejoin(9.0, [first], 110.0, 3.0) == 9.0
--- a/tests/test_zookeeper.py
+++ b/tests/test_zookeeper.py
@@ -1,4 +1,4 @@
-"""ZooKeeper's protocol: bytes taken from its description, the session, and clients that nobody here wrote."""
+"""ZooKeeper's protocol: encodings from its specification, the session, and an independent client (kazoo)."""
 
 from __future__ import annotations
 
@@ -29,9 +29,9 @@
     Up,
     Watched,
 )
-from stonecove.standins.zkdata import Leader, Wanted, ZkError
+from stonecove.standins.zkdata import Leader, WriteRequest, ZkError
 
-# -- bytes, written out by hand from zookeeper.jute --
+# -- encodings, written by hand from zookeeper.jute --
 
 REQUESTS = {
     zk.ping(): "00000008 fffffffe 0000000b",
@@ -98,13 +98,13 @@
 ]
 
 
-def test_requests_are_as_the_description_says() -> None:
-    for made, text in REQUESTS.items():
-        assert made.hex() == text.replace(" ", "")
+def test_requests_are_encoded_as_specified() -> None:
+    for encoded, text in REQUESTS.items():
+        assert encoded.hex() == text.replace(" ", "")
 
 
 @pytest.mark.parametrize(("op", "text", "result"), REPLIES)
-def test_replies_are_read_as_the_description_says(op: Op, text: str, result: zk.Result) -> None:
+def test_replies_are_decoded_as_specified(op: Op, text: str, result: zk.Result) -> None:
     assert zk.read_result(op, jute.Reader(bytes.fromhex(text))) == result
 
 
@@ -121,7 +121,7 @@
         (Op.MULTI, ""),
     ],
 )
-def test_bad_replies_are_a_clear_error(op: Op, text: str) -> None:
+def test_malformed_replies_raise_an_error_that_names_the_operation(op: Op, text: str) -> None:
     with pytest.raises(ZooKeeperError, match=op.name):
         zk.read_result(op, jute.Reader(bytes.fromhex(text)))
 
@@ -153,7 +153,7 @@
     return struct.pack(">i", len(data)) + data
 
 
-class Played:
+class ScriptedSession:
     """A session whose server is scripted."""
 
     def __init__(self, servers: int = 2, auth: tuple[tuple[str, bytes], ...] = ()) -> None:
@@ -168,10 +168,10 @@
             self.now = self.session.plan(self.now).until
         self.session.connecting(self.now)
         self.session.opened(self.now)
-        self.hello = self.session.data_to_send()
-        return self.hear(data)
+        self.connect_request = self.session.data_to_send()
+        return self.receive(data)
 
-    def hear(self, data: bytes) -> list[SessionEvent]:
+    def receive(self, data: bytes) -> list[SessionEvent]:
         self.session.received(data, self.now)
         return self.events()
 
@@ -182,42 +182,42 @@
 
 
 @pytest.mark.parametrize("old", [False, True])
-def test_a_session_comes_up_with_servers_old_and_new(old: bool) -> None:
-    played = Played()
-    assert played.connect(greeting(old=old)) == [Up(0x77, False)]
-    assert played.hello[-1] == 0 and played.session.timeout_s == 6.0
-    played.session.lost("cut", played.now)
-    assert played.events() == [Down("cut")]
-    assert played.connect(greeting(old=old)) == [Up(0x77, True)]
-    assert played.hello.hex().endswith("000000000000007700000002707700")
-
-
-def test_only_the_servers_end_a_session() -> None:
-    played = Played()
-    played.connect()
+def test_a_session_connects_to_servers_with_and_without_read_only_mode(old: bool) -> None:
+    scripted = ScriptedSession()
+    assert scripted.connect(greeting(old=old)) == [Up(0x77, False)]
+    assert scripted.connect_request[-1] == 0 and scripted.session.timeout_s == 6.0
+    scripted.session.lost("cut", scripted.now)
+    assert scripted.events() == [Down("cut")]
+    assert scripted.connect(greeting(old=old)) == [Up(0x77, True)]
+    assert scripted.connect_request.hex().endswith("000000000000007700000002707700")
+
+
+def test_a_session_expires_only_when_a_server_says_so() -> None:
+    scripted = ScriptedSession()
+    scripted.connect()
     for _ in range(5):
-        played.session.lost("cut", played.now)
-        played.now += 3600
-        played.connect(greeting())
-    assert not [event for event in played.seen if isinstance(event, Expired)]
-    played.session.lost("cut", played.now)
-    assert played.connect(greeting(0, 0))[-2:] == [Expired(0x77), Down("the session has expired")]
-    assert played.connect(greeting(0x78)) == [Up(0x78, False)]
-
-
-def test_a_read_only_server_and_one_that_is_behind_are_left() -> None:
-    played = Played()
-    assert played.connect(greeting(read_only=True)) == [Down("read-only")]
-    played.connect()
-    played.session.send_request(1, zk.Sync("/a"), played.now)
-    assert isinstance(played.hear(reply(1, 50, 0, jute.string("/a")))[0], Reply)
-    played.session.lost("cut", played.now)
-    played.connect()
-    played.session.send_request(2, zk.Sync("/a"), played.now)
-    first, down = played.hear(reply(2, 49, 0, jute.string("/a")))
+        scripted.session.lost("cut", scripted.now)
+        scripted.now += 3600
+        scripted.connect(greeting())
+    assert not [event for event in scripted.seen if isinstance(event, Expired)]
+    scripted.session.lost("cut", scripted.now)
+    assert scripted.connect(greeting(0, 0))[-2:] == [Expired(0x77), Down("the session has expired")]
+    assert scripted.connect(greeting(0x78)) == [Up(0x78, False)]
+
+
+def test_read_only_and_lagging_servers_are_disconnected() -> None:
+    scripted = ScriptedSession()
+    assert scripted.connect(greeting(read_only=True)) == [Down("read-only")]
+    scripted.connect()
+    scripted.session.send_request(1, zk.Sync("/a"), scripted.now)
+    assert isinstance(scripted.receive(reply(1, 50, 0, jute.string("/a")))[0], Reply)
+    scripted.session.lost("cut", scripted.now)
+    scripted.connect()
+    scripted.session.send_request(2, zk.Sync("/a"), scripted.now)
+    first, down = scripted.receive(reply(2, 49, 0, jute.string("/a")))
     assert first == Reply(2, Err.CONNECTION_LOSS, None, 0)
     assert isinstance(down, Down) and down.reason.startswith("behind")
-    assert played.session.last_zxid == 50
+    assert scripted.session.last_zxid == 50
 
 
 @pytest.mark.parametrize(
@@ -232,25 +232,25 @@
         b"HTTP/1.1 400 Bad Request\r\n\r\n",
     ],
 )
-def test_what_can_not_be_heeded_leads_to_a_new_connection(data: bytes) -> None:
-    played = Played()
-    played.connect()
-    played.session.send_request(1, zk.GetData("/a"), played.now)
-    events = played.hear(data)
+def test_unexpected_data_leads_to_a_new_connection(data: bytes) -> None:
+    scripted = ScriptedSession()
+    scripted.connect()
+    scripted.session.send_request(1, zk.GetData("/a"), scripted.now)
+    events = scripted.receive(data)
     assert [type(event) for event in events] == [Reply, Down]
-    assert played.session.state is State.WAITING
-    assert played.connect() == [Up(0x77, True)]
+    assert scripted.session.state is State.WAITING
+    assert scripted.connect() == [Up(0x77, True)]
 
 
-def test_watches_are_set_again_in_frames_that_a_server_takes() -> None:
-    played = Played()
-    played.connect()
+def test_watches_are_restored_in_frames_of_accepted_size() -> None:
+    scripted = ScriptedSession()
+    scripted.connect()
     for number in range(3000):
-        played.session.send_request(number, zk.GetData(f"/boxes/{'x' * 90}{number:04}", True), played.now)
-        played.hear(reply(number + 1, number + 1, 0, jute.buffer(b"") + STAT.encode()))
-    played.session.lost("cut", played.now)
-    played.connect()
-    data = played.session.data_to_send()
+        scripted.session.send_request(number, zk.GetData(f"/boxes/{'x' * 90}{number:04}", True), scripted.now)
+        scripted.receive(reply(number + 1, number + 1, 0, jute.buffer(b"") + STAT.encode()))
+    scripted.session.lost("cut", scripted.now)
+    scripted.connect()
+    data = scripted.session.data_to_send()
     buffer = Buffer(1 << 22)
     buffer.feed(data)
     frames = list(zk.frames(buffer))
@@ -259,79 +259,84 @@
         frame[:8].hex() == "fffffff800000065" and frame[8:16].hex() == f"{3000:016x}" for frame in frames
     )
     event = reply(-1, -1, 0, jute.int_(3) + jute.int_(3) + jute.string(f"/boxes/{'x' * 90}0000"))
-    assert [type(one) for one in played.hear(event)] == [Watched] and len(played.session.watches.data) == 2999
-
-
-def test_silence_is_pinged_and_then_left() -> None:
-    played = Played()
-    played.connect()
-    start = played.now
-    played.now = played.session.plan(played.now).until
-    assert played.now == start + 2
-    played.session.tick(played.now)
-    assert played.session.data_to_send() == zk.ping()
-    played.now = start + 4
-    played.session.tick(played.now)
-    assert played.events() == [Down("silent")]
-
-
-def test_waits_double_with_jitter_and_servers_take_turns() -> None:
-    played, waits, tried = Played(3), [], []
+    assert [type(received) for received in scripted.receive(event)] == [Watched] and len(
+        scripted.session.watches.data
+    ) == 2999
+
+
+def test_a_silent_server_is_pinged_and_then_disconnected() -> None:
+    scripted = ScriptedSession()
+    scripted.connect()
+    start = scripted.now
+    scripted.now = scripted.session.plan(scripted.now).until
+    assert scripted.now == start + 2
+    scripted.session.tick(scripted.now)
+    assert scripted.session.data_to_send() == zk.ping()
+    scripted.now = start + 4
+    scripted.session.tick(scripted.now)
+    assert scripted.events() == [Down("silent")]
+
+
+def test_backoff_doubles_with_jitter_and_servers_rotate() -> None:
+    scripted, waits, addresses = ScriptedSession(3), [], []
     for _ in range(12):
-        plan = played.session.plan(played.now)
+        plan = scripted.session.plan(scripted.now)
         if plan.connect is None:
-            waits.append(plan.until - played.now)
-            played.now = plan.until
-            plan = played.session.plan(played.now)
+            waits.append(plan.until - scripted.now)
+            scripted.now = plan.until
+            plan = scripted.session.plan(scripted.now)
         assert plan.connect is not None
-        tried.append(plan.connect)
-        played.session.connecting(played.now)
-        played.session.lost("refused", played.now)
-    assert tried == tried[:3] * 4 and len(set(tried)) == 3
+        addresses.append(plan.connect)
+        scripted.session.connecting(scripted.now)
+        scripted.session.lost("refused", scripted.now)
+    assert addresses == addresses[:3] * 4 and len(set(addresses)) == 3
     assert all(0.025 <= wait <= 0.075 for wait in waits[:3])
     assert waits[-1] > 10 * waits[0] and max(waits) <= 7.5 and len(set(waits)) == len(waits)
 
 
-def test_refused_credentials_wait_long_and_slips_of_the_owner_are_told() -> None:
-    played = Played(auth=(("digest", b"u:p"),))
-    played.connect()
-    assert zk.auth("digest", b"u:p") in played.session.data_to_send()
-    assert played.hear(reply(zk.XID_AUTH, 0, -115)) == [Down("our credentials are refused")]
-    assert played.session.state is State.REFUSED and played.session.plan(played.now).until == played.now + 5
+def test_rejected_credentials_wait_long_and_misuse_raises() -> None:
+    scripted = ScriptedSession(auth=(("digest", b"u:p"),))
+    scripted.connect()
+    assert zk.auth("digest", b"u:p") in scripted.session.data_to_send()
+    assert scripted.receive(reply(zk.XID_AUTH, 0, -115)) == [Down("our credentials are refused")]
+    assert (
+        scripted.session.state is State.REFUSED
+        and scripted.session.plan(scripted.now).until == scripted.now + 5
+    )
     with pytest.raises(RuntimeError, match="opened while refused"):
-        played.session.opened(played.now)
+        scripted.session.opened(scripted.now)
 
 
 @seed(20261201)
 @settings(max_examples=400, deadline=None, database=None)
 @given(st.lists(st.binary(max_size=64), max_size=6), st.booleans())
 def test_no_bytes_crash_the_session(parts: list[bytes], framed: bool) -> None:
-    played = Played()
-    played.connect()
+    scripted = ScriptedSession()
+    scripted.connect()
     for number in range(3):
-        played.session.send_request(
-            number, (zk.GetData("/a"), zk.GetChildren2("/a"), zk.Sync("/a"))[number], played.now
+        scripted.session.send_request(
+            number, (zk.GetData("/a"), zk.GetChildren2("/a"), zk.Sync("/a"))[number], scripted.now
         )
     for part in parts:
-        if played.session.state is not State.CONNECTED:
+        if scripted.session.state is not State.CONNECTED:
             break
-        played.hear(struct.pack(">i", len(part)) + part if framed else part)
-    assert played.session.state in (State.CONNECTED, State.WAITING)
+        scripted.receive(struct.pack(">i", len(part)) + part if framed else part)
+    assert scripted.session.state in (State.CONNECTED, State.WAITING)
 
 
-# -- the stand-in, by kazoo --
+# -- the stand-in, tested with the kazoo client --
 
 
 @pytest.fixture(scope="module")
-def keeper() -> Iterator[CoordinationEnsemble]:
+def ensemble() -> Iterator[CoordinationEnsemble]:
     running = CoordinationEnsemble(3, lag=15.0)
     yield running
     running.close()
 
 
 @pytest.fixture
-def kazoo(keeper: CoordinationEnsemble) -> Iterator[KazooClient]:
-    client = keeper.client()
+def kazoo(ensemble: CoordinationEnsemble) -> Iterator[KazooClient]:
+    client = ensemble.client()
     yield client
     client.stop()
     client.close()
@@ -344,36 +349,36 @@
     assert kazoo.create("/rw/a/n-", b"y", sequence=True, ephemeral=True) == "/rw/a/n-0000000001"
     assert kazoo.set(path, b"z").version == 1 and kazoo.get(path)[0] == b"z"
     assert kazoo.get_children("/rw/a", include_data=True)[1].numChildren == 2
-    wrongs: list[tuple[Callable[[], object], type[Exception]]] = [
+    failing_calls: list[tuple[Callable[[], object], type[Exception]]] = [
         (lambda: kazoo.set(path, b"", version=9), BadVersionError),
         (lambda: kazoo.delete("/rw/none"), NoNodeError),
         (lambda: kazoo.create(path), NodeExistsError),
         (lambda: kazoo.delete("/rw/a"), NotEmptyError),
     ]
-    for wrong, error in wrongs:
+    for call, error in failing_calls:
         with pytest.raises(error):
-            wrong()
+            call()
     assert kazoo.get_acls(path)[0][0].perms == 31 and kazoo.exists("/rw/none") is None
 
 
-def test_kazoo_transactions_do_all_or_nothing(kazoo: KazooClient) -> None:
+def test_kazoo_transactions_are_atomic(kazoo: KazooClient) -> None:
     kazoo.ensure_path("/tx")
-    for version, good in ((0, True), (7, False)):
+    for version, succeeds in ((0, True), (7, False)):
         transaction = kazoo.transaction()
         transaction.create(f"/tx/{version}", b"1")
         transaction.check("/tx", version)
         transaction.set_data(f"/tx/{version}", b"2")
         result = transaction.commit()
-        if good:
+        if succeeds:
             assert result[:2] == ["/tx/0", True] and kazoo.get("/tx/0")[0] == b"2"
         else:
             assert isinstance(result[0], RolledBackError) and isinstance(result[1], BadVersionError)
             assert kazoo.exists("/tx/7") is None
 
 
-def test_kazoo_recipes_run_on_it(keeper: CoordinationEnsemble, kazoo: KazooClient) -> None:
-    other = keeper.client()
-    held, order = threading.Event(), []
+def test_kazoo_recipes_work(ensemble: CoordinationEnsemble, kazoo: KazooClient) -> None:
+    other = ensemble.client()
+    elected, order = threading.Event(), []
 
     def second() -> None:
         with other.Lock("/recipes/lock", "two"):
@@ -387,9 +392,9 @@
     thread.join(WAIT_TIMEOUT_S)
     assert order == ["one", "two"]
     threading.Thread(
-        target=kazoo.Election("/recipes/election", "me").run, args=(held.set,), daemon=True
+        target=kazoo.Election("/recipes/election", "me").run, args=(elected.set,), daemon=True
     ).start()
-    assert held.wait(WAIT_TIMEOUT_S)
+    assert elected.wait(WAIT_TIMEOUT_S)
     counters = [client.Counter("/recipes/counter") for client in (kazoo, other)]
     for _ in range(5):
         for counter in counters:
@@ -397,7 +402,7 @@
     kazoo.sync("/recipes/counter")
     assert counters[0].value == 20
     kazoo.Barrier("/recipes/barrier").create()
-    other.sync("/recipes")  # it is at a server that lags
+    other.sync("/recipes")  # it is connected to a server that lags
     assert not other.Barrier("/recipes/barrier").wait(0.05)
     kazoo.Barrier("/recipes/barrier").remove()
     assert other.Barrier("/recipes/barrier").wait(WAIT_TIMEOUT_S)
@@ -416,15 +421,15 @@
     Stand.wait(lambda: len(parties[0]) == 1, "the other has left the party")
 
 
-def test_kazoo_lives_through_drops_and_notices_an_expiry(keeper: CoordinationEnsemble) -> None:
-    client, states = keeper.client(), []
+def test_kazoo_survives_dropped_connections_and_detects_expiry(ensemble: CoordinationEnsemble) -> None:
+    client, states = ensemble.client(), []
     client.add_listener(lambda state: states.append(state))
     client.create("/alive", ephemeral=True)
     ident = f"{client.client_id[0]:#x}"
-    keeper.do(f"drop {ident}")
+    ensemble.do(f"drop {ident}")
     Stand.wait(lambda: states == ["SUSPENDED", "CONNECTED"], "connected again")
     assert client.exists("/alive") is not None
-    keeper.do(f"expire {ident}")
+    ensemble.do(f"expire {ident}")
     Stand.wait(lambda: "LOST" in states and states[-1] == "CONNECTED", "a new session")
     assert client.exists("/alive") is None and f"{client.client_id[0]:#x}" != ident
     client.stop()
@@ -432,24 +437,24 @@
 
 
 @pytest.mark.parametrize(
-    ("wanted", "code"),
+    ("requests", "code"),
     [
-        ([Wanted("create", "a")], Err.BAD_ARGUMENTS),
-        ([Wanted("create", "/a/../b")], Err.BAD_ARGUMENTS),
-        ([Wanted("create", "/e/x", acl=zk.OPEN_ACL)], Err.NO_CHILDREN_FOR_EPHEMERALS),
-        ([Wanted("create", "/p", acl=())], Err.INVALID_ACL),
-        ([Wanted("set", "/mine", b"x")], Err.NO_AUTH),
-        ([Wanted("check", "/mine", version=3)], Err.NO_AUTH),
+        ([WriteRequest("create", "a")], Err.BAD_ARGUMENTS),
+        ([WriteRequest("create", "/a/../b")], Err.BAD_ARGUMENTS),
+        ([WriteRequest("create", "/e/x", acl=zk.OPEN_ACL)], Err.NO_CHILDREN_FOR_EPHEMERALS),
+        ([WriteRequest("create", "/p", acl=())], Err.INVALID_ACL),
+        ([WriteRequest("set", "/mine", b"x")], Err.NO_AUTH),
+        ([WriteRequest("check", "/mine", version=3)], Err.NO_AUTH),
     ],
 )
-def test_the_stand_in_refuses_what_it_should(wanted: list[Wanted], code: Err) -> None:
+def test_the_stand_in_rejects_invalid_writes(requests: list[WriteRequest], code: Err) -> None:
     leader = Leader()
-    leader.write([Wanted("create", "/e", acl=zk.OPEN_ACL, flags=1)], 5, [], 1)
-    leader.write([Wanted("create", "/mine", acl=(zk.Acl(31, "auth", ""),))], 5, [("digest", "u:p")], 1)
-    with pytest.raises(ZkError) as told:
-        leader.write(wanted, 6, [("digest", "v:p")], 2)
-    assert told.value.code is code and leader.zxid == 2
+    leader.write([WriteRequest("create", "/e", acl=zk.OPEN_ACL, flags=1)], 5, [], 1)
+    leader.write([WriteRequest("create", "/mine", acl=(zk.Acl(31, "auth", ""),))], 5, [("digest", "u:p")], 1)
+    with pytest.raises(ZkError) as raised:
+        leader.write(requests, 6, [("digest", "v:p")], 2)
+    assert raised.value.code is code and leader.zxid == 2
 
 
-def test_event_types_are_those_of_the_description() -> None:
+def test_event_types_are_as_specified() -> None:
     assert [int(kind) for kind in EventType] == [-1, 1, 2, 3, 4, 5, 6, 7]
