--- a/tests/test_scale_run.py
+++ b/tests/test_scale_run.py
@@ -25,9 +25,16 @@
 
 
 def _children(parent: int) -> set[int]:
-    """Return the child processes of all threads of a process, from proc(5)."""
-    pid_lists = [path.read_text() for path in Path(f"/proc/{parent}/task").glob("*/children")]
-    return {int(pid) for pids in pid_lists for pid in pids.split()}
+    """Return the child processes of all threads of a process, from proc(5).
+
+    A thread that ends while the list is read takes its file with it; the list is read again then.
+    """
+    while True:
+        try:
+            pid_lists = [path.read_text() for path in Path(f"/proc/{parent}/task").glob("*/children")]
+        except (FileNotFoundError, ProcessLookupError):
+            continue
+        return {int(pid) for pids in pid_lists for pid in pids.split()}
 
 
 def test_a_small_run_loses_and_repeats_no_event(tmp_path: Path) -> None:
