--- a/benchmarks/capacity_cold.py
+++ b/benchmarks/capacity_cold.py
@@ -1,7 +1,7 @@
-"""What part of the work that a cold node bears is used, where each of many routers has a fixed share of it.
+"""Measure how much of a slow-starting node's limit is used when each of many routers has a fixed share of it.
 
-The decisions of all routers that share the node are played on one clock. The node has just been started, and
-more is asked of it than it bears.
+The decisions of all routers that share the node are simulated on one clock. The node has just started,
+and the offered work exceeds its limit.
 """
 
 from __future__ import annotations
@@ -13,10 +13,10 @@
 from dataclasses import dataclass, field
 
 from benchmarks.capacity_sizes import (
-    CACHE_CARRIES,
-    CLIENT_KB,
-    MEAN_WORK,
-    MISSES,
+    CACHE_CAPACITY,
+    CLIENT_KB_PER_S,
+    MEAN_TRANSFER_MS,
+    MISS_FRACTION,
     ORIGIN_KIND,
     PARENT_KIND,
     ROUTERS,
@@ -24,7 +24,7 @@
     ZONE_ROUTERS,
     edge_settings,
     node,
-    parent_carries,
+    parent_capacity,
     sizes_kb,
 )
 from stonecove.routing.actions import SendAttempt
@@ -41,100 +41,111 @@
 from stonecove.routing.settings import Settings
 from stonecove.routing.slow_start import BUDGET_UTILIZATION, SlowStartBudget
 
-START = 1e12  # ms
-COLD = 4242
-GRACE = 3000.0  # ms that clients wait
-FILL_TAKES = 30.0  # ms more than a hit
+START_MS = 1e12
+COLD_NODE_ID = 4242
+CLIENT_TIMEOUT_MS = 3000.0  # how long clients wait for a response
+FILL_EXTRA_MS = 30.0  # how much longer a fill takes than a hit
 
 
 @dataclass
-class Play:
-    """What was asked of a cold node and what it got: moment and work of each attempt, in ms."""
+class SimulationResult:
+    """Work offered and sent to a slow-starting node: time and work of each attempt, in ms."""
 
-    window: float
-    carries: float
+    window_ms: float
+    capacity: float
     budget: SlowStartBudget
     sent: list[tuple[float, float]] = field(default_factory=list)
     offered: list[tuple[float, float]] = field(default_factory=list)
     requests: int = 0
 
-    def rule(self, now: float) -> float:
-        """The work that it bears within the window that ends now."""
+    def limit_ms(self, now: float) -> float:
+        """Return the work in ms allowed within the window that ends at `now`."""
         return (
-            self.budget.fleet_limit_ms(now, node(COLD)._replace(started_ms=START), self.carries)
+            self.budget.fleet_limit_ms(now, node(COLD_NODE_ID)._replace(started_ms=START_MS), self.capacity)
             / BUDGET_UTILIZATION
         )
 
-    def allowed(self, until: float) -> float:
-        """The work that it bears up to then."""
-        step, moment, allowed = 100.0, START, 0.0
-        while moment < until:
-            allowed += self.rule(moment) * step / self.window
-            moment += step
-        return allowed
+    def allowed_ms(self, until_ms: float) -> float:
+        """Return the work in ms allowed from the start until `until_ms`."""
+        step_ms, time_ms, allowed_ms = 100.0, START_MS, 0.0
+        while time_ms < until_ms:
+            allowed_ms += self.limit_ms(time_ms) * step_ms / self.window_ms
+            time_ms += step_ms
+        return allowed_ms
 
-    def used(self, until: float) -> float:
-        """The part of the rule, over the time up to then, that was used."""
-        return _sum(self.sent, until) / self.allowed(until)
+    def used(self, until_ms: float) -> float:
+        """Return the work sent before `until_ms` as a fraction of the allowed work."""
+        return _work_before(self.sent, until_ms) / self.allowed_ms(until_ms)
 
-    def offered_part(self, until: float) -> float:
-        """What was asked for of the node up to then, as a part of the rule."""
-        return _sum(self.offered, until) / self.allowed(until)
+    def offered_fraction(self, until_ms: float) -> float:
+        """Return the work offered before `until_ms` as a fraction of the allowed work."""
+        return _work_before(self.offered, until_ms) / self.allowed_ms(until_ms)
 
     def worst(self) -> float:
-        """The greatest sum within a window, as a part of the rule then."""
-        inside: deque[tuple[float, float]] = deque()
+        """Return the greatest work sent within any window as a fraction of the limit at its end."""
+        in_window: deque[tuple[float, float]] = deque()
         total = worst = 0.0
-        for at, work in sorted(self.sent):
-            inside.append((at, work))
-            total += work
-            while inside[0][0] <= at - self.window:
-                total -= inside.popleft()[1]
-            worst = max(worst, total / self.rule(at))
+        for at_ms, work_ms in sorted(self.sent):
+            in_window.append((at_ms, work_ms))
+            total += work_ms
+            while in_window[0][0] <= at_ms - self.window_ms:
+                total -= in_window.popleft()[1]
+            worst = max(worst, total / self.limit_ms(at_ms))
         return worst
 
 
-def _sum(works: list[tuple[float, float]], until: float) -> float:
-    return sum(work for at, work in works if at < until)
+def _work_before(attempts: list[tuple[float, float]], until_ms: float) -> float:
+    return sum(work_ms for at_ms, work_ms in attempts if at_ms < until_ms)
 
 
 def cache_list() -> tuple[Node, ...]:
-    """A zone in which the cold cache alone is left: nothing else can take its work."""
+    """Return a zone with the slow-starting cache alone, so that no other cache can take its work."""
     others = (node(5000, PARENT_KIND, 0, 1e6), node(9000, ORIGIN_KIND, 0, 1e6))
-    return (node(COLD)._replace(started_ms=START), *others)
+    return (node(COLD_NODE_ID)._replace(started_ms=START_MS), *others)
 
 
 def parent_list(parents: int) -> tuple[Node, ...]:
-    """Warm caches of a zone, the origin, and of the parents the cold one: only its objects are asked for."""
-    carries = parent_carries(parents)
-    caches = [node(1000 + place) for place in range(ZONE_CACHES)]
-    cold = node(COLD, PARENT_KIND, 0, carries)._replace(started_ms=START)
-    return (*caches, cold, node(9000, ORIGIN_KIND, 0, 1e6))
+    """Return warm caches of a zone, the origin and the slow-starting parent.
+
+    Only the objects of this parent are requested.
+    """
+    capacity = parent_capacity(parents)
+    caches = [node(1000 + index) for index in range(ZONE_CACHES)]
+    cold_node = node(COLD_NODE_ID, PARENT_KIND, 0, capacity)._replace(started_ms=START_MS)
+    return (*caches, cold_node, node(9000, ORIGIN_KIND, 0, 1e6))
 
 
 class _Clock:
-    """Directors, the requests that come to them and the ends of their attempts, in the order of time."""
+    """Directors and the pending ends of their attempts, handled in order of time."""
 
     def __init__(self, settings: Settings, count: int, nodes: tuple[Node, ...]) -> None:
         self.directors = [Director(settings, seed) for seed in range(count)]
         for director in self.directors:
-            director.handle(START, EndpointListUpdate(EndpointListKind.SNAPSHOT, nodes))
-        self._ends: list[tuple[float, int, int, Event]] = []
-        self._order = itertools.count()
+            director.handle(START_MS, EndpointListUpdate(EndpointListKind.SNAPSHOT, nodes))
+        self._pending: list[tuple[float, int, int, Event]] = []
+        self._sequence = itertools.count()
 
-    def later(self, at: float, place: int, event: Event) -> None:
-        heapq.heappush(self._ends, (at, next(self._order), place, event))
+    def schedule(self, at_ms: float, director_index: int, event: Event) -> None:
+        heapq.heappush(self._pending, (at_ms, next(self._sequence), director_index, event))
 
     def run_until(self, now: float) -> None:
-        while self._ends and self._ends[0][0] <= now:
-            at, _, place, event = heapq.heappop(self._ends)
-            self.directors[place].handle(at, event)
-
-
-def play(
-    count: int, nodes: tuple[Node, ...], carries: float, press: float, lasts: float, parent: bool
-) -> Play:
-    """`press`: work asked of the cold node, as a multiple of what it carries when warm; `lasts`: ms."""
+        while self._pending and self._pending[0][0] <= now:
+            at_ms, _, director_index, event = heapq.heappop(self._pending)
+            self.directors[director_index].handle(at_ms, event)
+
+
+def simulate(
+    count: int,
+    nodes: tuple[Node, ...],
+    capacity: float,
+    load_multiple: float,
+    duration_ms: float,
+    parent: bool,
+) -> SimulationResult:
+    """Simulate requests for a slow-starting node.
+
+    `load_multiple`: offered work as a multiple of the node's capacity when warm.
+    """
     settings = edge_settings(**({"fleet_size": count} if parent else {"routers_by_zone": (0, count)}))
     budget = SlowStartBudget(settings.overload_window_ms)
     budget.configure(
@@ -142,72 +153,95 @@
         settings.parent_slow_start_ms if parent else settings.slow_start_ms,
         settings.parent_overload_multiple if parent else settings.overload_multiple,
     )
-    result = Play(settings.overload_window_ms, carries, budget)
-    clock, chooser, sizes = _Clock(settings, count, nodes), random.Random(11), sizes_kb(13)
-    fills = MISSES if parent else 1.0
-    gap = MEAN_WORK * fills / (press * carries)  # ms between two requests
-    now = START
-    while now < START + lasts:
-        now += chooser.expovariate(1.0 / gap)
+    result = SimulationResult(settings.overload_window_ms, capacity, budget)
+    clock, generator, sizes = _Clock(settings, count, nodes), random.Random(11), sizes_kb(13)
+    request_fraction = MISS_FRACTION if parent else 1.0
+    mean_gap_ms = MEAN_TRANSFER_MS * request_fraction / (load_multiple * capacity)  # between two requests
+    now = START_MS
+    while now < START_MS + duration_ms:
+        now += generator.expovariate(1.0 / mean_gap_ms)
         clock.run_until(now)
-        _ask(clock, chooser, result, now, next(sizes), parent)
+        _send_request(clock, generator, result, now, next(sizes), parent)
     return result
 
 
-def _ask(clock: _Clock, chooser: random.Random, result: Play, now: float, size: float, parent: bool) -> None:
-    """One request at any of the directors; what goes to the cold node is booked, and ends at full pace."""
+def _send_request(
+    clock: _Clock, generator: random.Random, result: SimulationResult, now: float, size: float, parent: bool
+) -> None:
+    """Send a request to a random director; record what goes to the slow-starting node.
+
+    Attempts end at the full transfer rate.
+    """
     result.requests += 1
-    place, work = chooser.randrange(len(clock.directors)), size / CLIENT_KB * 1000.0
-    filled = chooser.random() < MISSES
-    if filled or not parent:
-        result.offered.append((now, work))
-    request = RequestReceived(result.requests, 0, chooser.getrandbits(60) | 1, GRACE, size, 3, 0)
-    for action in clock.directors[place].handle(now, request):
+    director_index, work_ms = generator.randrange(len(clock.directors)), size / CLIENT_KB_PER_S * 1000.0
+    is_fill = generator.random() < MISS_FRACTION
+    if is_fill or not parent:
+        result.offered.append((now, work_ms))
+    request = RequestReceived(
+        result.requests, 0, generator.getrandbits(60) | 1, CLIENT_TIMEOUT_MS, size, 3, 0
+    )
+    for action in clock.directors[director_index].handle(now, request):
         if isinstance(action, SendAttempt):
-            if (action.source_id if parent else action.node_id) == COLD and (filled or not parent):
-                result.sent.append((now, work))
-            took = work + (FILL_TAKES if filled else 1.0)
-            note = CacheStatus.FILLED if filled else CacheStatus.HIT
+            if (action.source_id if parent else action.node_id) == COLD_NODE_ID and (is_fill or not parent):
+                result.sent.append((now, work_ms))
+            attempt_ms = work_ms + (FILL_EXTRA_MS if is_fill else 1.0)
+            cache_status = CacheStatus.FILLED if is_fill else CacheStatus.HIT
             end = AttemptEnded(
-                request.request_id, 0, action.node_id, Outcome.OK, took, True, note, FILL_TAKES * filled, ()
+                request.request_id,
+                0,
+                action.node_id,
+                Outcome.OK,
+                attempt_ms,
+                True,
+                cache_status,
+                FILL_EXTRA_MS * is_fill,
+                (),
             )
-            clock.later(now + took, place, end)
+            clock.schedule(now + attempt_ms, director_index, end)
 
 
-def own_requests(count: int, carries: float, parent: bool) -> float:
-    """Mean transfers that a router's share of a window holds in the moment of the start, at its emptiest."""
+def share_requests(count: int, capacity: float, parent: bool) -> float:
+    """Return the mean transfers that fit a router's share of a window when the slow start begins."""
     settings = edge_settings()
-    cold_from = (
+    initial_fraction = (
         settings.parent_slow_start_initial_fraction if parent else settings.slow_start_initial_fraction
     )
     multiple = settings.parent_overload_multiple if parent else settings.overload_multiple
     return (
-        multiple * cold_from * settings.overload_window_ms * carries * BUDGET_UTILIZATION / count / MEAN_WORK
+        multiple
+        * initial_fraction
+        * settings.overload_window_ms
+        * capacity
+        * BUDGET_UTILIZATION
+        / count
+        / MEAN_TRANSFER_MS
     )
 
 
 @dataclass(frozen=True)
 class Scenario:
-    """A cold cache (no parents), or one of so many parents, before so many routers.
+    """A slow-starting cache (no parents), or one of `parents` parents, shared by `routers` routers.
 
-    `press`: work asked of it, as a multiple of what it carries when warm; `lasts`: ms.
+    `load_multiple`: offered work as a multiple of the node's capacity when warm.
     """
 
     name: str
     routers: int
     parents: int
-    press: float
-    lasts: float
+    load_multiple: float
+    duration_ms: float
 
     @property
-    def carries(self) -> float:
-        """Transfers at once that the node carries when warm."""
-        return parent_carries(self.parents) if self.parents else CACHE_CARRIES
+    def capacity(self) -> float:
+        """Return the concurrent transfers that the node can carry when warm."""
+        return parent_capacity(self.parents) if self.parents else CACHE_CAPACITY
 
-    def play(self) -> Play:
-        """Plays it."""
+    def simulate(self) -> SimulationResult:
+        """Simulate the scenario."""
         nodes = parent_list(self.parents) if self.parents else cache_list()
-        return play(self.routers, nodes, self.carries, self.press, self.lasts, self.parents > 0)
+        return simulate(
+            self.routers, nodes, self.capacity, self.load_multiple, self.duration_ms, self.parents > 0
+        )
 
 
 SCENARIOS = (
@@ -220,19 +254,22 @@
 
 
 def measure(scenarios: tuple[Scenario, ...]) -> dict[str, float]:
-    """Used part of the rule, worst window, and how many requests a router's share holds at the start."""
+    """Run the scenarios; return the used fraction, the worst window and the requests of a router's share."""
     figures = {"cold_headroom": BUDGET_UTILIZATION}
-    for one in scenarios:
-        played, end = one.play(), START + one.lasts
-        found = {
-            "own_requests": own_requests(one.routers, one.carries, one.parents > 0),
-            "offered_first": played.offered_part(START + played.window),
-            "used_first": played.used(START + played.window),
-            "offered": played.offered_part(end),
-            "used": played.used(end),
-            "worst": played.worst(),
+    for scenario in scenarios:
+        result, end = scenario.simulate(), START_MS + scenario.duration_ms
+        scenario_figures = {
+            "own_requests": share_requests(scenario.routers, scenario.capacity, scenario.parents > 0),
+            "offered_first": result.offered_fraction(START_MS + result.window_ms),
+            "used_first": result.used(START_MS + result.window_ms),
+            "offered": result.offered_fraction(end),
+            "used": result.used(end),
+            "worst": result.worst(),
         }
-        told = " ".join(f"{key}={value:.3g}" for key, value in found.items())
-        print(f"  {one.name} ({one.routers} routers, {played.requests} requests): {told}", flush=True)
-        figures |= {f"cold_{one.name}_{key}": value for key, value in found.items()}
+        shown = " ".join(f"{key}={value:.3g}" for key, value in scenario_figures.items())
+        print(
+            f"  {scenario.name} ({scenario.routers} routers, {result.requests} requests): {shown}",
+            flush=True,
+        )
+        figures |= {f"cold_{scenario.name}_{key}": value for key, value in scenario_figures.items()}
     return figures
--- a/benchmarks/capacity_control.py
+++ b/benchmarks/capacity_control.py
@@ -1,17 +1,17 @@
-"""What the control plane costs by the size of the fleet, and what that comes to at 730 routers.
+"""Measure the cost of the control plane by fleet size and extrapolate it to 730 routers.
 
     python -m benchmarks.capacity_control [--part NAME]... [--short] [--sizes 25,50] [--figures FILE]
 
 `swarm`         datagrams, bytes, CPU and memory of the decisions, on a simulated clock (`trial.model`)
 `log`           bytes and TCP segments of one follower of the change log, by the server's batching window
-`fanout`        CPU of a server that tells N followers
+`fanout`        CPU of a server that notifies N followers
 `follower`      CPU and memory of the real router by purges, restarts and SIGHUPs
 `coordination`  bytes of ZooKeeper sessions against the stand-in ensemble
 `supervisor`    the supervisor of a host by its instances
-`processes`     CPU of 20 idle routers with a swarm and without
-`days`          the figures of the other parts, of this run or of `--figures FILE`, worked out for whole days
+`processes`     CPU of 20 idle routers with and without a swarm
+`days`          whole days, computed from the figures of the other parts (this run or `--figures FILE`)
 
-Bytes include IP and UDP or TCP headers, sent and received together. All sockets are on loopback. The last
+Bytes include IP and UDP or TCP headers, sent plus received. All sockets are on loopback. The last
 line is `key=value ...`; without `--part` all parts run.
 """
 
@@ -48,19 +48,19 @@
 @click.option("--sizes", default="", help="Sizes of simulated fleets, as 25,50,100.")
 @click.option("--figures", "earlier", type=click.Path(exists=True, path_type=Path))
 def main(parts: tuple[str, ...], short: bool, sizes: str, earlier: Path | None) -> None:
-    """Measures the parts that are named, or all."""
-    wanted = parts or ("swarm", *PARTS, "days")
-    chosen = [int(size) for size in sizes.split(",") if size] or (SHORT_SIZES if short else SIZES)
+    """Run the selected parts, or all of them."""
+    selected_parts = parts or ("swarm", *PARTS, "days")
+    fleet_sizes = [int(size) for size in sizes.split(",") if size] or (SHORT_SIZES if short else SIZES)
     figures: Figures = {}
-    for part in wanted:
+    for part in selected_parts:
         if part == "swarm":
-            figures |= swarm(short, chosen)
+            figures |= swarm(short, fleet_sizes)
         elif part != "days":
             figures |= PARTS[part](short)
         sys.stdout.flush()
-    known = (read_figures(earlier) if earlier else {}) | figures
-    if "days" in wanted and not (short and not earlier):
-        figures |= days(known)
+    available_figures = (read_figures(earlier) if earlier else {}) | figures
+    if "days" in selected_parts and not (short and not earlier):
+        figures |= days(available_figures)
     print(" ".join(f"{key}={value:.4g}" for key, value in figures.items()))
 
 
--- a/benchmarks/capacity_coordination.py
+++ b/benchmarks/capacity_coordination.py
@@ -1,4 +1,4 @@
-"""Sessions with a coordination service: bytes by the number of routers, against the stand-in ensemble."""
+"""Measure the bytes of coordination-service sessions by fleet size, against the stand-in ensemble."""
 
 from __future__ import annotations
 
@@ -23,33 +23,35 @@
 
 
 class CountingSink:
-    """Counts what a tree tells."""
+    """Counts the notifications of a tree watch."""
 
     def __init__(self) -> None:
+        """Start with no notifications."""
         self.puts = 0
         self.complete = False
 
     def put(self, name: str, data: bytes, stat: Stat) -> None:
-        """A node's data."""
+        """Count a node's data."""
         self.puts += 1
 
     def removed(self, names: Iterable[str]) -> None:
-        """Nodes are gone."""
+        """Ignore removed nodes."""
 
     def list_complete(self, names: frozenset[str], confirmed: bool) -> None:
-        """The list was read."""
+        """Note that the list of nodes was read."""
         self.complete = True
 
     def absent(self, confirmed: bool) -> None:
-        """Nobody made the path."""
+        """Ignore that the path does not exist."""
 
 
-class Member:
-    """One router's session: the caches' nodes, its own node and those of all routers."""
+class RouterSession:
+    """One router's session: it watches the nodes of caches and routers and registers its own node."""
 
     CACHES_PATH, ROUTERS_PATH = "/stonecove/boxes", "/stonecove/routers"
 
     def __init__(self, servers: tuple[tuple[str, int], ...], number: int, recursive: bool) -> None:
+        """Set up the session and its watches; nothing runs yet."""
         self.ensemble = ZooKeeperClient(servers, number, SessionConfig(), lambda: None)
         self.caches, self.routers = CountingSink(), CountingSink()
         record = json.dumps(
@@ -58,7 +60,7 @@
         ).encode()  # fmt: skip
         self.registrar = Registrar(
             self.ROUTERS_PATH, f"router-{number:04}", record, self.ensemble.request,
-            lambda: self.ensemble.session.session, lambda data: False, lambda *what, **more: None,
+            lambda: self.ensemble.session.session, lambda data: False, lambda *arguments, **fields: None,
         )  # fmt: skip
         trees = (
             TreeWatch(self.CACHES_PATH, self.ensemble.request, self.caches, recursive),
@@ -69,14 +71,15 @@
 
     @property
     def settled(self) -> bool:
-        """Whether all is read and its own node stands."""
+        """Return whether both lists are read and the router's own node is registered."""
         return self.caches.complete and self.routers.complete and self.registrar.is_current
 
 
-class Standin:
-    """The stand-in ensemble as a process, and its control port."""
+class StandinEnsemble:
+    """The stand-in ensemble as a process with its control port."""
 
     def __init__(self, servers: int) -> None:
+        """Start the process and connect to its control port."""
         command = [sys.executable, "-m", "stonecove", "standin", "zookeeper", "--servers", str(servers)]
         self.process = subprocess.Popen(command, stdout=subprocess.PIPE, text=True)
         assert self.process.stdout is not None
@@ -86,7 +89,7 @@
         self._stream = socket.create_connection(control).makefile("rw")
 
     def do(self, command: str) -> None:
-        """One command; raises RuntimeError if it fails."""
+        """Run a control command; raises RuntimeError if it fails."""
         self._stream.write(command + "\n")
         self._stream.flush()
         answer = self._stream.readline().strip()
@@ -94,26 +97,26 @@
             raise RuntimeError(f"{command}: {answer}")
 
     def close(self) -> None:
-        """Ends it."""
+        """Stop the process."""
         self._stream.close()
         self.process.terminate()
         self.process.wait(10)
 
 
-class Carried(NamedTuple):
-    """Bytes with headers and segments of all open connections to some ports, both ways."""
+class Traffic(NamedTuple):
+    """Bytes including headers, and segments, of connections in both directions."""
 
     bytes: int
     segments: int
 
-    def since(self, before: Carried) -> Carried:
-        """What was carried from then on."""
-        return Carried(self.bytes - before.bytes, self.segments - before.segments)
+    def since(self, before: Traffic) -> Traffic:
+        """Return the traffic since `before`."""
+        return Traffic(self.bytes - before.bytes, self.segments - before.segments)
 
 
-def carried_to(ports: set[int]) -> dict[int, Carried]:
-    """What each open connection of this process to those ports has carried, by its local port."""
-    found: dict[int, Carried] = {}
+def traffic_by_port(ports: set[int]) -> dict[int, Traffic]:
+    """Return the traffic of each open connection of this process to `ports`, by local port."""
+    results: dict[int, Traffic] = {}
     for name in os.listdir("/proc/self/fd"):
         try:
             if not os.readlink(f"/proc/self/fd/{name}").startswith("socket:"):
@@ -121,115 +124,129 @@
             with socket.socket(fileno=os.dup(int(name))) as sock:
                 if sock.family != socket.AF_INET or sock.getpeername()[1] not in ports:
                     continue
-                one = Segments.of(sock)
-                found[sock.getsockname()[1]] = Carried(one.total, one.out + one.came)
+                item_traffic = Segments.of(sock)
+                results[sock.getsockname()[1]] = Traffic(
+                    item_traffic.total_bytes, item_traffic.segments_sent + item_traffic.segments_received
+                )
         except OSError:
             continue
-    return found
+    return results
 
 
-def carried_since(before: dict[int, Carried], ports: set[int]) -> Carried:
-    """What the connections of before that are still open have carried since."""
-    now = carried_to(ports)
-    parts = [now[port].since(one) for port, one in before.items() if port in now]
-    return Carried(sum(one.bytes for one in parts), sum(one.segments for one in parts))
+def traffic_since(before: dict[int, Traffic], ports: set[int]) -> Traffic:
+    """Return the traffic since `before` of the connections that are still open."""
+    now = traffic_by_port(ports)
+    differences = [now[port].since(item_traffic) for port, item_traffic in before.items() if port in now]
+    return Traffic(
+        sum(item_traffic.bytes for item_traffic in differences),
+        sum(item_traffic.segments for item_traffic in differences),
+    )
 
 
 def coordination(short: bool) -> Figures:
-    """Sessions of several fleets against the stand-in ensemble, plain and recursive watches."""
+    """Measure sessions of several fleet sizes with plain and recursive watches."""
     figures: Figures = {}
     sizes, caches = ((5, 10), 10) if short else ((20, 50, 100), 50)
     for recursive in (False, True):
-        found = [trio.run(_sessions, size, caches, recursive, short) for size in sizes]
-        word = "recursive" if recursive else "plain"
-        print(f"coordination, {word} watches, {caches} caches, sessions: {', '.join(map(str, sizes))}")
-        for name in found[0]:
-            values = [one[name] for one in found]
+        results = [trio.run(_sessions, size, caches, recursive, short) for size in sizes]
+        watch_kind = "recursive" if recursive else "plain"
+        print(f"coordination, {watch_kind} watches, {caches} caches, sessions: {', '.join(map(str, sizes))}")
+        for name in results[0]:
+            values = [item_traffic[name] for item_traffic in results]
             line = line_fit(sizes, values)
             shown = ", ".join(f"{value:.4g}" for value in values)
             print(f"  {name}: {shown}; {line.base:.4g} + {line.slope:.4g} N; {line.at(ROUTERS):.4g} at 730")
-            figures |= {f"coordination_{word}_{name}_{sizes[-1]}": values[-1],
-                        f"coordination_{word}_{name}_slope": line.slope,
-                        f"coordination_{word}_{name}_730": line.at(ROUTERS)}  # fmt: skip
+            figures |= {f"coordination_{watch_kind}_{name}_{sizes[-1]}": values[-1],
+                        f"coordination_{watch_kind}_{name}_slope": line.slope,
+                        f"coordination_{watch_kind}_{name}_730": line.at(ROUTERS)}  # fmt: skip
     return figures
 
 
-async def _until(holds: Callable[[], bool], most: float = 60.0) -> None:
-    with trio.fail_after(most):
-        while not holds():
+async def _wait_until(condition: Callable[[], bool], timeout_s: float = 60.0) -> None:
+    with trio.fail_after(timeout_s):
+        while not condition():
             await trio.sleep(0.05)
 
 
 async def _sessions(count: int, caches: int, recursive: bool, short: bool) -> Figures:
-    keeper = await trio.to_thread.run_sync(Standin, 3)
+    stand_in = await trio.to_thread.run_sync(StandinEnsemble, 3)
     set_log_sink(lambda event, fields: None)
     try:
-        for path in ("/stonecove", Member.CACHES_PATH, Member.ROUTERS_PATH):
-            keeper.do(f"create {path}")
-        for place in range(caches):
-            keeper.do(f"create {Member.CACHES_PATH}/b{place:04} {_cache_record(place, 20.0)}")
+        for path in ("/stonecove", RouterSession.CACHES_PATH, RouterSession.ROUTERS_PATH):
+            stand_in.do(f"create {path}")
+        for index in range(caches):
+            stand_in.do(f"create {RouterSession.CACHES_PATH}/b{index:04} {_cache_record(index, 20.0)}")
         async with trio.open_nursery() as nursery:
-            figures = await _fleet_of_sessions(keeper, nursery, count, caches, recursive, short)
+            figures = await _fleet_of_sessions(stand_in, nursery, count, caches, recursive, short)
             nursery.cancel_scope.cancel()
         return figures
     finally:
         set_log_sink(None)
-        keeper.close()
+        stand_in.close()
 
 
-def _cache_record(place: int, weight: float) -> str:
-    record = {"id": f"s-{place:08x}", "address": f"127.2.0.{place + 1}:7", "zone": "edge-1",
+def _cache_record(index: int, weight: float) -> str:
+    record = {"id": f"s-{index:08x}", "address": f"127.2.0.{index + 1}:7", "zone": "edge-1",
               "kind": "small-box", "cell": 0, "weight": weight, "started": 0, "state": "up"}  # fmt: skip
     return json.dumps(record)
 
 
 async def _fleet_of_sessions(
-    keeper: Standin, nursery: trio.Nursery, count: int, caches: int, recursive: bool, short: bool
+    stand_in: StandinEnsemble, nursery: trio.Nursery, count: int, caches: int, recursive: bool, short: bool
 ) -> Figures:
-    ports = {port for _, port in keeper.servers}
-    members = [Member(keeper.servers, number, recursive) for number in range(count)]
-    for member in members:
-        nursery.start_soon(member.ensemble.run)
-    await _until(lambda: all(member.settled and member.routers.puts >= count for member in members))
+    ports = {port for _, port in stand_in.servers}
+    router_sessions = [RouterSession(stand_in.servers, number, recursive) for number in range(count)]
+    for router_session in router_sessions:
+        nursery.start_soon(router_session.ensemble.run)
+    await _wait_until(
+        lambda: all(
+            router_session.settled and router_session.routers.puts >= count
+            for router_session in router_sessions
+        )
+    )
     await trio.sleep(0.5)
-    started = sum(one.bytes for one in carried_to(ports).values())
+    start_bytes = sum(item_traffic.bytes for item_traffic in traffic_by_port(ports).values())
 
-    seconds = 4.0 if short else 12.0
-    before = carried_to(ports)
-    await trio.sleep(seconds)
-    calm = carried_since(before, ports)
+    duration_s = 4.0 if short else 12.0
+    before = traffic_by_port(ports)
+    await trio.sleep(duration_s)
+    steady = traffic_since(before, ports)
 
-    changes, before = 5 if short else 20, carried_to(ports)
-    puts = [member.caches.puts for member in members]
+    changes, before = 5 if short else 20, traffic_by_port(ports)
+    puts = [router_session.caches.puts for router_session in router_sessions]
     for number in range(changes):
         record = _cache_record(number % caches, 30.0 + number)
-        await trio.to_thread.run_sync(keeper.do, f"set {Member.CACHES_PATH}/b{number % caches:04} {record}")
-        await _until(
-            lambda done=number + 1: all(  # type: ignore[misc]
-                member.caches.puts >= before_it + done
-                for member, before_it in zip(members, puts, strict=True)
+        await trio.to_thread.run_sync(
+            stand_in.do, f"set {RouterSession.CACHES_PATH}/b{number % caches:04} {record}"
+        )
+        await _wait_until(
+            lambda changes_done=number + 1: all(  # type: ignore[misc]
+                router_session.caches.puts >= puts_before + changes_done
+                for router_session, puts_before in zip(router_sessions, puts, strict=True)
             )
         )
     await trio.sleep(0.1)
-    changed = carried_since(before, ports)
+    changed = traffic_since(before, ports)
 
     restarts = 2 if short else 4
     await trio.sleep(0.5)
-    borne: list[Carried] = []  # by all others
-    for number, member in enumerate(members[:restarts]):
-        before_one = carried_to(ports)
-        member.ensemble.close()
+    restart_traffic: list[Traffic] = []  # by all other routers
+    for number, router_session in enumerate(router_sessions[:restarts]):
+        before_restart = traffic_by_port(ports)
+        router_session.ensemble.close()
         await trio.sleep(0.5)
-        fresh = Member(keeper.servers, number, recursive)
-        nursery.start_soon(fresh.ensemble.run)
-        await _until(lambda new=fresh: new.settled)  # type: ignore[misc]
+        restarted = RouterSession(stand_in.servers, number, recursive)
+        nursery.start_soon(restarted.ensemble.run)
+        await _wait_until(lambda restarted_session=restarted: restarted_session.settled)  # type: ignore[misc]
         await trio.sleep(0.5)
-        borne.append(carried_since(before_one, ports))
+        restart_traffic.append(traffic_since(before_restart, ports))
     return {
-        "start_bytes_each": started / count,
-        "calm_bytes_s": calm.bytes / seconds / count,
-        "calm_segments_s": calm.segments / seconds / count,
+        "start_bytes_each": start_bytes / count,
+        "calm_bytes_s": steady.bytes / duration_s / count,
+        "calm_segments_s": steady.segments / duration_s / count,
         "change_bytes_each": changed.bytes / changes / count,
         "change_segments_each": changed.segments / changes / count,
-        "restart_bytes_each_other": sum(one.bytes for one in borne) / restarts / (count - 1),
+        "restart_bytes_each_other": sum(item_traffic.bytes for item_traffic in restart_traffic)
+        / restarts
+        / (count - 1),
     }
--- a/benchmarks/capacity_processes.py
+++ b/benchmarks/capacity_processes.py
@@ -1,4 +1,4 @@
-"""The real program: its CPU by purges, what restarts and SIGHUPs take, the supervisor of a host."""
+"""Measure the real program: CPU by purge rate, the cost of restarts and SIGHUPs, a host's supervisor."""
 
 from __future__ import annotations
 
@@ -13,9 +13,17 @@
 from collections.abc import Sequence
 from pathlib import Path
 
-from benchmarks.capacity_fits import CACHES, PURGE_RATE, ROUTERS, Figures, cpu_of, line_fit, resident_of
+from benchmarks.capacity_fits import (
+    CACHES,
+    PURGES_PER_S,
+    ROUTERS,
+    Figures,
+    cpu_seconds,
+    line_fit,
+    resident_mb,
+)
 from benchmarks.capacity_log import LogServer
-from benchmarks.swarm import idle
+from benchmarks.swarm import idle_cpu_us_per_s
 from stonecove.commands.demo import free_port, wait_ready
 from stonecove.fleet.control import ControlError, send_command
 from stonecove.standins.depot import HOST
@@ -23,11 +31,11 @@
 
 
 def known_caches(count: int) -> dict[str, object]:
-    """The list of the start with that many caches that nobody asks."""
+    """Return an initial endpoint list of `count` caches that receive no requests."""
     entries = [
         {
-            "instanceId": f"s-{0x100 + place:08x}",
-            "hostPort": f"127.3.{place // 250}.{place % 250 + 1}:7",
+            "instanceId": f"s-{0x100 + index:08x}",
+            "hostPort": f"127.3.{index // 250}.{index % 250 + 1}:7",
             "zone": "edge-1",
             "machineType": "small-box",
             "cell": 0,
@@ -35,7 +43,7 @@
             "weight": 20.0,
             "startedAtMs": 0,
         }
-        for place in range(count)
+        for index in range(count)
     ]
     return {
         "seq": 1,
@@ -47,7 +55,7 @@
     """The real program, following a change log."""
 
     def __init__(self, folder: Path, server: LogServer, caches: int) -> None:
-        """Returns once it is ready; `ready_s` and `cpu_s` are what that took."""
+        """Start the router and wait until it is ready; `ready_s` and `cpu_s` tell how long that took."""
         self.port = free_port()
         config = folder / "config.json"
         config.write_text(
@@ -63,25 +71,25 @@
                 }
             )
         )
-        environ = {**os.environ, "RELAY_CONFIG": str(config)}
-        began = time.monotonic()
+        environment = {**os.environ, "RELAY_CONFIG": str(config)}
+        started_at_s = time.monotonic()
         self.process = subprocess.Popen(
-            [sys.executable, "-m", "stonecove"], stderr=subprocess.DEVNULL, env=environ
+            [sys.executable, "-m", "stonecove"], stderr=subprocess.DEVNULL, env=environment
         )
         wait_ready(self.port, self.process)
-        self.ready_s = time.monotonic() - began
-        self.cpu_s = cpu_of(self.process.pid)
+        self.ready_s = time.monotonic() - started_at_s
+        self.cpu_s = cpu_seconds(self.process.pid)
 
     def stop(self) -> float:
-        """Seconds from SIGTERM to its end."""
-        began = time.monotonic()
+        """Stop the router with SIGTERM and return the seconds until it has ended."""
+        started_at_s = time.monotonic()
         self.process.send_signal(signal.SIGTERM)
         self.process.wait(30)
-        return time.monotonic() - began
+        return time.monotonic() - started_at_s
 
 
 def follower(short: bool) -> Figures:
-    """CPU and memory of the real router by purges; what a restart and a SIGHUP take."""
+    """Measure the router's CPU and memory by purge rate, and the cost of a restart and a SIGHUP."""
     with tempfile.TemporaryDirectory() as folder:
         figures = _restarts(Path(folder), (12,) if short else (12, 100, CACHES), 2 if short else 5)
         return figures | _purges(Path(folder), (0.0, 220.0) if short else (0.0, 22.0, 220.0, 1100.0), short)
@@ -100,7 +108,7 @@
             server.close()
         print(
             f"restart with {caches} caches, {rounds} starts: {sorted(cpu)[rounds // 2]:.3f} s of CPU and "
-            f"{sorted(ready)[rounds // 2]:.3f} s to ready, {sorted(stop)[rounds // 2]:.3f} s to its end"
+            f"{sorted(ready)[rounds // 2]:.3f} s until ready, {sorted(stop)[rounds // 2]:.3f} s to stop"
         )
         figures |= {
             f"restart_cpu_s_{caches}": sorted(cpu)[rounds // 2],
@@ -115,54 +123,56 @@
     router = Router(folder, server, CACHES)
     pid, seconds, reloads = router.process.pid, 2.0 if short else 8.0, 5 if short else 20
     time.sleep(1.0)
-    used, began_mb, told = [], resident_of(pid), 0
+    cpu_by_rate, initial_mb, purge_count = [], resident_mb(pid), 0
     for rate in rates:
-        before = cpu_of(pid)
-        told += server.run(rate, seconds)
-        used.append((cpu_of(pid) - before) / seconds)
-    line = line_fit(rates, used)
-    server.window, before = 0.5, cpu_of(pid)
-    told += server.run(PURGE_RATE, seconds)
-    gathered = (cpu_of(pid) - before) / seconds
-    ended_mb = resident_of(pid)
-    before = cpu_of(pid)
+        cpu_before_s = cpu_seconds(pid)
+        purge_count += server.run(rate, seconds)
+        cpu_by_rate.append((cpu_seconds(pid) - cpu_before_s) / seconds)
+    line = line_fit(rates, cpu_by_rate)
+    server.window_s, cpu_before_s = 0.5, cpu_seconds(pid)
+    purge_count += server.run(PURGES_PER_S, seconds)
+    batched_cpu = (cpu_seconds(pid) - cpu_before_s) / seconds
+    final_mb = resident_mb(pid)
+    cpu_before_s = cpu_seconds(pid)
     for _ in range(reloads):
         router.process.send_signal(signal.SIGHUP)
         server.run(0.0, 0.1)
-    reload_s = (cpu_of(pid) - before - line.base * reloads * 0.1) / reloads
+    reload_s = (cpu_seconds(pid) - cpu_before_s - line.base * reloads * 0.1) / reloads
     router.stop()
     server.close()
-    shown = ", ".join(f"{cpu * 1e6:.0f} at {rate:g}" for rate, cpu in zip(rates, used, strict=True))
+    shown = ", ".join(f"{cpu * 1e6:.0f} at {rate:g}" for rate, cpu in zip(rates, cpu_by_rate, strict=True))
     print(
-        f"the router's CPU, us a second by purges a second: {shown}; {line.slope * 1e6:.0f} us a purge, "
-        f"{line.base * 1e6:.0f} us a second without, {gathered * 1e6:.0f} at {PURGE_RATE:g} a second "
-        f"gathered for 500 ms; {began_mb:.1f} MB, {ended_mb:.1f} after {told} purges; "
+        f"router CPU, us per second by purges per second: {shown}; {line.slope * 1e6:.0f} us per purge, "
+        f"{line.base * 1e6:.0f} us per second without, {batched_cpu * 1e6:.0f} at {PURGES_PER_S:g} per "
+        f"second batched over 500 ms; {initial_mb:.1f} MB, {final_mb:.1f} after {purge_count} purges; "
         f"SIGHUP {reload_s * 1e3:.2f} ms of CPU"
     )
     return {
         "purge_us": line.slope * 1e6,
         "idle_us_s": line.base * 1e6,
-        "gathered_us_s": gathered * 1e6,
-        "purged_mb": ended_mb - began_mb,
-        "purged": told,
+        "gathered_us_s": batched_cpu * 1e6,
+        "purged_mb": final_mb - initial_mb,
+        "purged": purge_count,
         "reload_cpu_ms": reload_s * 1e3,
     }
 
 
 def supervisor(short: bool) -> Figures:
-    """The supervisor and its idle instances, by their number."""
+    """Measure the supervisor and its idle instances by the number of instances."""
     sizes = (1, 2) if short else (2, 5, 10)
-    found = [_supervised(size, 1.5 if short else 5.0) for size in sizes]
+    results = [_measure_supervisor(size, 1.5 if short else 5.0) for size in sizes]
     figures: Figures = {}
-    for name in found[0]:
-        line = line_fit(sizes, [one[name] for one in found])
-        shown = ", ".join(f"{one[name]:.4g} at {size}" for size, one in zip(sizes, found, strict=True))
-        print(f"supervisor {name}: {shown}; {line.base:.4g} + {line.slope:.4g} an instance")
+    for name in results[0]:
+        line = line_fit(sizes, [result[name] for result in results])
+        shown = ", ".join(
+            f"{result[name]:.4g} at {size}" for size, result in zip(sizes, results, strict=True)
+        )
+        print(f"supervisor {name}: {shown}; {line.base:.4g} + {line.slope:.4g} per instance")
         figures |= {f"supervisor_{name}_base": line.base, f"supervisor_{name}_slope": line.slope}
     return figures
 
 
-def _supervised(instances: int, seconds: float) -> Figures:
+def _measure_supervisor(instances: int, seconds: float) -> Figures:
     server = LogServer()
     with tempfile.TemporaryDirectory() as text:
         folder = Path(text)
@@ -185,18 +195,18 @@
         )
         command = [sys.executable, "-m", "stonecove", "fleet", "--operator", str(operator), "run"]
         process = subprocess.Popen(command, stderr=subprocess.DEVNULL)
-        beats = threading.Thread(target=server.run, args=(0.0, seconds + 60.0), daemon=True)
-        beats.start()
+        heartbeats = threading.Thread(target=server.run, args=(0.0, seconds + 60.0), daemon=True)
+        heartbeats.start()
         try:
             pids = _pids_when_ready(fleet, instances)
             time.sleep(1.0)
-            before, idle_before = cpu_of(process.pid), sum(map(cpu_of, pids))
+            cpu_before_s, instances_cpu_before_s = cpu_seconds(process.pid), sum(map(cpu_seconds, pids))
             time.sleep(seconds)
             return {
-                "cpu_us_s": (cpu_of(process.pid) - before) / seconds * 1e6,
-                "mb": resident_of(process.pid),
-                "instances_cpu_us_s": (sum(map(cpu_of, pids)) - idle_before) / seconds * 1e6,
-                "instances_mb": sum(map(resident_of, pids)),
+                "cpu_us_s": (cpu_seconds(process.pid) - cpu_before_s) / seconds * 1e6,
+                "mb": resident_mb(process.pid),
+                "instances_cpu_us_s": (sum(map(cpu_seconds, pids)) - instances_cpu_before_s) / seconds * 1e6,
+                "instances_mb": sum(map(resident_mb, pids)),
             }
         finally:
             process.terminate()
@@ -204,21 +214,23 @@
 
 
 def _pids_when_ready(folder: Path, count: int) -> list[int]:
-    limit = time.monotonic() + 60.0
-    while time.monotonic() < limit:
+    deadline_s = time.monotonic() + 60.0
+    while time.monotonic() < deadline_s:
         try:
-            units = send_command(folder, "status")["instances"]
+            statuses = send_command(folder, "status")["instances"]
         except ControlError:
-            units = []
-        if len(units) == count and all(unit["phase"] == "ready" for unit in units):
-            return [unit["pid"] for unit in units]
+            statuses = []
+        if len(statuses) == count and all(status["phase"] == "ready" for status in statuses):
+            return [status["pid"] for status in statuses]
         time.sleep(0.05)
-    raise RuntimeError(f"not all of {count} instances became ready")
+    raise RuntimeError(f"not all of {count} instances became ready within 60 s")
 
 
 def processes(short: bool) -> Figures:
-    """CPU of 20 idle routers as processes, with a swarm and without: what sockets add to the decisions."""
+    """Measure the CPU of 20 idle router processes with and without a swarm, sockets included."""
     seconds = 2.0 if short else 8.0
-    beside, without = idle(seconds, True), idle(seconds, False)
-    print(f"20 idle processes: {beside:.0f} us of CPU a second each with a swarm, {without:.0f} without")
-    return {"process_swarm_us_s": beside - without, "process_idle_us_s": without}
+    with_swarm, without = idle_cpu_us_per_s(seconds, True), idle_cpu_us_per_s(seconds, False)
+    print(
+        f"20 idle processes: {with_swarm:.0f} us of CPU per second each with a swarm, {without:.0f} without"
+    )
+    return {"process_swarm_us_s": with_swarm - without, "process_idle_us_s": without}
--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -1,11 +1,11 @@
-"""A fleet on one host: through kills, a roll and a reload, and how near a shared budget is used.
+"""Measure a fleet on one host: kills, a roll-out and a reload, and the use of a shared budget.
 
     python -m benchmarks.fleet [--short] [--minutes N] [--cold]
 
-Part one runs the real supervisor and 20 real instances against stand-in caches; part two has boxes start cold
-that keep the book on what they are sent (`--cold`: without part one). Part three plays the decisions
-of the shared budget alone (`sharing.leases`), beside guards that share by their number. The last line is
-`key=value ...`.
+Part one runs the real supervisor and 20 real instances against stand-in caches; part two restarts stand-in
+caches, which record the requests sent to them during slow start (`--cold`: without part one). Part three
+simulates the decisions of the shared budget alone (`quotas.leases`), compared with fixed shares. The last
+line is `key=value ...`.
 """
 
 from __future__ import annotations
@@ -30,8 +30,8 @@
 
 HOST = "127.77.7.7"
 FIRST_PORT = 7300
-PACE = 200.0  # requests a second in all
-TICKS = os.sysconf("SC_CLK_TCK")
+REQUESTS_PER_S = 200.0  # requests per second of all clients
+TICKS_PER_S = os.sysconf("SC_CLK_TCK")
 
 
 def _addresses(instances: int) -> list[tuple[str, int]]:
@@ -45,29 +45,29 @@
         return {}
 
 
-def _all_ready(folder: Path, count: int, patience: float = 60.0) -> float:
-    began = time.monotonic()
-    while time.monotonic() < began + patience:
+def _all_ready(folder: Path, count: int, timeout_s: float = 60.0) -> float:
+    started_at_s = time.monotonic()
+    while time.monotonic() < started_at_s + timeout_s:
         units = _status(folder)
         if len(units) == count and all(unit["phase"] == "ready" for unit in units.values()):
-            return time.monotonic() - began
+            return time.monotonic() - started_at_s
         time.sleep(0.02)
-    raise RuntimeError(f"not all of {count} instances became ready")
+    raise RuntimeError(f"not all of {count} instances became ready in time")
 
 
-def _cpu(pid: int) -> float:
+def _cpu_s(pid: int) -> float:
     try:
         fields = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
     except OSError:
         return 0.0
-    return (int(fields[11]) + int(fields[12])) / TICKS
+    return (int(fields[11]) + int(fields[12])) / TICKS_PER_S
 
 
-def live(instances: int, seconds: float) -> dict[str, float]:
-    """The real fleet under load, with a kill every few seconds, a roll and a reload."""
+def measure_fleet(instances: int, seconds: float) -> dict[str, float]:
+    """Run the real fleet under load with a kill every few seconds, a roll-out and a reload."""
     depot = Depot(caches=6)
-    with tempfile.TemporaryDirectory() as text:
-        folder = Path(text)
+    with tempfile.TemporaryDirectory() as folder_name:
+        folder = Path(folder_name)
         base, operator, fleet = folder / "base.json", folder / "operator.cue", folder / "fleet"
         base.write_text(
             json.dumps(
@@ -87,19 +87,19 @@
             f"count: {instances}}}}}\n"
         )
         command = [sys.executable, "-m", "stonecove", "fleet", "--operator", str(operator)]
-        began = time.monotonic()
+        started_at_s = time.monotonic()
         supervisor = subprocess.Popen([*command, "run"], stderr=subprocess.DEVNULL)
         try:
             _all_ready(fleet, instances)
-            ready = time.monotonic() - began
-            clients = ClosedLoopClients(_addresses(instances), PACE)
-            chooser, kills = random.Random(5), list[tuple[float, int]]()
-            pids = {unit["pid"]: _cpu(unit["pid"]) for unit in _status(fleet).values()}
+            ready_s = time.monotonic() - started_at_s
+            clients = ClosedLoopClients(_addresses(instances), REQUESTS_PER_S)
+            generator, kills = random.Random(5), list[tuple[float, int]]()
+            pids = {unit["pid"]: _cpu_s(unit["pid"]) for unit in _status(fleet).values()}
             start = time.monotonic()
             time.sleep(min(5.0, seconds / 6))
-            used = sum(_cpu(pid) - before for pid, before in pids.items())
-            asked = sum(clients.answers.values())
-            cpu = used / max(1, asked) * 1e6
+            used = sum(_cpu_s(pid) - before for pid, before in pids.items())
+            answered = sum(clients.answers.values())
+            cpu = used / max(1, answered) * 1e6
             memory = [unit["memory_mb"] for unit in _status(fleet).values()]
             rolled = subprocess.Popen(
                 [*command, "roll"], stdout=subprocess.DEVNULL, stderr=subprocess.DEVNULL
@@ -108,48 +108,51 @@
             reloaded = subprocess.run([*command, "reload"], capture_output=True, check=False, timeout=120)
             while time.monotonic() < start + seconds:
                 time.sleep(min(3.0, seconds / 10))
-                at = chooser.randrange(instances)
-                pid = _status(fleet)[f"r-{at}"]["pid"]
+                instance_index = generator.randrange(instances)
+                pid = _status(fleet)[f"r-{instance_index}"]["pid"]
                 if pid:
-                    kills.append((time.time(), at))
+                    kills.append((time.time(), instance_index))
                     os.kill(pid, signal.SIGKILL)
-            back = _all_ready(fleet, instances)
+            recovered_s = _all_ready(fleet, instances)
             clients.end()
             unexplained = [
-                one
-                for one in clients.lost
-                if not any(at == one[1] and 0 <= one[0] - when < 2.0 for when, at in kills)
+                loss
+                for loss in clients.lost
+                if not any(
+                    instance_index == loss[1] and 0 <= loss[0] - killed_at_s < 2.0
+                    for killed_at_s, instance_index in kills
+                )
             ]
             total = sum(clients.answers.values())
             supervisor.terminate()
             stopping = time.monotonic()
             code = supervisor.wait(60)
-            stopped = time.monotonic() - stopping
+            stop_s = time.monotonic() - stopping
         finally:
             if supervisor.poll() is None:
                 supervisor.kill()
             depot.close()
     histogram = clients.latency_us
     print(
-        f"{instances} instances: all ready after {ready:.2f} s, {sum(memory) / len(memory):.1f} MB each, "
-        f"{cpu:.0f} us of CPU a request"
+        f"{instances} instances: all ready after {ready_s:.2f} s, {sum(memory) / len(memory):.1f} MB each, "
+        f"{cpu:.0f} us of CPU per request"
     )
     print(
         f"{total} answers {dict(clients.answers)}, "
         f"p50 {histogram.get_value_at_percentile(50) / 1000:.2f} ms, "
         f"p99 {histogram.get_value_at_percentile(99) / 1000:.2f} ms; {clients.refused_connections} refused, "
-        f"{clients.crossed} crossed a close"
+        f"{clients.crossed} sent while the connection was closing"
     )
     print(
-        f"{len(kills)} kills took along {len(clients.lost) - len(unexplained)} requests in flight; "
-        f"{len(unexplained)} others had no answer; roll ended with {rolled.returncode}, reload with "
+        f"{len(kills)} kills lost {len(clients.lost) - len(unexplained)} requests in flight; "
+        f"{len(unexplained)} others had no answer; roll-out ended with {rolled.returncode}, reload with "
         f"{reloaded.returncode}; {depot.count_repeated_writes()} writes ran twice; "
-        f"all ready again after {back:.2f} s; "
-        f"stopped in {stopped:.2f} s with {code}"
+        f"all ready again after {recovered_s:.2f} s; "
+        f"stopped in {stop_s:.2f} s with {code}"
     )
     return {
         "instances": instances,
-        "ready_s": ready,
+        "ready_s": ready_s,
         "mb_each": sum(memory) / len(memory),
         "cpu_us": cpu,
         "answers": total,
@@ -157,37 +160,42 @@
         "lost_in_kills": len(clients.lost) - len(unexplained),
         "lost_otherwise": len(unexplained),
         "roll_code": rolled.returncode or 0,
-        "stop_s": stopped,
+        "stop_s": stop_s,
     }
 
 
-COLD_KB, COLD_WEIGHT, COLD_EVERY = 200, 1.0, 8.0
-RULES = {"cold_from": 0.25, "overload_for": 3.0, "tip_multiple": 4.0, "warm_up": 16.0}  # as in the settings
-HEADROOM = 0.6  # the part of the rule that routers use: sizes are rough
+COLD_KB, COLD_WEIGHT, COLD_START_INTERVAL_S = 200, 1.0, 8.0
+# The same values as in the settings.
+OVERLOAD_SETTINGS = {"cold_from": 0.25, "overload_for": 3.0, "tip_multiple": 4.0, "warm_up": 16.0}
+UTILIZATION_TARGET = 0.6  # the fraction of the limit that routers use, since sizes are estimates
 
 
-def _allowed(age: float) -> float:
-    """The work in ms that a box of that age in seconds may be sent within a window, at the least."""
-    warmed = max(0.0, age - RULES["overload_for"]) / RULES["warm_up"]
-    present = min(1.0, RULES["cold_from"] + (1 - RULES["cold_from"]) * warmed)
-    return RULES["tip_multiple"] * present * RULES["overload_for"] * 1000.0 * COLD_WEIGHT
+def _allowed_ms(age_s: float) -> float:
+    """Return the lowest work limit per window, in ms, of a cache that started `age_s` seconds ago."""
+    warmed = max(0.0, age_s - OVERLOAD_SETTINGS["overload_for"]) / OVERLOAD_SETTINGS["warm_up"]
+    present = min(1.0, OVERLOAD_SETTINGS["cold_from"] + (1 - OVERLOAD_SETTINGS["cold_from"]) * warmed)
+    return (
+        OVERLOAD_SETTINGS["tip_multiple"] * present * OVERLOAD_SETTINGS["overload_for"] * 1000.0 * COLD_WEIGHT
+    )
 
 
-def cold(instances: int, seconds: float, leases: bool, pace: float = 500.0) -> dict[str, float]:
-    """Boxes that start cold under the real fleet, and keep the book on what they are sent.
+def measure_cold_starts(
+    instances: int, seconds: float, leases: bool, requests_per_s: float = 500.0
+) -> dict[str, float]:
+    """Restart caches under the real fleet and record the requests sent to them.
 
-    Returns the mean part of the routers' rule that is used from 3 to 7 s after a start, and the worst part of
-    the true rule within any window.
+    Returns the mean used fraction of the routers' limit from 3 to 7 s after a start, and the greatest
+    fraction of the true limit within any window.
     """
     depot = Depot(caches=4, weight=COLD_WEIGHT)
-    work = COLD_KB / 4200.0 * 1000.0
-    with tempfile.TemporaryDirectory() as text:
-        folder = Path(text)
+    work_ms = COLD_KB / 4200.0 * 1000.0
+    with tempfile.TemporaryDirectory() as folder_name:
+        folder = Path(folder_name)
         base, operator, fleet = folder / "base.json", folder / "operator.cue", folder / "fleet"
-        made = settings()
-        made["fleet_size"] = instances
-        made["domain"]["instances_by_zone"] = [0, instances]  # type: ignore[index]
-        made["domain"]["zone_link_kb_per_s"] = [0.0, 6e6]  # type: ignore[index]
+        router_settings = settings()
+        router_settings["fleet_size"] = instances
+        router_settings["domain"]["instances_by_zone"] = [0, instances]  # type: ignore[index]
+        router_settings["domain"]["zone_link_kb_per_s"] = [0.0, 6e6]  # type: ignore[index]
         base.write_text(
             json.dumps(
                 {
@@ -196,7 +204,7 @@
                     "seed": "7",
                     "changelog": f"127.0.0.1:{depot.log_port}",
                     "known": depot.known(),
-                    "settings": made,
+                    "settings": router_settings,
                 }
             )
         )
@@ -207,27 +215,36 @@
         )
         command = [sys.executable, "-m", "stonecove", "fleet", "--operator", str(operator)]
         supervisor = subprocess.Popen([*command, "run"], stderr=subprocess.DEVNULL)
-        used, worst, told = list[float](), 0.0, 0
+        used, worst, cold_starts = list[float](), 0.0, 0
         try:
             _all_ready(fleet, instances)
-            time.sleep(4.5 if leases else 1.0)  # a lessor that knows nothing of the past begins late
-            clients = ClosedLoopClients(_addresses(instances), pace, skew=True, kb=COLD_KB)
+            # A new lessor knows no earlier leases and starts to grant late.
+            time.sleep(4.5 if leases else 1.0)
+            clients = ClosedLoopClients(_addresses(instances), requests_per_s, skew=True, kb=COLD_KB)
             start = time.monotonic()
             while time.monotonic() < start + seconds:
-                box = depot.caches[told % len(depot.caches)]
-                told += 1
-                box.restart_empty()
-                depot.announce_state(box, "up")
-                time.sleep(COLD_EVERY)
-                book, began = list(box.request_times_ms), box.started_ms
+                cache = depot.caches[cold_starts % len(depot.caches)]
+                cold_starts += 1
+                cache.restart_empty()
+                depot.announce_state(cache, "up")
+                time.sleep(COLD_START_INTERVAL_S)
+                sent_times_ms, cache_started_ms = list(cache.request_times_ms), cache.started_ms
                 for step in range(0, 29):
-                    age = step * 0.25
-                    sent = sum(began + (age - 3.0) * 1000 < at <= began + age * 1000 for at in book) * work
-                    worst = max(worst, sent / _allowed(age))
-                    if age >= 3.0:
-                        used.append(sent / (_allowed(age) * HEADROOM))
+                    age_s = step * 0.25
+                    sent = (
+                        sum(
+                            cache_started_ms + (age_s - 3.0) * 1000
+                            < sent_ms
+                            <= cache_started_ms + age_s * 1000
+                            for sent_ms in sent_times_ms
+                        )
+                        * work_ms
+                    )
+                    worst = max(worst, sent / _allowed_ms(age_s))
+                    if age_s >= 3.0:
+                        used.append(sent / (_allowed_ms(age_s) * UTILIZATION_TARGET))
             clients.end()
-            found = send_command(fleet, "status")["leases"]
+            lease_status = send_command(fleet, "status")["leases"]
             answered, lost = sum(clients.answers.values()), len(clients.lost)
             supervisor.terminate()
             supervisor.wait(60)
@@ -235,90 +252,100 @@
             if supervisor.poll() is None:
                 supervisor.kill()
             depot.close()
-    asked = sum(one["asked"] for one in found["holders"].values()) if found else 0
+    lease_requests = (
+        sum(holder["asked"] for holder in lease_status["holders"].values()) if lease_status else 0
+    )
     print(
-        f"{instances} instances, {told} cold starts, {'leases' if leases else 'shares'}: "
-        f"{sum(used) / len(used):.0%} of the routers' rule used, worst window {worst:.0%} of the true one, "
-        f"{asked / seconds:.1f} questions a second, {answered} answers, {lost} without one, "
+        f"{instances} instances, {cold_starts} cold starts, {'leases' if leases else 'shares'}: "
+        f"{sum(used) / len(used):.0%} of the routers' limit used, worst window {worst:.0%} of the true one, "
+        f"{lease_requests / seconds:.1f} lease requests per second, {answered} answers, {lost} without one, "
         f"{clients.answers['503']} refused"
     )
-    return {"used": sum(used) / len(used), "worst": worst, "questions": asked / seconds, "lost": lost}
+    return {
+        "used": sum(used) / len(used),
+        "worst": worst,
+        "questions": lease_requests / seconds,
+        "lost": lost,
+    }
 
 
-def budget(instances: int, windows: int = 6) -> tuple[float, float, float]:
-    """Parts of the rule that are used over some windows: by shares of 1/N, by leases; and the worst of
-    leases.
+def simulate_leases(instances: int, windows: int = 6) -> tuple[float, float, float]:
+    """Return the used fraction of a limit by shares of 1/N and by leases, and the worst window of leases.
 
-    One cold node; half again as much work as the rule allows comes, at instances in proportion to 1/rank, as
-    web servers that keep to some routers bring it. A piece of work is a two-hundredth of the rule.
+    One slow-starting node; the offered work is 1.5 times its limit, spread over the instances in proportion
+    to 1/rank, as from web servers that prefer some routers. A unit of work is 1/200 of the limit.
     """
-    window, rule = 4.0, 200.0
-    chooser = random.Random(3)
+    window_s, limit = 4.0, 200.0
+    generator = random.Random(3)
     weights = [1.0 / (rank + 1) for rank in range(instances)]
-    own = unleased_fraction_for(instances)
-    lessor = Lessor(window, -2 * window, own)
+    unleased_fraction = unleased_fraction_for(instances)
+    lessor = Lessor(window_s, -2 * window_s, unleased_fraction)
     holders = [LeaseHolder(lessor.lifetime_s) for _ in range(instances)]
     sent: dict[str, list[deque[float]]] = {
-        way: [deque() for _ in range(instances)] for way in ("share", "own")
+        mode: [deque() for _ in range(instances)] for mode in ("share", "own")
     }
     leased: deque[float] = deque()
     count = Counter[str]()
     worst = 0
-    events = round(1.5 * rule * windows)
-    places = chooser.choices(range(instances), weights, k=events)
-    for number, at in enumerate(places):
-        now = number * window / (1.5 * rule)
-        lessor.set_limit(7, rule, now)
-        for way, part in (("share", 1.0), ("own", own)):
-            mine = sent[way][at]
-            while mine and mine[0] <= now - window:
-                mine.popleft()
-            if len(mine) + 1 <= part * rule / instances:
-                mine.append(now)
-                count[way] += 1
-                if way == "own":
+    events = round(1.5 * limit * windows)
+    instance_indexes = generator.choices(range(instances), weights, k=events)
+    for number, instance_index in enumerate(instance_indexes):
+        now = number * window_s / (1.5 * limit)
+        lessor.set_limit(7, limit, now)
+        for mode, fraction in (("share", 1.0), ("own", unleased_fraction)):
+            recent_sends = sent[mode][instance_index]
+            while recent_sends and recent_sends[0] <= now - window_s:
+                recent_sends.popleft()
+            if len(recent_sends) + 1 <= fraction * limit / instances:
+                recent_sends.append(now)
+                count[mode] += 1
+                if mode == "own":
                     leased.append(now)
                 continue
-            if way == "own":
+            if mode == "own":
                 if (
-                    holders[at].unspent_work(7, now) < 1.0
-                    and (asked := holders[at].begin_request(7, now)) is not None
+                    holders[instance_index].unspent_work(7, now) < 1.0
+                    and (request_number := holders[instance_index].begin_request(7, now)) is not None
                 ):
-                    grant = lessor.request_lease(str(at), asked, 7, now, 1.0)
+                    grant = lessor.request_lease(str(instance_index), request_number, 7, now, 1.0)
                     if grant is None:
-                        holders[at].end_request(asked)
+                        holders[instance_index].end_request(request_number)
                     else:
-                        holders[at].accept_grant(grant, now)
-                if holders[at].spend(7, 1.0, now):
+                        holders[instance_index].accept_grant(grant, now)
+                if holders[instance_index].spend(7, 1.0, now):
                     count["leased"] += 1
                     leased.append(now)
-        for back, unspent in holders[at].pop_expired(now):
-            lessor.return_lease(str(at), back, unspent, now)
-        while leased and leased[0] <= now - window:
+        for lease_number, unspent in holders[instance_index].pop_expired(now):
+            lessor.return_lease(str(instance_index), lease_number, unspent, now)
+        while leased and leased[0] <= now - window_s:
             leased.popleft()
         worst = max(worst, len(leased))
-    allowed = rule * windows
-    return count["share"] / allowed, (count["own"] + count["leased"]) / allowed, worst / rule
+    allowed = limit * windows
+    return count["share"] / allowed, (count["own"] + count["leased"]) / allowed, worst / limit
 
 
 def main() -> None:
-    """Measures both parts, and prints the figures."""
+    """Run all parts and print the figures."""
     short = "--short" in sys.argv[1:]
     minutes = float(sys.argv[sys.argv.index("--minutes") + 1]) if "--minutes" in sys.argv[1:] else 1.0
-    figures = {} if "--cold" in sys.argv[1:] else live(20, 12.0 if short else 60.0 * minutes)
+    figures = {} if "--cold" in sys.argv[1:] else measure_fleet(20, 12.0 if short else 60.0 * minutes)
     if figures:
-        alone = live(1, 8.0 if short else 30.0)
-        figures |= {f"alone_{name}": alone[name] for name in ("ready_s", "mb_each", "cpu_us", "answers")}
+        single_instance = measure_fleet(1, 8.0 if short else 30.0)
+        figures |= {
+            f"alone_{name}": single_instance[name] for name in ("ready_s", "mb_each", "cpu_us", "answers")
+        }
     for instances in (5, 20) if short else (1, 5, 20):
-        for way in (False, True):
-            part = cold(instances, COLD_EVERY if short else 10 * COLD_EVERY, way)
-            name = f"live_{'lease' if way else 'share'}_{instances}"
-            figures |= {name: part["used"], f"{name}_worst": part["worst"]}
+        for with_leases in (False, True):
+            result = measure_cold_starts(
+                instances, COLD_START_INTERVAL_S if short else 10 * COLD_START_INTERVAL_S, with_leases
+            )
+            name = f"live_{'lease' if with_leases else 'share'}_{instances}"
+            figures |= {name: result["used"], f"{name}_worst": result["worst"]}
     for instances in (1, 5, 20, 200, 2000):
-        shares, leases, worst = budget(instances)
+        shares, leases, worst = simulate_leases(instances)
         print(
-            f"{instances} instances, a cold node: {shares:.0%} of the rule used by shares, {leases:.0%} by "
-            f"leases; most within one window {worst:.0%}"
+            f"{instances} instances, a slow-starting node: {shares:.0%} of the limit used by shares, "
+            f"{leases:.0%} by leases; worst window {worst:.0%}"
         )
         figures |= {f"share_{instances}": shares, f"lease_{instances}": leases, f"worst_{instances}": worst}
     print(" ".join(f"{name}={value:.4g}" for name, value in figures.items()))
--- a/benchmarks/fuzz.py
+++ b/benchmarks/fuzz.py
@@ -1,11 +1,11 @@
-"""A coverage-guided fuzz of what strangers may send: token formats, the gate, HTTP heads.
+"""Fuzz untrusted input, guided by coverage: token formats, the gate, HTTP request heads.
 
     python -m benchmarks.fuzz [--short] [--seconds N] [--keep FOLDER]
 
-Inputs that reach a pair of lines not reached before are kept and changed further. With --keep, the corpus is
-written into a folder (a file for each target, a line each in base64); `tests/corpus` has one, which
-tests/test_corpus.py plays. Any exception but the documented ones, or a stranger let in, is a find: it is
-printed, and the exit code is 1. The last line is `key=value ...`.
+Inputs that reach a new pair of consecutive lines join the corpus and are mutated further. With --keep, the
+corpus is written to a folder (a file per target, a base64 line per input); `tests/corpus` is such a folder,
+and tests/test_corpus.py replays it. An undocumented exception, or an unauthorized request that is admitted,
+is a finding: it is printed, and the exit code is 1. The last line is `key=value ...`.
 """
 
 from __future__ import annotations
@@ -34,7 +34,7 @@
     ]
 }
 GATE = Gate(Routes([Policy("/svc")]), KeyRing.read(RING), Limits(checks=1e12))
-WORDS = (
+DICTIONARY = (
     b"Bearer |hdnts=|URISigningPackage=|Policy=|Signature=|Key-Pair-Id=hs|Expires=|~hmac=|~acl=/*"
     b"|exp=1900000000|{|}|\r\n|\r\n\r\n|Content-Length: 1|..|%2F|&|=|?|\x00|Range: bytes=0-1"
     b"|Transfer-Encoding: chunked|CloudFront-|regex:|hash:sha-256;|*|!|\xff|99999999999999999999"
@@ -42,29 +42,33 @@
 
 
 def bearer(data: bytes) -> None:
-    """A bearer token; the stranger has no key."""
-    _never(Request("GET", "http", "e", "/svc/a/1/0", "10.0.0.1", "z", f"Bearer {data.decode('latin-1')}"))
+    """Check an input as a bearer token; the attacker has no key."""
+    _require_rejection(
+        Request("GET", "http", "e", "/svc/a/1/0", "10.0.0.1", "z", f"Bearer {data.decode('latin-1')}")
+    )
 
 
 def query(data: bytes) -> None:
-    """A query."""
-    _never(Request("GET", "http", "e", f"/svc/a/1/0?{data.decode('latin-1')}", "10.0.0.1", "z"))
+    """Check an input as a query string."""
+    _require_rejection(Request("GET", "http", "e", f"/svc/a/1/0?{data.decode('latin-1')}", "10.0.0.1", "z"))
 
 
 def cookie(data: bytes) -> None:
-    """A Cookie field."""
-    _never(Request("GET", "http", "e", "/svc/a/1/0", "::1", "z", "", parse_cookies(data.decode("latin-1"))))
+    """Check an input as a Cookie field."""
+    _require_rejection(
+        Request("GET", "http", "e", "/svc/a/1/0", "::1", "z", "", parse_cookies(data.decode("latin-1")))
+    )
 
 
 def path(data: bytes) -> None:
-    """A target; below /svc a token is wanted."""
+    """Check an input as a request target; below /svc a token is required."""
     decision = GATE.check(Request("GET", "http", "e", data.decode("latin-1"), "x", "z"), "x", NOW, NOW)
     if decision.admitted and data.decode("latin-1").partition("?")[0].startswith("/svc/"):
-        raise AssertionError("let in without a token")
+        raise AssertionError("request admitted without a token")
 
 
 def http(data: bytes) -> None:
-    """Bytes of a connection; each request that is taken is answered."""
+    """Feed an input to an HTTP connection and answer each parsed request."""
     session = HttpSession()
     try:
         session.receive_data(data)
@@ -77,9 +81,9 @@
         session.error_response(error)
 
 
-def _never(request: Request) -> None:
+def _require_rejection(request: Request) -> None:
     if GATE.check(request, "x", NOW, NOW).admitted:
-        raise AssertionError("a stranger was let in")
+        raise AssertionError("request with an invalid token admitted")
 
 
 _CLAIMS = '{"exp":1900000000,"sub":"p","res":["/svc/*"],"net":"10.0.0.0/8","depot":"z","mth":["GET"]}'
@@ -109,96 +113,99 @@
 }  # fmt: skip
 
 
-class Reach:
-    """Pairs of lines, one after the other, within our own code."""
+class Coverage:
+    """Coverage: pairs of consecutive lines within the traced modules."""
 
     def __init__(self) -> None:
+        """Start with nothing covered."""
         self.pairs: set[tuple[str, int, int]] = set()
-        self.new = False
+        self.reached_new = False
 
-    def _local(self, frame: FrameType, event: str, _: Any) -> Any:
+    def _trace_line(self, frame: FrameType, event: str, _: Any) -> Any:
         if event == "line":
             name, line = frame.f_code.co_filename, frame.f_lineno
-            pair = name, self._last.get(name, 0), line
-            self._last[name] = line
+            pair = name, self._last_lines.get(name, 0), line
+            self._last_lines[name] = line
             if pair not in self.pairs:
                 self.pairs.add(pair)
-                self.new = True
-        return self._local
+                self.reached_new = True
+        return self._trace_line
 
-    def _call(self, frame: FrameType, event: str, _: Any) -> Any:
+    def _trace_call(self, frame: FrameType, event: str, _: Any) -> Any:
         name = frame.f_code.co_filename
-        return self._local if "/stonecove/access/" in name or name.endswith("/protocols/http.py") else None
+        return (
+            self._trace_line if "/stonecove/access/" in name or name.endswith("/protocols/http.py") else None
+        )
 
     def run(self, target: Callable[[bytes], None], data: bytes) -> bool:
-        """Plays one input; True if it reached what none had."""
-        self._last: dict[str, int] = {}
-        self.new = False
-        sys.settrace(self._call)
+        """Run a target on one input; return whether it reached a new pair of lines."""
+        self._last_lines: dict[str, int] = {}
+        self.reached_new = False
+        sys.settrace(self._trace_call)
         try:
             target(data)
         finally:
             sys.settrace(None)
-        return self.new
+        return self.reached_new
 
 
-def changed(chooser: random.Random, corpus: list[bytes]) -> bytes:
-    """One of the corpus, changed in one to four places."""
-    data = bytearray(chooser.choice(corpus))
-    for _ in range(chooser.randint(1, 4)):
-        at = chooser.randint(0, len(data))
-        match chooser.randrange(6):
+def mutated(generator: random.Random, corpus: list[bytes]) -> bytes:
+    """Return a random input of the corpus with one to four mutations, at most 4,000 bytes long."""
+    data = bytearray(generator.choice(corpus))
+    for _ in range(generator.randint(1, 4)):
+        offset = generator.randint(0, len(data))
+        match generator.randrange(6):
             case 0:
-                data[at:at] = chooser.choice(WORDS)
+                data[offset:offset] = generator.choice(DICTIONARY)
             case 1:
-                del data[at : at + chooser.randint(1, 8)]
+                del data[offset : offset + generator.randint(1, 8)]
             case 2 if data:
-                data[at % len(data)] = chooser.randrange(256)
+                data[offset % len(data)] = generator.randrange(256)
             case 3:
-                other = chooser.choice(corpus)
-                cut = chooser.randint(0, len(other))
-                data[at:] = other[cut:]
+                other = generator.choice(corpus)
+                other_offset = generator.randint(0, len(other))
+                data[offset:] = other[other_offset:]
             case 4:
-                data[at:at] = data[: chooser.randint(0, 40)]
+                data[offset:offset] = data[: generator.randint(0, 40)]
             case _ if data:
-                data[at % len(data)] ^= 1 << chooser.randrange(8)
+                data[offset % len(data)] ^= 1 << generator.randrange(8)
     return bytes(data[:4000])
 
 
 def main() -> int:
-    """Fuzzes all targets in turn; 1 if something was found."""
-    words = sys.argv[1:]
+    """Fuzz all targets in turn; return 1 if there was a finding."""
+    arguments = sys.argv[1:]
     seconds = (
-        float(words[words.index("--seconds") + 1])
-        if "--seconds" in words
-        else (20.0 if "--short" in words else 300.0)
+        float(arguments[arguments.index("--seconds") + 1])
+        if "--seconds" in arguments
+        else (20.0 if "--short" in arguments else 300.0)
     )
-    keep = Path(words[words.index("--keep") + 1]) if "--keep" in words else None
-    chooser, reach, finds, runs = random.Random(11), Reach(), 0, 0
-    kept = 0
-    for name, (target, first) in TARGETS.items():
-        corpus = list(first)
-        end = time.monotonic() + seconds / len(TARGETS)
-        waiting = list(first)
-        while time.monotonic() < end:
-            data = waiting.pop() if waiting else changed(chooser, corpus)
+    corpus_folder = Path(arguments[arguments.index("--keep") + 1]) if "--keep" in arguments else None
+    generator, coverage, findings, runs = random.Random(11), Coverage(), 0, 0
+    kept_inputs = 0
+    for name, (target, initial_inputs) in TARGETS.items():
+        corpus = list(initial_inputs)
+        deadline_s = time.monotonic() + seconds / len(TARGETS)
+        untried = list(initial_inputs)
+        while time.monotonic() < deadline_s:
+            data = untried.pop() if untried else mutated(generator, corpus)
             runs += 1
             try:
-                if reach.run(target, data) and data not in corpus:
+                if coverage.run(target, data) and data not in corpus:
                     corpus.append(data)
             except Exception as error:
-                finds += 1
+                findings += 1
                 print(f"{name}: {error!r} by {data!r}")
-                if finds > 20:
+                if findings > 20:
                     return 1
-        kept += len(corpus)
-        print(f"{name}: {len(corpus)} inputs kept, {len(reach.pairs)} pairs of lines reached so far")
-        if keep is not None:
-            keep.mkdir(exist_ok=True)
-            lines = sorted(base64.b64encode(one).decode() for one in corpus)
-            (keep / f"{name}.b64").write_text("\n".join(lines) + "\n")
-    print(f"runs={runs} kept={kept} pairs={len(reach.pairs)} finds={finds}")
-    return 1 if finds else 0
+        kept_inputs += len(corpus)
+        print(f"{name}: {len(corpus)} inputs kept, {len(coverage.pairs)} pairs of lines reached so far")
+        if corpus_folder is not None:
+            corpus_folder.mkdir(exist_ok=True)
+            lines = sorted(base64.b64encode(kept_input).decode() for kept_input in corpus)
+            (corpus_folder / f"{name}.b64").write_text("\n".join(lines) + "\n")
+    print(f"runs={runs} kept={kept_inputs} pairs={len(coverage.pairs)} finds={findings}")
+    return 1 if findings else 0
 
 
 if __name__ == "__main__":
--- a/benchmarks/rollout.py
+++ b/benchmarks/rollout.py
@@ -1,10 +1,10 @@
-"""How soon a change of the settings is in force at all routers, and what it costs each of them.
+"""Measure how soon a settings change is applied at all routers, and what it costs each of them.
 
     python -m benchmarks.rollout [--short]
 
-Routers' keepers with sessions of their own, in this process, against the stand-in ensemble over loopback;
-the controller is the command's. One process plays all routers, so times are above those of routers that
-have a machine each. The last line is `key=value ...`.
+Runs the routers' configuration agents with a session each in this process, against the stand-in ensemble over
+loopback, with the command's controller. One process runs all routers, so times are longer than with a
+machine for each router. The last line is `key=value ...`.
 """
 
 from __future__ import annotations
@@ -30,61 +30,62 @@
 from stonecove.transport.zookeeper import ZooKeeperClient
 
 PATH = "/stonecove/configuration"
-SESSION = SessionConfig(session_timeout_s=10.0)
-PATIENCE = 30.0
-CHANGES = 3  # the first one of a fleet is not counted: sessions and tables are still being made
+SESSION_CONFIG = SessionConfig(session_timeout_s=10.0)
+TIMEOUT_S = 30.0
+CHANGES = 3  # the first of a fleet is not counted: sessions and tables are still being created
 WAVE_TIMEOUT_MS = 5000.0
 
 
 class CountedSession(Session):
-    """A session that counts its bytes, both ways."""
+    """A session that counts its bytes in both directions."""
 
     bytes_both_ways = 0
 
     def received(self, data: bytes, now: float) -> None:
-        """Counts what comes in."""
+        """Count received bytes."""
         self.bytes_both_ways += len(data)
         super().received(data, now)
 
     def data_to_send(self) -> bytes:
-        """Counts what goes out."""
+        """Count sent bytes."""
         data = super().data_to_send()
         self.bytes_both_ways += len(data)
         return data
 
 
-class PlayedRouter:
-    """Takes all settings over, and tells when."""
+class SimulatedRouter:
+    """Applies all settings and records when."""
 
     def __init__(self, number: int, servers: tuple[Server, ...]) -> None:
+        """Create the agent and its session; nothing runs yet."""
         self.applied_at = 0.0
-        own = settings()
+        initial_settings = settings()
         table = {
             "name": f"edge-{number}",
             "listen": f"127.0.0.1:{10_000 + number}",
             "changelog": "127.0.0.1:1",
-            "settings": own,
+            "settings": initial_settings,
         }
-        self.ensemble = ZooKeeperClient(servers, number, SESSION, lambda: None)
-        self.session = CountedSession(servers, number, SESSION)
+        self.ensemble = ZooKeeperClient(servers, number, SESSION_CONFIG, lambda: None)
+        self.session = CountedSession(servers, number, SESSION_CONFIG)
         self.ensemble.session = self.session
-        self.keeper = ConfigurationAgent(
-            ConfigurationRecord(True, PATH), config_from(table, {}), own, self, {}, Clock()
+        self.agent = ConfigurationAgent(
+            ConfigurationRecord(True, PATH), config_from(table, {}), initial_settings, self, {}, Clock()
         )
-        self.keeper.attach(self.ensemble)
+        self.agent.attach(self.ensemble)
 
     def refuse(self, why: str, version: int) -> None:
-        """Guards against figures of a change that was not taken over."""
+        """Raise, so that no figures come from a change that was not applied."""
         raise RuntimeError(why)
 
     def apply(self, settings: Settings, version: int) -> None:
-        """Takes them over."""
+        """Record when the settings were applied."""
         self.applied_at = time.monotonic()
 
 
 @contextmanager
-def stand_in(servers: int) -> Iterator[tuple[Server, ...]]:
-    """A stand-in ensemble as a process."""
+def stand_in_ensemble(servers: int) -> Iterator[tuple[Server, ...]]:
+    """Run a stand-in ensemble as a process and yield its servers."""
     process = subprocess.Popen(
         [sys.executable, "-m", "stonecove", "standin", "zookeeper", "--servers", str(servers)],
         stdout=subprocess.PIPE,
@@ -92,32 +93,35 @@
     )
     assert process.stdout is not None
     try:
-        found = []
+        addresses = []
         for _ in range(servers):
             host, _, port = process.stdout.readline().split()[-1].rpartition(":")
-            found.append((host, int(port)))
-        yield tuple(found)
+            addresses.append((host, int(port)))
+        yield tuple(addresses)
     finally:
         process.terminate()
-        process.wait(PATIENCE)
+        process.wait(TIMEOUT_S)
 
 
-async def play(count: int, servers: tuple[Server, ...], changes: int) -> tuple[float, float]:
-    """Publishes changes to so many routers: the longest time in ms, the most bytes of a router a change."""
+async def measure_rollouts(count: int, servers: tuple[Server, ...], changes: int) -> tuple[float, float]:
+    """Publish changes to `count` routers.
+
+    Returns the longest time in ms and the most bytes of a router for one change.
+    """
     async with trio.open_nursery() as nursery:
-        routers = [PlayedRouter(number, servers) for number in range(count)]
+        routers = [SimulatedRouter(number, servers) for number in range(count)]
         for router in routers:
             nursery.start_soon(router.ensemble.run)
-            nursery.start_soon(router.keeper.run)
-        slowest, most_bytes = 0.0, 0.0
-        async with service_session(servers, SessionConfig(), PATIENCE) as service:
-            controller = RolloutController(PATH, service, PATIENCE)
-            with trio.fail_after(PATIENCE):
+            nursery.start_soon(router.agent.run)
+        slowest_ms, max_bytes = 0.0, 0.0
+        async with service_session(servers, SessionConfig(), TIMEOUT_S) as service:
+            controller = RolloutController(PATH, service, TIMEOUT_S)
+            with trio.fail_after(TIMEOUT_S):
                 while len(controller.reports.by_name) < count:
                     await trio.sleep(0.05)
             for change in range(changes + 1):
-                counted = [router.session.bytes_both_ways for router in routers]
-                began = time.monotonic()
+                bytes_before = [router.session.bytes_both_ways for router in routers]
+                started_at_s = time.monotonic()
                 state = await controller.publish(
                     {"rules": {"warm_up": 10_000.0 + change}},
                     DEFAULT_WAVES,
@@ -126,28 +130,31 @@
                 assert state is RolloutState.COMPLETE, state
                 if change == 0:
                     continue
-                slowest = max(slowest, *(1000.0 * (router.applied_at - began) for router in routers))
-                spent = [
-                    router.session.bytes_both_ways - before
-                    for router, before in zip(routers, counted, strict=True)
+                slowest_ms = max(
+                    slowest_ms, *(1000.0 * (router.applied_at - started_at_s) for router in routers)
+                )
+                bytes_used = [
+                    router.session.bytes_both_ways - bytes_at_start
+                    for router, bytes_at_start in zip(routers, bytes_before, strict=True)
                 ]
-                most_bytes = max(most_bytes, *spent)
+                max_bytes = max(max_bytes, *bytes_used)
         nursery.cancel_scope.cancel()
-    return slowest, most_bytes
+    return slowest_ms, max_bytes
 
 
 def main() -> None:
-    """Measures all, and prints the figures."""
+    """Run all measurements and print the figures."""
     set_log_sink(lambda event, fields: None)
     changes = 1 if "--short" in sys.argv[1:] else CHANGES
     figures: dict[str, float] = {}
     for count in (50, 150, 400):
-        with stand_in(3) as servers:
-            slowest, most_bytes = trio.run(play, count, servers, changes)
+        with stand_in_ensemble(3) as servers:
+            slowest_ms, max_bytes = trio.run(measure_rollouts, count, servers, changes)
         print(
-            f"{count} routers: in force at the last after {slowest:.0f} ms, {most_bytes:.0f} bytes a router"
+            f"{count} routers: applied by the last after {slowest_ms:.0f} ms, "
+            f"{max_bytes:.0f} bytes per router"
         )
-        figures |= {f"config_max_ms_{count}": slowest, f"config_bytes_{count}": most_bytes}
+        figures |= {f"config_max_ms_{count}": slowest_ms, f"config_bytes_{count}": max_bytes}
     print(f"config_max_ms={max(figures[f'config_max_ms_{count}'] for count in (50, 150, 400)):.4g}", end=" ")
     print(" ".join(f"{name}={value:.4g}" for name, value in figures.items()))
 
--- a/benchmarks/scale.py
+++ b/benchmarks/scale.py
@@ -1,8 +1,8 @@
-"""What control costs by size: the command `stonecove scale run`, with the same options.
+"""Measure the cost of the control plane by fleet size, with the options of `stonecove scale run`.
 
     python -m benchmarks.scale [--short]
 
-Without options it plays 50, 150, 400 and 730 routers. The last line is `key=value ...`.
+Without options it simulates 50, 150, 400 and 730 routers. The last line is `key=value ...`.
 """
 
 from __future__ import annotations
--- a/benchmarks/tokens.py
+++ b/benchmarks/tokens.py
@@ -1,9 +1,9 @@
-"""Tokens: verdicts a second, the front under a mix of good and bad ones, and under a flood of forged ones.
+"""Measure tokens: checks per second, and the HTTP front under valid, invalid and forged ones.
 
     python -m benchmarks.tokens [--short]
 
-Part one plays the gate alone; part two runs one real router with the HTTP front against stand-in caches. The
-last line is `key=value ...`.
+Part one measures the gate alone; part two runs one real router with the HTTP front against stand-in caches.
+The last line is `key=value ...`.
 """
 
 from __future__ import annotations
@@ -49,80 +49,89 @@
     }
 
 
-def _asked(form: str, key: Key, number: int, now: float) -> Request:
-    """A request with a token of its own."""
-    path, until = f"/svc/item-image/{number:016x}/0", int(now) + 300
+def _signed_request(token_format: str, key: Key, number: int, now: float) -> Request:
+    """Return a request with its own token of the given format."""
+    path, expires_at = f"/svc/item-image/{number:016x}/0", int(now) + 300
     query = fields = ""
-    if form == "cloudfront":
-        policy = formats.canned_policy(f"http://e{path}", until)
-        query = "&".join("=".join(pair) for pair in formats.sign_cloudfront(key, policy, True, until))
-    elif form == "edge-auth":
-        query = f"hdnts={formats.sign_edge_auth(key, until, path=path, data='kid:mac')}"
-    elif form == "cdni":
-        claims = {"exp": until, "cdniuc": f"regex:http://e{path}"}
+    if token_format == "cloudfront":
+        policy = formats.canned_policy(f"http://e{path}", expires_at)
+        query = "&".join("=".join(pair) for pair in formats.sign_cloudfront(key, policy, True, expires_at))
+    elif token_format == "edge-auth":
+        query = f"hdnts={formats.sign_edge_auth(key, expires_at, path=path, data='kid:mac')}"
+    elif token_format == "cdni":
+        claims = {"exp": expires_at, "cdniuc": f"regex:http://e{path}"}
         query = f"URISigningPackage={formats.sign_jwt(key, claims)}"
     else:
-        fields = f"Bearer {formats.sign_jwt(key, {'exp': until, 'sub': str(number)})}"
+        fields = f"Bearer {formats.sign_jwt(key, {'exp': expires_at, 'sub': str(number)})}"
     return Request("GET", "http", "e", f"{path}?{query}" if query else path, "10.0.0.1", "edge-1", fields)
 
 
-def verdicts(count: int) -> dict[str, float]:
-    """Verdicts a second of each format, cold and by memory."""
-    now, found = time.time(), dict[str, float]()
+def measure_checks(count: int) -> dict[str, float]:
+    """Measure checks per second of each token format, first uncached, then cached."""
+    now, measured = time.time(), dict[str, float]()
     ring = KeyRing.read(_ring())
-    for form, ident in (("cloudfront", "rsa"), ("edge-auth", "mac"), ("cdni", "es"), ("bearer", "hs")):
+    for token_format, key_id in (
+        ("cloudfront", "rsa"),
+        ("edge-auth", "mac"),
+        ("cdni", "es"),
+        ("bearer", "hs"),
+    ):
         gate = Gate(Routes([Policy("/svc")]), ring, Limits(checks=1e9))
-        asked = [_asked(form, ring.keys[ident], number, now) for number in range(count)]
+        requests = [_signed_request(token_format, ring.keys[key_id], number, now) for number in range(count)]
         for name in ("cold", "cached"):
-            began = time.perf_counter()
-            good = sum(gate.check(one, "x", now, now).admitted for one in asked)
-            found[f"{form.replace('-', '_')}_{name}"] = count / (time.perf_counter() - began)
-            assert good == count
+            started_at_s = time.perf_counter()
+            admitted = sum(gate.check(request, "x", now, now).admitted for request in requests)
+            measured[f"{token_format.replace('-', '_')}_{name}"] = count / (
+                time.perf_counter() - started_at_s
+            )
+            assert admitted == count
         print(
-            f"{form}: {found[form.replace('-', '_') + '_cold']:.0f} verdicts a second cold, "
-            f"{found[form.replace('-', '_') + '_cached']:.0f} by memory"
+            f"{token_format}: {measured[token_format.replace('-', '_') + '_cold']:.0f} checks per second "
+            f"uncached, "
+            f"{measured[token_format.replace('-', '_') + '_cached']:.0f} cached"
         )
-    return found
+    return measured
 
 
-def structures(short: bool) -> dict[str, float]:
-    """The trie against a scan at 10,000 rules, the wheel of ids against a dict; memory of 1,000,000 ids."""
-    chooser, found = random.Random(3), dict[str, float]()
+def measure_structures(short: bool) -> dict[str, float]:
+    """Compare the trie with a scan at 10,000 rules, and the wheel with a dict at up to 1,000,000 ids."""
+    generator, measured = random.Random(3), dict[str, float]()
     prefixes = [f"/svc/c{number % 100}/o{number}" for number in range(10_000)]
     policies = [Policy(prefix) for prefix in prefixes]
-    paths = [f"{chooser.choice(prefixes)}/{number}" for number in range(200)]
+    paths = [f"{generator.choice(prefixes)}/{number}" for number in range(200)]
     for name, routes in (("trie", Routes(policies)), ("scan", LinearRoutes(policies))):
-        began = time.perf_counter()
+        started_at_s = time.perf_counter()
         hits = sum(routes.find(path) is not None for path in paths)
-        found[f"{name}_us"] = (time.perf_counter() - began) / len(paths) * 1e6
+        measured[f"{name}_us"] = (time.perf_counter() - started_at_s) / len(paths) * 1e6
         assert hits == len(paths)
     count = 100_000 if short else 1_000_000
-    for name, made in (("wheel", ReplayCache(2 * count)), ("dict", DictReplayCache(2 * count))):
+    for name, replay_cache in (("wheel", ReplayCache(2 * count)), ("dict", DictReplayCache(2 * count))):
         tracemalloc.start()
         for number in range(count):
-            made.check_and_add(f"key {number:032x}", 1000.0 + number % 300, 0.0)
-        found[f"{name}_bytes"] = tracemalloc.get_traced_memory()[0] / count
+            replay_cache.check_and_add(f"key {number:032x}", 1000.0 + number % 300, 0.0)
+        measured[f"{name}_bytes"] = tracemalloc.get_traced_memory()[0] / count
         tracemalloc.stop()
-        began = time.perf_counter()
-        made.check_and_add("one more", 2000.0, 1100.0)  # a sweep, with a third of them over
-        found[f"{name}_sweep_ms"] = (time.perf_counter() - began) * 1e3
-        began = time.perf_counter()
+        started_at_s = time.perf_counter()
+        replay_cache.check_and_add("one more", 2000.0, 1100.0)  # a sweep, with a third of the ids expired
+        measured[f"{name}_sweep_ms"] = (time.perf_counter() - started_at_s) * 1e3
+        started_at_s = time.perf_counter()
         for number in range(20_000):
-            made.check_and_add(f"new {number}", 5000.0, 1100.0)
-        found[f"{name}_see_us"] = (time.perf_counter() - began) / 20_000 * 1e6
+            replay_cache.check_and_add(f"new {number}", 5000.0, 1100.0)
+        measured[f"{name}_see_us"] = (time.perf_counter() - started_at_s) / 20_000 * 1e6
     print(
-        f"10,000 rules: trie {found['trie_us']:.1f} us, scan {found['scan_us']:.0f} us; {count} ids: wheel "
-        f"{found['wheel_bytes']:.0f} bytes each, sweep {found['wheel_sweep_ms']:.1f} ms, "
-        f"{found['wheel_see_us']:.1f} us to see one; dict {found['dict_bytes']:.0f}, "
-        f"{found['dict_sweep_ms']:.1f}, {found['dict_see_us']:.1f}"
+        f"10,000 rules: trie {measured['trie_us']:.1f} us, scan {measured['scan_us']:.0f} us; {count} "
+        f"ids: wheel "
+        f"{measured['wheel_bytes']:.0f} bytes each, sweep {measured['wheel_sweep_ms']:.1f} ms, "
+        f"{measured['wheel_see_us']:.1f} us per check; dict {measured['dict_bytes']:.0f}, "
+        f"{measured['dict_sweep_ms']:.1f}, {measured['dict_see_us']:.1f}"
     )
-    return found
+    return measured
 
 
 class Clients:
-    """Clients over HTTP, each with tokens of some kinds; every answer is held against what it has to be."""
+    """HTTP clients that send tokens of several kinds and compare every status with the expected one."""
 
-    WANTED = {
+    EXPECTED_STATUS = {
         "valid": 200,
         "none": 401,
         "expired": 403,
@@ -133,14 +142,27 @@
     }
 
     def __init__(
-        self, port: int, ring: KeyRing, pace: float, kinds: list[str], seconds: float, tokens: bool = True
+        self,
+        port: int,
+        ring: KeyRing,
+        requests_per_s: float,
+        kinds: list[str],
+        seconds: float,
+        tokens: bool = True,
     ) -> None:
-        self.port, self.ring, self.pace, self.kinds, self.seconds = port, ring, pace, kinds, seconds
+        """Start the client threads."""
+        self.port, self.ring, self.requests_per_s, self.kinds, self.seconds = (
+            port,
+            ring,
+            requests_per_s,
+            kinds,
+            seconds,
+        )
         self.tokens = tokens
         self.answers: Counter[str] = Counter()
-        self.wrong: Counter[str] = Counter()
+        self.unexpected: Counter[str] = Counter()
         self.lost = 0
-        self.took = HdrHistogram(1, 60_000_000, 3)
+        self.latency_us = HdrHistogram(1, 60_000_000, 3)
         self._lock = threading.Lock()
         forger = KeyRing.read({"keys": [{"id": "hs", "algorithm": "HS256", "secret": "ab" * 32}]})
         self._forger = forger.keys["hs"]
@@ -159,29 +181,31 @@
         return formats.sign_jwt(key, claims)
 
     def _work(self, seed: int) -> None:
-        chooser, number = random.Random(seed), 0
+        generator, number = random.Random(seed), 0
         client = http.client.HTTPConnection("127.0.0.1", self.port, timeout=10)
-        kept = {kind: [self._token(kind, seed * 100 + one) for one in range(20)] for kind in ("valid",)}
-        end = time.monotonic() + self.seconds
-        due = time.monotonic()
-        while due < end:
-            due += chooser.expovariate(self.pace / WORKERS)
-            time.sleep(max(0.0, due - time.monotonic()))
+        reused_tokens = {
+            kind: [self._token(kind, seed * 100 + offset) for offset in range(20)] for kind in ("valid",)
+        }
+        deadline_s = time.monotonic() + self.seconds
+        next_request_s = time.monotonic()
+        while next_request_s < deadline_s:
+            next_request_s += generator.expovariate(self.requests_per_s / WORKERS)
+            time.sleep(max(0.0, next_request_s - time.monotonic()))
             number += 1
-            kind = chooser.choice(self.kinds)
-            write = kind in ("write", "forged-write", "replayed")
-            path = f"/svc/{'pick-confirm' if write else 'item-image'}/{chooser.randrange(1, 400):016x}/0"
+            kind = generator.choice(self.kinds)
+            is_write = kind in ("write", "forged-write", "replayed")
+            path = f"/svc/{'pick-confirm' if is_write else 'item-image'}/{generator.randrange(1, 400):016x}/0"
             token = (
                 ""
                 if kind == "none"
-                else chooser.choice(kept["valid"])
+                else generator.choice(reused_tokens["valid"])
                 if kind == "valid"
                 else (self._token(kind, seed << 32 | number))
             )
             headers = {"Authorization": f"Bearer {token}"} if token and self.tokens else {}
-            began = time.monotonic()
+            started_at_s = time.monotonic()
             try:
-                client.request("POST" if write else "GET", path, b"x" if write else None, headers)
+                client.request("POST" if is_write else "GET", path, b"x" if is_write else None, headers)
                 answer = client.getresponse()
                 answer.read()
             except (OSError, http.client.HTTPException):
@@ -190,30 +214,30 @@
                 continue
             with self._lock:
                 self.answers[f"{kind} {answer.status}"] += 1
-                if answer.status != self.WANTED[kind] and not (
+                if answer.status != self.EXPECTED_STATUS[kind] and not (
                     kind.startswith("forged") and answer.status == 503
                 ):
-                    self.wrong[f"{kind} {answer.status}"] += 1
+                    self.unexpected[f"{kind} {answer.status}"] += 1
                 if kind == "valid":
-                    self.took.record_value(max(1, round((time.monotonic() - began) * 1e6)))
+                    self.latency_us.record_value(max(1, round((time.monotonic() - started_at_s) * 1e6)))
 
-    def end(self) -> None:
-        """Waits for all."""
+    def join_threads(self) -> None:
+        """Wait until all threads have ended."""
         for thread in self._threads:
             thread.join()
 
 
-def _cpu(pid: int) -> float:
+def _cpu_s(pid: int) -> float:
     fields = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
     return (int(fields[11]) + int(fields[12])) / os.sysconf("SC_CLK_TCK")
 
 
-def live(seconds: float) -> dict[str, float]:
-    """One real router: without tokens, with good ones, with a mix, and under a flood of forged ones."""
-    depot, found = Depot(caches=4), dict[str, float]()
-    port, web = free_port(), free_port()
-    with tempfile.TemporaryDirectory() as text:
-        folder, table = Path(text), _ring()
+def measure_router(seconds: float) -> dict[str, float]:
+    """Run one real router without tokens, with valid ones, with a mix, and under a flood of forged ones."""
+    depot, measured = Depot(caches=4), dict[str, float]()
+    port, http_port = free_port(), free_port()
+    with tempfile.TemporaryDirectory() as folder_name:
+        folder, table = Path(folder_name), _ring()
         ring = KeyRing.read(table)
         ring_file = folder / "ring.json"
         ring_file.touch(mode=0o600)
@@ -232,11 +256,11 @@
                 }
             )
         )
-        asks = (
+        access_config = (
             f'access: {{ring: "{ring_file}"\npolicies: [{{prefix: "/svc"}}, '
             '{prefix: "/svc/pick-confirm", methods: ["POST"], once: true, floor: true}]}\n'
         )
-        for name, kinds, pace, tokens in (
+        for name, kinds, requests_per_s, tokens in (
             ("plain", ["valid"], 400.0, False),
             ("good", ["valid"], 400.0, True),
             (
@@ -248,56 +272,61 @@
             ("flood", ["valid"], 100.0, True),
         ):
             operator = folder / "operator.cue"
-            operator.write_text((asks if tokens else "") + f'http: listen: "127.0.0.1:{web}"\n')
+            operator.write_text(
+                (access_config if tokens else "") + f'http: listen: "127.0.0.1:{http_port}"\n'
+            )
             router = subprocess.Popen(
                 [sys.executable, "-m", "stonecove"],
                 stderr=subprocess.DEVNULL,
                 env={**os.environ, "RELAY_CONFIG": str(config), "STONECOVE_OPERATOR": str(operator)},
             )
             try:
-                _wait(web)
-                before, ran = _cpu(router.pid), sum(cache.fetches for cache in depot.caches)
-                if tokens:  # used before: each time it comes from now on it is a replay
-                    first = Clients(web, ring, 1.0, ["none"], 0.0)
-                    first.end()
-                    _use(web, first._token("replayed", 0))
-                flood = Clients(web, ring, 1000.0, ["forged"], seconds) if name == "flood" else None
-                clients = Clients(web, ring, pace, kinds, seconds, tokens)
-                clients.end()
+                _wait(http_port)
+                cpu_before_s, fetches_before = (
+                    _cpu_s(router.pid),
+                    sum(cache.fetches for cache in depot.caches),
+                )
+                if tokens:  # use the token once: each later use is a replay
+                    priming_clients = Clients(http_port, ring, 1.0, ["none"], 0.0)
+                    priming_clients.join_threads()
+                    _use_token(http_port, priming_clients._token("replayed", 0))
+                flood = Clients(http_port, ring, 1000.0, ["forged"], seconds) if name == "flood" else None
+                clients = Clients(http_port, ring, requests_per_s, kinds, seconds, tokens)
+                clients.join_threads()
                 if flood is not None:
-                    flood.end()
+                    flood.join_threads()
                 total = sum(clients.answers.values())
-                cpu = (_cpu(router.pid) - before) / max(1, total) * 1e6
-                fetched = sum(cache.fetches for cache in depot.caches) - ran
+                cpu = (_cpu_s(router.pid) - cpu_before_s) / max(1, total) * 1e6
+                new_fetches = sum(cache.fetches for cache in depot.caches) - fetches_before
                 allowed = clients.answers["valid 200"] + clients.answers["write 200"] + 1
             finally:
                 router.terminate()
                 router.wait(30)
-            good = clients.answers["valid 200"] / max(
+            valid_share = clients.answers["valid 200"] / max(
                 1, sum(count for kind, count in clients.answers.items() if kind.startswith("valid"))
             )
-            p50, p99 = (clients.took.get_value_at_percentile(part) / 1000 for part in (50, 99))
+            p50, p99 = (clients.latency_us.get_value_at_percentile(part) / 1000 for part in (50, 99))
             print(
-                f"{name}: {dict(clients.answers)}, wrong {dict(clients.wrong)}, lost "
-                f"{clients.lost}, p50 {p50:.2f} ms, p99 {p99:.2f} ms, {cpu:.0f} us of CPU a request; "
-                "caches saw "
-                f"{fetched} of {allowed} that were let in"
-                + (f"; beside {sum(flood.answers.values())} forged {dict(flood.answers)}" if flood else "")
+                f"{name}: {dict(clients.answers)}, unexpected {dict(clients.unexpected)}, lost "
+                f"{clients.lost}, p50 {p50:.2f} ms, p99 {p99:.2f} ms, {cpu:.0f} us of CPU per request; "
+                "caches received "
+                f"{new_fetches} of {allowed} admitted requests"
+                + (f"; plus {sum(flood.answers.values())} forged {dict(flood.answers)}" if flood else "")
             )
-            found |= {
+            measured |= {
                 f"{name}_cpu_us": cpu,
                 f"{name}_p50_ms": p50,
                 f"{name}_p99_ms": p99,
-                f"{name}_wrong": sum(clients.wrong.values()),
+                f"{name}_wrong": sum(clients.unexpected.values()),
                 f"{name}_lost": clients.lost,
-                f"{name}_good": good,
-                f"{name}_fetched_too_much": max(0, fetched - allowed),
+                f"{name}_good": valid_share,
+                f"{name}_fetched_too_much": max(0, new_fetches - allowed),
             }
     depot.close()
-    return found
+    return measured
 
 
-def _use(port: int, token: str) -> None:
+def _use_token(port: int, token: str) -> None:
     client = http.client.HTTPConnection("127.0.0.1", port, timeout=10)
     client.request("POST", "/svc/pick-confirm/0000000000000001/0", b"x", {"Authorization": f"Bearer {token}"})
     client.getresponse().read()
@@ -305,8 +334,8 @@
 
 
 def _wait(port: int) -> None:
-    end = time.monotonic() + 20
-    while time.monotonic() < end:
+    deadline_s = time.monotonic() + 20
+    while time.monotonic() < deadline_s:
         try:
             client = http.client.HTTPConnection("127.0.0.1", port, timeout=2)
             client.request("GET", "/status/live")
@@ -316,13 +345,17 @@
             time.sleep(0.02)
         finally:
             client.close()
-    raise RuntimeError("the router did not become ready")
+    raise RuntimeError("the router did not become ready within 20 s")
 
 
 def main() -> None:
-    """Measures all parts, and prints the figures."""
+    """Run all parts and print the figures."""
     short = "--short" in sys.argv[1:]
-    figures = verdicts(300 if short else 3000) | structures(short) | live(6.0 if short else 30.0)
+    figures = (
+        measure_checks(300 if short else 3000)
+        | measure_structures(short)
+        | measure_router(6.0 if short else 30.0)
+    )
     print(" ".join(f"{name}={value:.4g}" for name, value in figures.items()))
 
 
--- a/examples/ask.py
+++ b/examples/ask.py
@@ -1,4 +1,4 @@
-"""Asks an edge router for one part of an object, as a web server would.
+"""Request one part of an object from an edge router, as a web server does.
 
 python examples/ask.py 127.0.0.1:6565 item-image 7f3a9c21e0b4d655
 """
@@ -14,12 +14,12 @@
 
 
 def pair(name: str, value: str) -> bytes:
-    """One short name-value pair."""
+    """Encode a FastCGI name-value pair of fewer than 128 bytes each."""
     return bytes((len(name), len(value))) + name.encode() + value.encode()
 
 
 def main(address: str, cls: str, item: str, part: str = "0") -> int:
-    """Prints the head of the answer and how many bytes follow it."""
+    """Print the response headers and the body's size; return 0 for status 200, else 1."""
     fields = {
         "X_TXN": secrets.token_hex(8),
         "X_TTL_MS": "3000",
@@ -32,7 +32,7 @@
         pair(f"HTTP_{name}", value) for name, value in fields.items()
     )
     host, _, port = address.rpartition(":")
-    out = b""
+    response = b""
     with socket.create_connection((host, int(port)), 10) as sock, sock.makefile("rb") as stream:
         sock.sendall(
             fastcgi.record(fastcgi.BEGIN, 1, struct.pack(">HB5x", 1, 1))
@@ -40,16 +40,16 @@
             + fastcgi.record(fastcgi.PARAMS, 1)
             + fastcgi.record(fastcgi.STDIN, 1)
         )
-        while len(head := stream.read(8)) == 8:
-            _, kind, _, length, padding, _ = struct.unpack(">BBHHBB", head)
+        while len(record_header := stream.read(8)) == 8:
+            _, kind, _, length, padding, _ = struct.unpack(">BBHHBB", record_header)
             content = stream.read(length + padding)[:length]
             if kind == fastcgi.END:
                 break
-            out += content
-    text, _, body = out.partition(b"\r\n\r\n")
-    print(text.decode().replace("\r\n", "\n"))
+            response += content
+    headers, _, body = response.partition(b"\r\n\r\n")
+    print(headers.decode().replace("\r\n", "\n"))
     print(f"{len(body)} bytes")
-    return 0 if text.startswith(b"Status: 200") else 1
+    return 0 if headers.startswith(b"Status: 200") else 1
 
 
 if __name__ == "__main__":
--- a/examples/toy_server.py
+++ b/examples/toy_server.py
@@ -1,9 +1,9 @@
-"""A toy depot for one edge router: its caches, which make up the objects, and its change log.
+"""A toy depot for one edge router: caches that generate their objects, and a change log.
 
     python examples/toy_server.py examples/config.json
 
-listens where the configuration says. It keeps what it was asked for in memory (so the second request for
-an object is a hit) and says what it is asked. Commands on standard input go into the change log:
+listens on the addresses in the configuration. It keeps requested objects in memory (so the second request for
+an object is a hit) and prints each request. Commands on standard input are written to the change log:
 `drain ID`, `up ID`, `purge GROUP`.
 """
 
@@ -22,42 +22,43 @@
 from stonecove.protocols import resp
 from stonecove.protocols.buffer import Buffer
 
-RECORD = struct.Struct(">IIHBBBHIQ")
+INSTANCE_RECORD = struct.Struct(">IIHBBBHIQ")
 
 
 class Depot:
-    """All toy caches, and the events so far."""
+    """All toy caches and the change log."""
 
     def __init__(self, config: dict[str, Any]) -> None:
+        """Start with the configured caches, all empty."""
         self.entries = config["known"]["results"][0]["fleet"]["instances"]
         self.settings = config["settings"]
         self.log: list[bytes] = []
-        self.last = config["known"]["seq"]
-        self.first = self.last
-        self.held: dict[tuple[str, str, str], tuple[str, int]] = {}
+        self.last_seq = config["known"]["seq"]
+        self.first_seq = self.last_seq
+        self.cached: dict[tuple[str, str, str], tuple[str, int]] = {}
 
-    def tell(self, kind: int, payload: bytes) -> None:
-        """Appends an event to the change log."""
-        self.last += 1
-        self.log.append(struct.pack(">IQB", 9 + len(payload), self.last, kind) + payload)
+    def append_event(self, kind: int, payload: bytes) -> None:
+        """Append an event to the change log."""
+        self.last_seq += 1
+        self.log.append(struct.pack(">IQB", 9 + len(payload), self.last_seq, kind) + payload)
 
     def command(self, line: str) -> None:
-        """Carries out a line of standard input."""
-        word, _, value = line.strip().partition(" ")
+        """Run a command line from standard input."""
+        verb, _, value = line.strip().partition(" ")
         entry = next((entry for entry in self.entries if entry["instanceId"] == value), None)
-        if word == "purge" and value.isdigit():
-            self.held.clear()
-            self.tell(4, struct.pack(">HQ", int(value), int(time.time() * 1000)))
-        elif word in ("drain", "up") and entry is not None:
+        if verb == "purge" and value.isdigit():
+            self.cached.clear()
+            self.append_event(4, struct.pack(">HQ", int(value), int(time.time() * 1000)))
+        elif verb in ("drain", "up") and entry is not None:
             host, _, port = entry["hostPort"].partition(":")
             address = int.from_bytes(bytes(int(part) for part in host.split(".")), "big")
-            self.tell(
+            self.append_event(
                 2,
-                RECORD.pack(
+                INSTANCE_RECORD.pack(
                     int(value[2:], 16),
                     address,
                     int(port),
-                    word == "drain",
+                    verb == "drain",
                     self.settings["areas"].index(entry["zone"]),
                     self.settings["models"].index(entry["machineType"]),
                     entry["cell"],
@@ -66,66 +67,79 @@
                 ),
             )
         else:
-            print(f"not understood: {line.strip()!r}", flush=True)
+            print(f"unknown command: {line.strip()!r}", flush=True)
 
-    def answer(self, name: str, words: list[bytes]) -> bytes:
-        """What the cache of that name answers; nothing to an `abort`."""
-        if words[0] == b"alive":
-            return resp.encode(words[1], b"alive", b"-", b"")
-        if words[0] != b"fetch":
+    def answer(self, name: str, fields_in: list[bytes]) -> bytes:
+        """Return the named cache's response; empty for an `abort`."""
+        if fields_in[0] == b"alive":
+            return resp.encode(fields_in[1], b"alive", b"-", b"")
+        if fields_in[0] != b"fetch":
             return b""
-        asked = resp.parse_fields(words[2])
-        copy = (name, asked["item"], asked["chunk"])
-        write = self.settings["classes"][-1]["name"] == asked["cls"]
-        note = "hit" if copy in self.held else "filled" if "from" in asked else ""
-        print(f"{name} {asked['cls']} {asked['item']} part {asked['chunk']}: {note or 'miss'}", flush=True)
-        if not note:
-            return resp.encode(words[1], b"404", b"-", b"")
-        tag, born = self.held.get(copy, (f"{hash(copy) & 0xFFFFFFFF:08x}", int(time.time() * 1000)))
-        if not write and asked.get("rank", "0") != "0":
-            self.held[copy] = tag, born
+        fetch_fields = resp.parse_fields(fields_in[2])
+        cache_key = (name, fetch_fields["item"], fetch_fields["chunk"])
+        is_write = self.settings["classes"][-1]["name"] == fetch_fields["cls"]
+        cache_status = "hit" if cache_key in self.cached else "filled" if "from" in fetch_fields else ""
+        print(
+            f"{name} {fetch_fields['cls']} {fetch_fields['item']} part {fetch_fields['chunk']}: "
+            f"{cache_status or 'miss'}",
+            flush=True,
+        )
+        if not cache_status:
+            return resp.encode(fields_in[1], b"404", b"-", b"")
+        tag, created_ms = self.cached.get(
+            cache_key, (f"{hash(cache_key) & 0xFFFFFFFF:08x}", int(time.time() * 1000))
+        )
+        if not is_write and fetch_fields.get("rank", "0") != "0":
+            self.cached[cache_key] = tag, created_ms
         fields = resp.format_fields(
-            [("ver", tag), ("born", str(born)), ("tell", note), ("meter", "inflight:1;util:0.1")]
+            [
+                ("ver", tag),
+                ("born", str(created_ms)),
+                ("tell", cache_status),
+                ("meter", "inflight:1;util:0.1"),
+            ]
+        )
+        if fetch_fields.get("seen") == tag:
+            return resp.encode(fields_in[1], b"304", fields, b"")
+        return resp.encode(
+            fields_in[1], b"200", fields, f"{fetch_fields['item']}/{fetch_fields['chunk']}\n".encode() * 100
         )
-        if asked.get("seen") == tag:
-            return resp.encode(words[1], b"304", fields, b"")
-        return resp.encode(words[1], b"200", fields, f"{asked['item']}/{asked['chunk']}\n".encode() * 100)
 
 
 async def cache(depot: Depot, name: str, stream: trio.SocketStream) -> None:
-    """One connection to a cache."""
+    """Serve one connection to a cache."""
     buffer, decoder = Buffer(2 << 20), resp.Decoder()
     async for data in stream:
         buffer.feed(data)
-        for words in decoder.arrays(buffer):
-            if answer := depot.answer(name, words):
+        for fields_in in decoder.arrays(buffer):
+            if answer := depot.answer(name, fields_in):
                 await stream.send_all(answer)
 
 
 async def changelog(depot: Depot, stream: trio.SocketStream) -> None:
-    """One reader of the change log."""
-    (number,) = struct.unpack(">Q", await stream.receive_some(8))
+    """Serve one follower of the change log."""
+    (next_seq,) = struct.unpack(">Q", await stream.receive_some(8))
     try:
         while True:
-            for frame in depot.log[max(0, number - depot.first) :]:
+            for frame in depot.log[max(0, next_seq - depot.first_seq) :]:
                 await stream.send_all(frame)
-            number = depot.last
-            await stream.send_all(struct.pack(">IQB", 9, number, 0))
+            next_seq = depot.last_seq
+            await stream.send_all(struct.pack(">IQB", 9, next_seq, 0))
             with trio.move_on_after(1.0):
-                while depot.last == number:
+                while depot.last_seq == next_seq:
                     await trio.sleep(0.02)
     except (trio.BrokenResourceError, trio.ClosedResourceError):
         return
 
 
 async def read_commands(depot: Depot) -> None:
-    """Follows standard input to its end."""
+    """Run the commands of standard input until it ends."""
     while line := await trio.to_thread.run_sync(sys.stdin.readline, abandon_on_cancel=True):
         depot.command(line)
 
 
 async def main(path: str) -> None:
-    """Serves until it is stopped."""
+    """Serve until the process is stopped."""
     config = ujson.loads(Path(path).read_bytes())
     depot = Depot(config)
     async with trio.open_nursery() as nursery:
--- a/stonecove/commands/explore.py
+++ b/stonecove/commands/explore.py
@@ -56,7 +56,7 @@
         scope = named(scopes, scope_name)
         steps = shrink(simulation_start(scope), finding.steps, finding.violation.prop)
         trace = Trace(scope, steps, finding.violation.prop, finding.violation.why)
-        click.echo(trace.story())
+        click.echo(trace.format_report())
         if folder is not None:
             folder.mkdir(parents=True, exist_ok=True)
             path = folder / f"{scope_name}-{finding.violation.prop}.json"
@@ -233,7 +233,7 @@
     """Replay a saved trace and print its steps. Exits with 1 if it still violates the property."""
     trace = _read_trace(file)
     _, violations = trace.play()
-    click.echo(trace.story())
+    click.echo(trace.format_report())
     if chart is not None:
         from stonecove.explore.chart import draw
 
--- a/stonecove/commands/fleet.py
+++ b/stonecove/commands/fleet.py
@@ -75,12 +75,12 @@
             if not names or instance["name"] in names
         ]
         if all(instance["phase"] in phases for instance in instances):
-            held_instances = [
+            instances_on_hold = [
                 instance for instance in instances if instance["phase"] == "held" and "held" not in phases[:1]
             ]
-            for instance in held_instances:
+            for instance in instances_on_hold:
                 click.echo(f"{instance['name']} is held: {instance['why']}", err=True)
-            if held_instances:
+            if instances_on_hold:
                 sys.exit(EXIT_FAILED)
             return
         if time.monotonic() > deadline:
--- a/stonecove/commands/scale.py
+++ b/stonecove/commands/scale.py
@@ -130,7 +130,7 @@
     if text is None:
         return None
     try:
-        return tuple(int(word) for word in text.split(","))
+        return tuple(int(size) for size in text.split(","))
     except ValueError:
         raise OptionError("sizes", f"{text!r} is no list of whole numbers with commas between them") from None
 
@@ -142,7 +142,7 @@
         raise OptionError("faults", "--faults and --no-faults exclude each other")
     if no_faults:
         return ()
-    return tuple(word.strip() for word in text.split(",")) if text is not None else None
+    return tuple(name.strip() for name in text.split(",")) if text is not None else None
 
 
 def _load_options(file: Path | None, short: bool, given: dict[str, Any]) -> ScaleOptions:
--- a/stonecove/explore/__init__.py
+++ b/stonecove/explore/__init__.py
@@ -1,8 +1,8 @@
-"""The explorer: plays every order of events, within stated bounds, on the router's own code.
+"""State-space explorer: runs every order of events, within given bounds, on the router's own code.
 
-`scope` states the bounds, `simulation` holds the router and everything around it, `peers` plays its sockets,
-clients and servers, `properties` states what must hold. `fingerprint` and `visited` tell states apart,
-`copying` goes back to one, `search` and `walk` choose the order of the steps. `trace` and `chart` report what
-was found, `seeds` plants faults in the code on purpose, `codecs` and `channels` are two smaller machines, and
+`scope` defines the bounds, `simulation` holds the router and its environment, `peers` simulates its sockets,
+clients and servers, and `properties` defines the invariants. `fingerprint` and `visited` identify states,
+`copying` restores them, `search` and `walk` choose the order of the steps. `trace` and `chart` report
+counterexamples, `seeds` plants faults in the code, `codecs` and `channels` are two smaller machines, and
 `reach` reports which lines were executed.
 """
--- a/stonecove/explore/channels.py
+++ b/stonecove/explore/channels.py
@@ -1,7 +1,7 @@
-"""The smaller machine of a connection's own life: connecting, up, half written, over.
+"""State machine of one connection: connecting, open, partially written, closed.
 
-One real `Channel` with a socket that takes as many bytes as it is told to. Commands are of three bytes, and
-one of them decides at its turn that it does not go.
+It runs one real `Channel` on a socket that accepts a limited number of bytes. Commands have three bytes, and
+one of them cancels itself when its turn comes.
 """
 
 from __future__ import annotations
@@ -12,32 +12,33 @@
 from stonecove.protocols.resp import RespError, encode
 from stonecove.protocols.upstream_channel import Channel
 
-COMMANDS = ("aaa", "bbb", "-no")  # the last one does not go
+COMMANDS = ("aaa", "bbb", "-no")  # the last one cancels itself
 ANSWER = encode(b"ok")
 
 
 class OneSocket:
-    """Takes `room` bytes, then none."""
+    """A socket that accepts `capacity` bytes, then blocks."""
 
     def __init__(self) -> None:
-        self.room = 99
+        """Start with a capacity of 99 bytes."""
+        self.capacity = 99
         self.dead = False
         self.ended = False
-        self.taken = b""
+        self.written = b""
 
     def send(self, data: bytes | memoryview, /) -> int:
-        """Takes what there is room for."""
+        """Accept as many bytes as the capacity allows."""
         if self.dead:
             raise ConnectionResetError("reset")
-        count = min(self.room, len(data))
+        count = min(self.capacity, len(data))
         if not count:
             raise BlockingIOError
-        self.room -= count
-        self.taken += bytes(data[:count])
+        self.capacity -= count
+        self.written += bytes(data[:count])
         return count
 
     def recv(self, count: int, flags: int, /) -> bytes:
-        """The end, if it has come."""
+        """Return end of file if the peer has closed; raise BlockingIOError otherwise."""
         if self.dead:
             raise ConnectionResetError("reset")
         if self.ended:
@@ -46,67 +47,71 @@
 
 
 class OneCommand:
-    """A command that notes what becomes of it."""
+    """A command that records its progress."""
 
     def __init__(self, machine: ChannelMachine, text: str) -> None:
+        """Create a command that waits to be written."""
         self.machine, self.text = machine, text
-        self.begun = 0
+        self.begin_count = 0
         self.state = "waiting"
 
     def begin(self) -> bytes | None:
-        """Its bytes, unless it does not go."""
-        if self.machine.told:
-            self.machine.broken("told-once", f"{self.text} begins on a connection that is over")
-        self.begun += 1
+        """Return the bytes to send, or None if the command cancels itself."""
+        if self.machine.close_reasons:
+            self.machine.report_violation("told-once", f"{self.text} begins on a closed connection")
+        self.begin_count += 1
         self.state = "dropped" if self.text == "-no" else "begun"
         return None if self.text == "-no" else self.text.encode()
 
     def unwritten(self) -> None:
-        """Not a byte went out."""
-        if self.text.encode() in self.machine.sock.taken:
-            self.machine.broken("order-kept", f"{self.text} was written, and is told as unwritten")
+        """Record that no byte of the command was written."""
+        if self.text.encode() in self.machine.sock.written:
+            self.machine.report_violation(
+                "order-kept", f"{self.text} was written, but is reported as unwritten"
+            )
         self.state = "waiting"
 
 
 class ChannelMachine:
-    """A channel, explored by the same search as the router."""
+    """A single channel, explored by the same search as the router."""
 
     def __init__(self) -> None:
+        """Start with a channel that is connecting."""
         self.violations: list[Violation] = []
         self.sock = OneSocket()
-        self.told: list[str] = []
+        self.close_reasons: list[str] = []
         self.arrivals = 0
         self.channel = Channel(self, self._clock)
         self.commands: list[OneCommand] = []
-        self.half = False
+        self.reply_is_partial = False
         self.finished = False
 
     @staticmethod
     def _clock() -> float:
         return 1.0
 
-    def broken(self, prop: str, why: str) -> None:
-        """Notes a violation."""
+    def report_violation(self, prop: str, why: str) -> None:
+        """Record a violation of property `prop`."""
         self.violations.append(Violation(prop, why))
 
     def opened(self, connection: Channel) -> None:
-        """It is up."""
+        """Ignore the notification that the channel is open."""
 
     def arrived(self, connection: Channel, array: list[bytes]) -> None:
-        """An array came in."""
+        """Count a received array."""
         self.arrivals += 1
 
     def closed(self, connection: Channel, why: str) -> None:
-        """The channel is over."""
-        self.told.append(why)
-        if len(self.told) > 1:
-            self.broken("told-once", f"told {len(self.told)} times of the end")
+        """Record that the channel has closed; it must be reported once."""
+        self.close_reasons.append(why)
+        if len(self.close_reasons) > 1:
+            self.report_violation("told-once", f"notified {len(self.close_reasons)} times of the close")
 
     def enabled(self) -> list[str]:
-        """What may happen now."""
+        """Return the steps that are possible in the current state."""
         if self.finished:
             return []
-        steps = [f"room {count}" for count in (0, 1, 99) if count != self.sock.room]
+        steps = [f"room {count}" for count in (0, 1, 99) if count != self.sock.capacity]
         if len(self.commands) < len(COMMANDS):
             steps.append("put")
         steps.append("close" if not self.channel.is_closed else "ended")
@@ -117,89 +122,97 @@
         if not self.sock.ended and not self.sock.dead:
             steps.append("end")
             steps += (
-                ["answer", "half"] if self.arrivals < 2 and not self.half else ["rest"] if self.half else []
+                ["answer", "half"]
+                if self.arrivals < 2 and not self.reply_is_partial
+                else ["rest"]
+                if self.reply_is_partial
+                else []
             )
         if (self.sock.ended or self.sock.dead) and not self.channel.is_closed:
             steps.append("ended")
-        if self.channel._write_blocked and (self.sock.room or self.sock.dead) and not self.channel.is_closed:
+        if (
+            self.channel._write_blocked
+            and (self.sock.capacity or self.sock.dead)
+            and not self.channel.is_closed
+        ):
             steps.append("writable")
         return steps
 
     def do(self, step: str) -> None:
-        """Takes a step."""
-        word, _, rest = step.partition(" ")
-        self.finished = word in ("refused", "reset-at-connect", "ended")
-        if word == "put":
+        """Execute `step` and check the invariants."""
+        action, _, argument = step.partition(" ")
+        self.finished = action in ("refused", "reset-at-connect", "ended")
+        if action == "put":
             command = OneCommand(self, COMMANDS[len(self.commands)])
             self.commands.append(command)
             self.channel.enqueue(command)
-        elif word == "up":
+        elif action == "up":
             self.channel.opened(self.sock)
-        elif word in ("refused", "reset-at-connect"):
-            self.channel.failed(ConnectionRefusedError() if word == "refused" else ConnectionResetError())
+        elif action in ("refused", "reset-at-connect"):
+            self.channel.failed(ConnectionRefusedError() if action == "refused" else ConnectionResetError())
             self.channel.ended()
-        elif word == "room":
-            self.sock.room = int(rest)
-        elif word == "die":
+        elif action == "room":
+            self.sock.capacity = int(argument)
+        elif action == "die":
             self.sock.dead = True
-        elif word == "end":
+        elif action == "end":
             self.sock.ended = True
-        elif word in ("answer", "half", "rest"):
-            data = ANSWER[:3] if word == "half" else ANSWER[3:] if word == "rest" else ANSWER
-            self.half = word == "half"
+        elif action in ("answer", "half", "rest"):
+            data = ANSWER[:3] if action == "half" else ANSWER[3:] if action == "rest" else ANSWER
+            self.reply_is_partial = action == "half"
             self.channel.buffer.feed(data)
             try:
                 self.channel.received()
             except RespError:
-                self.broken("clean-error", "a legal answer can't be read")
-        elif word == "writable":
+                self.report_violation("clean-error", "a legal answer can't be decoded")
+        elif action == "writable":
             self.channel.writable()
-        elif word == "close":
+        elif action == "close":
             self.channel.close()
-        elif word == "ended":
+        elif action == "ended":
             self.channel.ended()
-        self._look()
+        self._check_invariants()
 
-    def _look(self) -> None:
+    def _check_invariants(self) -> None:
         expected = b"".join(command.text.encode() for command in self.commands if command.text != "-no")
-        if not expected.startswith(self.sock.taken):
-            self.broken("order-kept", f"written {self.sock.taken!r} of {expected!r}")
+        if not expected.startswith(self.sock.written):
+            self.report_violation("order-kept", f"written {self.sock.written!r} of {expected!r}")
         for command in self.commands:
-            written = command.text.encode()[:1] in self.sock.taken
+            written = command.text.encode()[:1] in self.sock.written
             if command.state == "waiting" and written:
-                self.broken("order-kept", f"{command.text} waits, and was written")
+                self.report_violation("order-kept", f"{command.text} is waiting, but was written")
 
     def touches(self, step: str) -> frozenset[str] | None:
-        """Everything touches everything here."""
+        """Return None: any step may touch the whole state."""
         return None
 
     def default(self) -> str | None:
-        """Writing goes on, then the channel is closed."""
+        """Return the next step without faults: write on, then close; None if neither is possible."""
         names = self.enabled()
         return next((step for step in ("writable", "close", "ended") if step in names), None)
 
     def settle(self) -> None:
-        """Closes, and checks that the end was told."""
+        """Close the channel and check that the owner was notified."""
         for _ in range(20):
             step = self.default()
             if step is None or self.violations:
                 break
             self.do(step)
-        if not self.told:
-            self.broken("told-once", "the end was never told")
+        if not self.close_reasons:
+            self.report_violation("told-once", "the owner was never notified of the close")
 
     def encode(self) -> bytes:
-        """The state."""
+        """Return the state in canonical form."""
         channel, sock = self.channel, self.sock
         return marshal.dumps(
             (
-                sock.room,
+                sock.capacity,
                 sock.dead,
                 sock.ended,
-                sock.taken,
-                len(self.told),
+                sock.written,
+                len(self.close_reasons),
                 self.arrivals,
-                self.half,
+                self.reply_is_partial,
                 channel.reached,
                 channel.is_closed,
                 channel._write_blocked,
@@ -207,7 +220,7 @@
                 len(channel._queue),
                 channel.partial_reply_at_ms,
                 len(channel.buffer),
-                tuple((command.state, command.begun) for command in self.commands),
+                tuple((command.state, command.begin_count) for command in self.commands),
             ),
             2,
         )
--- a/stonecove/explore/codecs.py
+++ b/stonecove/explore/codecs.py
@@ -1,9 +1,9 @@
-"""The smaller machine of the codecs: every way in which bytes may be cut must give the same.
+"""Check of the codecs: a stream must decode the same however it is split.
 
-Streams of up to `EVERY` bytes are cut in all ways (2 ** (n - 1) of them), longer ones at every one and every
-two places, and byte by byte. Illegal streams are the legal ones with each byte changed, cut off at each
-place, and some made by hand: whatever comes of them comes of every cut, and the only error is the codec's
-own.
+Streams of up to `MAX_EXHAUSTIVE_BYTES` bytes are split in all 2 ** (n - 1) ways, longer ones at every single
+offset, at every pair of offsets, and byte by byte. Illegal streams are the legal ones with each byte changed,
+truncated at each offset, and some written by hand: each split must give the same result, and only the codec's
+own error may be raised.
 """
 
 from __future__ import annotations
@@ -20,16 +20,16 @@
 from stonecove.protocols.fastcgi import codec as fastcgi
 from stonecove.state.budget import MemoryBudget
 
-EVERY = 12
-MOST_UNREAD = 1 << 20
-CHANGES = (0x00, 0x01, 0x0A, 0x0D, 0x24, 0x2A, 0x30, 0x39, 0x7F, 0xFF)
+MAX_EXHAUSTIVE_BYTES = 12
+MAX_UNREAD_BYTES = 1 << 20
+REPLACEMENT_BYTES = (0x00, 0x01, 0x0A, 0x0D, 0x24, 0x2A, 0x30, 0x39, 0x7F, 0xFF)
 
-Outcome = tuple[tuple[str, ...], str]  # what came out, and the error that ended it
+Outcome = tuple[tuple[str, ...], str]  # decoded items, and the error that ended decoding
 
 
 @dataclass
 class Cuts:
-    """What was played."""
+    """Number of streams and splits that were decoded, and the violations."""
 
     streams: int = 0
     cuts: int = 0
@@ -37,53 +37,53 @@
 
 
 def cuts_of(size: int, short: bool) -> Iterator[tuple[int, ...]]:
-    """Ways to cut so many bytes: all, or at one and at two places."""
-    if size <= EVERY:
+    """Yield ways to split `size` bytes: all, or at one and (unless `short`) two offsets."""
+    if size <= MAX_EXHAUSTIVE_BYTES:
         for count in range(size):
             yield from itertools.combinations(range(1, size), count)
         return
     yield ()
     yield tuple(range(1, size))
-    yield from ((at,) for at in range(1, size))
+    yield from ((offset,) for offset in range(1, size))
     if not short:
         yield from itertools.combinations(range(1, size), 2)
 
 
 def pieces(data: bytes, cut: tuple[int, ...]) -> Iterator[bytes]:
-    """The bytes between the cuts."""
+    """Yield the bytes between the split offsets."""
     for begin, end in itertools.pairwise((0, *cut, len(data))):
         yield data[begin:end]
 
 
 def play_resp(parts: Iterator[bytes]) -> Outcome:
-    """What the RESP decoder makes of these pieces."""
-    buffer, decoder, out = Buffer(MOST_UNREAD), resp.Decoder(), []
+    """Decode the pieces as RESP and return the outcome."""
+    buffer, decoder, decoded = Buffer(MAX_UNREAD_BYTES), resp.Decoder(), []
     try:
         for part in parts:
             buffer.feed(part)
             for array in decoder.arrays(buffer):
-                out.append(repr(array))
+                decoded.append(repr(array))
             if len(buffer) > max(resp.MAX_LENGTH_LINE_BYTES, decoder._bulk_length + 2) + len(part):
-                return (*out,), "held too much"
+                return (*decoded,), "held too much"
     except (resp.RespError, BufferFullError) as error:
-        return (*out,), type(error).__name__
-    return (*out,), ""
+        return (*decoded,), type(error).__name__
+    return (*decoded,), ""
 
 
 def play_fastcgi(parts: Iterator[bytes]) -> Outcome:
-    """What the FastCGI decoder makes of these pieces; the budget must be given back in the end."""
+    """Decode the pieces as FastCGI; the memory budget must be released at the end."""
     budget = MemoryBudget()
     budget.limit_bytes = 4e5
-    buffer, decoder, out = Buffer(MOST_UNREAD), fastcgi.Decoder(budget, lambda: 1.0), []
+    buffer, decoder, decoded = Buffer(MAX_UNREAD_BYTES), fastcgi.Decoder(budget, lambda: 1.0), []
     error = ""
     try:
         for part in parts:
             buffer.feed(part)
             for event in decoder.events(buffer):
-                out.append(repr(event))
+                decoded.append(repr(event))
             if any(
-                taking.size() > fastcgi.MAX_PARAMS_BYTES + fastcgi.MAX_BODY_BYTES
-                for taking in decoder._incoming.values()
+                request.size() > fastcgi.MAX_PARAMS_BYTES + fastcgi.MAX_BODY_BYTES
+                for request in decoder._incoming.values()
             ):
                 error = "held too much"
                 break
@@ -92,19 +92,19 @@
     decoder.close()
     if budget._incomplete_bytes:
         error += f" and {budget._incomplete_bytes} bytes kept"
-    return (*out, f"open {sorted(decoder.open)} away {decoder.rejected_in_a_row}"), error
+    return (*decoded, f"open {sorted(decoder.open)} away {decoder.rejected_in_a_row}"), error
 
 
-def _begin(ident: int, role: int = 1, flags: int = 1) -> bytes:
-    return fastcgi.record(fastcgi.BEGIN, ident, struct.pack(">HB5x", role, flags))
+def _begin(request_id: int, role: int = 1, flags: int = 1) -> bytes:
+    return fastcgi.record(fastcgi.BEGIN, request_id, struct.pack(">HB5x", role, flags))
 
 
-def _padded(kind: int, ident: int, content: bytes, padding: int) -> bytes:
-    return struct.pack(">BBHHBB", 1, kind, ident, len(content), padding, 0) + content + b"\xee" * padding
+def _padded(kind: int, request_id: int, content: bytes, padding: int) -> bytes:
+    return struct.pack(">BBHHBB", 1, kind, request_id, len(content), padding, 0) + content + b"\xee" * padding
 
 
 def legal_resp() -> list[bytes]:
-    """Short legal streams of RESP."""
+    """Return short legal RESP streams."""
     return [
         resp.encode(b""),
         resp.encode(b"a"),
@@ -116,7 +116,7 @@
 
 
 def illegal_resp() -> list[bytes]:
-    """Streams that break RESP, made by hand."""
+    """Return hand-written illegal RESP streams."""
     return [
         b"*0\r\n",
         b"*17\r\n",
@@ -132,9 +132,9 @@
 
 
 def legal_fastcgi() -> list[bytes]:
-    """Short legal streams of FastCGI."""
+    """Return short legal FastCGI streams."""
     pair = b"\x01\x01ab"
-    whole = (
+    complete = (
         _begin(1)
         + fastcgi.record(fastcgi.PARAMS, 1, pair)
         + fastcgi.record(fastcgi.PARAMS, 1)
@@ -142,8 +142,8 @@
     )
     return [
         _begin(1)[:8],
-        whole,
-        whole + fastcgi.record(fastcgi.ABORT, 1),
+        complete,
+        complete + fastcgi.record(fastcgi.ABORT, 1),
         _begin(2, 3),
         fastcgi.record(fastcgi.GET_VALUES, 0, b"\x0f\x00FCGI_MPXS_CONNS"),
         _begin(1)
@@ -156,7 +156,7 @@
 
 
 def illegal_fastcgi() -> list[bytes]:
-    """Streams that break FastCGI, made by hand."""
+    """Return hand-written illegal FastCGI streams."""
     body = b"".join(fastcgi.record(fastcgi.STDIN, 1, b"z" * 60_000) for _ in range(3))
     return [
         fastcgi.record(fastcgi.BEGIN, 1, b"\0\1"),
@@ -172,13 +172,13 @@
     ]
 
 
-def changed(data: bytes) -> Iterator[bytes]:
-    """The stream cut off at each place, and with each byte changed."""
-    for at in range(len(data)):
-        yield data[:at]
-        for value in CHANGES:
-            if data[at] != value:
-                yield data[:at] + bytes((value,)) + data[at + 1 :]
+def mutations(data: bytes) -> Iterator[bytes]:
+    """Yield the stream truncated at each offset, and with each byte changed."""
+    for offset in range(len(data)):
+        yield data[:offset]
+        for value in REPLACEMENT_BYTES:
+            if data[offset] != value:
+                yield data[:offset] + bytes((value,)) + data[offset + 1 :]
 
 
 def _check(
@@ -225,7 +225,7 @@
 
 
 def check(short: bool = False) -> Cuts:
-    """Plays all streams of both codecs."""
+    """Decode all streams of both codecs in all splits; `short` limits the splits of long ones."""
     done = Cuts()
     for name, legal, illegal, play in (
         ("resp", legal_resp(), illegal_resp(), play_resp),
@@ -233,22 +233,22 @@
     ):
         for data in legal:
             _check(name, data, play, cuts_of(len(data), short and len(data) > 40), done, True)
-            for other in changed(data):
-                half = len(other) // 2
+            for mutated in mutations(data):
+                half = len(mutated) // 2
                 _check(
                     f"{name}, changed",
-                    other,
+                    mutated,
                     play,
-                    iter(((), tuple(range(1, len(other))), (half,)[:half])),
+                    iter(((), tuple(range(1, len(mutated))), (half,)[:half])),
                     done,
                 )
         for data in illegal:
-            every = iter(((), tuple(range(1, len(data)))))
+            basic_cuts = iter(((), tuple(range(1, len(data)))))
             _check(
                 f"{name}, illegal",
                 data,
                 play,
-                cuts_of(len(data), True) if len(data) <= 200 else every,
+                cuts_of(len(data), True) if len(data) <= 200 else basic_cuts,
                 done,
             )
     return done
--- a/stonecove/explore/coordination.py
+++ b/stonecove/explore/coordination.py
@@ -1,9 +1,9 @@
-"""The machine of sessions, lists and the merge: the program's own `Session`, `TreeWatch`, `Roster`,
-`EndpointMerger`, `Registrar`.
+"""State machine of coordination sessions, endpoint lists and their merge.
 
-Made up are the servers (one that orders and answers, one that may lag), the caches and the change log. What a
-server has queued is heard at once or lost with the connection; between any two of these steps a cache may
-vanish, return, drain or take another's address, a session may end, a server may fall behind.
+It runs the router's own `Session`, `TreeWatch`, `Roster`, `EndpointMerger` and `Registrar`. Simulated are the
+servers (a leader and a replica that may lag), the caches and the change log. Queued server frames are
+received all at once or lost with the connection. Between any two of these steps a cache may vanish, return,
+drain or take another cache's address, a session may expire, or the replica may fall behind.
 """
 
 from __future__ import annotations
@@ -39,7 +39,7 @@
 from stonecove.routing.endpoints import NodeId, NodeState
 from stonecove.standins.zkdata import Leader, Replica, WriteRequest, ZkError, parent_of, watch_event
 
-CACHES, ROUTERS, ME = "/b", "/r", "me"
+CACHES, ROUTERS, ROUTER_NAME = "/b", "/r", "me"
 NAMES = TopologyNames(("hub", "edge"), ("box", "parent", "origin"))
 RULES = RosterRules(
     stale_after_ms=4000.0,
@@ -52,15 +52,15 @@
     flap_hold_ms=200.0,
     max_flap_hold_ms=200.0,
 )
-LOG, ZK = EndpointSource("changelog", 0), EndpointSource("zookeeper", 1)
-BEGUN = 5.0  # `started` of the caches of the beginning
-IDS = {"a": 1, "b": 2, "c": 3}
-PORTS = {"a": 1, "b": 2, "c": 1}  # c takes a's address
+CHANGE_LOG, ZOOKEEPER = EndpointSource("changelog", 0), EndpointSource("zookeeper", 1)
+INITIAL_START_MS = 5.0  # `started` of the caches in the initial state
+NODE_IDS = {"a": 1, "b": 2, "c": 3}
+PORTS = {"a": 1, "b": 2, "c": 1}  # c reuses the address of a
 ANYONE = (Acl(31, "world", "anyone"),)
 
 
 class Bounds(NamedTuple):
-    """How much of what may happen; `own`: our own node is kept as well."""
+    """Bounds of a scope; `register_self`: the router also keeps its own ephemeral node."""
 
     name: str
     depth: int
@@ -68,7 +68,7 @@
     faults: int = 0
     log: int = 0
     recursive: bool = False
-    own: bool = False
+    register_self: bool = False
     kinds: tuple[str, ...] = ("vanish", "return", "restart", "drain", "undrain", "reuse", "spoil")
     fault_kinds: tuple[str, ...] = ("drop", "expire-ours", "refuse", "other")
     caches: tuple[str, ...] = ("a", "b")
@@ -111,7 +111,7 @@
         10,
         changes=1,
         faults=2,
-        own=True,
+        register_self=True,
         kinds=("state",),
         fault_kinds=("drop", "expire-ours", "other"),
         caches=(),
@@ -120,10 +120,10 @@
 
 
 def record(name: str, started: float, state: str = "up") -> bytes:
-    """The record of a cache."""
+    """Return the registration record of a cache as JSON."""
     return ujson.dumps(
         {
-            "id": IDS[name],
+            "id": NODE_IDS[name],
             "address": f"127.0.0.1:{PORTS[name]}",
             "zone": "edge",
             "kind": "box",
@@ -134,86 +134,89 @@
 
 
 class Link:
-    """The connection of the moment, as the servers see it."""
+    """The current client connection, as the servers see it."""
 
     def __init__(self, server: int) -> None:
+        """Accept a connection to server number `server`."""
         self.server = server
         self.requests: deque[bytes] = deque()
-        self.frames: deque[tuple[bytes, tuple[Any, ...]]] = deque()  # with what each says, for the checks
-        self.greeted = False
+        # Each frame comes with a summary of its content, for the checks.
+        self.frames: deque[tuple[bytes, tuple[Any, ...]]] = deque()
+        self.handshake_done = False
 
     def fire(self, kind: EventType, path: str) -> None:
-        """A watch fires."""
+        """Queue a watch event."""
         self.frames.append((watch_event(kind, path), ("event", int(kind), path)))
 
 
 class Servers:
-    """An ensemble of two: server 0 is always up to date, server 1 applies by its own steps."""
+    """An ensemble of two: server 0 is always up to date, server 1 applies transactions in separate steps."""
 
     def __init__(self) -> None:
+        """Start both servers without nodes or sessions."""
         self.leader = Leader()
         self.replicas = (Replica(), Replica())
         self.sessions: set[int] = set()
         self.ended: set[int] = set()
         self.next_session = 100
         self.link: Link | None = None
-        self.session = 0  # of the connection of the moment
-        self._path = ""  # of the request that is worked off
+        self.session = 0  # session id of the current connection
+        self._path = ""  # path of the request being processed
 
     def commit(self, txn_of: Callable[[], object]) -> None:
-        """A write: server 0 has it at once."""
+        """Commit a transaction; server 0 applies it at once."""
         txn_of()
         self.replicas[0].apply(self.leader.log[-1])
 
-    def write(self, wanted: WriteRequest, session: int, now: float) -> None:
-        """One write of somebody's; raises ZkError."""
-        self.commit(lambda: self.leader.write([wanted], session, [], int(now)))
+    def write(self, request: WriteRequest, session: int, now: float) -> None:
+        """Commit one write of a session; raise ZkError if it is invalid."""
+        self.commit(lambda: self.leader.write([request], session, [], int(now)))
 
     def end(self, session: int, now: float) -> None:
-        """A session is over."""
+        """End a session and delete its ephemeral nodes."""
         self.sessions.discard(session)
         self.commit(lambda: self.leader.end_session(session, int(now)))
 
-    def behind(self) -> bool:
-        """Whether server 1 has something left to apply."""
+    def is_lagging(self) -> bool:
+        """Return whether server 1 has transactions left to apply."""
         return self.replicas[1].applied < self.leader.zxid
 
     def catch_up(self) -> None:
-        """Server 1 applies one transaction more."""
+        """Apply one more transaction on server 1."""
         self.replicas[1].apply(self.leader.log[self.replicas[1].applied])
 
     def drop(self) -> None:
-        """The connection is gone; what was queued either way is lost."""
+        """Drop the connection; requests and frames in flight are lost."""
         if self.link is not None:
             for replica in self.replicas:
                 replica.watchers.drop(self.link.fire)
         self.link = None
 
     def serve(self, payload: bytes, now: float) -> bool:
-        """One request; False if the server closes the connection instead."""
+        """Process one request; return False if the server closes the connection instead."""
         link = self.link
         assert link is not None
         replica, reader = self.replicas[link.server], Reader(payload)
-        if not link.greeted:
-            return self._greet(link, reader, replica)
+        if not link.handshake_done:
+            return self._accept_handshake(link, reader, replica)
         xid, op = reader.int_(), Op(reader.int_())
         if op is Op.CLOSE_SESSION:
             return False
         try:
-            body, says = self._do(op, reader, link, replica, now)
+            body, content = self._do(op, reader, link, replica, now)
             error = Err.OK
-        except ZkError as wrong:
-            error, body, says = wrong.code, b"", ("error", int(wrong.code), op.name, self._path)
+        except ZkError as zk_error:
+            error, body, content = zk_error.code, b"", ("error", int(zk_error.code), op.name, self._path)
         payload = jute.int_(xid) + jute.long(replica.applied) + jute.int_(error) + body
-        link.frames.append((payload, says))
+        link.frames.append((payload, content))
         return True
 
-    def _greet(self, link: Link, reader: Reader, replica: Replica) -> bool:
+    def _accept_handshake(self, link: Link, reader: Reader, replica: Replica) -> bool:
         reader.int_()
         zxid, timeout, session = reader.long(), reader.int_(), reader.long()
         if zxid > replica.applied:
             return False
-        link.greeted = True
+        link.handshake_done = True
         if session == 0:
             self.next_session += 1
             session = self.next_session
@@ -241,7 +244,7 @@
             return b"", ("ping",)
         path = self._path = reader.string()
         if op is Op.SYNC:
-            while link.server == 1 and self.behind():
+            while link.server == 1 and self.is_lagging():
                 self.catch_up()
             return jute.string(path), ("sync",)
         if op is Op.GET_DATA:
@@ -265,13 +268,15 @@
         data = reader.buffer() or b"" if op in (Op.CREATE, Op.SET_DATA) else b""
         if op is Op.CREATE:
             reader.vector(lambda: (reader.int_(), reader.string(), reader.string()))
-            wanted = WriteRequest("create", path, data, ANYONE, reader.int_())
+            request = WriteRequest("create", path, data, ANYONE, reader.int_())
         else:
-            wanted = WriteRequest("set" if op is Op.SET_DATA else "delete", path, data, version=reader.int_())
+            request = WriteRequest(
+                "set" if op is Op.SET_DATA else "delete", path, data, version=reader.int_()
+            )
         try:
-            self.write(wanted, self.session, now)
-        finally:  # also a write that fails is ordered among the others
-            while link.server == 1 and self.behind():
+            self.write(request, self.session, now)
+        finally:  # a failed write is ordered among the others, too
+            while link.server == 1 and self.is_lagging():
                 self.catch_up()
         if op is Op.CREATE:
             return jute.string(path), ("made", path)
@@ -279,108 +284,117 @@
 
 
 class CoordinationMachine:
-    """Everything between a coordination service and the list that the decisions get."""
+    """Everything between a coordination service and the merged endpoint list."""
 
     def __init__(self, bounds: Bounds) -> None:
+        """Connect to the servers and read all nodes."""
         self.bounds = bounds
         self.violations: list[Violation] = []
         self.now = 1_000_000.0  # ms
-        self.left = {"changes": bounds.changes, "faults": bounds.faults, "log": bounds.log}
+        self.remaining = {"changes": bounds.changes, "faults": bounds.faults, "log": bounds.log}
         self.servers = Servers()
-        self.owners: dict[str, int] = {}  # by cache: its session
+        self.owners: dict[str, int] = {}  # session by cache
         self.next_owner = 1
         self.session = Session((("s", 0), ("s", 1)), 1, SessionConfig(session_timeout_s=10.0, jitter=0.0))
         self.session._servers = [
             ("s", 0),
             ("s", 1),
-        ]  # shuffled or not is the same here; fixed, so that names are
+        ]  # fixed order, so that server names are deterministic
         self.calls: dict[int, Callable[[Reply], None]] = {}
         self.token = 0
-        self.merge = EndpointMerger((LOG, ZK))
+        self.merge = EndpointMerger((CHANGE_LOG, ZOOKEEPER))
         self.claims: dict[NodeId, dict[EndpointSource, RecordedClaim]] = {}
-        self.number = 0
-        self.log_says = True
-        self.roster = Roster(NAMES, RULES, self._emit, self._confirm, self._say)
-        self.tree = TreeWatch(CACHES, self._ask, self, bounds.recursive)
-        self.registrar = Registrar(ROUTERS, ME, b"starting", self._ask, self._session, self._ours, self._say)
+        self.claim_sequence = 0
+        self.log_is_current = True
+        self.roster = Roster(NAMES, RULES, self._emit_claim, self._request_confirmation, self._log_alarm)
+        self.tree = TreeWatch(CACHES, self._send_request, self, bounds.recursive)
+        self.registrar = Registrar(
+            ROUTERS,
+            ROUTER_NAME,
+            b"starting",
+            self._send_request,
+            self._session,
+            self._is_own_record,
+            self._log_alarm,
+        )
         self.own_record = b"starting"
-        # For the checks: what the frames that were heard have said.
-        self.told: dict[str, tuple[str, int]] = {}  # by name: up, draining, bad or gone; and the transaction
-        self.newest = 0  # transaction of any reply that was taken
+        # For the checks: content of the received frames.
+        self.reported: dict[str, tuple[str, int]] = {}  # by cache: up, draining, bad or gone, and the zxid
+        self.max_zxid = 0  # highest zxid of the accepted replies
         self.departed: list[float] = []
-        self.unconfirmed = False  # all have departed within the window, and no list after a sync was heard
+        self.unconfirmed = False  # all departed within the window, and no list after a sync was received
         self.synced = False
-        self.begun: dict[str, float] = {}  # by cache: `started` that its claim must have
-        self._begin()
+        self.expected_start_ms: dict[str, float] = {}  # by cache: `started` that its claim must have
+        self._initialize()
 
     # -- wiring --
 
-    def _ask(self, what: zk.Request, call: Callable[[Reply], None]) -> None:
+    def _send_request(self, request: zk.Request, call: Callable[[Reply], None]) -> None:
         self.token += 1
         self.calls[self.token] = call
-        self.session.send_request(self.token, what, self.now / 1000)
+        self.session.send_request(self.token, request, self.now / 1000)
 
     def _session(self) -> int:
         return self.session.session
 
     @staticmethod
-    def _ours(data: bytes) -> bool:
+    def _is_own_record(data: bytes) -> bool:
         return True
 
-    def _confirm(self) -> None:
+    def _request_confirmation(self) -> None:
         self.tree.confirm()
 
-    def _say(self, event: str, **fields: object) -> None:
-        """Alarms are not looked at here."""
+    def _log_alarm(self, event: str, **fields: object) -> None:
+        """Ignore alarms."""
 
-    def _emit(self, ident: NodeId, claim: Claim) -> None:
+    def _emit_claim(self, node_id: NodeId, claim: Claim) -> None:
         if self.roster.snapshot_received:
-            self._claim(ZK, ident, claim)
+            self._record_claim(ZOOKEEPER, node_id, claim)
 
-    def _claim(self, source: EndpointSource, ident: NodeId, claim: Claim) -> None:
-        self.number += 1
-        by = self.claims.setdefault(ident, {})
-        if claim.member is None and source in by:
-            claim = claim._replace(member=by[source].claim.member)
-        by[source] = RecordedClaim(claim, self.number, self.now)
-        self.merge.apply_claim(source, ident, claim, self.now)
+    def _record_claim(self, source: EndpointSource, node_id: NodeId, claim: Claim) -> None:
+        self.claim_sequence += 1
+        claims_by_source = self.claims.setdefault(node_id, {})
+        if claim.member is None and source in claims_by_source:
+            claim = claim._replace(member=claims_by_source[source].claim.member)
+        claims_by_source[source] = RecordedClaim(claim, self.claim_sequence, self.now)
+        self.merge.apply_claim(source, node_id, claim, self.now)
 
     def put(self, name: str, data: bytes, stat: zk.Stat) -> None:
-        """As `TreeSink`."""
+        """Implement `TreeSink`."""
         self.roster.put(name, data, stat.czxid, float(stat.ctime), stat.ephemeral_owner, self.now)
 
     def removed(self, names: Iterable[str]) -> None:
-        """As `TreeSink`."""
+        """Implement `TreeSink`."""
         self.roster.remove(names, self.now)
 
     def list_complete(self, names: frozenset[str], confirmed: bool) -> None:
-        """As `TreeSink`; the first list tells all claims."""
+        """Implement `TreeSink`; the first list publishes all claims."""
         first = not self.roster.snapshot_received
         self.roster.apply_snapshot(names, confirmed, self.now)
         if first:
-            for ident, claim in self.roster.claims.items():
-                self._claim(ZK, ident, claim)
+            for node_id, claim in self.roster.claims.items():
+                self._record_claim(ZOOKEEPER, node_id, claim)
 
     def absent(self, confirmed: bool) -> None:
-        """As `TreeSink`."""
+        """Implement `TreeSink`."""
         self.list_complete(frozenset(), confirmed)
 
-    def broken(self, prop: str, why: str) -> None:
-        """Notes a violation."""
+    def report_violation(self, prop: str, why: str) -> None:
+        """Record a violation of property `prop`."""
         self.violations.append(Violation(prop, why))
 
-    # -- the beginning: connected, all read --
+    # -- initial state: connected, all nodes read --
 
-    def _begin(self) -> None:
+    def _initialize(self) -> None:
         for path in (CACHES, ROUTERS):
             self.servers.write(WriteRequest("create", path, b"", ANYONE), 0, self.now)
         for name in self.bounds.caches or ("a",):
-            self._create_node(name, BEGUN)
-        while self.servers.behind():
+            self._create_node(name, INITIAL_START_MS)
+        while self.servers.is_lagging():
             self.servers.catch_up()
-        self._quiet()
+        self._run_until_idle()
 
-    def _quiet(self) -> None:
+    def _run_until_idle(self) -> None:
         for _ in range(60):
             step = self.default()
             if step is None:
@@ -395,16 +409,16 @@
             self.next_owner,
             self.now,
         )
-        self.begun[name] = started or float(int(self.now))
+        self.expected_start_ms[name] = started or float(int(self.now))
 
     # -- steps --
 
     def enabled(self) -> list[str]:
-        """What may happen now."""
+        """Return the steps that are possible in the current state."""
         link, steps = self.servers.link, []
         if self.session.state in (State.WAITING, State.REFUSED):
             steps.append("up")
-            if self.left["faults"]:
+            if self.remaining["faults"]:
                 steps += [kind for kind in ("refuse", "other") if kind in self.bounds.fault_kinds]
         if link is not None:
             if link.requests:
@@ -413,27 +427,27 @@
                 steps.append("serve-one")
             if link.frames:
                 steps.append("hear")
-            if self.left["faults"]:
+            if self.remaining["faults"]:
                 steps += [
                     kind
                     for kind in ("drop", "expire-ours")
                     if kind in self.bounds.fault_kinds
                     and (kind == "drop" or self.servers.session in self.servers.sessions)
                 ]
-        elif self.left["faults"] and "expire-ours" in self.bounds.fault_kinds and self.servers.sessions:
+        elif self.remaining["faults"] and "expire-ours" in self.bounds.fault_kinds and self.servers.sessions:
             steps.append("expire-ours")
-        if self.servers.behind():
+        if self.servers.is_lagging():
             steps.append("catch-up")
-        if self.left["changes"]:
+        if self.remaining["changes"]:
             steps += self._changes()
-        if self.left["log"]:
-            steps += ["log-drain", "log-up", "log-gone", "log-silent" if self.log_says else "log-heard"]
+        if self.remaining["log"]:
+            steps += ["log-drain", "log-up", "log-gone", "log-silent" if self.log_is_current else "log-heard"]
         if self.roster.next_tick_ms() < float("inf"):
             steps.append("wait")
         return steps
 
     def _changes(self) -> list[str]:
-        found = ["state"] if "state" in self.bounds.kinds else []
+        steps = ["state"] if "state" in self.bounds.kinds else []
         for name in (*self.bounds.caches, "c"):
             node = self.servers.leader.replica.nodes.get(f"{CACHES}/{name}")
             if name == "c":
@@ -442,25 +456,25 @@
                 options = ["return", "restart"]
             else:
                 options = ["vanish", "undrain" if b"draining" in node.data else "drain", "spoil"]
-            found += [f"{kind} {name}" for kind in options if kind in self.bounds.kinds]
-        return found
+            steps += [f"{kind} {name}" for kind in options if kind in self.bounds.kinds]
+        return steps
 
     def do(self, step: str) -> None:
-        """Takes a step, and looks at what must hold."""
+        """Execute `step` and check the invariants."""
         word = step.partition(" ")[0]
         if word in ("refuse", "other", "drop", "expire-ours"):
-            self.left["faults"] -= 1
+            self.remaining["faults"] -= 1
         elif word.startswith("log-"):
-            self.left["log"] -= 1
+            self.remaining["log"] -= 1
         elif word in self.bounds.kinds:
-            self.left["changes"] -= 1
+            self.remaining["changes"] -= 1
         self._step(step)
-        self._look()
+        self._check_invariants()
 
     def _step(self, step: str) -> None:
         word, _, name = step.partition(" ")
         getattr(self, "_on_" + word.replace("-", "_"))(*([name] if name else []))
-        self._flow()
+        self._process_io()
 
     def _on_up(self) -> None:
         self.now = max(
@@ -482,7 +496,7 @@
         self.session.lost("refused", self.now / 1000)
 
     def _on_other(self) -> None:
-        """The next attempt goes to the other server."""
+        """Direct the next connection attempt to the other server."""
         self.session._next_server += 1
 
     def _on_serve(self) -> None:
@@ -499,24 +513,24 @@
         link = self.servers.link
         assert link is not None
         while link.frames and self.servers.link is link:
-            payload, says = link.frames.popleft()
+            payload, content = link.frames.popleft()
             before = self.session.state
             self.session.received(len(payload).to_bytes(4, "big") + payload, self.now / 1000)
             if self.session.state in (State.GREETING, State.CONNECTED):
-                self._heard(says)
-                self._newer(payload, says)
+                self._record_received(content)
+                self._check_zxid_order(payload, content)
             elif before is State.CONNECTED or before is State.GREETING:
                 self.servers.drop()
-            self._flow()
+            self._process_io()
 
     def _on_drop(self) -> None:
         self.servers.drop()
         self.session.lost("dropped", self.now / 1000)
 
     def _on_expire_ours(self) -> None:
-        mine = max(self.servers.sessions)
-        self.servers.ended.add(mine)
-        self.servers.end(mine, self.now)
+        session_id = max(self.servers.sessions)
+        self.servers.ended.add(session_id)
+        self.servers.end(session_id, self.now)
         if self.servers.link is not None:
             self._on_drop()
 
@@ -527,7 +541,7 @@
         self.servers.end(self.owners[name], self.now)
 
     def _on_return(self, name: str) -> None:
-        self._create_node(name, BEGUN)
+        self._create_node(name, INITIAL_START_MS)
 
     def _on_restart(self, name: str) -> None:
         self._create_node(name, 0.0)
@@ -536,17 +550,21 @@
         self._create_node(name, self.now)
 
     def _on_drain(self, name: str) -> None:
-        self._write(name, "draining")
+        self._write_state(name, "draining")
 
     def _on_undrain(self, name: str) -> None:
-        self._write(name, "up")
+        self._write_state(name, "up")
 
-    def _write(self, name: str, state: str) -> None:
+    def _write_state(self, name: str, state: str) -> None:
         self.servers.write(
             WriteRequest(
                 "set",
                 f"{CACHES}/{name}",
-                record(name, self.begun[name] if self.begun[name] == BEGUN else 0.0, state),
+                record(
+                    name,
+                    self.expected_start_ms[name] if self.expected_start_ms[name] == INITIAL_START_MS else 0.0,
+                    state,
+                ),
             ),
             0,
             self.now,
@@ -556,9 +574,11 @@
         self.servers.write(WriteRequest("set", f"{CACHES}/{name}", b"{"), 0, self.now)
 
     def _log(self, state: NodeState) -> None:
-        member = parse_member(record("a", BEGUN), NAMES)
-        self._claim(
-            LOG, IDS["a"], Claim(state, member._replace(node=member.node._replace(state=state)), "log")
+        member = parse_member(record("a", INITIAL_START_MS), NAMES)
+        self._record_claim(
+            CHANGE_LOG,
+            NODE_IDS["a"],
+            Claim(state, member._replace(node=member.node._replace(state=state)), "log"),
         )
 
     def _on_log_drain(self) -> None:
@@ -571,10 +591,10 @@
         self._log(NodeState.REMOVED)
 
     def _on_log_silent(self) -> None:
-        self.log_says = False
+        self.log_is_current = False
 
     def _on_log_heard(self) -> None:
-        self.log_says = True
+        self.log_is_current = True
 
     def _on_state(self) -> None:
         self.own_record = b"ready"
@@ -584,91 +604,106 @@
         self.now = max(self.now, self.roster.next_tick_ms())
         self.roster.tick(self.now)
 
-    def _flow(self) -> None:
-        """What the program does by itself: hands over events, writes requests."""
+    def _process_io(self) -> None:
+        """Deliver session events and send pending requests, as the router does by itself."""
         for event in self.session.events():
             if isinstance(event, Reply):
                 call = self.calls.pop(event.token, None)
                 if call is None:
-                    self.broken("reply-once", f"a second reply to request {event.token}")
+                    self.report_violation("reply-once", f"a second reply to request {event.token}")
                 else:
                     call(event)
             else:
-                self._event(event)
+                self._handle_event(event)
         data = self.session.data_to_send()
         if data and self.servers.link is not None:
             buffer = Buffer(1 << 21)
             buffer.feed(data)
             self.servers.link.requests.extend(zk.frames(buffer))
-        self.merge.set_current(ZK, self.roster.is_current(self.now), self.now)
-        self.merge.set_current(LOG, self.log_says and bool(self.claims), self.now)
+        self.merge.set_current(ZOOKEEPER, self.roster.is_current(self.now), self.now)
+        self.merge.set_current(CHANGE_LOG, self.log_is_current and bool(self.claims), self.now)
 
-    def _event(self, event: SessionEvent) -> None:
+    def _handle_event(self, event: SessionEvent) -> None:
         if isinstance(event, Expired):
             if event.session not in self.servers.ended:
-                self.broken(
-                    "expired-by-word", f"session {event.session} is told as expired, no server ended it"
+                self.report_violation(
+                    "expired-by-word",
+                    f"session {event.session} is reported as expired, but no server ended it",
                 )
         elif not isinstance(event, Up) and type(event).__name__ == "Down":
             self.roster.connection_lost(self.now)
         self.tree.feed(event)
-        if self.bounds.own:
+        if self.bounds.register_self:
             self.registrar.feed(event)
 
     # -- the checks --
 
-    def _heard(self, says: tuple[Any, ...]) -> None:
-        kind = says[0]
-        if kind == "data" and parent_of(says[1]) == CACHES:
-            name = says[1].rpartition("/")[2]
-            before = self.told.get(name, ("", 0))[1]
-            if says[3] < before:
-                self.broken("not-back", f"{name} of transaction {says[3]} was taken after that of {before}")
-            state = "draining" if b"draining" in says[2] else "up" if b"state" in says[2] else "bad"
-            self.told[name] = (state, says[3])
-        elif kind == "error" and says[2] == "GET_DATA" and says[1] == Err.NO_NODE:
-            self._gone([says[3].rpartition("/")[2]])
-        elif kind == "list" and says[1] == CACHES:
+    def _record_received(self, content: tuple[Any, ...]) -> None:
+        kind = content[0]
+        if kind == "data" and parent_of(content[1]) == CACHES:
+            name = content[1].rpartition("/")[2]
+            before = self.reported.get(name, ("", 0))[1]
+            if content[3] < before:
+                self.report_violation(
+                    "not-back", f"{name} of transaction {content[3]} was accepted after {before}"
+                )
+            state = "draining" if b"draining" in content[2] else "up" if b"state" in content[2] else "bad"
+            self.reported[name] = (state, content[3])
+        elif kind == "error" and content[2] == "GET_DATA" and content[1] == Err.NO_NODE:
+            self._record_departed([content[3].rpartition("/")[2]])
+        elif kind == "list" and content[1] == CACHES:
             if self.synced:
                 self.unconfirmed = self.synced = False
-            self._gone([name for name in self.told if name not in says[2]])
-        elif kind == "event" and says[1] == EventType.DELETED:
-            self._gone([says[2].rpartition("/")[2]])
+            self._record_departed([name for name in self.reported if name not in content[2]])
+        elif kind == "event" and content[1] == EventType.DELETED:
+            self._record_departed([content[2].rpartition("/")[2]])
         elif kind == "sync":
             self.synced = True
 
-    def _newer(self, payload: bytes, says: tuple[Any, ...]) -> None:
-        """A reply that was taken must come from a server that is not behind what was taken before."""
-        if says[0] not in ("greeting", "event"):
+    def _check_zxid_order(self, payload: bytes, content: tuple[Any, ...]) -> None:
+        """Check that an accepted reply is no older than those accepted before."""
+        if content[0] not in ("greeting", "event"):
             reader = Reader(payload)
             reader.int_()
             zxid = reader.long()
-            if zxid < self.newest:
-                self.broken("not-back", f"a reply of transaction {zxid} was taken after one of {self.newest}")
-            self.newest = max(self.newest, zxid)
-
-    def _gone(self, names: list[str]) -> None:
-        fresh = [name for name in names if name in self.told and self.told[name][0] != "gone"]
-        for name in fresh:
-            if self.told[name][0] != "bad":
+            if zxid < self.max_zxid:
+                self.report_violation(
+                    "not-back", f"a reply of transaction {zxid} was accepted after {self.max_zxid}"
+                )
+            self.max_zxid = max(self.max_zxid, zxid)
+
+    def _record_departed(self, names: list[str]) -> None:
+        newly_departed = [
+            name for name in names if name in self.reported and self.reported[name][0] != "gone"
+        ]
+        for name in newly_departed:
+            if self.reported[name][0] != "bad":
                 self.departed.append(self.now)
-            self.told[name] = ("gone", self.told[name][1])
-        within = [at for at in self.departed if at > self.now - RULES.mass_departure_window_ms]
-        if fresh and len(within) > 1 and all(state == "gone" for state, _ in self.told.values()):
+            self.reported[name] = ("gone", self.reported[name][1])
+        recent = [
+            departed_at_ms
+            for departed_at_ms in self.departed
+            if departed_at_ms > self.now - RULES.mass_departure_window_ms
+        ]
+        if newly_departed and len(recent) > 1 and all(state == "gone" for state, _ in self.reported.values()):
             self.unconfirmed = True
 
-    def _look(self) -> None:
-        """What must hold after every step."""
+    def _check_invariants(self) -> None:
+        """Check the invariants that hold after every step."""
         if self.violations:
             return
-        for name, (state, _) in self.told.items():
-            ready = self.merge.status(IDS[name]).state is NodeState.READY
-            kept = state == "gone" and self.roster.unconfirmed > 0
-            by = self.claims.get(IDS[name], {})
-            if LOG in by and ZK in by and by[LOG].sequence > by[ZK].sequence:
-                continue  # the most trusted source has spoken since
-            if ready and state != "up" and not kept and self.roster.snapshot_received:
-                self.broken("told-strict", f"{name} is told as {state}, and gets fresh work")
+        for name, (state, _) in self.reported.items():
+            ready = self.merge.status(NODE_IDS[name]).state is NodeState.READY
+            is_retained = state == "gone" and self.roster.unconfirmed > 0
+            claims_by_source = self.claims.get(NODE_IDS[name], {})
+            if (
+                CHANGE_LOG in claims_by_source
+                and ZOOKEEPER in claims_by_source
+                and claims_by_source[CHANGE_LOG].sequence > claims_by_source[ZOOKEEPER].sequence
+            ):
+                continue  # the most trusted source has made a later claim
+            if ready and state != "up" and not is_retained and self.roster.snapshot_received:
+                self.report_violation("told-strict", f"{name} is reported as {state}, but is ready")
         claims = self.roster.claims.values()
         if (
             self.unconfirmed
@@ -676,61 +711,73 @@
             and self.roster.disconnected_since_ms is None
             and not any(claim.state is NodeState.READY for claim in claims)
         ):
-            self.broken("mass-confirmed", "all departed at once, and none was kept until a sync")
-        self._look_at_roster()
-        self._look_at_merge()
+            self.report_violation(
+                "mass-confirmed", "all departed at once, and none was retained until a sync"
+            )
+        self._check_roster()
+        self._check_merge()
 
-    def _look_at_roster(self) -> None:
+    def _check_roster(self) -> None:
         ready = [claim.member for claim in self.roster.claims.values() if claim.state is NodeState.READY]
         if len({(member.host, member.port) for member in ready if member}) < len(ready):
-            self.broken("one-address", "two ids at one address are ready")
-        for ident, until in self.roster._suppressed_until_ms.items():
-            claim = self.roster.claims.get(ident)
+            self.report_violation("one-address", "two ids at one address are ready")
+        for node_id, until in self.roster._suppressed_until_ms.items():
+            claim = self.roster.claims.get(node_id)
             if self.now < until and claim is not None and claim.state is NodeState.READY:
-                self.broken("damped", f"{ident} came back too often, and gets fresh work at once")
-
-    def _look_at_merge(self) -> None:
-        say = {LOG: self.merge.is_current(LOG), ZK: self.merge.is_current(ZK)}
-        expected = merge_all_claims(self.claims, say)
-        for ident, by in self.claims.items():
-            mine, wanted = self.merge.status(ident), expected[ident]
-            if mine.state is not wanted.state:
-                self.broken("merge-same", f"{ident} is {mine.state.name}, by all claims {wanted.state.name}")
-            if mine.state is not NodeState.READY:
+                self.report_violation("damped", f"{node_id} returned too often, but is ready at once")
+
+    def _check_merge(self) -> None:
+        current = {CHANGE_LOG: self.merge.is_current(CHANGE_LOG), ZOOKEEPER: self.merge.is_current(ZOOKEEPER)}
+        expected_by_id = merge_all_claims(self.claims, current)
+        for node_id, claims_by_source in self.claims.items():
+            actual, expected_status = self.merge.status(node_id), expected_by_id[node_id]
+            if actual.state is not expected_status.state:
+                self.report_violation(
+                    "merge-same",
+                    f"{node_id} is {actual.state.name}, all claims give {expected_status.state.name}",
+                )
+            if actual.state is not NodeState.READY:
                 continue
-            having = [source for source in sorted(by) if say[source]]
-            if not having:
-                self.broken("say-lost", f"{ident} gets fresh work, and no source that knows it has a say")
+            current_sources = [source for source in sorted(claims_by_source) if current[source]]
+            if not current_sources:
+                self.report_violation(
+                    "say-lost", f"{node_id} is ready, but no source that knows it is current"
+                )
                 continue
-            top = by[min(having, key=lambda source: source.rank)]
-            strict = [told for told in by.values() if told.claim.state is not NodeState.READY]
-            if top in strict or any(told.sequence > top.sequence for told in strict):
-                self.broken(
-                    "coming-back", f"{ident} is back, and the most trusted source has not said so since"
+            top_claim = claims_by_source[min(current_sources, key=lambda source: source.rank)]
+            strict = [
+                recorded
+                for recorded in claims_by_source.values()
+                if recorded.claim.state is not NodeState.READY
+            ]
+            if top_claim in strict or any(recorded.sequence > top_claim.sequence for recorded in strict):
+                self.report_violation(
+                    "coming-back", f"{node_id} is ready again without a claim of the most trusted source"
                 )
-            name = next(name for name, number in IDS.items() if number == ident)
-            started = mine.member.node.started_ms if mine.member else 0.0
+            name = next(name for name, other_id in NODE_IDS.items() if other_id == node_id)
+            started_ms = actual.member.node.started_ms if actual.member else 0.0
             if (
-                name in self.told
-                and self.told[name][0] == "up"
-                and ZK in by
-                and started < self._least_start(name)
+                name in self.reported
+                and self.reported[name][0] == "up"
+                and ZOOKEEPER in claims_by_source
+                and started_ms < self._min_started_ms(name)
             ):
-                self.broken(
-                    "cold-told", f"{name} began at {self.begun[name]}, and is taken to have at {started}"
+                self.report_violation(
+                    "cold-told",
+                    f"{name} started at {self.expected_start_ms[name]}, but is recorded with {started_ms}",
                 )
 
-    def _least_start(self, name: str) -> float:
-        """`started` of the node whose data was heard last, if it is still the present one."""
+    def _min_started_ms(self, name: str) -> float:
+        """Return `started` of the node that was read last if it is still current, else 0."""
         node = self.servers.leader.replica.nodes.get(f"{CACHES}/{name}")
-        if node is None or node.mzxid != self.told[name][1]:
+        if node is None or node.mzxid != self.reported[name][1]:
             return 0.0
-        return self.begun[name]
+        return self.expected_start_ms[name]
 
-    # -- the end --
+    # -- settling --
 
     def touches(self, step: str) -> frozenset[str] | None:
-        """Everything touches everything here."""
+        """Return None: any step may touch the whole state."""
         return None
 
     def default(self) -> str | None:
@@ -743,85 +790,89 @@
 
     def settle(self) -> None:
         """Lets everything go on, and checks what must be true then."""
-        self.log_says = True
+        self.log_is_current = True
         for _ in range(3):
             for _ in range(80):
                 step = self.default()
                 if step is None or self.violations:
                     break
                 self._step(step)
-                self._look()
+                self._check_invariants()
             self.now += max(RULES.linger_ms, RULES.flap_hold_ms) + 1.0
             self.roster.tick(self.now)
-            self._flow()
+            self._process_io()
         if self.violations:
             return
         if self.calls:
-            self.broken("reply-once", f"{len(self.calls)} requests have had no reply")
+            self.report_violation("reply-once", f"{len(self.calls)} requests got no reply")
             return
         self._check_watches()
         self._check_truth()
-        if self.bounds.own:
+        if self.bounds.register_self:
             self._check_own()
 
     def _check_watches(self) -> None:
         link = self.servers.link
         if link is None:
-            self.broken("converges", "no connection in the end")
+            self.report_violation("converges", "no connection after settling")
             return
         watchers = self.servers.replicas[link.server].watchers
         nodes = self.servers.leader.replica.nodes
         if self.bounds.recursive:
             if link.fire not in watchers.recursive.get(CACHES, set()):
-                self.broken("watch-kept", "the recursive watch is lost")
+                self.report_violation("watch-kept", "the recursive watch is lost")
             return
         if link.fire not in watchers.child.get(CACHES, set()):
-            self.broken("watch-kept", "the watch on the list is lost")
+            self.report_violation("watch-kept", "the watch on the list is lost")
         for path in nodes:
             if parent_of(path) == CACHES and link.fire not in watchers.data.get(path, set()):
-                self.broken("watch-kept", f"the watch on {path} is lost")
+                self.report_violation("watch-kept", f"the watch on {path} is lost")
 
     def _check_truth(self) -> None:
-        """A cache not in the change log is ready if its node says so and nobody else has its address."""
-        up: dict[str, tuple[float, int]] = {}
-        for name in IDS:
+        """Check that a cache outside the change log is ready if its node is up and owns its address."""
+        running: dict[str, tuple[float, int]] = {}
+        for name in NODE_IDS:
             node = self.servers.leader.replica.nodes.get(f"{CACHES}/{name}")
             if node is not None and node.data != b"{":
-                up[name] = (self.begun[name], node.czxid)
-        for name, ident in IDS.items():
-            if LOG in self.claims.get(ident, {}):
+                running[name] = (self.expected_start_ms[name], node.czxid)
+        for name, node_id in NODE_IDS.items():
+            if CHANGE_LOG in self.claims.get(node_id, {}):
                 continue
             node = self.servers.leader.replica.nodes.get(f"{CACHES}/{name}")
-            rivals = [other for other in up if other != name and PORTS[other] == PORTS[name]]
-            alone = all(up[name] > up[other] for other in rivals) if name in up else False
-            wanted = name in up and node is not None and b'"up"' in node.data and alone
-            if (self.merge.status(ident).state is NodeState.READY) != wanted:
-                self.broken(
+            rivals = [other for other in running if other != name and PORTS[other] == PORTS[name]]
+            owns_address = (
+                all(running[name] > running[other] for other in rivals) if name in running else False
+            )
+            should_be_ready = name in running and node is not None and b'"up"' in node.data and owns_address
+            if (self.merge.status(node_id).state is NodeState.READY) != should_be_ready:
+                self.report_violation(
                     "converges",
-                    f"{name} should {'' if wanted else 'not '}be ready in the end, and is "
-                    f"{self.merge.status(ident).state.name}: {self.merge.status(ident).reason}",
+                    f"{name} should {'' if should_be_ready else 'not '}be ready after settling, but is "
+                    f"{self.merge.status(node_id).state.name}: {self.merge.status(node_id).reason}",
                 )
 
     def _check_own(self) -> None:
-        node = self.servers.leader.replica.nodes.get(f"{ROUTERS}/{ME}")
+        node = self.servers.leader.replica.nodes.get(f"{ROUTERS}/{ROUTER_NAME}")
         if node is None or node.owner != self.session.session or node.data != self.own_record:
-            held = "nobody's" if node is None else f"of session {node.owner}, {node.data!r}"
-            self.broken("own-node", f"our node is {held}; we are {self.session.session}, {self.own_record!r}")
+            description = "missing" if node is None else f"of session {node.owner}, {node.data!r}"
+            self.report_violation(
+                "own-node", f"own node is {description}; expected {self.session.session}, {self.own_record!r}"
+            )
 
     # -- states --
 
     def encode(self) -> bytes:
-        """The state, times told from now on; what is only wiring is left out."""
+        """Return the state in canonical form: times relative to now, callbacks left out."""
         servers, link = self.servers, self.servers.link
-        seen: list[Any] = [
-            tuple(sorted(self.left.items())),
+        parts: list[Any] = [
+            tuple(sorted(self.remaining.items())),
             self.session.state.value,
             self.session.session,
             self.session.last_zxid,
             self.session._next_server % 2,
             self.session._had_session,
             [sorted(kind) for kind in self.session.watches.all_kinds()],
-            [_canon(one.request) for one in self.session._pending],
+            [_canon(pending.request) for pending in self.session._pending],
             [
                 _canon(getattr(call, "args", ()) or getattr(call, "__name__", ""))
                 for call in self.calls.values()
@@ -837,16 +888,23 @@
             _canon(self.roster.claims),
             _canon(
                 {
-                    ident: {source.name: (told.claim, told.sequence) for source, told in by.items()}
-                    for ident, by in self.claims.items()
+                    node_id: {
+                        source.name: (recorded.claim, recorded.sequence)
+                        for source, recorded in claims_by_source.items()
+                    }
+                    for node_id, claims_by_source in self.claims.items()
                 }
             ),
-            self.log_says,
-            _canon(self.told),
+            self.log_is_current,
+            _canon(self.reported),
             self.unconfirmed,
             self.synced,
-            sorted(at - self.now for at in self.departed if at > self.now - RULES.mass_departure_window_ms),
-            _canon(self.begun),
+            sorted(
+                departed_at_ms - self.now
+                for departed_at_ms in self.departed
+                if departed_at_ms > self.now - RULES.mass_departure_window_ms
+            ),
+            _canon(self.expected_start_ms),
             servers.leader.zxid,
             servers.replicas[1].applied,
             sorted(servers.sessions),
@@ -855,10 +913,10 @@
         ]
         if link is not None:
             watchers = servers.replicas[link.server].watchers
-            seen.append(
+            parts.append(
                 (
                     link.server,
-                    link.greeted,
+                    link.handshake_done,
                     list(link.requests),
                     [frame for frame, _ in link.frames],
                     [
@@ -867,14 +925,16 @@
                     ],
                 )
             )
-        return marshal.dumps(seen, 2)
+        return marshal.dumps(parts, 2)
 
-    def _state_of(self, thing: object, left_out: tuple[str, ...]) -> Any:
-        return [(name, _canon(value)) for name, value in sorted(vars(thing).items()) if name not in left_out]
+    def _state_of(self, instance: object, excluded: tuple[str, ...]) -> Any:
+        return [
+            (name, _canon(value)) for name, value in sorted(vars(instance).items()) if name not in excluded
+        ]
 
 
 def _canon(value: Any) -> Any:
-    """Plain lists of a value, in one order."""
+    """Convert a value to plain lists in a canonical order."""
     if isinstance(value, (str, bytes, bool, type(None))):
         return value
     if isinstance(value, (int, float)):
@@ -891,17 +951,17 @@
 
 
 def machine(bounds: Bounds) -> CoordinationMachine:
-    """A machine at its beginning."""
+    """Return a machine in its initial state."""
     return CoordinationMachine(bounds)
 
 
 def starter(bounds: Bounds) -> Callable[[], CoordinationMachine]:
-    """What starts one."""
+    """Return a factory of machines in their initial state."""
     return partial(machine, bounds)
 
 
 def by_name(name: str) -> Bounds:
-    """The scope of that name; raises KeyError."""
+    """Return the scope called `name`; raise KeyError if there is none."""
     for bounds in SCOPES:
         if bounds.name == name:
             return bounds
