--- a/stonecove/explore/copying.py
+++ b/stonecove/explore/copying.py
@@ -1,7 +1,7 @@
-"""Three ways back to a state: taking its steps again, `copy.deepcopy`, and a pickle of the whole simulation.
+"""Three ways to restore a state: replaying its steps, `copy.deepcopy`, and a pickle of the whole simulation.
 
-Settings are fixed and shared by all copies; so are the fixed parts of a list (`Rendezvous`), by what they
-were made of.
+Settings are constant and shared by all copies. So are the constant parts of an endpoint list (`Rendezvous`),
+identified by their inputs.
 """
 
 from __future__ import annotations
@@ -21,19 +21,19 @@
 from stonecove.routing.settings import ClassSettings, Settings
 
 _shared: list[object] = []
-_places: dict[int, int] = {}
+_shared_indexes: dict[int, int] = {}
 
 
-def _share(thing: object) -> tuple[Callable[[int], object], tuple[int]]:
-    place = _places.get(id(thing))
-    if place is None:
-        place = _places[id(thing)] = len(_shared)
-        _shared.append(thing)
-    return _shared_at, (place,)
+def _share(instance: object) -> tuple[Callable[[int], object], tuple[int]]:
+    index = _shared_indexes.get(id(instance))
+    if index is None:
+        index = _shared_indexes[id(instance)] = len(_shared)
+        _shared.append(instance)
+    return _shared_at, (index,)
 
 
-def _shared_at(place: int) -> object:
-    return _shared[place]
+def _shared_at(index: int) -> object:
+    return _shared[index]
 
 
 def _cached(method: Callable[..., Any], size: int) -> Any:
@@ -58,11 +58,10 @@
 
 
 def _number_classes(names: Iterable[tuple[str, str]]) -> None:
-    """Gives classes a number each, by which our own pickles name them: looking names up costs a quarter of a
-    copy.
+    """Assign numbers to classes for use in our own pickles, as looking up names takes a quarter of a copy.
 
-    The numbers hold within this process only. Reading them is harmless, so they stay in the table for that;
-    writing them is allowed for our own pickles alone, for what goes to other processes must be read there.
+    The numbers are valid within this process only. Reading them is harmless, so those entries stay;
+    only our own pickles write them, because other processes must be able to read the pickles sent to them.
     """
     for name in names:
         if name not in _numbered:
@@ -70,7 +69,7 @@
             copyreg._inverted_registry[_numbered[name]] = name  # type: ignore[attr-defined]
 
 
-def _named_in(data: bytes) -> Iterable[tuple[str, str]]:
+def _class_names_in(data: bytes) -> Iterable[tuple[str, str]]:
     texts: list[str] = []
     memo: dict[int, str] = {}
     found = []
@@ -86,29 +85,30 @@
     return found
 
 
-class Way(Protocol):
-    """A way to come back to a state as often as needed."""
+class Restorer(Protocol):
+    """Method to restore a state any number of times."""
 
-    def keep(self, machine: Machine, steps: tuple[str, ...]) -> None:
-        """Remembers the state that these steps have led to."""
+    def save(self, machine: Machine, steps: tuple[str, ...]) -> None:
+        """Save the state that these steps led to."""
 
-    def back(self) -> Machine:
-        """The state, in a machine that is nobody else's."""
+    def restore(self) -> Machine:
+        """Return the saved state in a machine of its own."""
 
 
 class Replay:
-    """Takes all steps again, from the start."""
+    """Replays all steps from the start."""
 
     def __init__(self, start: Callable[[], Machine]) -> None:
+        """Replay on machines made by `start`."""
         self._start = start
         self._steps: tuple[str, ...] = ()
 
-    def keep(self, machine: Machine, steps: tuple[str, ...]) -> None:
-        """Remembers the steps."""
+    def save(self, machine: Machine, steps: tuple[str, ...]) -> None:
+        """Save the steps."""
         self._steps = steps
 
-    def back(self) -> Machine:
-        """A new run of them."""
+    def restore(self) -> Machine:
+        """Replay the saved steps and return the machine."""
         return run(self._start, self._steps)
 
 
@@ -116,41 +116,43 @@
     """Copies object by object."""
 
     def __init__(self) -> None:
-        self._kept: Machine | None = None
+        """Start without a saved state."""
+        self._saved: Machine | None = None
 
-    def keep(self, machine: Machine, steps: tuple[str, ...]) -> None:
-        """Keeps a copy."""
-        self._kept = self._copy(machine)
+    def save(self, machine: Machine, steps: tuple[str, ...]) -> None:
+        """Save a deep copy of the machine."""
+        self._saved = self._copy(machine)
 
     @staticmethod
     def _copy(machine: Machine) -> Machine:
-        before = copy._deepcopy_dispatch  # type: ignore[attr-defined]
+        dispatch = copy._deepcopy_dispatch  # type: ignore[attr-defined]
         extra = {
             Settings: lambda x, memo: x,
             ClassSettings: lambda x, memo: x,
             memoryview: lambda x, memo: memoryview(bytes(x)),
         }
-        before.update(extra)
+        dispatch.update(extra)
         try:
             return copy.deepcopy(machine)
         finally:
             for cls in extra:
-                before.pop(cls, None)
+                dispatch.pop(cls, None)
 
-    def back(self) -> Machine:
-        """A copy of the copy."""
-        assert self._kept is not None
-        return self._copy(self._kept)
+    def restore(self) -> Machine:
+        """Return a deep copy of the saved copy."""
+        assert self._saved is not None
+        return self._copy(self._saved)
 
 
 class Pickle:
-    """Writes the whole machine into bytes once, and reads them as often as needed."""
+    """Pickles the whole machine once and unpickles it any number of times."""
 
     def __init__(self) -> None:
+        """Start without a saved state."""
         self._data = b""
 
-    def keep(self, machine: Machine, steps: tuple[str, ...]) -> None:
-        """Writes it."""
+    def save(self, machine: Machine, steps: tuple[str, ...]) -> None:
+        """Pickle the machine."""
         out = io.BytesIO()
         pickler = pickle.Pickler(out, pickle.HIGHEST_PROTOCOL)
         pickler.dispatch_table = _TABLE
@@ -161,21 +163,22 @@
             for name in _numbered:
                 del copyreg._extension_registry[name]  # type: ignore[attr-defined]
         self._data = out.getvalue()
-        if not _numbered:  # from the first pickle on, the classes that it names go by numbers
-            _number_classes(_named_in(self._data))
-            self.keep(machine, steps)
+        if not _numbered:  # after the first pickle, its classes are referred to by number
+            _number_classes(_class_names_in(self._data))
+            self.save(machine, steps)
 
-    def back(self) -> Machine:
-        """Reads it."""
+    def restore(self) -> Machine:
+        """Unpickle the machine."""
         machine: Machine = pickle.loads(self._data)
         return machine
 
     def __len__(self) -> int:
+        """Return the size of the pickle in bytes."""
         return len(self._data)
 
 
 def run(start: Callable[[], Machine], steps: tuple[str, ...]) -> Machine:
-    """The machine after these steps."""
+    """Return the machine after these steps."""
     machine = start()
     for step in steps:
         machine.do(step)
--- a/stonecove/explore/fingerprint.py
+++ b/stonecove/explore/fingerprint.py
@@ -1,9 +1,9 @@
-"""A state in a canonical form, from which its fingerprint is made.
+"""Canonical encoding of a state, from which its fingerprint is computed.
 
-Times are told from the present on, requests by their place in the scope, connections by node and order, so
-that runs which differ in those names alone give the same state. What is left out is listed with the reason,
-and a class that has grown a field unknown here is refused (`check_fields`): a field forgotten would merge
-states that differ.
+Times are relative to the present, requests are identified by their index in the scope, and connections by
+node and order, so that runs which differ only in those identifiers give the same state. Each omitted field
+is listed with the reason, and `check_fields` reports a class with a field unknown here, because a forgotten
+field would merge states that differ.
 """
 
 from __future__ import annotations
@@ -45,12 +45,12 @@
 from stonecove.runtime.timers import Timers
 from stonecove.state import budget, nodes, requests
 
-WIRING = "points to another part that is encoded on its own, and never changes"
+WIRING = "constant reference to another part, which is encoded separately"
 FIXED = "set once from the settings"
-SAID = "told to people, read by nothing"
-DERIVED = "follows from what is encoded"
+REPORTED = "only reported; no code depends on it"
+DERIVED = "derived from encoded fields"
 
-# Each class of the core: the fields that are encoded below, and those left out, with the reason.
+# For each class of the core: the encoded fields, and the omitted fields with the reason.
 LEDGER: dict[type, tuple[str, dict[str, str]]] = {
     route.Route: (
         "_undecided",
@@ -68,14 +68,14 @@
             "_wake": WIRING,
             "_events": "empty between steps",
             "_processing": "false between steps",
-            "_last_notice_ms": SAID,
-            "shared_limit_check": "none in the explorer's installation",
+            "_last_notice_ms": REPORTED,
+            "shared_limit_check": "not set in the explorer's setup",
         },
     ),
     admit.Admit: (
         "cpu final_deadline_ms",
         {
-            "_random": "always the middle here",
+            "_random": "always returns the middle of the range here",
             "_max_retry_after_ms": FIXED,
             "_max_wait_ms": FIXED,
             "_relative_priority": FIXED,
@@ -88,7 +88,7 @@
             "_transfer_bytes_per_s": FIXED,
         },
     ),
-    AttemptRecorder: ("", {"_clock": WIRING, "_admit": WIRING, "_post": WIRING, "counts": SAID}),
+    AttemptRecorder: ("", {"_clock": WIRING, "_admit": WIRING, "_post": WIRING, "counts": REPORTED}),
     relay.Relay: ("", {"_report_fields": FIXED, "_recorder": WIRING}),
     send.Send: (
         "max_connections _connections _connection_by_attempt",
@@ -109,12 +109,15 @@
         "last_used_ms channel",
         {"_send": WIRING},
     ),
-    requests.OpenRequests: ("_open _by_txn", {"_last_id": "numbers are told by place"}),
+    requests.OpenRequests: (
+        "_open _by_txn",
+        {"_last_id": "requests are identified by their index in the scope"},
+    ),
     requests.OpenRequest: (
         "client_request deadline_ms reserved_bytes answered backstop_timer expired attempts",
         {
-            "request_id": "numbers are told by place",
-            "class_settings": "that of the settings, which stay as they are here",
+            "request_id": "requests are identified by their index in the scope",
+            "class_settings": "taken from the settings, which do not change here",
         },
     ),
     requests.Attempt: (
@@ -132,8 +135,8 @@
             "_clock": WIRING,
             "_monotonic": WIRING,
             "_wake": WIRING,
-            "_sequence": "the order of equal times is that of the heap",
-            "_compact_at": "there are never so many here",
+            "_sequence": "ties in time are ordered by the heap",
+            "_compact_at": "the heap never grows to this size here",
         },
     ),
     channel.Channel: (
@@ -144,9 +147,9 @@
             "_clock": WIRING,
             "_sock": WIRING,
             "_flushing": "false between steps",
-            "_close_reason": SAID,
-            "connect_failed": "told with its end",
-            "connect_timed_out": "told with its end",
+            "_close_reason": REPORTED,
+            "connect_failed": "reported when the channel ends",
+            "connect_timed_out": "reported when the channel ends",
         },
     ),
     peers.ServerChannel: (
@@ -165,7 +168,7 @@
             "_handler": WIRING,
             "_clock": WIRING,
             "_budget": WIRING,
-            "last_used": "read by the check of idle clients, which is not played here",
+            "last_used": "read only by the idle-client check, which is not explored",
         },
     ),
     fastcgi.Decoder: (
@@ -180,7 +183,7 @@
             "_dispatcher": WIRING,
             "_outcomes": WIRING,
             "_handlers": FIXED,
-            "handle": "the monitor's own",
+            "handle": "replaced by the monitor's wrapper",
         },
     ),
     AttemptDispatcher: ("", {"_state": WIRING, "_candidates": WIRING}),
@@ -192,19 +195,19 @@
         {
             "settings": FIXED,
             "share": FIXED,
-            "random": "always the middle here",
-            "actions": "handed over already",
-            "leased": "nobody lends in the explorer's installation; its machine is explore.fleet",
+            "random": "always returns the middle of the range here",
+            "actions": "already handed over between steps",
+            "leased": "no lessor in the explorer's setup; leases are explored by explore.fleet",
         },
     ),
     EndpointTable: ("listed", {"origins": DERIVED, "parents": DERIVED, "caches": DERIVED}),
     ClassStatistics: (
         "mean_work",
-        {"answered": "all requests of a class are of one size here, whose share is that of all"},
+        {"answered": "all requests of a class have one size here, so its share is always 1"},
     ),
     RetryBudget: (
         "tokens",
-        {"max_tokens": FIXED, "leased": "nobody lends in the explorer's installation"},
+        {"max_tokens": FIXED, "leased": "no lessor in the explorer's setup"},
     ),
     StoredCopies: ("stored_at_ms", {}),
     InFlightRequest: (
@@ -231,7 +234,7 @@
             "_window_ms": FIXED,
             "remaining_ms": "written and read within one decision",
             "unleased_fraction": FIXED,
-            "leased": "nobody lends in the explorer's installation",
+            "leased": "no lessor in the explorer's setup",
         },
     ),
     PurgeHistory: (
@@ -239,7 +242,7 @@
         {
             "_retention_ms": FIXED,
             "_next_retention_ms": FIXED,
-            "_next_sweep_ms": "when what is over is dropped; it has no effect",
+            "_next_sweep_ms": "time of the next removal of expired purges; has no effect on decisions",
         },
     ),
     Popularity: (
@@ -250,29 +253,29 @@
 }
 
 
-def fields_of(thing: object) -> set[str]:
-    """The names of an object's fields, with or without slots."""
-    names = set(getattr(thing, "__dict__", ()))
-    for cls in type(thing).__mro__:
+def fields_of(instance: object) -> set[str]:
+    """Return the names of an object's fields, with or without slots."""
+    names = set(getattr(instance, "__dict__", ()))
+    for cls in type(instance).__mro__:
         names.update(getattr(cls, "__slots__", ()))
     return names
 
 
-def check_fields(things: list[object]) -> list[str]:
-    """Fields of these objects that the ledger does not know, and known ones that are gone."""
-    wrong = []
-    for thing in things:
+def check_fields(instances: list[object]) -> list[str]:
+    """Return a message for each field of these objects that the ledger does not list."""
+    errors = []
+    for instance in instances:
         known: set[str] = set()
-        for cls in type(thing).__mro__:
+        for cls in type(instance).__mro__:
             if cls in LEDGER:
                 known |= set(LEDGER[cls][0].split()) | set(LEDGER[cls][1])
-        for name in sorted(fields_of(thing) - known):
-            wrong.append(f"{type(thing).__name__}.{name} is not in the ledger of the fingerprint")
-    return wrong
+        for name in sorted(fields_of(instance) - known):
+            errors.append(f"{type(instance).__name__}.{name} is not in the ledger of the fingerprint")
+    return errors
 
 
 def fingerprint(data: bytes) -> int:
-    """64 bits that stand for a state. Two of n states share them by chance with n * n / 2 ** 65."""
+    """Return a 64-bit hash of a state; among n states a collision has a probability of n * n / 2 ** 65."""
     return xxhash.xxh3_64_intdigest(data)
 
 
@@ -281,31 +284,31 @@
 
 
 class SimulationState(Protocol):
-    """What a fingerprint is made of: the router's parts, and those of the simulation around it."""
+    """Input of a fingerprint: the router's parts and the simulation around them."""
 
     @property
-    def t(self) -> float:
-        """The present Unix second."""
+    def now_s(self) -> float:
+        """Current Unix time in seconds."""
 
     @property
-    def now(self) -> float:
-        """The present Unix millisecond."""
+    def now_ms(self) -> float:
+        """Current Unix time in milliseconds."""
 
     @property
     def scope(self) -> Scope:
-        """The bounds that are explored."""
+        """Bounds of the exploration."""
 
     @property
     def route(self) -> route.Route:
-        """The router's loop, with the stages and the decision module."""
+        """Router's event loop with the stages and the decision module."""
 
     @property
     def budget(self) -> budget.MemoryBudget:
-        """The router's budget of bytes."""
+        """Router's memory budget in bytes."""
 
     @property
     def timers(self) -> Timers:
-        """The router's timers."""
+        """Router's timers."""
 
     @property
     def channels(self) -> list[peers.ServerChannel]:
@@ -313,35 +316,35 @@
 
     @property
     def session(self) -> peers.ClientSession:
-        """The connection of the clients."""
+        """Connection of the clients."""
 
     @property
-    def heads(self) -> dict[int, bytes]:
-        """What has come so far of each answer, by FastCGI id."""
+    def partial_answers(self) -> dict[int, bytes]:
+        """Bytes received so far of each answer, by FastCGI id."""
 
     @property
     def members(self) -> dict[int, tuple[str, NodeState, float]]:
-        """The listed nodes by id: name, state, start in Unix ms."""
+        """Listed nodes by id: name, state, start in Unix ms."""
 
     @property
     def processes(self) -> dict[int, int]:
-        """The node that listens at each port."""
+        """Node that listens at each port."""
 
     @property
     def follower(self) -> Follower:
-        """The router's reader of the change log."""
+        """Router's reader of the change log."""
 
     @property
     def log(self) -> list[bytes]:
-        """The events of the change log, by number."""
+        """Events of the change log, by number."""
 
     @property
-    def log_up(self) -> bool:
+    def log_connected(self) -> bool:
         """Whether the change log can be reached."""
 
     @property
     def log_skips(self) -> bool:
-        """Whether the next event comes under a number that is too high."""
+        """Whether the next event is sent with a number that is too high."""
 
     @property
     def requests(self) -> list[tuple[str, str]]:
@@ -349,19 +352,19 @@
 
     @property
     def faults(self) -> int:
-        """How many faults may still happen."""
+        """Number of faults that may still be injected."""
 
     @property
-    def term_at(self) -> float:
-        """The Unix second at which a drain is over; infinite without one."""
+    def drain_ends_at_s(self) -> float:
+        """Unix time in seconds at which a drain ends; infinite without one."""
 
     @property
     def expired(self) -> bool:
-        """Whether the drain is over."""
+        """Whether the drain has ended."""
 
     @property
     def monitor(self) -> PropertyMonitor:
-        """What was observed, for the properties."""
+        """Monitor of the properties."""
 
 
 class _Encoder:
@@ -369,23 +372,23 @@
 
     def __init__(self, simulation: SimulationState) -> None:
         self._simulation = simulation
-        self._now = simulation.now
-        self._place = {
+        self._now_ms = simulation.now_ms
+        self._request_indexes = {
             request.request_id: int(request.client_request.txn, 16) for request in simulation.route.requests
         }
 
-    def time(self, moment: float) -> float:
-        """A Unix millisecond, told from now on; 0 stays 0."""
-        return round(moment - self._now, 3) + 0.0 if moment else 0.0
+    def time(self, time_ms: float) -> float:
+        """Return a Unix time in ms relative to now; 0 stays 0."""
+        return round(time_ms - self._now_ms, 3) + 0.0 if time_ms else 0.0
 
-    def request_place(self, req: int) -> int:
-        """A request by its place in the scope."""
-        return self._place.get(req, -1)
+    def request_index(self, request_id: int) -> int:
+        """Return the index of a request in the scope; -1 if unknown."""
+        return self._request_indexes.get(request_id, -1)
 
     # -- stages and memory --
 
     def core(self) -> tuple[Any, ...]:
-        """Stages and memory."""
+        """Return the stages and the memory budget."""
         route, time = self._simulation.route, self.time
         cpu = getattr(route.admit.cpu, "saved", 0.0)
         members = tuple(
@@ -400,7 +403,7 @@
                     request.reserved_bytes,
                     request.answered,
                     request.expired,
-                    self.alarm(request.backstop_timer),
+                    self.timer_state(request.backstop_timer),
                     tuple(map(self.attempt, request.attempts)),
                 )
                 for request in route.requests
@@ -408,19 +411,21 @@
         )
         txns = tuple(
             sorted(
-                (txn, self.request_place(request.request_id))
+                (txn, self.request_index(request.request_id))
                 for txn, request in route.requests._by_txn.items()
             )
         )
         undecided = tuple(
-            (time(came), self.request_place(request.request_id)) for came, request in route._undecided
+            (time(submitted_at_ms), self.request_index(request.request_id))
+            for submitted_at_ms, request in route._undecided
         )
         links = tuple(
-            (key, tuple(map(self.link, found))) for key, found in sorted(route.send._connections.items())
+            (key, tuple(map(self.link, connections)))
+            for key, connections in sorted(route.send._connections.items())
         )
-        where = tuple(
+        connection_of_attempt = tuple(
             sorted(
-                (self.request_place(attempt.request.request_id), attempt.number, link.node_id)
+                (self.request_index(attempt.request.request_id), attempt.number, link.node_id)
                 for attempt, link in route.send._connection_by_attempt.items()
             )
         )
@@ -432,7 +437,7 @@
             txns,
             undecided,
             links,
-            where,
+            connection_of_attempt,
             route.send.max_connections,
             self._simulation.budget.limit_bytes,
             self._simulation.budget._reserved_bytes,
@@ -440,7 +445,7 @@
         )
 
     def node(self, node: Node) -> tuple[Any, ...]:
-        """An entry of the list."""
+        """Return an entry of the endpoint list."""
         return (
             node.node_id,
             node.kind,
@@ -452,23 +457,23 @@
         )
 
     @staticmethod
-    def alarm(alarm: Any) -> int:
-        """Whether an alarm is set."""
-        return -1 if alarm is None else int(alarm.callback is not None)
+    def timer_state(timer: Any) -> int:
+        """Return 1 if a timer is set, 0 if it has fired or was cancelled, -1 without one."""
+        return -1 if timer is None else int(timer.callback is not None)
 
-    def order(self, get: SendAttempt) -> tuple[Any, ...]:
-        """An order, without the number of its request."""
+    def order(self, action: SendAttempt) -> tuple[Any, ...]:
+        """Return an order to send an attempt, without its request id."""
         return (
-            get.node_id,
-            self.time(get.deadline_ms),
-            get.source_id,
-            get.cache_rank,
-            _number(get.max_age_ms),
-            get.fetch_mode,
+            action.node_id,
+            self.time(action.deadline_ms),
+            action.source_id,
+            action.cache_rank,
+            _number(action.max_age_ms),
+            action.fetch_mode,
         )
 
     def attempt(self, attempt: requests.Attempt) -> tuple[Any, ...]:
-        """An attempt of the stages."""
+        """Return an attempt of the stages."""
         return (
             attempt.number,
             self.order(attempt.action),
@@ -478,11 +483,11 @@
             attempt.ended,
             attempt.not_executed,
             attempt.reassigned,
-            self.alarm(attempt.deadline_timer),
+            self.timer_state(attempt.deadline_timer),
         )
 
     def link(self, link: send.NodeConnection) -> tuple[Any, ...]:
-        """A connection to a cache, with its socket."""
+        """Return a connection to a cache."""
         opened = tuple(sorted((txn, attempt.number) for txn, attempt in link.attempts.items()))
         return (
             link.node_id,
@@ -497,13 +502,13 @@
         )
 
     def channel(self, channel: peers.ServerChannel) -> tuple[Any, ...]:
-        """A connection as the peers and the codec see it."""
+        """Return a connection as the peers and the codec see it."""
         queue = tuple(self.command(command) for command in channel._queue)
         decoder, sock = channel.decoder, channel.sock
         return (
             channel.link.node_id,
             channel.process,
-            round(channel.until - self._simulation.t, 6),
+            round(channel.until - self._simulation.now_s, 6),
             channel.silent,
             queue,
             channel._pending_write,
@@ -531,33 +536,33 @@
         )
 
     def command(self, command: Any) -> tuple[Any, ...]:
-        """Something that waits to be written."""
+        """Return a command that waits to be written."""
         if isinstance(command, send.FetchCommand):
             attempt = command._attempt
-            return (self.request_place(attempt.request.request_id), attempt.number, command.is_superseded())
+            return (self.request_index(attempt.request.request_id), attempt.number, command.is_superseded())
         return (command._txn,)
 
     def timers(self) -> tuple[Any, ...]:
-        """All alarms that are on, in their order."""
+        """Return all active timers in the order of their due times."""
         return tuple(
-            (round(due - self._simulation.t, 6), self.call(alarm.callback))
-            for due, _, alarm in sorted(self._simulation.timers._heap, key=lambda entry: entry[:2])
-            if alarm.callback is not None
+            (round(due - self._simulation.now_s, 6), self.callback_key(timer.callback))
+            for due, _, timer in sorted(self._simulation.timers._heap, key=lambda entry: entry[:2])
+            if timer.callback is not None
         )
 
-    def call(self, call: Callable[[], None]) -> tuple[Any, ...]:
-        """What an alarm will do."""
-        if not isinstance(call, partial):
-            return (getattr(call, "__name__", ""),)
-        found: list[Any] = [getattr(call.func, "__name__", "")]
-        for argument in call.args:
+    def callback_key(self, callback: Callable[[], None]) -> tuple[Any, ...]:
+        """Return what a timer's callback will do."""
+        if not isinstance(callback, partial):
+            return (getattr(callback, "__name__", ""),)
+        encoded: list[Any] = [getattr(callback.func, "__name__", "")]
+        for argument in callback.args:
             if isinstance(argument, requests.Attempt):
-                found += [self.request_place(argument.request.request_id), argument.number]
+                encoded += [self.request_index(argument.request.request_id), argument.number]
             elif isinstance(argument, requests.OpenRequest):
-                found.append(self.request_place(argument.request_id))
+                encoded.append(self.request_index(argument.request_id))
             else:
-                found.append(self.request_place(getattr(argument, "token", -1)))
-        return tuple(found)
+                encoded.append(self.request_index(getattr(argument, "token", -1)))
+        return tuple(encoded)
 
     # -- the decision module --
 
@@ -567,9 +572,9 @@
         listed = tuple(self.node(state.endpoints.listed[key]) for key in sorted(state.endpoints.listed))
         detectors = tuple(
             tuple(
-                (key, *found)
+                (key, *encoded)
                 for key, value in sorted(each.items())
-                if (found := self.detector(value)) is not None
+                if (encoded := self.detector(value)) is not None
             )
             for each in (state.cache_detectors, state.source_detectors)
         )
@@ -583,7 +588,8 @@
         purges = tuple((key, time(at)) for key, at in sorted(state.purges._purged_at_ms.items()))
         in_flight = tuple(
             sorted(
-                (self.request_place(req), *self.in_flight(value)) for req, value in state.in_flight.items()
+                (self.request_index(request_id), *self.in_flight(value))
+                for request_id, value in state.in_flight.items()
             )
         )
         loads = tuple((key, *self.load(value)) for key, value in sorted(state.link_loads.items()))
@@ -624,13 +630,13 @@
 
     def detector(self, detector: OutlierDetector) -> tuple[float, ...] | None:
         """Return a node's failures; None if nothing is known."""
-        found = (
+        encoded = (
             self.time(detector.last_success_ms),
             float(detector.failure_count),
             self.time(detector.ejected_until_ms),
             self.time(detector.last_reset_ms),
         )
-        return None if found == (-float("inf"), 0.0, -float("inf"), -float("inf")) else found
+        return None if encoded == (-float("inf"), 0.0, -float("inf"), -float("inf")) else encoded
 
     def load(self, load: LinkLoad) -> tuple[Any, ...]:
         """Return a link's load."""
@@ -676,8 +682,8 @@
 
     # -- peers and the monitor --
 
-    def around(self) -> tuple[Any, ...]:
-        """Clients, list, log and limits."""
+    def environment(self) -> tuple[Any, ...]:
+        """Return clients, endpoint list, change log and limits."""
         simulation, session = self._simulation, self._simulation.session
         decoder = session._decoder
         client = (
@@ -705,7 +711,7 @@
             session.finished,
             -1 if session.sock.room is None else session.sock.room,
             session.sock.gone,
-            tuple(sorted(simulation.heads.items())),
+            tuple(sorted(simulation.partial_answers.items())),
         )
         members = tuple(
             (node, name, int(state), self.time(started))
@@ -713,7 +719,7 @@
         )
         behind = len(simulation.log) - simulation.follower.last
         log = (
-            simulation.log_up,
+            simulation.log_connected,
             simulation.log_skips,
             behind,
             simulation.follower._requested_again_after - simulation.follower.last,
@@ -727,38 +733,51 @@
             tuple(sorted(simulation.processes.items())),
             tuple(simulation.requests),
             simulation.faults,
-            round(simulation.term_at - simulation.t, 6),
+            round(simulation.drain_ends_at_s - simulation.now_s, 6),
             simulation.expired,
         )
 
     def monitor(self) -> tuple[Any, ...]:
-        """What the monitor has to remember."""
+        """Return the monitor's state that later checks depend on."""
         monitor = self._simulation.monitor
         purges = tuple(
-            (self.time(told), self.time(at), group, key) for told, at, group, key in monitor.purges
+            (self.time(reported), self.time(purged), group, key)
+            for reported, purged, group, key in monitor.purges
         )
-        seen = []
-        for txn, one in monitor.seen.items():
-            over = one.state != "open" and self._simulation.route.requests._by_txn.get(txn) is None
+        observed = []
+        for txn, request in monitor.observed_requests.items():
+            over = request.state != "open" and self._simulation.route.requests._by_txn.get(txn) is None
             sent = (
                 ()
                 if over
-                else tuple((s.number, s.node, self.time(s.at), s.purges, s.not_run, s.over) for s in one.sent)
+                else tuple(
+                    (
+                        attempt.number,
+                        attempt.node,
+                        self.time(attempt.sent_at_ms),
+                        attempt.purges,
+                        attempt.not_run,
+                        attempt.over,
+                    )
+                    for attempt in request.sent
+                )
             )
-            seen.append(
+            observed.append(
                 (
                     txn,
-                    one.state,
-                    0.0 if over else self.time(one.due),
+                    request.state,
+                    0.0 if over else self.time(request.due_ms),
                     sent,
-                    () if over else (tuple(one.ended), one.orders, tuple(sorted(one.words.items()))),
+                    ()
+                    if over
+                    else (tuple(request.ended), request.orders, tuple(sorted(request.statuses.items()))),
                 )
             )
-        return (purges, tuple(seen))
+        return (purges, tuple(observed))
 
 
 def encode_state(simulation: SimulationState) -> bytes:
-    """The whole state of a simulation in its canonical form."""
+    """Return the whole state of a simulation in its canonical form."""
     encoder = _Encoder(simulation)
     channels = tuple(map(encoder.channel, simulation.channels))
     state = (
@@ -766,18 +785,18 @@
         tuple(sorted(channels, key=lambda channel: channel[0])),
         encoder.timers(),
         encoder.director(),
-        encoder.around(),
+        encoder.environment(),
         encoder.monitor(),
     )
     return marshal.dumps(state, 2)
 
 
 def all_parts(simulation: SimulationState) -> list[object]:
-    """The objects in a simulation whose fields `check_fields` is to compare with the ledger."""
+    """Return the objects of a simulation whose fields `check_fields` compares with the ledger."""
     route = simulation.route
     director = route.director
     state = director.state
-    found: list[object] = [
+    parts: list[object] = [
         route,
         route.admit,
         route.recorder,
@@ -804,10 +823,10 @@
         state.copies,
     ]
     for request in route.requests:
-        found += [request, *request.attempts]
-    for one in simulation.channels:
-        found += [one, one.sock, one.link, one.decoder]
+        parts += [request, *request.attempts]
+    for server_channel in simulation.channels:
+        parts += [server_channel, server_channel.sock, server_channel.link, server_channel.decoder]
     for in_flight in state.in_flight.values():
-        found += [in_flight, *in_flight.attempts]
-    found += list(state.cache_detectors.values())
-    return found
+        parts += [in_flight, *in_flight.attempts]
+    parts += list(state.cache_detectors.values())
+    return parts
--- a/stonecove/explore/fleet.py
+++ b/stonecove/explore/fleet.py
@@ -1,7 +1,7 @@
-"""The machines of the fleet's decisions: shared budgets, and the lives of supervised instances.
+"""State machines of fleet decisions: leased budgets, and the lifecycle of supervised instances.
 
-Real `Lessor`, `LeaseHolder`, `InstanceLifecycle` and `RollingRestart`; made up are the wire between them, the
-processes and the clock.
+They run the real `Lessor`, `LeaseHolder`, `InstanceLifecycle` and `RollingRestart`; the network, the
+processes and the clock are simulated.
 """
 
 from __future__ import annotations
@@ -19,8 +19,15 @@
 from stonecove.routing.events import LeaseGranted
 from stonecove.routing.leased_budget import LeasedBudget
 
-NODE, WINDOW, RULE, OWN, PIECE, LIFE = 7, 4.0, 10.0, 0.3, 0.5, 0.25
-TICK, JUMP = 0.5, 1.5  # half the life of a piece, and one and a half
+NODE, WINDOW_S, LIMIT_WORK, LOCAL_FRACTION, LEASE_FRACTION, LEASE_LIFETIME_FRACTION = (
+    7,
+    4.0,
+    10.0,
+    0.3,
+    0.5,
+    0.25,
+)
+TICK_S, JUMP_S = 0.5, 1.5  # 0.5 and 1.5 lease lifetimes
 POLICY = RestartPolicy(
     ready_timeout_s=2.0,
     initial_backoff_s=1.0,
@@ -31,28 +38,28 @@
     stop_timeout_s=2.0,
     backoff_reset_s=4.0,
 )
-STEP = 1.0
+STEP_S = 1.0
 
 
 class LeaseBounds(NamedTuple):
-    """How much of what may happen."""
+    """Bounds of a scope: search depth, number of faults and kinds of steps."""
 
     name: str
     depth: int
     faults: int = 0
     holders: int = 2
-    flying: int = 2  # answers that may be under way
+    max_in_flight: int = 2  # maximum answers in flight
     fault_kinds: tuple[str, ...] = ("lose", "repeat", "kill", "lessor-dies", "clock-back")
-    credit: bool = False  # pieces are handed to the module, which goes by the system's clock
+    credit: bool = False  # leases are handed to the module, which uses the system clock
 
 
-class LifeBounds(NamedTuple):
-    """How much of what may happen."""
+class LifecycleBounds(NamedTuple):
+    """Bounds of a scope: search depth, number of faults and kinds of steps."""
 
     name: str
     depth: int
     faults: int = 0
-    words: int = 0  # of the operator
+    commands: int = 0  # operator commands
     instances: int = 1
     roll: bool = False
 
@@ -60,218 +67,245 @@
 LEASES = (
     LeaseBounds("lease-two", 7, faults=1),
     LeaseBounds("lease-late", 9, faults=1, holders=1, fault_kinds=("repeat", "lose")),
-    LeaseBounds("lease-clock", 12, faults=1, holders=1, flying=0, fault_kinds=("clock-back", "lessor-dies")),
-    LeaseBounds("lease-credit", 11, faults=1, holders=1, flying=0, fault_kinds=("unix-back",), credit=True),
+    LeaseBounds(
+        "lease-clock", 12, faults=1, holders=1, max_in_flight=0, fault_kinds=("clock-back", "lessor-dies")
+    ),
+    LeaseBounds(
+        "lease-credit", 11, faults=1, holders=1, max_in_flight=0, fault_kinds=("unix-back",), credit=True
+    ),
 )
-LIVES = (
-    LifeBounds("life-one", 10, faults=3, words=2),
-    LifeBounds("life-roll", 10, faults=2, instances=2, roll=True),
+LIFECYCLES = (
+    LifecycleBounds("life-one", 10, faults=3, commands=2),
+    LifecycleBounds("life-roll", 10, faults=2, instances=2, roll=True),
 )
 
 
 class Machine:
-    """What both machines share."""
+    """Base of the machines in this module and in `swarm`."""
 
     def __init__(self) -> None:
+        """Start without violations."""
         self.violations: list[Violation] = []
 
-    def broken(self, prop: str, why: str) -> None:
-        """Notes a violation."""
+    def report_violation(self, prop: str, why: str) -> None:
+        """Record a violation of property `prop`."""
         self.violations.append(Violation(prop, why))
 
     def touches(self, step: str) -> frozenset[str] | None:
-        """Everything touches everything here."""
+        """Return None: any step may touch the whole state."""
         return None
 
     def default(self) -> str | None:
-        """Nothing goes on by itself but time."""
+        """Return None: only time passes by itself."""
         return None
 
 
 class LeaseMachine(Machine):
-    """One lessor, some holders, answers that may be late, lost or repeated."""
+    """A lessor and lease holders; answers may be late, lost or duplicated."""
 
     def __init__(self, bounds: LeaseBounds) -> None:
+        """Start a lessor and its holders with the budget set."""
         super().__init__()
         self.bounds = bounds
         self.faults = bounds.faults
-        self.true = 100.0  # the time that really passes
-        self.offset = 0.0  # of the clock that everybody reads
-        self.lessor = Lessor(WINDOW, self.true - 2 * WINDOW, OWN, PIECE, LIFE)
+        self.real_time_s = 100.0  # time that really passes
+        self.clock_offset_s = 0.0  # offset of the clock that all components read
+        self.lessor = Lessor(
+            WINDOW_S, self.real_time_s - 2 * WINDOW_S, LOCAL_FRACTION, LEASE_FRACTION, LEASE_LIFETIME_FRACTION
+        )
         self.holders = [LeaseHolder(self.lessor.lifetime_s) for _ in range(bounds.holders)]
-        self.names = [f"h{place}" for place in range(bounds.holders)]
-        self.flying: list[tuple[int, int, Grant]] = []  # to which holder, since when it is that one, what
-        self.lives = [0] * bounds.holders
-        self.spent: list[tuple[float, float]] = []
-        self.unix = 0.0  # what the system's clock is ahead of the steady one
+        self.names = [f"h{index}" for index in range(bounds.holders)]
+        self.in_flight: list[tuple[int, int, Grant]] = []  # holder index, its incarnation, the grant
+        self.incarnations = [0] * bounds.holders
+        self.spent_work: list[tuple[float, float]] = []
+        self.unix_offset_s = 0.0  # how far the system clock is ahead of the monotonic one
         self.credits = [LeasedBudget() for _ in range(bounds.holders)]
-        self.ends: list[tuple[float, int, int]] = []  # true moments at which the module is told of an end
-        self.back: set[tuple[int, int]] = set()  # pieces given back
-        self.lessor.set_limit(NODE, RULE, self.now)
+        # Real time at which the module is notified of an expiry, holder index, lease number.
+        self.expiries: list[tuple[float, int, int]] = []
+        self.returned_leases: set[tuple[int, int]] = set()  # holder index, lease number
+        self.lessor.set_limit(NODE, LIMIT_WORK, self.now)
 
     @property
     def now(self) -> float:
-        """What the clock says."""
-        return self.true + self.offset
+        """The time that the clock shows, in seconds."""
+        return self.real_time_s + self.clock_offset_s
 
     def enabled(self) -> list[str]:
-        """What may happen now."""
+        """Return the steps that are possible in the current state."""
         steps = ["tick", "jump"]
-        for place, holder in enumerate(self.holders):
-            steps.append(f"take {place}")
-            if len(self.flying) < self.bounds.flying:
-                steps.append(f"ask {place}")
+        for index, holder in enumerate(self.holders):
+            steps.append(f"take {index}")
+            if len(self.in_flight) < self.bounds.max_in_flight:
+                steps.append(f"ask {index}")
             if (
                 holder.unspent_work(NODE, self.now) > 0
                 or holder._leases
-                or self.credits[place].leases.get(NODE)
+                or self.credits[index].leases.get(NODE)
             ):
-                steps.append(f"spend {place}")
-        steps += [f"answer {number}" for number in range(len(self.flying))]
+                steps.append(f"spend {index}")
+        steps += [f"answer {number}" for number in range(len(self.in_flight))]
         if self.faults:
             kinds = self.bounds.fault_kinds
             for kind in ("lose", "repeat"):
                 if kind in kinds:
-                    steps += [f"{kind} {number}" for number in range(len(self.flying))]
+                    steps += [f"{kind} {number}" for number in range(len(self.in_flight))]
             if "kill" in kinds:
-                steps += [f"kill {place}" for place in range(len(self.holders))]
+                steps += [f"kill {index}" for index in range(len(self.holders))]
             steps += [kind for kind in ("lessor-dies", "clock-back", "unix-back") if kind in kinds]
         return steps
 
     def do(self, step: str) -> None:
-        """Takes a step."""
-        word, _, rest = step.partition(" ")
-        place = int(rest or 0)
-        if word in ("lose", "repeat", "kill", "lessor-dies", "clock-back", "unix-back"):
+        """Execute `step` and check the invariants."""
+        action, _, argument = step.partition(" ")
+        index = int(argument or 0)
+        if action in ("lose", "repeat", "kill", "lessor-dies", "clock-back", "unix-back"):
             self.faults -= 1
-        if word in ("tick", "jump"):
-            self.true += TICK if word == "tick" else JUMP
-            self.lessor.set_limit(NODE, RULE, self.now)
-            self._tell_ends()
+        if action in ("tick", "jump"):
+            self.real_time_s += TICK_S if action == "tick" else JUMP_S
+            self.lessor.set_limit(NODE, LIMIT_WORK, self.now)
+            self._notify_expired()
             for number, holder in enumerate(self.holders):
                 for returned, unspent in holder.pop_expired(self.now):
                     self.lessor.return_lease(self.names[number], returned, unspent, self.now)
-        elif word in ("ask", "take"):
-            asked = self.holders[place].begin_request(NODE, self.now)
-            if asked is not None:
-                grant = self.lessor.request_lease(self.names[place], asked, NODE, self.now)
+        elif action in ("ask", "take"):
+            request_number = self.holders[index].begin_request(NODE, self.now)
+            if request_number is not None:
+                grant = self.lessor.request_lease(self.names[index], request_number, NODE, self.now)
                 if grant is None:
-                    self.holders[place].end_request(asked)
-                elif word == "take":
-                    self._granted(place, grant)
+                    self.holders[index].end_request(request_number)
+                elif action == "take":
+                    self._accept_grant(index, grant)
                 else:
-                    self.flying.append((place, self.lives[place], grant))
-        elif word in ("answer", "repeat"):
-            to, life, grant = self.flying[place] if word == "repeat" else self.flying.pop(place)
-            if life == self.lives[to]:
-                self._granted(to, grant)
-        elif word == "lose":
-            self.flying.pop(place)
-        elif word == "spend" and self.bounds.credit:
-            credit = self.credits[place]
-            work = credit.remaining(self.now + self.unix, NODE)
-            if work > 0 and credit.spend(self.now + self.unix, NODE, work):
-                self.spent.append((self.true, work))
-            self._give_back(place)
-        elif word == "spend":
-            left = self.holders[place].unspent_work(NODE, self.now)
-            work = left if left > 0 else (1.0 - OWN) * RULE * PIECE
-            if self.holders[place].spend(NODE, work, self.now):
-                self.spent.append((self.true, work))
-        elif word == "kill":
-            self.lessor.remove_holder(self.names[place])
-            self.lives[place] += 1
-            self.holders[place] = LeaseHolder(self.lessor.lifetime_s)
-            self.names[place] = f"h{place}-{self.lives[place]}"
-        elif word == "lessor-dies":
-            self.lessor = Lessor(WINDOW, self.now, OWN, PIECE, LIFE)
-            self.lessor.set_limit(NODE, RULE, self.now)
-        elif word == "clock-back":
-            self.offset -= 3.0
-        elif word == "unix-back":
-            self.unix -= 3.0
-        self._look()
-
-    def _granted(self, place: int, grant: Grant) -> None:
-        """As `lifecycle.leases` does: what is granted goes to the module at once, and its end in time."""
-        if self.holders[place].accept_grant(grant, self.now) and self.bounds.credit:
-            for number, left, until in self.holders[place].pop_leases(NODE):
-                self.credits[place].grant(
-                    self.now + self.unix, LeaseGranted(number, NODE, left, until + self.unix)
+                    self.in_flight.append((index, self.incarnations[index], grant))
+        elif action in ("answer", "repeat"):
+            holder_index, incarnation, grant = (
+                self.in_flight[index] if action == "repeat" else self.in_flight.pop(index)
+            )
+            if incarnation == self.incarnations[holder_index]:
+                self._accept_grant(holder_index, grant)
+        elif action == "lose":
+            self.in_flight.pop(index)
+        elif action == "spend" and self.bounds.credit:
+            credit = self.credits[index]
+            work = credit.remaining(self.now + self.unix_offset_s, NODE)
+            if work > 0 and credit.spend(self.now + self.unix_offset_s, NODE, work):
+                self.spent_work.append((self.real_time_s, work))
+            self._return_unspent(index)
+        elif action == "spend":
+            left = self.holders[index].unspent_work(NODE, self.now)
+            work = left if left > 0 else (1.0 - LOCAL_FRACTION) * LIMIT_WORK * LEASE_FRACTION
+            if self.holders[index].spend(NODE, work, self.now):
+                self.spent_work.append((self.real_time_s, work))
+        elif action == "kill":
+            self.lessor.remove_holder(self.names[index])
+            self.incarnations[index] += 1
+            self.holders[index] = LeaseHolder(self.lessor.lifetime_s)
+            self.names[index] = f"h{index}-{self.incarnations[index]}"
+        elif action == "lessor-dies":
+            self.lessor = Lessor(WINDOW_S, self.now, LOCAL_FRACTION, LEASE_FRACTION, LEASE_LIFETIME_FRACTION)
+            self.lessor.set_limit(NODE, LIMIT_WORK, self.now)
+        elif action == "clock-back":
+            self.clock_offset_s -= 3.0
+        elif action == "unix-back":
+            self.unix_offset_s -= 3.0
+        self._check_invariants()
+
+    def _accept_grant(self, index: int, grant: Grant) -> None:
+        """Pass a grant to the module at once and its expiry when due, as `lifecycle.leases` does."""
+        if self.holders[index].accept_grant(grant, self.now) and self.bounds.credit:
+            for number, left, until in self.holders[index].pop_leases(NODE):
+                self.credits[index].grant(
+                    self.now + self.unix_offset_s,
+                    LeaseGranted(number, NODE, left, until + self.unix_offset_s),
                 )
-                self.ends.append((self.true + until - self.now, place, number))
-                self._give_back(place)
-
-    def _tell_ends(self) -> None:
-        for _, place, number in [end for end in self.ends if end[0] <= self.true]:
-            self.credits[place].grant(self.now + self.unix, LeaseGranted(number, NODE, 0.0, 0.0))
-            self._give_back(place)
-        self.ends = [end for end in self.ends if end[0] > self.true]
-
-    def _give_back(self, place: int) -> None:
-        """What is left of pieces goes back to the lessor, each once."""
-        credit = self.credits[place]
+                self.expiries.append((self.real_time_s + until - self.now, index, number))
+                self._return_unspent(index)
+
+    def _notify_expired(self) -> None:
+        for _, index, number in [end for end in self.expiries if end[0] <= self.real_time_s]:
+            self.credits[index].grant(self.now + self.unix_offset_s, LeaseGranted(number, NODE, 0.0, 0.0))
+            self._return_unspent(index)
+        self.expiries = [end for end in self.expiries if end[0] > self.real_time_s]
+
+    def _return_unspent(self, index: int) -> None:
+        """Return unspent work to the lessor; each lease may be returned only once."""
+        credit = self.credits[index]
         for unspent in credit.returned:
-            if (place, unspent.lease_id) in self.back:
-                self.broken("lease-once", f"piece {unspent.lease_id} was given back twice")
-            self.back.add((place, unspent.lease_id))
-            self.lessor.return_lease(self.names[place], unspent.lease_id, unspent.work_ms, self.now)
+            if (index, unspent.lease_id) in self.returned_leases:
+                self.report_violation("lease-once", f"lease {unspent.lease_id} was returned twice")
+            self.returned_leases.add((index, unspent.lease_id))
+            self.lessor.return_lease(self.names[index], unspent.lease_id, unspent.work_ms, self.now)
         credit.returned.clear()
 
-    def _look(self) -> None:
-        self.spent = [one for one in self.spent if one[0] > self.true - WINDOW]
-        total = sum(work for _, work in self.spent)
-        if total > (1.0 - OWN) * RULE + 1e-9:
-            self.broken(
-                "lease-sum", f"{total:g} of pieces were spent within one window, {(1 - OWN) * RULE:g} allowed"
+    def _check_invariants(self) -> None:
+        self.spent_work = [
+            spending for spending in self.spent_work if spending[0] > self.real_time_s - WINDOW_S
+        ]
+        total = sum(work for _, work in self.spent_work)
+        if total > (1.0 - LOCAL_FRACTION) * LIMIT_WORK + 1e-9:
+            self.report_violation(
+                "lease-sum",
+                f"{total:g} of leased work spent in one window, limit {(1 - LOCAL_FRACTION) * LIMIT_WORK:g}",
             )
 
     def settle(self) -> None:
-        """After a window in which nobody asks, the whole budget is there again."""
+        """Check that the complete budget is available again after a window without requests."""
         for holder in self.holders:
             holder.pop_expired(self.now + 100)
-        self.ends.clear()
-        self.true += 3 * WINDOW
-        self.lessor.set_limit(NODE, RULE, self.now)
-        self.true += WINDOW + 2 * self.lessor.lifetime_s
-        self.lessor.set_limit(NODE, RULE, self.now)
+        self.expiries.clear()
+        self.real_time_s += 3 * WINDOW_S
+        self.lessor.set_limit(NODE, LIMIT_WORK, self.now)
+        self.real_time_s += WINDOW_S + 2 * self.lessor.lifetime_s
+        self.lessor.set_limit(NODE, LIMIT_WORK, self.now)
         if self.lessor.booked_work(NODE, self.now) > 1e-9:
-            self.broken("lease-back", "what was granted long ago is still booked")
+            self.report_violation("lease-back", "expired grants are still booked")
         elif self.lessor.request_lease("new", 1, NODE, self.now) is None:
-            self.broken("lease-back", "nothing is granted though nothing is out")
+            self.report_violation("lease-back", "no grant although no lease is outstanding")
 
     def encode(self) -> bytes:
-        """The state, times told from now on."""
+        """Return the state in canonical form; times are relative to now."""
 
-        def rel(at: float) -> float:
-            return round(at - self.now, 6)
+        def rel(time_s: float) -> float:
+            return round(time_s - self.now, 6)
 
-        def number(holder: str, asked: int) -> tuple[str, int]:
-            """Questions are told by how long ago they were asked; those of the dead are all alike."""
+        def request_key(holder: str, request_number: int) -> tuple[str, int]:
+            """Identify a request by its age in requests; requests of ended holders are all equal."""
             if holder in self.names:
-                place = self.names.index(holder)
-                return f"h{place}", self.holders[place]._last_number - asked
+                index = self.names.index(holder)
+                return f"h{index}", self.holders[index]._last_number - request_number
             return "dead", 0
 
         accounts = [
             (
-                one.limit,
-                round(one.booked_work, 6),
-                [(rel(b.booked_at_s), number(b.holder, b.number), round(b.work, 6)) for b in one.grants],
+                account.limit,
+                round(account.booked_work, 6),
+                [
+                    (rel(b.booked_at_s), request_key(b.holder, b.number), round(b.work, 6))
+                    for b in account.grants
+                ],
             )
-            for one in self.lessor._accounts.values()
+            for account in self.lessor._accounts.values()
         ]
         holders = [
             (
-                [(h._last_number - n, rel(at)) for n, (_, at) in sorted(h._requests.items())],
-                sorted(h._last_number - n for n in h._pending_numbers.values()),
-                [(round(p.unspent, 6), rel(p.expires_at_s)) for pieces in h._leases.values() for p in pieces],
-                len(h._expired),
+                [
+                    (lease_holder._last_number - n, rel(time_s))
+                    for n, (_, time_s) in sorted(lease_holder._requests.items())
+                ],
+                sorted(lease_holder._last_number - n for n in lease_holder._pending_numbers.values()),
+                [
+                    (round(lease_item.unspent, 6), rel(lease_item.expires_at_s))
+                    for leases in lease_holder._leases.values()
+                    for lease_item in leases
+                ],
+                len(lease_holder._expired),
             )
-            for h in self.holders
+            for lease_holder in self.holders
         ]
         answers = sorted(
-            number(holder, asked) for holder, given in self.lessor._grants.items() for asked in given
+            request_key(holder, number)
+            for holder, numbers in self.lessor._grants.items()
+            for number in numbers
         )
         return marshal.dumps(
             (
@@ -281,84 +315,94 @@
                 answers,
                 holders,
                 [
-                    (to, life == self.lives[to], self.holders[to]._last_number - grant.number)
-                    for to, life, grant in self.flying
+                    (
+                        holder_index,
+                        incarnation == self.incarnations[holder_index],
+                        self.holders[holder_index]._last_number - grant.number,
+                    )
+                    for holder_index, incarnation, grant in self.in_flight
                 ],
-                sorted((round(at - self.true, 6), round(work, 6)) for at, work in self.spent),
+                sorted(
+                    (round(time_s - self.real_time_s, 6), round(work, 6)) for time_s, work in self.spent_work
+                ),
                 [
                     [
                         (
-                            self.holders[place]._last_number - key,
-                            rel(lease.expires_at_ms - self.unix),
+                            self.holders[index]._last_number - key,
+                            rel(lease.expires_at_ms - self.unix_offset_s),
                             round(lease.remaining_ms, 6),
                         )
                         for key, lease in sorted(credit.leases.get(NODE, {}).items())
                     ]
-                    for place, credit in enumerate(self.credits)
+                    for index, credit in enumerate(self.credits)
                 ],
                 sorted(
-                    (round(at - self.true, 6), place, self.holders[place]._last_number - key)
-                    for at, place, key in self.ends
+                    (round(time_s - self.real_time_s, 6), index, self.holders[index]._last_number - key)
+                    for time_s, index, key in self.expiries
+                ),
+                sorted(
+                    (index, self.holders[index]._last_number - key) for index, key in self.returned_leases
                 ),
-                sorted((place, self.holders[place]._last_number - key) for place, key in self.back),
             ),
             2,
         )
 
 
 class Process:
-    """A process as the machine has it."""
+    """A simulated process of an instance."""
 
     def __init__(self) -> None:
+        """Start a process that does not answer yet."""
         self.answers = False
         self.stubborn = False  # ignores SIGTERM
-        self.asked = False
+        self.is_terminating = False
 
 
-class LifeMachine(Machine):
-    """Instances whose processes start, answer, crash, hang and end; a supervisor that dies and is started
-    again.
-    """
+class LifecycleMachine(Machine):
+    """Instances whose processes start, answer, crash, hang and exit, and a supervisor that is restarted."""
 
-    def __init__(self, bounds: LifeBounds) -> None:
+    def __init__(self, bounds: LifecycleBounds) -> None:
+        """Start all instances and, if the scope has one, the rolling restart."""
         super().__init__()
         self.bounds = bounds
-        self.left = {"faults": bounds.faults, "words": bounds.words}
+        self.remaining = {"faults": bounds.faults, "words": bounds.commands}
         self.now = 100.0
         self.units = [InstanceLifecycle(POLICY) for _ in range(bounds.instances)]
         self.processes: list[Process | None] = [None] * bounds.instances
-        self.crashes: list[list[float]] = [[] for _ in range(bounds.instances)]  # ends that nobody asked for
-        self.said_stop = [False] * bounds.instances
+        self.crashes: list[list[float]] = [[] for _ in range(bounds.instances)]  # times of unrequested exits
+        self.stop_requested = [False] * bounds.instances
         self.hold_released = [False] * bounds.instances
         self.roll = RollingRestart()
         self.journal: dict[str, Any] = {}
-        for place in range(bounds.instances):
-            self._act(place, self.units[place].set_should_run(True, self.now))
-            self._answers(place)
+        for index in range(bounds.instances):
+            self._act(index, self.units[index].set_should_run(True, self.now))
+            self._answers(index)
         if bounds.roll:
-            self.roll.start([str(place) for place in range(bounds.instances)], 1)
-            self._roll_on()
+            self.roll.start([str(index) for index in range(bounds.instances)], 1)
+            self._advance_roll()
 
-    # -- what the supervisor does --
+    # -- supervisor --
 
-    def _act(self, place: int, steps: list[Action]) -> None:
+    def _act(self, index: int, steps: list[Action]) -> None:
         for step in steps:
             if step is Action.START:
-                if self.processes[place] is not None:
-                    self.broken("one-process", f"instance {place} is started while its process runs")
-                self.processes[place] = Process()
+                if self.processes[index] is not None:
+                    self.report_violation(
+                        "one-process", f"instance {index} is started while its process runs"
+                    )
+                self.processes[index] = Process()
             elif step is Action.TERMINATE:
-                process = self.processes[place]
+                process = self.processes[index]
                 if process is not None:
-                    process.asked = True
-            elif step is Action.KILL and self.processes[place] is not None:
-                self.processes[place] = None
-                self._exited(place, "ended by SIGKILL")
-        self.journal[str(place)] = self.units[place].to_journal(1000.0 + self.now, self.now)
-        self._seen(place)
-
-    def _seen(self, place: int) -> None:
-        unit, name = self.units[place], str(place)
+                    process.is_terminating = True
+            elif step is Action.KILL and self.processes[index] is not None:
+                self.processes[index] = None
+                self._handle_exit(index, "ended by SIGKILL")
+        self.journal[str(index)] = self.units[index].to_journal(1000.0 + self.now, self.now)
+        self._update_roll(index)
+
+    def _update_roll(self, index: int) -> None:
+        unit, name = self.units[index], str(index)
         if name not in self.roll.in_progress:
             return
         if unit.phase is Phase.READY:
@@ -368,170 +412,179 @@
         ):
             self.roll.mark_failed(name, unit.reason)
 
-    def _roll_on(self) -> None:
+    def _advance_roll(self) -> None:
         not_ready = {
-            str(place)
-            for place, unit in enumerate(self.units)
+            str(index)
+            for index, unit in enumerate(self.units)
             if unit.should_run and unit.phase not in (Phase.READY, Phase.SUSPENDED)
         }
         for step in self.roll.next_steps(not_ready):
             self._act(int(step.name), self.units[int(step.name)].request_restart(self.now, "rolled"))
-        out = [
-            place
-            for place, unit in enumerate(self.units)
-            if unit.reason == "rolled" or (str(place) in self.roll.in_progress)
+        unavailable = [
+            index
+            for index, unit in enumerate(self.units)
+            if unit.reason == "rolled" or (str(index) in self.roll.in_progress)
         ]
-        if len(out) > self.roll.max_unavailable:
-            self.broken("roll-out", f"{len(out)} are taken out by a roll of {self.roll.max_unavailable}")
+        if len(unavailable) > self.roll.max_unavailable:
+            self.report_violation(
+                "roll-out",
+                f"{len(unavailable)} instances are unavailable, the roll allows {self.roll.max_unavailable}",
+            )
 
-    def _exited(self, place: int, how: str) -> None:
-        self._act(place, self.units[place].on_exited(how, self.now))
+    def _handle_exit(self, index: int, how: str) -> None:
+        self._act(index, self.units[index].on_exited(how, self.now))
 
-    def _answers(self, place: int) -> None:
-        process = self.processes[place]
+    def _answers(self, index: int) -> None:
+        process = self.processes[index]
         if process is not None:
             process.answers = True
-            self._act(place, self.units[place].on_health_check(True, self.now))
+            self._act(index, self.units[index].on_health_check(True, self.now))
 
     # -- steps --
 
     def enabled(self) -> list[str]:
-        """What may happen now."""
+        """Return the steps that are possible in the current state."""
         steps = ["wait"]
-        for place, process in enumerate(self.processes):
+        for index, process in enumerate(self.processes):
             if process is not None:
-                if not process.answers and not process.asked:
-                    steps.append(f"answers {place}")
-                if process.asked and not process.stubborn:
-                    steps.append(f"ends {place}")
-                if self.left["faults"]:
-                    steps.append(f"crash {place}")
-                    if process.answers and not process.asked:
-                        steps.append(f"hang {place}")
+                if not process.answers and not process.is_terminating:
+                    steps.append(f"answers {index}")
+                if process.is_terminating and not process.stubborn:
+                    steps.append(f"ends {index}")
+                if self.remaining["faults"]:
+                    steps.append(f"crash {index}")
+                    if process.answers and not process.is_terminating:
+                        steps.append(f"hang {index}")
                     if not process.stubborn:
-                        steps.append(f"stubborn {place}")
-            if self.left["words"]:
-                steps += [f"stop {place}", f"start {place}"]
-        if self.left["faults"]:
+                        steps.append(f"stubborn {index}")
+            if self.remaining["words"]:
+                steps += [f"stop {index}", f"start {index}"]
+        if self.remaining["faults"]:
             steps.append("supervisor-dies")
         return steps
 
     def do(self, step: str) -> None:
-        """Takes a step."""
-        word, _, rest = step.partition(" ")
-        place = int(rest or 0)
-        if word in ("crash", "hang", "stubborn", "supervisor-dies"):
-            self.left["faults"] -= 1
-        unit, process = self.units[place], self.processes[place]
-        if word == "wait":
-            self.now += STEP
-            for number, one in enumerate(self.units):
-                for _ in range(4):  # what has fallen due by now, one after the other
-                    if self.now >= one.next_deadline():
-                        self._act(number, one.tick(self.now))
-            self._count()
-        elif word == "answers":
-            self._answers(place)
-        elif word == "ends":
-            self.processes[place] = None
-            self._exited(place, "ended with 0")
-        elif word == "crash":
-            self.processes[place] = None
-            if process is not None and not process.asked:
-                self.crashes[place].append(self.now)
-            self._exited(place, "ended by SIGSEGV")
-        elif word == "hang" and process is not None:
+        """Execute `step` and check the invariants."""
+        action, _, argument = step.partition(" ")
+        index = int(argument or 0)
+        if action in ("crash", "hang", "stubborn", "supervisor-dies"):
+            self.remaining["faults"] -= 1
+        unit, process = self.units[index], self.processes[index]
+        if action == "wait":
+            self.now += STEP_S
+            for number, unit_due in enumerate(self.units):
+                for _ in range(4):  # run everything that is due, one after the other
+                    if self.now >= unit_due.next_deadline():
+                        self._act(number, unit_due.tick(self.now))
+            self._check_restarts()
+        elif action == "answers":
+            self._answers(index)
+        elif action == "ends":
+            self.processes[index] = None
+            self._handle_exit(index, "ended with 0")
+        elif action == "crash":
+            self.processes[index] = None
+            if process is not None and not process.is_terminating:
+                self.crashes[index].append(self.now)
+            self._handle_exit(index, "ended by SIGSEGV")
+        elif action == "hang" and process is not None:
             process.answers = False
-            self.crashes[place].append(self.now)
-            self._act(place, unit.on_health_check(False, self.now))
-        elif word == "stubborn" and process is not None:
+            self.crashes[index].append(self.now)
+            self._act(index, unit.on_health_check(False, self.now))
+        elif action == "stubborn" and process is not None:
             process.stubborn = True
-        elif word in ("stop", "start"):
-            self.left["words"] -= 1
-            self.said_stop[place] = word == "stop"
-            if word == "start":
-                self.crashes[place].clear()
-            self._act(place, unit.set_should_run(word == "start", self.now))
-        elif word == "supervisor-dies":
-            self._again()
-        self._roll_on()
-        self._look()
-
-    def _again(self) -> None:
-        """A new supervisor: by journal and run files."""
+        elif action in ("stop", "start"):
+            self.remaining["words"] -= 1
+            self.stop_requested[index] = action == "stop"
+            if action == "start":
+                self.crashes[index].clear()
+            self._act(index, unit.set_should_run(action == "start", self.now))
+        elif action == "supervisor-dies":
+            self._restart_supervisor()
+        self._advance_roll()
+        self._check_invariants()
+
+    def _restart_supervisor(self) -> None:
+        """Restore a new supervisor from the journal and the run files."""
         roll = self.roll.to_journal()
-        for place, before in enumerate(list(self.units)):
-            unit = self.units[place] = InstanceLifecycle(POLICY)
-            unit.restore(self.journal[str(place)], 1000.0 + self.now, self.now)
-            process, wanted = self.processes[place], unit.should_run
+        for index, before in enumerate(list(self.units)):
+            unit = self.units[index] = InstanceLifecycle(POLICY)
+            unit.restore(self.journal[str(index)], 1000.0 + self.now, self.now)
+            process, should_run = self.processes[index], unit.should_run
             if process is not None:
                 unit.on_adopted(False, self.now)
-                if not wanted:
-                    self._act(place, unit.set_should_run(False, self.now))
+                if not should_run:
+                    self._act(index, unit.set_should_run(False, self.now))
             elif unit.should_run and unit.phase is Phase.STOPPED:
-                self._act(place, unit.set_should_run(True, self.now, "wanted"))
+                self._act(index, unit.set_should_run(True, self.now, "wanted"))
             if before.phase is Phase.SUSPENDED and unit.phase is not Phase.SUSPENDED:
-                self.broken("held-is-held", f"instance {place} was held, and a new supervisor starts it")
+                self.report_violation(
+                    "held-is-held", f"instance {index} was suspended, but a new supervisor starts it"
+                )
         if self.bounds.roll:
             self.roll = RollingRestart()
-            self.roll.restore(roll, {str(place) for place in range(len(self.units))})
-
-    def _count(self) -> None:
-        for place, unit in enumerate(self.units):
-            recent = [at for at in self.crashes[place] if at > self.now - POLICY.restart_window_s]
+            self.roll.restore(roll, {str(index) for index in range(len(self.units))})
+
+    def _check_restarts(self) -> None:
+        for index, unit in enumerate(self.units):
+            recent = [
+                crashed_at_s
+                for crashed_at_s in self.crashes[index]
+                if crashed_at_s > self.now - POLICY.restart_window_s
+            ]
             if len(recent) > POLICY.max_restarts + 1:
-                self.broken(
-                    "restarts-bounded", f"instance {place} crashed {len(recent)} times within the window"
+                self.report_violation(
+                    "restarts-bounded", f"instance {index} crashed {len(recent)} times within the window"
                 )
-            if unit.phase is Phase.STARTING and self.processes[place] is None:
-                self.broken("one-process", f"instance {place} is starting, and has no process")
-
-    def _look(self) -> None:
-        for place, unit in enumerate(self.units):
-            if unit.phase is Phase.SUSPENDED and self.processes[place] is not None:
-                self.broken("held-is-held", f"instance {place} is held, and runs")
-            if self.said_stop[place] and unit.phase in (Phase.STARTING, Phase.READY, Phase.BACKING_OFF):
-                self.broken(
-                    "stop-stands", f"instance {place} was stopped by an operator, and is {unit.phase.value}"
+            if unit.phase is Phase.STARTING and self.processes[index] is None:
+                self.report_violation("one-process", f"instance {index} is starting, but has no process")
+
+    def _check_invariants(self) -> None:
+        for index, unit in enumerate(self.units):
+            if unit.phase is Phase.SUSPENDED and self.processes[index] is not None:
+                self.report_violation("held-is-held", f"instance {index} is suspended, but its process runs")
+            if self.stop_requested[index] and unit.phase in (Phase.STARTING, Phase.READY, Phase.BACKING_OFF):
+                self.report_violation(
+                    "stop-stands", f"instance {index} was stopped by an operator, but is {unit.phase.value}"
                 )
 
     def settle(self) -> None:
-        """Time passes, and processes do as they should: wanted ones serve, others have ended."""
+        """Let time pass without faults; check that requested instances serve and others have exited."""
         for _ in range(40):
-            for place, process in enumerate(self.processes):
+            for index, process in enumerate(self.processes):
                 if process is None or self.violations:
                     continue
-                if process.asked and not process.stubborn:
-                    self.processes[place] = None
-                    self._exited(place, "ended with 0")
-                elif not process.asked:
-                    self._answers(place)
-            self._roll_on()
-            self.now += STEP
-            for number, one in enumerate(self.units):
-                if self.now >= one.next_deadline():
-                    self._act(number, one.tick(self.now))
-        for place, unit in enumerate(self.units):
-            wanted = not self.said_stop[place]
-            if wanted and unit.phase not in (Phase.READY, Phase.SUSPENDED):
-                self.broken(
-                    "wanted-runs", f"instance {place} is wanted, and is {unit.phase.value}: {unit.reason}"
+                if process.is_terminating and not process.stubborn:
+                    self.processes[index] = None
+                    self._handle_exit(index, "ended with 0")
+                elif not process.is_terminating:
+                    self._answers(index)
+            self._advance_roll()
+            self.now += STEP_S
+            for number, unit_due in enumerate(self.units):
+                if self.now >= unit_due.next_deadline():
+                    self._act(number, unit_due.tick(self.now))
+        for index, unit in enumerate(self.units):
+            should_run = not self.stop_requested[index]
+            if should_run and unit.phase not in (Phase.READY, Phase.SUSPENDED):
+                self.report_violation(
+                    "wanted-runs", f"instance {index} should run, but is {unit.phase.value}: {unit.reason}"
                 )
-            if not wanted and self.processes[place] is not None:
-                self.broken("stop-stands", f"instance {place} was stopped, and still runs")
+            if not should_run and self.processes[index] is not None:
+                self.report_violation("stop-stands", f"instance {index} was stopped, but still runs")
         if self.bounds.roll and self.roll.state is RollingState.ROLLING:
-            self.broken(
+            self.report_violation(
                 "roll-ends",
-                f"the roll waits for {self.roll.in_progress}, {len(self.roll.remaining)} are left",
+                f"the roll waits for {self.roll.in_progress}; {len(self.roll.remaining)} remain",
             )
 
     def encode(self) -> bytes:
-        """The state, times told from now on."""
+        """Return the state in canonical form; times are relative to now."""
         units = [
             [
                 (
                     name,
-                    [round(at - self.now, 3) for at in value]
+                    [round(time_s - self.now, 3) for time_s in value]
                     if name == "_restart_times"
                     else round(min(value - self.now, 1e6), 3)
                     if name in ("_deadline", "phase_since")
@@ -547,39 +600,44 @@
             for unit in units
         ]
         processes = [
-            None if one is None else (one.answers, one.stubborn, one.asked) for one in self.processes
+            None if process is None else (process.answers, process.stubborn, process.is_terminating)
+            for process in self.processes
         ]
         crashes = [
-            [round(at - self.now, 3) for at in all_of if at > self.now - POLICY.restart_window_s]
-            for all_of in self.crashes
+            [round(time_s - self.now, 3) for time_s in times if time_s > self.now - POLICY.restart_window_s]
+            for times in self.crashes
         ]
         return marshal.dumps(
             (
-                sorted(self.left.items()),
+                sorted(self.remaining.items()),
                 repr(units),
                 processes,
                 crashes,
-                self.said_stop,
+                self.stop_requested,
                 repr(self.roll.to_journal()),
                 [
-                    (place, kept["wanted"], kept["held"], len(kept["recent"]))
-                    for place, kept in sorted(self.journal.items())
+                    (index, entry["wanted"], entry["held"], len(entry["recent"]))
+                    for index, entry in sorted(self.journal.items())
                 ],
             ),
             2,
         )
 
 
-def starter(bounds: LeaseBounds | LifeBounds) -> Callable[[], LeaseMachine | LifeMachine]:
-    """What starts a machine."""
-    return partial(LeaseMachine, bounds) if isinstance(bounds, LeaseBounds) else partial(LifeMachine, bounds)
+def starter(bounds: LeaseBounds | LifecycleBounds) -> Callable[[], LeaseMachine | LifecycleMachine]:
+    """Return a factory of machines in their initial state."""
+    return (
+        partial(LeaseMachine, bounds)
+        if isinstance(bounds, LeaseBounds)
+        else partial(LifecycleMachine, bounds)
+    )
 
 
-SCOPES: tuple[LeaseBounds | LifeBounds, ...] = (*LEASES, *LIVES)
+SCOPES: tuple[LeaseBounds | LifecycleBounds, ...] = (*LEASES, *LIFECYCLES)
 
 
-def by_name(name: str) -> LeaseBounds | LifeBounds:
-    """The scope of that name; raises KeyError."""
+def by_name(name: str) -> LeaseBounds | LifecycleBounds:
+    """Return the scope called `name`; raise KeyError if there is none."""
     for bounds in SCOPES:
         if bounds.name == name:
             return bounds
--- a/stonecove/explore/machine.py
+++ b/stonecove/explore/machine.py
@@ -1,4 +1,4 @@
-"""What the search asks of a machine that it explores."""
+"""Interface of the state machines that the search explores."""
 
 from __future__ import annotations
 
@@ -6,38 +6,38 @@
 
 
 class Violation(NamedTuple):
-    """A property that does not hold, and what shows it."""
+    """A violated property, and the evidence."""
 
     prop: str
     why: str
 
 
 class Machine(Protocol):
-    """A system whose steps are chosen from outside. Steps are names; the same names give the same run."""
+    """A system whose steps are chosen by the caller; the same step names give the same run."""
 
     @property
     def violations(self) -> list[Violation]:
-        """What was found not to hold."""
+        """The violations found so far."""
 
     def enabled(self) -> list[str]:
-        """The steps that may be taken now, always in the same order for the same state."""
+        """Return the enabled steps, always in the same order for the same state."""
 
     def do(self, step: str) -> None:
-        """Takes an enabled step; adds to `violations` what it breaks."""
+        """Execute an enabled step; append what it violates to `violations`."""
 
     def encode(self) -> bytes:
-        """The whole state in a canonical form: equal for states from which the same can happen."""
+        """Return the state in canonical form: equal only for states with the same future behaviour."""
 
     def touches(self, step: str) -> frozenset[str] | None:
-        """The parts of the state that the step reads or writes; None: perhaps all of them."""
+        """Return the parts of the state that the step reads or writes; None if it may be any."""
 
     def default(self) -> str | None:
-        """The step by which things go on if nobody chooses; None when all is quiet."""
+        """Return the step taken if no other is chosen; None if the system is idle."""
 
     def settle(self) -> None:
-        """Goes on by itself until all is quiet, and checks what must hold then."""
+        """Run the default steps until the system is idle, then check the final properties."""
 
 
-def independent(one: frozenset[str] | None, other: frozenset[str] | None) -> bool:
-    """Whether two steps give the same state in either order: each stays within parts of its own."""
-    return one is not None and other is not None and not one & other
+def independent(first: frozenset[str] | None, second: frozenset[str] | None) -> bool:
+    """Return whether two steps touch disjoint parts, so that their order does not matter."""
+    return first is not None and second is not None and not first & second
--- a/stonecove/explore/peers.py
+++ b/stonecove/explore/peers.py
@@ -1,4 +1,4 @@
-"""The peers of the router in the explorer: sockets, clients and servers that do what they are told."""
+"""Simulated peers of the router in the explorer: sockets, clients and server connections."""
 
 from __future__ import annotations
 
@@ -30,25 +30,26 @@
 
     @property
     def monitor(self) -> PropertyMonitor:
-        """Takes note of properties that are violated."""
+        """Records violated properties."""
 
     def first_byte(self, channel: ServerChannel, txn: str, fields: dict[str, str]) -> None:
-        """Called as the first byte of a fetch is written."""
+        """Handle the first byte of a fetch being written."""
 
 
 class LinkSocket:
     """The router's end of a connection to a server."""
 
     def __init__(self, observer: PeerObserver, channel: ServerChannel) -> None:
+        """Create a socket without a limit on written bytes."""
         self._observer = observer
         self._channel = channel
-        self.room: int | None = None  # bytes that it still takes; None: any number
-        self.dead = ""  # why it is over, though the router may not have noticed: closed, reset
-        self._midway = b""  # of the command under way, what is still to come
-        self._command = b""  # all of it
+        self.room: int | None = None  # bytes that it still accepts; None: unlimited
+        self.dead = ""  # closed or reset; the router may not have noticed yet
+        self._midway = b""  # unwritten rest of the current command
+        self._command = b""  # the complete current command
 
     def send(self, data: bytes | memoryview, /) -> int:
-        """Takes bytes; the observer is told of each command as its first byte is written."""
+        """Accept bytes; notify the observer when the first byte of a fetch is written."""
         if self.dead == "reset":
             raise ConnectionResetError("reset by the server")
         count = len(data) if self.room is None else min(self.room, len(data))
@@ -58,20 +59,20 @@
             self.room -= count
         first = not self._midway
         if first and self.dead:
-            self._observer.monitor.broken("not-into-ended", "a command begins after the server's end")
+            self._observer.monitor.broken("not-into-ended", "a command begins after the server closed")
         if not first and bytes(data) != self._midway:
-            self._observer.monitor.broken("order-kept", "a command is not written to its end")
+            self._observer.monitor.broken("order-kept", "a command is not written completely")
         if first:
             self._command = bytes(data)
         self._midway = bytes(data[count:])
         if first and (found := _TXN.match(bytes(data))):
             self._observer.first_byte(self._channel, found[1].decode(), resp.parse_fields(found[2]))
         if not self._midway and not self.dead:
-            self._channel.whole(self._command)
+            self._channel.command_received(self._command)
         return count
 
     def recv(self, count: int, flags: int, /) -> bytes:
-        """A look at what is there: only the end is of interest."""
+        """Return end of file if the server has closed; raise BlockingIOError otherwise."""
         if self.dead == "reset":
             raise ConnectionResetError("reset by the server")
         if self.dead:
@@ -83,26 +84,27 @@
     """A connection to a server, its I/O done by the simulation."""
 
     def __init__(self, observer: PeerObserver, link: NodeConnection, process: int, until: float) -> None:
+        """Start connecting; `until` is a time in seconds."""
         super().__init__(link, observer.clock.now)
         self.link = link
         self.observer = observer
-        self.until = until  # the second at which connecting is given up
-        self.process = process  # the process that listened at the address when it was dialled
-        self.silent = False  # it never comes up
+        self.until = until  # time in seconds at which connecting is given up
+        self.process = process  # process that listened at the address when the connection was made
+        self.silent = False  # the connection never opens
         self.sock = LinkSocket(observer, self)
-        self.asked: list[str] = []  # ids that the server has whole and has not answered
-        self.aborted: list[str] = []  # ids among them that were given up
-        self.done: list[str] = []  # ids that it has answered
-        self.last: dict[str, bytes] = {}  # by id: its last answer
-        self.numbers: dict[str, int] = {}  # by id: the attempt that it has
-        self.halfway = b""  # the rest of an answer under way
-        self.owed = ("", b"", 0.0)  # and what it says: id, bytes, birth
+        self.asked: list[str] = []  # ids that the server has received completely and not answered
+        self.aborted: list[str] = []  # ids of `asked` that were aborted
+        self.done: list[str] = []  # answered ids
+        self.last: dict[str, bytes] = {}  # last answer by id
+        self.numbers: dict[str, int] = {}  # attempt number by id
+        self.halfway = b""  # unsent rest of a partial answer
+        self.owed = ("", b"", 0.0)  # the partial answer: id, bytes, time of creation
 
     def _stop(self) -> None:
-        pass  # the simulation notices the end, and reports it to the owner in a separate step
+        pass  # the simulation reports the end to the owner in a separate step
 
-    def whole(self, command: bytes) -> None:
-        """A command has reached the server whole."""
+    def command_received(self, command: bytes) -> None:
+        """Record a command that the server has received completely."""
         text = command if command.startswith(b"*") else b""
         if found := _TXN.match(text):
             self.asked.append(found[1].decode())
@@ -110,29 +112,30 @@
             self.aborted.append(txn)
 
     def deliver(self, data: bytes) -> None:
-        """Bytes from the server have come in; what can't be read ends the connection."""
+        """Feed bytes from the server; undecodable data closes the connection."""
         try:
             self.buffer.feed(data)
             self.received()
         except resp.RespError as error:
             self.is_closed = True
             self._close_reason = str(error)
-        except Exception as error:  # the program would tell of a bug, and end the connection
+        except Exception as error:  # the router would log a bug and close the connection
             self.observer.monitor.broken("no-slip", repr(error))
             self.is_closed = True
 
 
 class ClientSocket:
-    """The router's end of a client connection; what is written is read as FastCGI at once."""
+    """The router's end of a client connection; written bytes are parsed as FastCGI at once."""
 
-    def __init__(self, told: Callable[[int, int, bytes], None]) -> None:
-        self._told = told
+    def __init__(self, on_record: Callable[[int, int, bytes], None]) -> None:
+        """Create a socket; `on_record` receives the type, id and content of each record."""
+        self._on_record = on_record
         self.room: int | None = None
         self._data = b""
         self.gone = False
 
     def send(self, data: bytes | memoryview, /) -> int:
-        """Takes bytes, and tells of each record that is whole."""
+        """Accept bytes and pass on each complete record."""
         if self.gone:
             raise ConnectionResetError("reset by the client")
         count = len(data) if self.room is None else min(self.room, len(data))
@@ -142,16 +145,16 @@
             self.room -= count
         self._data += bytes(data[:count])
         while len(self._data) >= _RECORD.size:
-            _, kind, ident, length, padding, _ = _RECORD.unpack_from(self._data)
+            _, kind, request_id, length, padding, _ = _RECORD.unpack_from(self._data)
             end = _RECORD.size + length + padding
             if len(self._data) < end:
                 break
             content, self._data = self._data[_RECORD.size : _RECORD.size + length], self._data[end:]
-            self._told(kind, ident, content)
+            self._on_record(kind, request_id, content)
         return count
 
     def recv(self, count: int, flags: int, /) -> bytes:
-        """Nothing is there: what clients send is handed in by steps."""
+        """Raise BlockingIOError: client data is fed by separate steps."""
         raise BlockingIOError
 
 
@@ -161,13 +164,14 @@
     def __init__(
         self, sock: ClientSocket, handler: Handler, clock: Callable[[], float], budget: MemoryBudget
     ) -> None:
+        """Start a session on a simulated socket."""
         super().__init__(sock, handler, clock, budget)
         self.sock = sock
-        self.closing = False  # the router wants it ended
+        self.closing = False  # the router has asked to close it
         self.finished = False
 
     def close(self) -> None:
-        """The router ends it; the simulation reports the end in a separate step."""
+        """Mark the connection as closing; the simulation reports the end in a separate step."""
         self.closing = True
 
     def _stop_reading(self) -> None:
@@ -175,7 +179,7 @@
             self.closing = True
 
     def feed(self, data: bytes) -> None:
-        """Bytes from the client have come in."""
+        """Feed bytes from the client; a protocol error closes the connection."""
         self._buffer.feed(data)
         try:
             self.received()
@@ -183,8 +187,10 @@
             self.closing = True
 
 
-def request_bytes(ident: int, cls: str, txn: str, item: str, ttl: float, seen: str, body: bytes) -> bytes:
-    """The records of a whole request."""
+def request_bytes(
+    request_id: int, cls: str, txn: str, item: str, ttl: float, seen: str, body: bytes
+) -> bytes:
+    """Return the FastCGI records of a complete request."""
     pairs = {
         "SCRIPT_NAME": f"/svc/{cls}",
         "HTTP_X_TXN": txn,
@@ -200,9 +206,9 @@
         bytes((len(name), len(value))) + name.encode() + value.encode() for name, value in pairs.items()
     )
     return (
-        fastcgi.record(fastcgi.BEGIN, ident, struct.pack(">HB5x", fastcgi.RESPONDER, fastcgi.KEEP_CONN))
-        + fastcgi.record(fastcgi.PARAMS, ident, params)
-        + fastcgi.record(fastcgi.PARAMS, ident)
-        + (fastcgi.record(fastcgi.STDIN, ident, body) if body else b"")
-        + fastcgi.record(fastcgi.STDIN, ident)
+        fastcgi.record(fastcgi.BEGIN, request_id, struct.pack(">HB5x", fastcgi.RESPONDER, fastcgi.KEEP_CONN))
+        + fastcgi.record(fastcgi.PARAMS, request_id, params)
+        + fastcgi.record(fastcgi.PARAMS, request_id)
+        + (fastcgi.record(fastcgi.STDIN, request_id, body) if body else b"")
+        + fastcgi.record(fastcgi.STDIN, request_id)
     )
--- a/stonecove/explore/properties.py
+++ b/stonecove/explore/properties.py
@@ -1,7 +1,7 @@
-"""What must hold in every state, each property a unit with its source.
+"""Properties that hold in every state, each with its source.
 
-The `PropertyMonitor` sees only what passes on the sockets, what the list has told, and the two borders of the
-decision module. What it concludes about an attempt is its own: it asks nothing of the stages' books.
+The `PropertyMonitor` observes only the sockets, the published endpoint list, and the input and output of the
+decision module. It draws its own conclusions about attempts and does not read the state of the stages.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 
 
 class Property(NamedTuple):
-    """A rule, and the page that it is from."""
+    """A rule and its source document."""
 
     name: str
     text: str
@@ -187,54 +187,55 @@
 
 
 @dataclass(slots=True)
-class Sent:
-    """An attempt as the sockets saw it: from its first byte on."""
+class ObservedAttempt:
+    """An attempt as observed on the sockets, from its first byte on."""
 
     number: int
     node: int
-    at: float
-    purges: int = 0  # how many purges were told before
+    sent_at_ms: float
+    purges: int = 0  # number of purges reported before
     not_run: bool = False  # the cache itself said so
     over: bool = False
 
 
 @dataclass(slots=True)
-class Seen:
-    """A request as its client sees it."""
+class ObservedRequest:
+    """A request as observed by its client."""
 
     cls: str
-    due: float = 0.0
+    due_ms: float = 0.0
     state: str = "unasked"  # open, answered, left, lost
-    sent: list[Sent] = field(default_factory=list)
-    ended: list[int] = field(default_factory=list)  # attempts whose end the module was told
+    sent: list[ObservedAttempt] = field(default_factory=list)
+    ended: list[int] = field(default_factory=list)  # attempts whose end was reported to the decision module
     orders: int = 0
-    # By bytes: born, first byte out, and how many purges were told before that.
+    # By body: creation time, time of the first byte, and number of purges reported before that.
     births: dict[bytes, tuple[float, float, int]] = field(default_factory=dict)
-    words: dict[int, str] = field(default_factory=dict)  # by attempt: the word that reached the router
+    statuses: dict[int, str] = field(default_factory=dict)  # by attempt: the status that reached the router
 
 
 class PropertyMonitor:
-    """Observes a run, and records each property that is violated."""
+    """Observes a run and records violated properties."""
 
-    def __init__(self, classes: dict[str, ClassSettings], most_attempts: int) -> None:
+    def __init__(self, classes: dict[str, ClassSettings], max_attempts: int) -> None:
+        """Check requests of these classes, with at most `max_attempts` attempts each."""
         self._classes = classes
-        self._most = most_attempts
+        self._max_attempts = max_attempts
         self.violations: list[Violation] = []
         self.nodes: dict[int, Node] = {}
-        self.purges: list[tuple[float, float, int, int]] = []  # told at, purged at, group, object
-        self.seen: dict[str, Seen] = {}
+        self.purges: list[tuple[float, float, int, int]] = []  # reported at, purged at, group, object
+        self.observed_requests: dict[str, ObservedRequest] = {}
 
     def broken(self, prop: str, why: str) -> None:
-        """Records a violation."""
+        """Record a violation."""
         assert prop in PROPERTIES, prop
         if len(self.violations) < 8:
             self.violations.append(Violation(prop, why))
 
-    # -- what the list tells --
+    # -- endpoint list --
 
-    def listed(self, nodes: tuple[Node, ...], whole: bool) -> None:
-        """The router has been told of nodes."""
-        if whole:
+    def nodes_listed(self, nodes: tuple[Node, ...], is_snapshot: bool) -> None:
+        """Record nodes that were reported to the router."""
+        if is_snapshot:
             self.nodes = {}
         for node in nodes:
             self.nodes[node.node_id] = node
@@ -242,84 +243,88 @@
     def _ready(self, node: int) -> bool:
         return node in self.nodes and self.nodes[node].state is NodeState.READY
 
-    # -- what goes out --
+    # -- sent attempts --
 
     def first_byte(self, txn: str, number: int, node: int, source: int | None, now: float) -> None:
-        """The first byte of an attempt goes out."""
-        seen = self.seen[txn]
+        """Check the first byte of an attempt as it is sent."""
+        request = self.observed_requests[txn]
         if not self._ready(node):
-            self.broken("no-drained", f"attempt {number} of {seen.cls} goes to s-{node:08x}")
+            self.broken("no-drained", f"attempt {number} of {request.cls} goes to s-{node:08x}")
         if source is not None and not self._ready(source):
-            self.broken("no-drained-source", f"attempt {number} of {seen.cls} is filled from s-{source:08x}")
-        if any(sent.number == number for sent in seen.sent):
-            self.broken("no-repeat", f"attempt {number} of {seen.cls} is written twice")
-        cls = self._classes[seen.cls]
-        for sent in seen.sent:
+            self.broken(
+                "no-drained-source", f"attempt {number} of {request.cls} is filled from s-{source:08x}"
+            )
+        if any(sent.number == number for sent in request.sent):
+            self.broken("no-repeat", f"attempt {number} of {request.cls} is written twice")
+        cls = self._classes[request.cls]
+        for sent in request.sent:
             if sent.not_run or cls.idempotency is Idempotency.IDEMPOTENT:
                 continue
             if cls.idempotency is Idempotency.NON_IDEMPOTENT:
                 self.broken(
-                    "no-repeat", f"attempt {number} of {seen.cls} goes out; {sent.number} may have run"
+                    "no-repeat", f"attempt {number} of {request.cls} goes out; {sent.number} may have run"
                 )
             elif not self._same_group(cls, sent.node, node):
-                self.broken("no-repeat", f"attempt {number} of {seen.cls} leaves the group of {sent.number}")
-            elif now - sent.at > cls.deduplication_window_ms + 1.0:
-                self.broken("no-repeat", f"attempt {number} of {seen.cls} goes out after its window")
-        seen.sent.append(Sent(number, node, now, len(self.purges)))
-        if len(seen.sent) > self._most:
-            self.broken("allowed-attempts", f"{len(seen.sent)} attempts of {seen.cls} on sockets")
-
-    def _same_group(self, cls: ClassSettings, one: int, other: int) -> bool:
-        if cls.deduplication_scope is DeduplicationScope.ALL or one == other:
+                self.broken(
+                    "no-repeat", f"attempt {number} of {request.cls} leaves the group of {sent.number}"
+                )
+            elif now - sent.sent_at_ms > cls.deduplication_window_ms + 1.0:
+                self.broken("no-repeat", f"attempt {number} of {request.cls} goes out after its window")
+        request.sent.append(ObservedAttempt(number, node, now, len(self.purges)))
+        if len(request.sent) > self._max_attempts:
+            self.broken("allowed-attempts", f"{len(request.sent)} attempts of {request.cls} on sockets")
+
+    def _same_group(self, cls: ClassSettings, node: int, other: int) -> bool:
+        if cls.deduplication_scope is DeduplicationScope.ALL or node == other:
             return True
         if cls.deduplication_scope is DeduplicationScope.ZONE:
-            return self.nodes[one].zone == self.nodes[other].zone
-        return self.nodes[one].cell == self.nodes[other].cell
+            return self.nodes[node].zone == self.nodes[other].zone
+        return self.nodes[node].cell == self.nodes[other].cell
 
-    # -- what comes back --
+    # -- received answers --
 
-    def word(self, txn: str, number: int, word: str, body: bytes, born: float) -> None:
-        """An answer to an attempt that is out has reached the router; it may be the second of its kind."""
-        seen = self.seen[txn]
-        sent = next((sent for sent in seen.sent if sent.number == number), None)
-        if sent is None or number in seen.words:
+    def answer_received(self, txn: str, number: int, status: str, body: bytes, created_at_ms: float) -> None:
+        """Record an answer to an open attempt that has reached the router; duplicates are ignored."""
+        request = self.observed_requests[txn]
+        sent = next((sent for sent in request.sent if sent.number == number), None)
+        if sent is None or number in request.statuses:
             return
-        seen.words[number] = word
-        sent.not_run = word in ("404", "503", "504")
+        request.statuses[number] = status
+        sent.not_run = status in ("404", "503", "504")
         sent.over = True
-        if word in ("200", "304"):
-            seen.births[body] = born, sent.at, sent.purges
-
-    # -- the borders of the decision module --
-
-    def ordered(self, txn: str) -> None:
-        """The module has ordered an attempt."""
-        seen = self.seen[txn]
-        seen.orders += 1
-        if seen.orders > self._most:
-            self.broken("allowed-attempts", f"{seen.orders} orders for {seen.cls}")
-
-    def ended(self, txn: str, number: int, outcome: Outcome) -> None:
-        """The module is told of the end of an attempt."""
-        seen = self.seen[txn]
-        if number in seen.ended:
+        if status in ("200", "304"):
+            request.births[body] = created_at_ms, sent.sent_at_ms, sent.purges
+
+    # -- input and output of the decision module --
+
+    def attempt_ordered(self, txn: str) -> None:
+        """Record that the decision module has ordered an attempt."""
+        request = self.observed_requests[txn]
+        request.orders += 1
+        if request.orders > self._max_attempts:
+            self.broken("allowed-attempts", f"{request.orders} orders for {request.cls}")
+
+    def attempt_ended(self, txn: str, number: int, outcome: Outcome) -> None:
+        """Check the end of an attempt as reported to the decision module."""
+        request = self.observed_requests[txn]
+        if number in request.ended:
             self.broken(
                 "ends-once",
-                f"attempt {number} of {seen.cls} ends again as {reported_outcome(outcome).upper()}",
+                f"attempt {number} of {request.cls} ends again as {reported_outcome(outcome).upper()}",
             )
-        seen.ended.append(number)
-        sent = next((sent for sent in seen.sent if sent.number == number), None)
+        request.ended.append(number)
+        sent = next((sent for sent in request.sent if sent.number == number), None)
         if sent is None:
             if outcome not in (Outcome.CONNECT_FAILED, Outcome.EXPIRED_UNSENT, Outcome.CANCELLED):
                 self.broken(
                     "unrun-is-unrun",
-                    f"attempt {number} of {seen.cls} ends as {reported_outcome(outcome).upper()}, "
+                    f"attempt {number} of {request.cls} ends as {reported_outcome(outcome).upper()}, "
                     "and was never written",
                 )
             return
-        word = seen.words.get(number, "")
+        status = request.statuses.get(number, "")
         proof = {"404": Outcome.MISS, "503": Outcome.REJECTED_OVERLOADED, "504": Outcome.EXPIRED_UNSENT}.get(
-            word
+            status
         )
         if (
             outcome
@@ -328,34 +333,35 @@
         ):
             self.broken(
                 "run-is-run",
-                f"attempt {number} of {seen.cls} was written and ends as {reported_outcome(outcome).upper()}",
+                f"attempt {number} of {request.cls} was written and "
+                f"ends as {reported_outcome(outcome).upper()}",
             )
         if outcome is not proof:
             sent.not_run = False
         sent.over = True
 
-    # -- the client's side --
-
-    def taken(self, txn: str, cls: str, now: float, due: float) -> None:
-        """A request has come in whole."""
-        self.seen[txn] = Seen(cls, due, "open")
-
-    def left(self, txn: str) -> None:
-        """Its client stops waiting."""
-        if self.seen[txn].state == "open":
-            self.seen[txn].state = "left"
-
-    def answered(self, txn: str, verdict: str, body: bytes, now: float) -> None:
-        """Its client has a whole answer: served, unchanged, refused or failed."""
-        seen = self.seen[txn]
-        if seen.state == "left":
-            self.broken("none-to-left", f"{verdict} to {seen.cls}, whose client has left")
-        elif seen.state != "open":
-            self.broken("one-answer", f"{verdict} to {seen.cls}, which is {seen.state}")
-        seen.state = "answered"
-        cls = self._classes[seen.cls]
+    # -- clients --
+
+    def request_received(self, txn: str, cls: str, now: float, due_ms: float) -> None:
+        """Record a complete request."""
+        self.observed_requests[txn] = ObservedRequest(cls, due_ms, "open")
+
+    def client_left(self, txn: str) -> None:
+        """Record that the client of a request no longer waits."""
+        if self.observed_requests[txn].state == "open":
+            self.observed_requests[txn].state = "left"
+
+    def request_answered(self, txn: str, verdict: str, body: bytes, now: float) -> None:
+        """Check a complete answer: served, unchanged, refused or failed."""
+        request = self.observed_requests[txn]
+        if request.state == "left":
+            self.broken("none-to-left", f"{verdict} to {request.cls}, whose client has left")
+        elif request.state != "open":
+            self.broken("one-answer", f"{verdict} to {request.cls}, which is {request.state}")
+        request.state = "answered"
+        cls = self._classes[request.cls]
         if verdict == "refused":
-            unsure = [sent for sent in seen.sent if not sent.not_run]
+            unsure = [sent for sent in request.sent if not sent.not_run]
             if unsure and (
                 cls.idempotency is Idempotency.NON_IDEMPOTENT
                 or (
@@ -364,32 +370,36 @@
                 )
             ):
                 self.broken(
-                    "harmless-refusal", f"{seen.cls} is refused; attempt {unsure[0].number} may have run"
+                    "harmless-refusal", f"{request.cls} is refused; attempt {unsure[0].number} may have run"
                 )
         if verdict not in ("served", "unchanged"):
             return
-        if body not in seen.births:
-            self.broken("as-made", f"{seen.cls} is served {body[:24]!r}, which no cache made for it")
+        if body not in request.births:
+            self.broken("as-made", f"{request.cls} is served {body[:24]!r}, which no cache made for it")
             return
-        born, out, known = seen.births[body]
+        created_at_ms, first_byte_at_ms, known_purges = request.births[body]
         if cls.never_cached:
             return
-        for told, purged, group, key in self.purges[:known]:
-            if born < purged - AGE_TOLERANCE_MS - 1.0:
+        for reported, purged, group, key in self.purges[:known_purges]:
+            if created_at_ms < purged - AGE_TOLERANCE_MS - 1.0:
                 name = f"object {key:x}" if key else f"group {group}"
                 self.broken(
                     "no-purged",
-                    f"a copy born {purged - born:.0f} ms before the purge of {name}, told "
-                    f"{out - told:.0f} ms before its first byte",
+                    f"a copy born {purged - created_at_ms:.0f} ms before the purge of {name}, told "
+                    f"{first_byte_at_ms - reported:.0f} ms before its first byte",
                 )
-        if cls.fresh_ms and born < out - cls.fresh_ms - cls.stale_ms - AGE_TOLERANCE_MS - 1.0:
-            self.broken("not-too-old", f"a copy {out - born:.0f} ms old")
+        if (
+            cls.fresh_ms
+            and created_at_ms < first_byte_at_ms - cls.fresh_ms - cls.stale_ms - AGE_TOLERANCE_MS - 1.0
+        ):
+            self.broken("not-too-old", f"a copy {first_byte_at_ms - created_at_ms:.0f} ms old")
 
-    def overdue(self, now: float) -> None:
-        """Looks whether an answer is late."""
-        for seen in self.seen.values():
-            if seen.state == "open" and now > seen.due + 0.01:
+    def check_overdue(self, now: float) -> None:
+        """Check whether an answer is late."""
+        for request in self.observed_requests.values():
+            if request.state == "open" and now > request.due_ms + 0.01:
                 self.broken(
-                    "in-time", f"{seen.cls} has no answer {now - seen.due:.0f} ms after its last moment"
+                    "in-time",
+                    f"{request.cls} has no answer {now - request.due_ms:.0f} ms after its last moment",
                 )
-                seen.state = "lost"
+                request.state = "lost"
--- a/stonecove/explore/reach.py
+++ b/stonecove/explore/reach.py
@@ -1,4 +1,4 @@
-"""Which lines and branches of the core an exploration has played, and why the others were not."""
+"""Lines and branches of the core that an exploration has executed, and why the others were not."""
 
 from __future__ import annotations
 
@@ -58,7 +58,7 @@
     "protocols/fastcgi/session.py",
 )
 
-# Why a line may be left out, by what its function is for; the first that fits holds.
+# Why lines of a function may stay unreached; the first matching entry applies.
 REASONS: tuple[tuple[str, str, str], ...] = (
     (
         "routing/popularity.py",
@@ -66,9 +66,9 @@
         "popularity of thousands of requests; a scope has two, a walk hundreds",
     ),
     ("routing/candidates.py", "caches|_replicas", "popularity of thousands of requests"),
-    ("routing/candidates.py", "has_copy|_is_congested|is_zone_link_congested", "load of a crowded link"),
-    ("routing/stored_copies.py", "record", "load of a crowded link; the bench's days play it"),
-    ("routing/link_load.py", "estimate_capacity|expected_slowdown", "load of a crowded link"),
+    ("routing/candidates.py", "has_copy|_is_congested|is_zone_link_congested", "load of a congested link"),
+    ("routing/stored_copies.py", "record", "load of a congested link; covered by the benchmark days"),
+    ("routing/link_load.py", "estimate_capacity|expected_slowdown", "load of a congested link"),
     ("routing/link_load.py", "resize", "settings that change: tests/test_reconfigured.py"),
     (
         "routing/slow_start.py",
@@ -78,7 +78,7 @@
     (
         "routing/director.py",
         "_on_endpoint_list|_on_request|Director.__init__|handle",
-        "polled lists and unknown classes, which the simulator alone has",
+        "polled lists and unknown classes, which only the simulator has",
     ),
     (
         "routing/director.py",
@@ -105,23 +105,27 @@
     (
         "runtime/timers.py",
         "next_due|_run_callback",
-        "an alarm that raises; the seeded faults and tests play it",
+        "a timer callback that raises; covered by planted faults and tests",
+    ),
+    ("pipeline/book.py", "attempt_ended", "second guard against a second end: every caller checks first"),
+    (
+        "pipeline/relay.py",
+        "answer",
+        "second guard against a second answer; reached by nocancel at its full depth",
     ),
-    ("pipeline/book.py", "attempt_ended", "the second line against a second end: every caller looks first"),
-    ("pipeline/relay.py", "answer", "the second line against a second answer, in nocancel at its full depth"),
     (
         "pipeline/relay.py",
         "corruption_reason|_rejection_reason",
         "long bodies and wrong tags: tests/test_router.py",
     ),
-    ("pipeline/route.py", "submit", "when memory is out, the codec turns requests away before the stages"),
-    ("pipeline/route.py", "_handle_event", "an error in the decisions; the seeded faults play it"),
+    ("pipeline/route.py", "submit", "when memory is exhausted, the codec rejects requests before the stages"),
+    ("pipeline/route.py", "_handle_event", "an error in the decisions; covered by planted faults"),
     (
         "pipeline/route.py",
         "_backstop|_send_attempt",
-        "the last line: the module answers first; SIGTERM at full depth",
+        "last guard: the decision module answers first; reached by SIGTERM at full depth",
     ),
-    ("pipeline/route.py", "expire", "the scope stopped at its full depth"),
+    ("pipeline/route.py", "expire", "reached by the scope `stopped` at its full depth"),
     (
         "pipeline/send.py",
         "can_take|_assign|handle_response|handle_closed",
@@ -131,17 +135,17 @@
     (
         "protocols/upstream_channel.py",
         "_flush",
-        "a last look that leads to the next command: drain at full depth",
+        "a last check that skips to the next command; reached by drain at full depth",
     ),
     (
         "protocols/fastcgi/session.py",
         "_dispatch_request|_flush",
-        "bad requests, and clients that are gone: tests/test_router.py",
+        "bad requests, and disconnected clients: tests/test_router.py",
     ),
     (
         "protocols/change_log.py",
         "parse_member|_index_of|known_events|_accept_gap|frames|_members|_frame",
-        "the JSON of the start, and broken frames: tests/test_router.py",
+        "the initial JSON, and broken frames: tests/test_router.py",
     ),
     (
         "protocols/fastcgi/session.py",
@@ -150,21 +154,21 @@
     ),
     ("frontends/fastcgi.py", "", "bad requests and /status/live: tests/test_router.py"),
     ("pipeline/intake.py", "", "bad requests: tests/test_router.py"),
-    ("protocols/fastcgi/codec.py", "", "played by the codec machine, or limits of many requests"),
-    ("protocols/resp.py", "", "played by the codec machine"),
+    ("protocols/fastcgi/codec.py", "", "covered by the codec machine, or limits of many requests"),
+    ("protocols/resp.py", "", "covered by the codec machine"),
     ("protocols/buffer.py", "", "large buffers: tests/test_router.py"),
     (
         "pipeline/admit.py",
         "",
-        "a whole core is never overdrawn by waiting in the scopes; the load day plays it",
+        "a whole core is never overdrawn by waiting in the scopes; covered by the load day",
     ),
     ("", "reconfigure", "settings that change: tests/test_settings_change.py"),
-    ("", "__len__|log_statistics|stats", "counts told to people"),
+    ("", "__len__|log_statistics|stats", "reported counts"),
 )
 
 
-def _functions(path: Path) -> dict[int, str]:
-    """The function that each line stands in."""
+def _enclosing_functions(path: Path) -> dict[int, str]:
+    """Return the enclosing function of each line."""
     found: dict[int, str] = {}
     stack: list[tuple[int, str]] = []
     for number, line in enumerate(path.read_text().splitlines(), 1):
@@ -178,8 +182,8 @@
     return found
 
 
-def at_import(path: Path) -> set[int]:
-    """The lines that run when a module is imported, which was before anything was played."""
+def import_time_lines(path: Path) -> set[int]:
+    """Return the lines that run at import, which happens before the exploration."""
     found: set[int] = set()
     waiting: list[ast.stmt] = list(ast.parse(path.read_text()).body)
     while waiting:
@@ -196,21 +200,21 @@
 
 
 def reason(file: str, function: str) -> str:
-    """Why lines of a function were not reached; empty if no reason is on record."""
-    for where, names, why in REASONS:
-        if where in ("", file) and (not names or re.search(rf"(^|\.)({names})$", function)):
+    """Return why lines of a function were not reached; empty if no reason is recorded."""
+    for path, names, why in REASONS:
+        if path in ("", file) and (not names or re.search(rf"(^|\.)({names})$", function)):
             return why
     return ""
 
 
 def report(depth: int, lines: bool) -> Iterator[str]:
-    """Plays the small scope to that depth and some walks under coverage, and tells what was reached."""
+    """Explore the small scopes to that depth and some walks under coverage; yield the lines of the report."""
     yield "Properties:"
     for prop in PROPERTIES.values():
         yield f"  {prop.name:18} {prop.text} [{prop.source}]"
     yield "Hard cases, and the scope that holds each:"
-    for case, place in HARD_CASES.items():
-        yield f"  {place:10} {case}"
+    for case, scope_name in HARD_CASES.items():
+        yield f"  {scope_name:10} {case}"
     cover = coverage.Coverage(data_file=None, branch=True, include=[str(ROOT / name) for name in CORE])
     cover.start()
     try:
@@ -229,13 +233,13 @@
     for name in CORE:
         path = ROOT / name
         _, statements, _, missing, _ = cover.analysis2(str(path))
-        imported = at_import(path)
+        imported = import_time_lines(path)
         statements = [line for line in statements if line not in imported]
         missing = [line for line in missing if line not in imported]
         total_lines += len(statements)
         total_missed += len(missing)
         yield f"{name:20} {len(statements) - len(missing):4} of {len(statements):4} lines"
-        functions = _functions(path)
+        functions = _enclosing_functions(path)
         by_function: dict[str, list[int]] = {}
         for line in missing:
             by_function.setdefault(functions.get(line, ""), []).append(line)
@@ -253,7 +257,7 @@
 
 
 def _branches(cover: coverage.Coverage) -> tuple[int, int]:
-    """How many branches the core has, and how many of them were taken."""
+    """Return the number of branches of the core, and how many of them were taken."""
     with tempfile.TemporaryDirectory() as folder:
         path = Path(folder, "report.json")
         cover.json_report(outfile=str(path))
@@ -272,7 +276,7 @@
     "SIGTERM while a pick-confirm is half written": "stop",
     "deadline, cut-off timer and answer in one instant": "deadline",
 }
-# Steps that show each hard case: played by the tests, which look that the exploration takes them.
+# Steps that produce each hard case; the tests replay them and check that the exploration takes them.
 HARD_STEPS: dict[str, tuple[str, ...]] = {
     "a cancel that crosses a late answer": (
         "ask 0",
--- a/stonecove/explore/runner.py
+++ b/stonecove/explore/runner.py
@@ -1,4 +1,4 @@
-"""Runs whole explorations: lists of scopes, the small state machines, seeded faults, random walks."""
+"""Whole explorations: lists of scopes, the small state machines, planted faults and random walks."""
 
 from __future__ import annotations
 
@@ -17,11 +17,11 @@
 from stonecove.explore.walk import Walks, walk
 
 CHANNEL_DEPTH = 14
-PER_SCOPE = 400.0  # seconds after which a scope is given up and reported as incomplete
+SCOPE_TIMEOUT_S = 400.0  # a scope that takes longer is stopped and reported as incomplete
 
 
 def channel_start(seed: str = "") -> Start:
-    """Plants a seed, and returns what starts the state machine of a connection."""
+    """Plant a seed and return a function that starts the state machine of a connection."""
     seeds.plant(seed)
 
     def start() -> Machine:
@@ -37,7 +37,7 @@
     seed: str = "",  # noqa: B008
     progress: Callable[[Result, int], None] | None = None,
 ) -> Result:
-    """Explores a whole scope."""
+    """Explore a whole scope."""
     return breadth_first(
         pool, simulation_start, (scope, seed), scope.depth, options or Options(), f"{scope}/{seed}", progress
     )
@@ -47,37 +47,39 @@
     scopes: tuple[Scope, ...],
     pool: WorkerPool,
     save: Path | None = None,
-    tell: Callable[[str, Result], None] | None = None,
-    save_every: float = 20.0,
+    report: Callable[[str, Result], None] | None = None,
+    save_interval_s: float = 20.0,
     deeper: int | None = None,
 ) -> Result:
-    """Explores scopes, then the smaller machines: coordination, fleet, swarm, channel, codecs.
+    """Explore scopes, then the smaller machines: coordination, fleet, swarm, channel, codecs.
 
-    `deeper`: additional steps in the scopes of the smaller machines; None leaves these out.
+    `deeper`: additional steps in the scopes of the smaller machines; None skips these.
 
-    With `save`, each scope keeps its frontier in a file of that name and the scope's; what is done is marked
-    there by its result, so that a later run goes on with the rest.
+    With `save`, each scope saves its frontier to a file named after `save` and the scope. Completed scopes
+    are saved with their result, so that a later run continues with the rest.
     """
     total = Result()
     for scope in scopes:
         path = save.with_name(f"{save.name}.{scope.name}") if save else None
-        result = explore(scope, pool, Options(most_seconds=PER_SCOPE, save=path, save_every=save_every))
+        result = explore(
+            scope, pool, Options(max_duration_s=SCOPE_TIMEOUT_S, save=path, save_interval_s=save_interval_s)
+        )
         total.add(result)
-        if tell:
-            tell(scope.name, result)
+        if report:
+            report(scope.name, result)
     for bounds in ALL_MACHINES.values() if deeper is not None else ():
         result = explore_machine(bounds._replace(depth=bounds.depth + (deeper or 0)), pool)
         total.add(result)
-        if tell:
-            tell(bounds.name, result)
+        if report:
+            report(bounds.name, result)
     for name, result in (("channel", explore_channel(pool)), ("codecs", explore_codecs())):
         total.add(result)
-        if tell:
-            tell(name, result)
+        if report:
+            report(name, result)
     return total
 
 
-Bounds = coordination.Bounds | fleet.LeaseBounds | fleet.LifeBounds | swarm.SwarmBounds
+Bounds = coordination.Bounds | fleet.LeaseBounds | fleet.LifecycleBounds | swarm.SwarmBounds
 SMALL_MACHINES: dict[str, Bounds] = {
     bounds.name: bounds for bounds in (*coordination.SCOPES, *fleet.SCOPES, *swarm.SCOPES)
 }
@@ -85,7 +87,7 @@
 
 
 def machine_start(bounds: Bounds, seed: str = "") -> Start:
-    """Plants a seed, and returns what starts the coordination, fleet or swarm machine."""
+    """Plant a seed and return a function that starts the coordination, fleet or swarm machine."""
     seeds.plant(seed)
     if isinstance(bounds, swarm.SwarmBounds):
         return swarm.starter(bounds)
@@ -93,26 +95,26 @@
 
 
 def explore_machine(bounds: Bounds, pool: WorkerPool, seed: str = "", stop_at_first: bool = False) -> Result:
-    """Explores one scope of the coordination, fleet or swarm machine."""
-    options = Options(stop_at_first=stop_at_first, most_seconds=PER_SCOPE)
+    """Explore one scope of the coordination, fleet or swarm machine."""
+    options = Options(stop_at_first=stop_at_first, max_duration_s=SCOPE_TIMEOUT_S)
     return breadth_first(pool, machine_start, (bounds, seed), bounds.depth, options)
 
 
 def explore_channel(pool: WorkerPool, seed: str = "", stop_at_first: bool = False) -> Result:
-    """Explores the state machine of a connection."""
+    """Explore the state machine of a connection."""
     return breadth_first(pool, channel_start, (seed,), CHANNEL_DEPTH, Options(stop_at_first=stop_at_first))
 
 
 def explore_codecs(seed: str = "", short: bool = True) -> Result:
-    """Decodes all splits of both codecs' streams; a stream counts as a state, a split as a transition."""
-    began = time.monotonic()
+    """Decode all splits of both codecs' streams; a stream counts as a state, a split as a transition."""
+    started_at = time.monotonic()
     seeds.plant(seed)
     try:
         done = codecs.check(short)
     finally:
         seeds.plant("")
     return Result(
-        states=done.streams, transitions=done.cuts, seconds=time.monotonic() - began, found=done.found
+        states=done.streams, transitions=done.cuts, seconds=time.monotonic() - started_at, found=done.found
     )
 
 
@@ -121,15 +123,15 @@
     """Whether, where and how a seeded fault was found."""
 
     name: str
-    breaks: str  # the property that it was to break
+    breaks: str  # the property that it must violate
     where: str = ""  # the scope that found it; empty if none did
     found: Found | None = None
-    states: int = 0  # until then, over all scopes that were tried
+    states: int = 0  # explored until then, over all scopes that were tried
     seconds: float = 0.0
     crash: str = ""
 
     def trace(self) -> Trace | None:
-        """The counterexample, if the simulation of the router found it."""
+        """Return the counterexample; None unless the simulation of the router found it."""
         if self.found is None or self.where in ("codecs", "channel", *ALL_MACHINES):
             return None
         return Trace(
@@ -142,9 +144,9 @@
 
 
 def find_seeded_fault(name: str) -> SeededResult:
-    """Looks for one seeded fault in this process, and removes it again."""
+    """Search for one planted fault in this process, then remove it."""
     seed = seeds.by_name(name)
-    began, states = time.monotonic(), 0
+    started_at, states = time.monotonic(), 0
     try:
         with WorkerPool(1) as pool:
             for where in seed.scopes:
@@ -165,19 +167,19 @@
                         where,
                         (right or result.found)[0],
                         states,
-                        time.monotonic() - began,
+                        time.monotonic() - started_at,
                     )
-        return SeededResult(name, seed.breaks, states=states, seconds=time.monotonic() - began)
+        return SeededResult(name, seed.breaks, states=states, seconds=time.monotonic() - started_at)
     except Exception as error:
         return SeededResult(
-            name, seed.breaks, states=states, seconds=time.monotonic() - began, crash=repr(error)
+            name, seed.breaks, states=states, seconds=time.monotonic() - started_at, crash=repr(error)
         )
     finally:
         seeds.plant("")
 
 
 def run_walks(first: int, count: int, steps: int, scope: Scope = WALK, seed: str = "") -> Walks:
-    """Random walks with the seeds from `first` on; stops at the first violation, whose trace is shrunk."""
+    """Run random walks with seeds starting at `first`; stop at the first violation and shrink its trace."""
     done = Walks()
     start = simulation_start(scope, seed)
     try:
@@ -193,7 +195,7 @@
 
 
 def find_seeded_faults(names: list[str], processes: int) -> list[SeededResult]:
-    """Looks for several faults, each in one process of a pool; results come in the order of the names."""
+    """Search for several faults in a process pool; results are in the order of the names."""
     if processes == 1:
         return list(map(find_seeded_fault, names))
     with multiprocessing.get_context("spawn").Pool(processes) as pool:
@@ -201,7 +203,7 @@
 
 
 def run_walks_in_pool(first: int, count: int, steps: int, processes: int) -> Walks:
-    """Random walks on several processes; the walks do not depend on the number of processes."""
+    """Run random walks on several processes; the walks do not depend on the number of processes."""
     spans = [(chance, 1, steps) for chance in range(first, first + count)]
     total = Walks()
     if processes == 1:
@@ -213,11 +215,11 @@
         total.walks += part.walks
         total.steps += part.steps
         total.found += part.found
-        for word, times in part.words.items():
-            total.words[word] = total.words.get(word, 0) + times
+        for word, taken in part.words.items():
+            total.words[word] = total.words.get(word, 0) + taken
     return total
 
 
 def _run_walk_span(span: tuple[int, int, int]) -> Walks:
-    """`run_walks` for a pool; `span`: first seed, count, steps."""
+    """Call `run_walks` in a pool; `span`: first seed, count, steps."""
     return run_walks(*span)
--- a/stonecove/explore/scope.py
+++ b/stonecove/explore/scope.py
@@ -1,4 +1,4 @@
-"""The bounds of an exploration: who is there, what may go wrong, and how often."""
+"""Bounds of an exploration: the participants, the possible faults, and their number."""
 
 from __future__ import annotations
 
@@ -7,8 +7,8 @@
 
 from stonecove.routing.settings import ClassSettings, DeduplicationScope, Idempotency, Settings
 
-# Spans are short, so that few alarms lie between a request and its end: it is their order that matters.
-DEADLINE = 400.0
+# Durations are short, so that few timers fire between a request and its end: only their order matters.
+DEADLINE_MS = 400.0
 CLASSES = {
     "image": ClassSettings(
         "image",
@@ -16,7 +16,7 @@
         0.2,
         200.0,
         0.0,
-        DEADLINE,
+        DEADLINE_MS,
         Idempotency.IDEMPOTENT,
         DeduplicationScope.ALL,
         0.0,
@@ -31,7 +31,7 @@
         0.0,
         200.0,
         0.0,
-        DEADLINE,
+        DEADLINE_MS,
         Idempotency.NON_IDEMPOTENT,
         DeduplicationScope.ALL,
         0.0,
@@ -46,7 +46,7 @@
         0.0,
         200.0,
         0.0,
-        DEADLINE,
+        DEADLINE_MS,
         Idempotency.IDEMPOTENCY_KEY,
         DeduplicationScope.CELL,
         150.0,
@@ -61,7 +61,7 @@
         0.2,
         200.0,
         0.0,
-        DEADLINE,
+        DEADLINE_MS,
         Idempotency.IDEMPOTENT,
         DeduplicationScope.ALL,
         0.0,
@@ -73,11 +73,11 @@
 }
 ORDER = tuple(CLASSES)
 CACHE, PARENT, ORIGIN = range(3)
-PURGE_SETTLES = 800.0
+PURGE_SETTLED_MS = 800.0
 
 
-def settings(most_attempts: int, cancel: bool = True) -> Settings:
-    """The settings of every scope: one zone with caches, a parent and an origin elsewhere."""
+def settings(max_attempts: int, cancel: bool = True) -> Settings:
+    """Return the settings of every scope: one zone with caches, a parent and an origin elsewhere."""
     return Settings(
         classes=tuple(CLASSES.values()),
         zone=1,
@@ -99,9 +99,9 @@
         parent_slow_start_ms=2000.0,
         parent_overload_multiple=4.0,
         purge_grace_ms=100.0,
-        purge_settled_ms=PURGE_SETTLES,
+        purge_settled_ms=PURGE_SETTLED_MS,
         drain_grace_ms=100.0,
-        max_attempts=most_attempts,
+        max_attempts=max_attempts,
         hedging_allowed=True,
         cancellation_allowed=cancel,
         health_checks_allowed=False,
@@ -118,7 +118,7 @@
     )
 
 
-ANSWERS: dict[str, tuple[str, str]] = {  # the word and the note of each answer that a cache may give
+ANSWERS: dict[str, tuple[str, str]] = {  # status and note of each answer that a cache may give
     "hit": ("200", "hit"),
     "filled": ("200", "filled"),
     "via": ("200", "via_origin"),
@@ -136,9 +136,9 @@
     "noslot": ("503", "no_slot"),
     "orgfail": ("500", "origin_failed"),
 }
-FREE = ("hit", "filled")  # answers that are no fault
+FREE = ("hit", "filled")  # answers that do not count as a fault
 
-# What may go wrong; each use is one fault.
+# Possible faults; each occurrence counts as one.
 ON_LINKS = (
     "refuse",
     "never",
@@ -162,7 +162,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Scope:
-    """Bounds of one exploration. `requests` are classes; the same class twice asks for the same object."""
+    """Bounds of one exploration. `requests` are classes; the same class twice requests the same object."""
 
     name: str
     requests: tuple[str, ...]
@@ -173,16 +173,16 @@
     depth: int = 12
     kinds: tuple[str, ...] = ()
     answers: tuple[str, ...] = FREE
-    fine: bool = False  # the router's own turns are steps of their own: deciding, and noticing an end
-    seen: bool = False  # clients hold a copy
+    fine: bool = False  # deciding and noticing a closed connection are separate steps
+    seen: bool = False  # clients have a cached copy
     cancel: bool = True  # whether attempts may be cancelled
-    relief: bool = False  # what was short comes back
-    targets: tuple[str, ...] = ("c1", "c2", "p1", "o1")  # nodes that the list's faults may strike
-    prefix: tuple[str, ...] = ()  # steps taken at the start, without being counted
+    relief: bool = False  # exhausted resources become available again
+    targets: tuple[str, ...] = ("c1", "c2", "p1", "o1")  # nodes that faults of the endpoint list may affect
+    prefix: tuple[str, ...] = ()  # steps taken at the start, not counted in the depth
     note: str = field(default="", compare=False)
 
     def with_bounds(self, **changes: Any) -> Scope:
-        """The scope with other bounds."""
+        """Return the scope with changed bounds."""
         return replace(self, **changes)
 
 
@@ -403,7 +403,7 @@
 
 
 def named(scopes: tuple[Scope, ...], name: str) -> Scope:
-    """The scope of that name; raises KeyError."""
+    """Return the scope of that name; raises KeyError."""
     for scope in scopes:
         if scope.name == name:
             return scope
--- a/stonecove/explore/seeds.py
+++ b/stonecove/explore/seeds.py
@@ -1,8 +1,7 @@
-"""Faults of one line, put into the loaded code on purpose: an explorer that does not find them proves
-nothing.
+"""Planted one-line faults: an explorer that does not find them proves nothing.
 
-Each names a function of the program and one piece of its text to be replaced. The function is compiled anew
-from the changed text and put in place of the old one, in this process only; the files stay as they are.
+Each fault names a function of the program and one piece of its source to replace. The function is recompiled
+from the changed source and replaces the original in this process only; the files do not change.
 """
 
 from __future__ import annotations
@@ -24,7 +23,7 @@
 
 
 class Seed(NamedTuple):
-    """A fault: where, what is replaced by what, and where it is looked for."""
+    """A planted fault: its function, the replacement, and the scopes in which it is searched for."""
 
     name: str
     owner: Any
@@ -32,13 +31,11 @@
     old: str
     new: str
     scopes: tuple[str, ...]
-    breaks: str  # the property that it is to break
-    also: str = (
-        ""  # another fault that is planted with it, where a guard only matters once something else fails
-    )
+    breaks: str  # the property that it must violate
+    also: str = ""  # another fault planted with it, for a guard that only matters once something else fails
 
 
-_CORE: tuple[Seed, ...] = (
+_CORE_SEEDS: tuple[Seed, ...] = (
     Seed(
         "first-answer-guard-gone",
         relay.Relay,
@@ -564,17 +561,21 @@
 )
 
 
-_MORE = tuple(Seed(*fault) for fault in seeds_coordination.FAULTS + seeds_fleet.FAULTS + seeds_swarm.FAULTS)
-SEEDS: tuple[Seed, ...] = _CORE + tuple(seed for seed in _MORE if seed.breaks)
-HELPERS: tuple[Seed, ...] = tuple(seed for seed in _MORE if not seed.breaks)  # planted with others
+_MACHINE_SEEDS = tuple(
+    Seed(*fault) for fault in seeds_coordination.FAULTS + seeds_fleet.FAULTS + seeds_swarm.FAULTS
+)
+SEEDS: tuple[Seed, ...] = _CORE_SEEDS + tuple(seed for seed in _MACHINE_SEEDS if seed.breaks)
+HELPERS: tuple[Seed, ...] = tuple(
+    seed for seed in _MACHINE_SEEDS if not seed.breaks
+)  # planted only together with others
 
 
 class SeedError(Exception):
-    """A fault whose place is not as it was."""
+    """The source that a fault replaces does not occur exactly once."""
 
 
 def by_name(name: str) -> Seed:
-    """The fault of that name; raises KeyError."""
+    """Return the fault of that name; raises KeyError."""
     for seed in SEEDS + HELPERS:
         if seed.name == name:
             return seed
@@ -585,10 +586,10 @@
 
 
 def plant(name: str) -> None:
-    """Puts a fault into the loaded code, in place of the one before; an empty name takes it out."""
+    """Plant a fault in the loaded code in place of the previous one; an empty name only removes that."""
     while _planted:
-        owner, function, before = _planted.pop()
-        setattr(owner, function, before)
+        owner, function, original = _planted.pop()
+        setattr(owner, function, original)
     if not name:
         return
     seed = by_name(name)
@@ -598,9 +599,9 @@
 
 
 def _function_of(seed: Seed) -> tuple[Any, Any]:
-    """What the owner holds under that name, and the plain function within it."""
-    held = inspect.getattr_static(seed.owner, seed.function)
-    return held, held.__func__ if isinstance(held, (staticmethod, classmethod)) else held
+    """Return the owner's attribute of that name, and the plain function within it."""
+    attribute = inspect.getattr_static(seed.owner, seed.function)
+    return attribute, attribute.__func__ if isinstance(attribute, (staticmethod, classmethod)) else attribute
 
 
 def _source_of(function: Any) -> str:
@@ -608,17 +609,17 @@
 
 
 def occurrences(seed: Seed) -> int:
-    """How often the text to be replaced stands in the seed's function; only 1 can be planted."""
+    """Return how often the text to replace occurs in the seed's function; it must be 1 to be planted."""
     return _source_of(_function_of(seed)[1]).count(seed.old)
 
 
 def _plant(seed: Seed) -> None:
-    before, plain = _function_of(seed)
-    text = _source_of(plain)
-    if text.count(seed.old) != 1:
-        raise SeedError(f"{seed.name}: {seed.old!r} stands {text.count(seed.old)} times in {seed.function}")
-    text = text.replace(seed.old, seed.new)
-    scope: dict[str, Any] = {}
-    exec(compile(text, f"<{seed.name}>", "exec"), vars(sys.modules[plain.__module__]), scope)
-    setattr(seed.owner, seed.function, scope[seed.function])
-    _planted.append((seed.owner, seed.function, before))
+    original, plain = _function_of(seed)
+    source = _source_of(plain)
+    if source.count(seed.old) != 1:
+        raise SeedError(f"{seed.name}: {seed.old!r} occurs {source.count(seed.old)} times in {seed.function}")
+    source = source.replace(seed.old, seed.new)
+    namespace: dict[str, Any] = {}
+    exec(compile(source, f"<{seed.name}>", "exec"), vars(sys.modules[plain.__module__]), namespace)
+    setattr(seed.owner, seed.function, namespace[seed.function])
+    _planted.append((seed.owner, seed.function, original))
--- a/stonecove/explore/seeds_coordination.py
+++ b/stonecove/explore/seeds_coordination.py
@@ -1,4 +1,4 @@
-"""Faults of one line in sessions, lists and the merge; planted as those in `seeds` are."""
+"""One-line faults in sessions, endpoint lists and the merge, planted like those in `seeds`."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class Fault(NamedTuple):
-    """A fault: where, what is replaced by what, in which scopes it is looked for, what it breaks."""
+    """A planted fault: function, replaced text, scopes to search, and the property it violates."""
 
     name: str
     owner: Any
--- a/stonecove/explore/seeds_fleet.py
+++ b/stonecove/explore/seeds_fleet.py
@@ -1,4 +1,4 @@
-"""Faults of one line in the fleet's decisions; planted as those in `seeds` are."""
+"""One-line faults in fleet decisions, planted like those in `seeds`."""
 
 from __future__ import annotations
 
--- a/stonecove/explore/simulation.py
+++ b/stonecove/explore/simulation.py
@@ -1,7 +1,7 @@
-"""Runs the router's core in a simulated environment, where each choice of a peer, and of time, is a step.
+"""Simulated environment of the router's core, where each choice of a peer, and of time, is a step.
 
-Nothing of the router is modelled: front, session and channel, codecs, stages and the decision module are the
-program's. Simulated are the sockets, the servers behind them, the clients, the change log and the clock.
+The router is not modelled: frontend, session, channel, codecs, stages and the decision module are the real
+code. The sockets, the servers behind them, the clients, the change log and the clock are simulated.
 """
 
 from __future__ import annotations
@@ -35,15 +35,15 @@
 from stonecove.runtime.timers import Timers
 from stonecove.state.budget import MemoryBudget
 
-START = 1_000_000.0  # the Unix second at which every run begins
-HAIR = 1e-7  # seconds past an alarm's time to which a wait goes, so that equal times are one instant
-TTL = 400.0  # ms that clients wait
-LAST = 0.5  # seconds after SIGTERM at which all is answered
-GROUP = 3
-MEMORY = 1e6
-SOCKETS = 48
-OLD = 5000.0  # ms by which an old copy was born before the start
-MOST_SETTLE = 400  # default steps within which all is quiet
+START = 1_000_000.0  # Unix time in seconds at which every run starts
+TIME_EPSILON_S = 1e-7  # a wait ends this long after a timer is due, so that equal times are one instant
+CLIENT_TIMEOUT_MS = 400.0
+DRAIN_TIMEOUT_S = 0.5  # after SIGTERM; all requests are answered by then
+PURGE_GROUP = 3
+MEMORY_LIMIT_BYTES = 1e6
+MAX_SOCKETS = 48
+STALE_COPY_AGE_MS = 5000.0  # age of a stale copy at the start of the run
+MAX_SETTLE_STEPS = 400  # default steps within which the simulation must become idle
 
 _RECORD = struct.Struct(">IIHBBBHIQ")
 _HEAD = struct.Struct(">IQB")
@@ -53,33 +53,34 @@
 
 
 class FixedRandom:
-    """A random source that always gives the middle of the range, so that chance adds no states."""
+    """Random source that always returns the middle of the range, so that chance adds no states."""
 
     def random(self) -> float:
-        """The middle of 0 and 1."""
+        """Return the middle of 0 and 1."""
         return 0.5
 
-    def uniform(self, least: float, most: float) -> float:
-        """The middle of a range."""
-        return (least + most) / 2
+    def uniform(self, low: float, high: float) -> float:
+        """Return the middle of a range."""
+        return (low + high) / 2
 
 
 class FixedCredit(CpuCredit):
     """CPU credit whose value is set by steps."""
 
     def __init__(self) -> None:
+        """Start without credit."""
         self.saved = 0.0
 
     def set_cores(self, cores: float) -> None:
-        """Nothing depends on cores here."""
+        """Ignore the number of cores; the credit is set by steps."""
 
     def remaining_s(self) -> float:
-        """What was set."""
+        """Return the credit that was set."""
         return self.saved
 
 
-def _item(cls: str, caches: tuple[int, ...]) -> int:
-    """The least object of the class whose caches in hash order are those, so that c1 is always the home."""
+def _find_item(cls: str, caches: tuple[int, ...]) -> int:
+    """Return the lowest object of the class whose caches in hash order are these, so that c1 is its home."""
     nodes = [Node(node, CACHE, 0.0, NodeState.READY, 0, 1, 1.0) for node in caches]
     ring = RendezvousHash(nodes, False)
     key = 1000 * (1 + bounds.ORDER.index(cls))
@@ -89,101 +90,106 @@
 
 
 class Simulation:
-    """One router and its environment; steps are named by strings, as in `up c1.0`."""
+    """One router and its environment; steps are named by strings, e.g. `up c1.0`."""
 
     def __init__(self, scope: Scope) -> None:
+        """Start the router with all nodes ready, then take the steps of the scope's prefix."""
         global _current
         _current = self
-        runtime_log.set_log_sink(_logged)
+        runtime_log.set_log_sink(_handle_log_line)
         self.scope = scope
-        self.t = START  # seconds
+        self.now_s = START  # seconds
         self.faults = scope.faults
         self.clock = Clock(self._seconds)
         self.timers = Timers(self.clock, self._seconds)
         self.budget = MemoryBudget()
-        self.budget.limit_bytes = MEMORY
+        self.budget.limit_bytes = MEMORY_LIMIT_BYTES
         settings = bounds.settings(scope.attempts, scope.cancel)
         self.settings = settings
         self.monitor = PropertyMonitor(CLASSES, scope.attempts)
-        self.channels: list[ServerChannel] = []  # those of which the router has not been told the end
+        self.channels: list[ServerChannel] = []  # connections whose end has not been reported to the router
         self.route = Route(settings, 7, self.clock, self.timers, self.budget, 0.0, self._connect)
         self.route.admit.cpu = FixedCredit()
         setattr(self.route.admit, "_random", FixedRandom())  # noqa: B010
         setattr(self.route.director.state, "random", FixedRandom())  # noqa: B010
         setattr(self.route.director, "handle", MonitoredHandle(self))  # noqa: B010
-        self.route.send.max_connections = connection_limit(SOCKETS)
-        self.front = FastCgiFrontend(settings, self.route)
-        self.front.ready = True
+        self.route.send.max_connections = connection_limit(MAX_SOCKETS)
+        self.frontend = FastCgiFrontend(settings, self.route)
+        self.frontend.ready = True
         self.names: dict[str, int] = {}
         self.addresses: dict[str, int] = {}
         self.members: dict[int, tuple[str, NodeState, float]] = {}
-        self.processes: dict[int, int] = {}  # by port: what listens there
+        self.processes: dict[int, int] = {}  # by port: the node that listens there
         self.follower = Follower(0)
         self.log: list[bytes] = []  # payloads of events, by number
-        self.log_up = True
+        self.log_connected = True
         self.log_skips = False
-        self.told_events = 0
+        self.delivered_events = 0
         self.requests: list[tuple[str, str]] = []  # class and state: unasked, asked
-        self.heads: dict[int, bytes] = {}  # what has come so far of answers, by FastCGI id
-        self.session = ClientSession(ClientSocket(self._record), self.front, self.clock.now, self.budget)
-        self.term_at = math.inf
+        self.partial_answers: dict[int, bytes] = {}  # bytes received so far of answers, by FastCGI id
+        self.session = ClientSession(
+            ClientSocket(self._client_record_received), self.frontend, self.clock.now, self.budget
+        )
+        self.drain_ends_at_s = math.inf
         self.expired = False
         caches = tuple(0x11 + n for n in range(scope.caches))
-        self.items = {cls: _item(cls, caches) for cls in set(scope.requests)}
+        self.items = {cls: _find_item(cls, caches) for cls in set(scope.requests)}
         names = (
             [f"c{n + 1}" for n in range(scope.caches)] + [f"p{n + 1}" for n in range(scope.parents)] + ["o1"]
         )
-        for place, name in enumerate(names):
-            node = 0x11 + place if name[0] == "c" else 0x100 * _KINDS[name[0]] + place
-            self.names[name], self.addresses[name] = node, 7000 + place
-            self.processes[7000 + place] = node
+        for index, name in enumerate(names):
+            node = 0x11 + index if name[0] == "c" else 0x100 * _KINDS[name[0]] + index
+            self.names[name], self.addresses[name] = node, 7000 + index
+            self.processes[7000 + index] = node
             self.members[node] = (name, NodeState.READY, 0.0)
         self.requests = [(cls, "unasked") for cls in scope.requests]
-        self._tell_list(names, whole=True)
+        self._publish_nodes(names, is_snapshot=True)
         for step in scope.prefix:
             self.do(step)
 
-    # -- what the router is given --
+    # -- interfaces of the router --
 
     def _seconds(self) -> float:
-        return self.t
+        return self.now_s
 
     @property
-    def now(self) -> float:
-        """Unix milliseconds."""
-        return self.t * 1000.0
+    def now_ms(self) -> float:
+        """Return the current Unix time in ms."""
+        return self.now_s * 1000.0
 
     @property
     def violations(self) -> list[Violation]:
-        """Properties that were violated."""
+        """Return the properties that were violated."""
         return self.monitor.violations
 
-    def _connect(self, owner: Any, address: tuple[str, int], patience: float) -> ServerChannel:
+    def _connect(self, owner: Any, address: tuple[str, int], connect_timeout_s: float) -> ServerChannel:
         assert isinstance(owner, NodeConnection)
-        channel = ServerChannel(self, owner, self.processes.get(address[1], 0), self.t + patience)
+        channel = ServerChannel(
+            self, owner, self.processes.get(address[1], 0), self.now_s + connect_timeout_s
+        )
         self.channels.append(channel)
         return channel
 
     def _handle(self, event: Event) -> None:
-        """Reports the end of an attempt to the monitor before the decision module sees it."""
+        """Report the end of an attempt to the monitor before the decision module sees it."""
         if isinstance(event, AttemptEnded) and (txn := self.txn_of(event.request_id)):
-            self.monitor.ended(txn, event.attempt_index, event.outcome)
+            self.monitor.attempt_ended(txn, event.attempt_index, event.outcome)
 
     def txn_of(self, req: int) -> str:
-        """The id of an open request; empty for one that is over."""
+        """Return the transaction id of an open request; empty for a closed one."""
         request = self.route.requests.get(req)
         return request.client_request.txn if request is not None else ""
 
-    def logged(self, event: str, fields: dict[str, object]) -> None:
-        """Called for each line that the router logs."""
+    def check_log_line(self, event: str, fields: dict[str, object]) -> None:
+        """Check a line that the router logged."""
         if event == LogEvent.INTERNAL_ERROR:
             self.monitor.broken("no-slip", f"{fields.get('where')}: {fields.get('error')}")
         elif event == LogEvent.REQUEST_UNDECIDED and not self.expired:
             self.monitor.broken("decided", f"request {fields.get('request')} was left to the backstop")
 
-    # -- the list and its log --
+    # -- endpoint list and change log --
 
-    def _tell_list(self, names: list[str], whole: bool = False) -> None:
+    def _publish_nodes(self, names: list[str], is_snapshot: bool = False) -> None:
         records = []
         for name in names:
             node = self.names[name]
@@ -204,61 +210,61 @@
                     int(started),
                 )
             )
-        self._event(1 if whole else 2, b"".join(records))
+        self._append_event(1 if is_snapshot else 2, b"".join(records))
 
-    def _event(self, kind: int, payload: bytes) -> None:
+    def _append_event(self, kind: int, payload: bytes) -> None:
         number = len(self.log) + 1
         self.log.append(_HEAD.pack(9 + len(payload), number, kind) + payload)
-        if self.log_up:
-            if self.log_skips:  # the event comes under a number too high, as if one had been missed
+        if self.log_connected:
+            if self.log_skips:  # the event gets a number that is too high, as if one had been missed
                 self.log_skips = False
-                if self._take(_HEAD.pack(9 + len(payload), number + 1, kind) + payload):
+                if self._deliver_frame(_HEAD.pack(9 + len(payload), number + 1, kind) + payload):
                     return
             self._catch_up()
 
     def _catch_up(self) -> None:
         (last,) = struct.unpack(">Q", self.follower.hello())
         for frame in self.log[last:]:
-            self._take(frame)
+            self._deliver_frame(frame)
 
-    def _take(self, data: bytes) -> bool:
+    def _deliver_frame(self, data: bytes) -> bool:
         buffer = Buffer(1 << 16)
         buffer.feed(data)
         return all(self.follower.take(frame, self) for frame in frames(buffer))
 
     def handle_membership_event(self, event: MembershipEvent) -> None:
-        """Called by the follower with each event; reports it to the monitor, then to the router."""
-        self.told_events += 1
+        """Pass an event from the follower to the monitor, then to the router."""
+        self.delivered_events += 1
         if isinstance(event, MembersUpdate):
-            self.monitor.listed(tuple(member.node for member in event.members), event.is_snapshot)
+            self.monitor.nodes_listed(tuple(member.node for member in event.members), event.is_snapshot)
         elif isinstance(event, PurgeUpdate):
-            self.monitor.purges.append((self.now, event.purged_at_ms, event.group, event.key))
+            self.monitor.purges.append((self.now_ms, event.purged_at_ms, event.group, event.key))
         self.route.handle_membership_event(event)
 
     # -- clients --
 
-    def txn(self, place: int) -> str:
-        """The id of a request of the scope."""
-        return f"{place + 1:016x}"
+    def txn(self, index: int) -> str:
+        """Return the transaction id of a request of the scope."""
+        return f"{index + 1:016x}"
 
-    def _record(self, kind: int, ident: int, content: bytes) -> None:
-        """Called with each FastCGI record that reaches the client."""
+    def _client_record_received(self, kind: int, ident: int, content: bytes) -> None:
+        """Process a FastCGI record that reached the client."""
         if kind == fastcgi.STDOUT:
-            self.heads[ident] = self.heads.get(ident, b"") + content
+            self.partial_answers[ident] = self.partial_answers.get(ident, b"") + content
         elif kind == fastcgi.END:
-            text = self.heads.pop(ident, b"")
+            text = self.partial_answers.pop(ident, b"")
             head, _, body = text.partition(b"\r\n\r\n")
             if not text:
                 if content[4] == fastcgi.OVERLOADED:
-                    self.monitor.answered(self.txn(ident - 1), "refused", b"", self.now)
+                    self.monitor.request_answered(self.txn(ident - 1), "refused", b"", self.now_ms)
                 return  # the end of a request that was aborted
-            verdict = _VERDICTS.get(head.decode("latin-1")[:11], "failed")
+            result = _VERDICTS.get(head.decode("latin-1")[:11], "failed")
             if b"X-Notmod" in head:
-                verdict = "unchanged"
-            self.monitor.answered(self.txn(ident - 1), verdict, body, self.now)
+                result = "unchanged"
+            self.monitor.request_answered(self.txn(ident - 1), result, body, self.now_ms)
 
     def first_byte(self, channel: ServerChannel, txn: str, fields: dict[str, str]) -> None:
-        """Called as the first byte of a fetch is written."""
+        """Report to the monitor that the first byte of a fetch is written."""
         number = next(
             (
                 attempt.number
@@ -269,133 +275,135 @@
         )
         if txn in channel.asked:
             self.monitor.broken(
-                "one-id", f"id of {self.monitor.seen[txn].cls} is open already on {self._name(channel)}"
+                "one-id",
+                f"id of {self.monitor.observed_requests[txn].cls} is open already on "
+                f"{self._channel_name(channel)}",
             )
         source = int(fields["from"].removeprefix("s-"), 16) if "from" in fields else None
         channel.numbers[txn] = number
-        self.monitor.first_byte(txn, number, channel.link.node_id, source, self.now)
+        self.monitor.first_byte(txn, number, channel.link.node_id, source, self.now_ms)
 
     # -- the steps --
 
-    def _name(self, channel: ServerChannel) -> str:
-        """A connection by its node and its place among those to it."""
+    def _channel_name(self, channel: ServerChannel) -> str:
+        """Return the name of a connection: its node and its index among the connections to that node."""
         node = channel.link.node_id
         same = [other for other in self.channels if other.link.node_id == node]
         return f"{self.members[node][0]}.{same.index(channel)}"
 
-    def _channel(self, name: str) -> ServerChannel:
-        return next(channel for channel in self.channels if self._name(channel) == name)
+    def _find_channel(self, name: str) -> ServerChannel:
+        return next(channel for channel in self.channels if self._channel_name(channel) == name)
 
     def urgent(self) -> list[str]:
-        """The router's own steps that are due before time may pass."""
+        """Return the router's own steps that must run before time may pass."""
         steps = []
         for channel in self.channels:
             if channel.is_closed or (channel.reached and channel.sock.dead):
-                steps.append(f"end {self._name(channel)}")
-            elif not channel.reached and self.t >= channel.until:
-                steps.append(f"notup {self._name(channel)}")
+                steps.append(f"end {self._channel_name(channel)}")
+            elif not channel.reached and self.now_s >= channel.until:
+                steps.append(f"notup {self._channel_name(channel)}")
         if self.session.closing and not self.session.finished:
             steps.append("endsession")
         if self.route._undecided:
             steps.append("decide")
-        if self.timers.next_due() <= self.t:
+        if self.timers.next_due() <= self.now_s:
             steps.append("fire")
-        if self.t >= self.term_at and not self.expired:
+        if self.now_s >= self.drain_ends_at_s and not self.expired:
             steps.append("expire")
         return steps
 
     def _next_time(self) -> float:
-        times = [self.timers.next_due(), self.term_at if not self.expired else math.inf]
+        times = [self.timers.next_due(), self.drain_ends_at_s if not self.expired else math.inf]
         times += [channel.until for channel in self.channels if not channel.reached and not channel.is_closed]
         return min(times)
 
     def idle(self) -> bool:
-        """Whether nothing is open, held, connected or due but the sweep."""
-        alarms = [
-            alarm
-            for _, _, alarm in self.timers._heap
-            if alarm.callback is not None and getattr(alarm.callback, "__name__", "") != "_sweep"
+        """Return whether nothing is open, connected or due but the periodic sweep."""
+        timers = [
+            timer
+            for _, _, timer in self.timers._heap
+            if timer.callback is not None and getattr(timer.callback, "__name__", "") != "_sweep"
         ]
-        stopping = self.term_at < math.inf and not self.expired
-        return not (alarms or len(self.route.requests) or self.channels or self.route._undecided or stopping)
+        stopping = self.drain_ends_at_s < math.inf and not self.expired
+        return not (timers or len(self.route.requests) or self.channels or self.route._undecided or stopping)
 
     def enabled(self) -> list[str]:
-        """All steps that may be taken now."""
+        """Return all steps that may be taken now."""
         steps = self.urgent()
         if not steps and not self.idle():
             steps.append("wait")
-        scope, kinds, left = self.scope, self.scope.kinds, self.faults > 0
-        for place, (cls, state) in enumerate(self.requests):
+        scope, kinds, faults_left = self.scope, self.scope.kinds, self.faults > 0
+        for index, (cls, state) in enumerate(self.requests):
             if state == "unasked":
-                same = [other for other in self.requests[:place] if other == (cls, "unasked")]
+                same = [other for other in self.requests[:index] if other == (cls, "unasked")]
                 if not same and (self.session.finished or not self.session.closing) and not self.expired:
-                    steps.append(f"ask {place}")
-            elif left and (seen := self.monitor.seen.get(self.txn(place))):
-                if "abort" in kinds and seen.state == "open" and not self.session.closing:
-                    steps.append(f"abort {place}")
+                    steps.append(f"ask {index}")
+            elif faults_left and (observed := self.monitor.observed_requests.get(self.txn(index))):
+                if "abort" in kinds and observed.state == "open" and not self.session.closing:
+                    steps.append(f"abort {index}")
                 if (
                     "retry" in kinds
-                    and seen.state == "answered"
+                    and observed.state == "answered"
                     and state == "asked"
                     and len(self.requests) == len(scope.requests)
                     and not self.session.closing
                 ):
-                    steps.append(f"retry {place}")
+                    steps.append(f"retry {index}")
         for channel in self.channels:
-            steps += self._on_channel(channel, left)
-        if left:
-            steps += self._on_list()
-            steps += self._on_rest()
-        if not self.log_up:
+            steps += self._channel_steps(channel, faults_left)
+        if faults_left:
+            steps += self._list_steps()
+            steps += self._other_steps()
+        if not self.log_connected:
             steps.append("mend")
-        if scope.relief and self._strained():
+        if scope.relief and self._is_under_pressure():
             steps.append("relief")
         if self.session.sock.room is not None and not self.session.closing:
             steps.append("unstall")
         return steps
 
-    def _strained(self) -> bool:
+    def _is_under_pressure(self) -> bool:
         return (
-            self.budget.limit_bytes < MEMORY
-            or self.route.send.max_connections < connection_limit(SOCKETS)
+            self.budget.limit_bytes < MEMORY_LIMIT_BYTES
+            or self.route.send.max_connections < connection_limit(MAX_SOCKETS)
             or getattr(self.route.admit.cpu, "saved", 0.0) < 0
         )
 
-    def _on_channel(self, channel: ServerChannel, left: bool) -> list[str]:
+    def _channel_steps(self, channel: ServerChannel, faults_left: bool) -> list[str]:
         if channel.is_closed or channel.sock.dead:
             return []
-        name, kinds, steps = self._name(channel), self.scope.kinds, []
+        name, kinds, steps = self._channel_name(channel), self.scope.kinds, []
         if not channel.reached:
             if not channel.silent:
                 steps.append(f"up {name}")
-                if left:
+                if faults_left:
                     steps += [f"{kind} {name}" for kind in ("refuse", "never", "lack") if kind in kinds]
         elif channel.sock.room is not None:
             steps.append(f"flush {name}")
         if channel.halfway:
             return [
                 f"rest {name}",
-                *(f"{kind} {name}" for kind in ("reset", "hangup") if left and kind in kinds),
+                *(f"{kind} {name}" for kind in ("reset", "hangup") if faults_left and kind in kinds),
             ]
         for txn in channel.asked:
-            place = int(txn, 16) - 1
-            gone = txn in channel.aborted
-            for answer in ("hit",) if gone else self.scope.answers:
-                if answer in bounds.FREE or left:
+            index = int(txn, 16) - 1
+            is_aborted = txn in channel.aborted
+            for answer in ("hit",) if is_aborted else self.scope.answers:
+                if answer in bounds.FREE or faults_left:
                     if answer == "same" and not self.scope.seen:
                         continue
-                    steps.append(f"{answer} {name} {place}")
-            if left and not gone:
-                steps += [f"{kind} {name} {place}" for kind in ("spoil", "half", "trickle") if kind in kinds]
-        if left and "choke" in kinds and channel.sock.room is None:
+                    steps.append(f"{answer} {name} {index}")
+            if faults_left and not is_aborted:
+                steps += [f"{kind} {name} {index}" for kind in ("spoil", "half", "trickle") if kind in kinds]
+        if faults_left and "choke" in kinds and channel.sock.room is None:
             steps += [f"choke{room} {name}" for room in (0, 20)]
-        if left and channel.reached:
+        if faults_left and channel.reached:
             steps += [f"{kind} {name}" for kind in ("reset", "hangup", "stray") if kind in kinds]
             if "second" in kinds:
                 steps += [f"second {name} {int(txn, 16) - 1}" for txn in dict.fromkeys(channel.done)]
         return steps
 
-    def _on_list(self) -> list[str]:
+    def _list_steps(self) -> list[str]:
         steps = []
         for name in self.scope.targets:
             if name not in self.names:
@@ -411,52 +419,52 @@
                 steps += [f"{kind} {name}" for kind in ("gone", "back") if kind in self.scope.kinds]
         return steps
 
-    def _on_rest(self) -> list[str]:
+    def _other_steps(self) -> list[str]:
         kinds, steps = self.scope.kinds, []
         if "join" in kinds:
             steps.append("join")
-        if self.log_up:
+        if self.log_connected:
             steps += [kind for kind in ("cut", "repeat") if kind in kinds]
             if "gap" in kinds and not self.log_skips:
                 steps.append("gap")
         steps += [kind for kind in ("purge", "purgeall") if kind in kinds]
         if not self.session.closing:
-            if "leave" in kinds and self.monitor.seen:
+            if "leave" in kinds and self.monitor.observed_requests:
                 steps.append("leave")
             if "stall" in kinds and self.session.sock.room is None:
                 steps.append("stall")
-        if "term" in kinds and self.term_at == math.inf:
+        if "term" in kinds and self.drain_ends_at_s == math.inf:
             steps.append("term")
         steps += [kind for kind in ("reload", "nomem", "nocpu", "nolinks") if kind in kinds]
         return steps
 
     def touches(self, step: str) -> frozenset[str] | None:
-        """The parts that a step stays within: a connection, the client's socket, the log, one of our limits.
+        """Return the parts that a step is confined to: a connection, the client socket, the log or a limit.
 
-        A step that may reach the decision module touches everything. The last fault left takes all other
-        faults away, so with one left they touch each other.
+        None for a step that may reach the decision module, which touches everything. The last remaining fault
+        disables all others, so with one left they touch each other.
         """
         word, _, rest = step.partition(" ")
         word, args = word.rstrip("0123456789"), rest.split()
         part = _PARTS.get(word)
         if word in ("up", "flush"):
-            part = args[0] if self._goes_on(self._channel(args[0])) else None
+            part = args[0] if self._can_send_all(self._find_channel(args[0])) else None
         elif word in ("choke", "never", "stray"):
             part = args[0]
         else:
             noticed_later = word in ("reset", "hangup") and self.scope.fine
             if noticed_later or (
-                word == "second" and self.txn(int(args[1])) not in self._channel(args[0]).link.attempts
+                word == "second" and self.txn(int(args[1])) not in self._find_channel(args[0]).link.attempts
             ):
                 part = args[0]
         if part is None:
             return None
         return frozenset((part, "faults") if word in bounds.ALL_FAULTS and self.faults < 2 else (part,))
 
-    def _goes_on(self, channel: ServerChannel) -> bool:
-        """Whether all that waits on the connection still goes, so that no end is told when it is written.
+    def _can_send_all(self, channel: ServerChannel) -> bool:
+        """Return whether all queued commands can still be sent, so that writing them reports no end.
 
-        One that comes up with nothing on it may take over what waits for others.
+        A connection that opens without commands may take over commands that wait for others.
         """
         attempts = [getattr(command, "_attempt", None) for command in channel._queue]
         return bool(not channel.sock.dead and channel.link.attempts) and all(
@@ -468,26 +476,28 @@
         )
 
     def do(self, step: str) -> None:
-        """Takes a step, and in a coarse scope the router's own turns that follow at once."""
+        """Take a step and, in a coarse scope, the router's own steps that follow at once."""
         global _current
         _current = self
-        runtime_log.set_log_sink(_logged)
+        runtime_log.set_log_sink(_handle_log_line)
         word, _, rest = step.partition(" ")
-        self._one(word, rest.split())
-        while not self.scope.fine and (own := [s for s in self.urgent() if s.startswith(("end", "decide"))]):
-            word, _, rest = own[0].partition(" ")
-            self._one(word, rest.split())
+        self._take_step(word, rest.split())
+        while not self.scope.fine and (
+            due := [due_step for due_step in self.urgent() if due_step.startswith(("end", "decide"))]
+        ):
+            word, _, rest = due[0].partition(" ")
+            self._take_step(word, rest.split())
         if self.session.sock.room is None:
-            self.monitor.overdue(self.now)
-        self._look()
+            self.monitor.check_overdue(self.now_ms)
+        self._check_invariants()
 
-    def _look(self) -> None:
-        """What must hold between any two steps."""
+    def _check_invariants(self) -> None:
+        """Check the invariants that hold between any two steps."""
         broken = self.monitor.broken
-        if self.log_up and not self.follower.last == self.told_events == len(self.log):
+        if self.log_connected and not self.follower.last == self.delivered_events == len(self.log):
             broken(
                 "log-followed",
-                f"{len(self.log)} events, {self.told_events} told, last {self.follower.last}",
+                f"{len(self.log)} events, {self.delivered_events} told, last {self.follower.last}",
             )
         for attempt in self.route.send._connection_by_attempt:
             if attempt.request.answered and self.settings.cancellation_allowed:
@@ -496,31 +506,33 @@
                 )
         for channel in self.channels:
             if not channel.is_closed and not self.route.nodes.is_listed(channel.link.node_id):
-                broken("gone-closed", f"{self._name(channel)} stays open")
+                broken("gone-closed", f"{self._channel_name(channel)} stays open")
             if channel.reached and not (
                 channel.is_closed or channel.sock.dead or channel._write_blocked or channel._queue
             ):
                 for txn in channel.asked:
                     if txn not in channel.aborted and txn not in channel.link.attempts:
-                        broken("cancelled", f"{self._name(channel)} was not told of an attempt given up")
+                        broken(
+                            "cancelled", f"{self._channel_name(channel)} was not told of an attempt given up"
+                        )
 
-    def _one(self, word: str, args: list[str]) -> None:
+    def _take_step(self, word: str, args: list[str]) -> None:
         if word in ANSWERS:
-            self._answer(word, self._channel(args[0]), int(args[1]))
+            self._send_answer(word, self._find_channel(args[0]), int(args[1]))
             self.faults -= word not in bounds.FREE
             return
         word, room = (word[:5], int(word[5:])) if word.startswith("choke") else (word, 0)
         if word in bounds.ALL_FAULTS:
             self.faults -= 1
         if word == "choke":
-            self._channel(args[0]).sock.room = room
+            self._find_channel(args[0]).sock.room = room
         else:
             getattr(self, f"_do_{word}")(*args)
 
-    # time and our own turns
+    # time and the router's own steps
 
     def _do_wait(self) -> None:
-        self.t = max(self.t, self._next_time()) + HAIR
+        self.now_s = max(self.now_s, self._next_time()) + TIME_EPSILON_S
 
     def _do_fire(self) -> None:
         self.timers.run_due()
@@ -533,58 +545,63 @@
         self.route.expire()
 
     def _do_end(self, name: str) -> None:
-        channel = self._channel(name)
+        channel = self._find_channel(name)
         self.channels.remove(channel)
         channel.ended("" if channel.is_closed else f"{channel.sock.dead} by the server")
 
     def _do_notup(self, name: str) -> None:
-        channel = self._channel(name)
+        channel = self._find_channel(name)
         self.channels.remove(channel)
         channel.connect_timed_out = True
         channel.ended("not up in time")
 
     def _do_endsession(self) -> None:
         self.session.finished = True
-        for seen in self.monitor.seen.values():
-            if seen.state == "open":
-                seen.state = "left"
+        for observed in self.monitor.observed_requests.values():
+            if observed.state == "open":
+                observed.state = "left"
         self.session.ended()
 
     # clients
 
-    def _do_ask(self, place: str) -> None:
-        cls, _ = self.requests[int(place)]
-        self.requests[int(place)] = (cls, "asked")
-        now, txn = self.now, self.txn(int(place))
-        self.monitor.taken(
+    def _do_ask(self, index: str) -> None:
+        cls, _ = self.requests[int(index)]
+        self.requests[int(index)] = (cls, "asked")
+        now, txn = self.now_ms, self.txn(int(index))
+        self.monitor.request_received(
             txn,
             cls,
             now,
-            min(now + TTL - RESPONSE_MARGIN_MS, self.route.admit.final_deadline_ms) + BACKSTOP_MS,
+            min(now + CLIENT_TIMEOUT_MS - RESPONSE_MARGIN_MS, self.route.admit.final_deadline_ms)
+            + BACKSTOP_MS,
         )
         if self.session.finished:
-            self.session = ClientSession(ClientSocket(self._record), self.front, self.clock.now, self.budget)
+            self.session = ClientSession(
+                ClientSocket(self._client_record_received), self.frontend, self.clock.now, self.budget
+            )
         body = b"b" * 8 if CLASSES[cls].never_cached else b""
-        seen = "aa11" if self.scope.seen and not CLASSES[cls].never_cached else ""
-        self.session.feed(request_bytes(int(place) + 1, cls, txn, f"{self.items[cls]:016x}", TTL, seen, body))
+        etag = "aa11" if self.scope.seen and not CLASSES[cls].never_cached else ""
+        self.session.feed(
+            request_bytes(int(index) + 1, cls, txn, f"{self.items[cls]:016x}", CLIENT_TIMEOUT_MS, etag, body)
+        )
 
-    def _do_abort(self, place: str) -> None:
-        if (self.session, int(place) + 1) in self.front._open:
-            self.monitor.left(self.txn(int(place)))  # else the abort crosses an answer that is on its way
-        self.session.feed(fastcgi.record(fastcgi.ABORT, int(place) + 1))
+    def _do_abort(self, index: str) -> None:
+        if (self.session, int(index) + 1) in self.frontend._open:
+            self.monitor.client_left(self.txn(int(index)))  # otherwise the abort crosses an answer in transit
+        self.session.feed(fastcgi.record(fastcgi.ABORT, int(index) + 1))
 
-    def _do_retry(self, place: str) -> None:
-        cls, _ = self.requests[int(place)]
-        self.requests[int(place)] = (cls, "retried")
+    def _do_retry(self, index: str) -> None:
+        cls, _ = self.requests[int(index)]
+        self.requests[int(index)] = (cls, "retried")
         self.requests.append((cls, "unasked"))
         self._do_ask(str(len(self.requests) - 1))
 
     def _do_leave(self) -> None:
         self.session.sock.gone = True
         self.session.closing = True
-        for seen in self.monitor.seen.values():
-            if seen.state == "open":
-                seen.state = "left"
+        for observed in self.monitor.observed_requests.values():
+            if observed.state == "open":
+                observed.state = "left"
 
     def _do_stall(self) -> None:
         self.session.sock.room = 0
@@ -597,148 +614,148 @@
     # connections
 
     def _do_up(self, name: str) -> None:
-        channel = self._channel(name)
+        channel = self._find_channel(name)
         channel.opened(channel.sock)
 
     def _do_refuse(self, name: str) -> None:
-        channel = self._channel(name)
+        channel = self._find_channel(name)
         self.channels.remove(channel)
         channel.failed(ConnectionRefusedError("refused"))
         channel.ended()
 
     def _do_never(self, name: str) -> None:
-        self._channel(name).silent = True
+        self._find_channel(name).silent = True
 
     def _do_lack(self, name: str) -> None:
-        channel = self._channel(name)
+        channel = self._find_channel(name)
         self.channels.remove(channel)
         channel.awaits_descriptor = True
         channel.failed(OSError(24, "too many open files"))
         channel.ended()
 
     def _do_flush(self, name: str) -> None:
-        channel = self._channel(name)
+        channel = self._find_channel(name)
         channel.sock.room = None
         if channel._write_blocked:
             channel.writable()
 
     def _do_reset(self, name: str) -> None:
-        self._channel(name).sock.dead = "reset"
+        self._find_channel(name).sock.dead = "reset"
 
     def _do_hangup(self, name: str) -> None:
-        self._channel(name).sock.dead = "closed"
+        self._find_channel(name).sock.dead = "closed"
 
     # answers
 
     def _reply(self, word: str, txn: str, node: int, cls: str) -> tuple[bytes, bytes, float]:
         code, note = ANSWERS[word]
         name = f"{word}|{cls}|{node:x}"
-        born = START * 1000.0 - OLD if word in ("old", "same") else self.now
+        created_at_ms = START * 1000.0 - STALE_COPY_AGE_MS if word in ("old", "same") else self.now_ms
         fields = [("tell", note)] if note else []
         body = b""
         if code in ("200", "304") and word != "bare":
-            fields += [("ver", "aa11"), ("born", f"{born:.0f}")]
+            fields += [("ver", "aa11"), ("born", f"{created_at_ms:.0f}")]
         if code == "200":
-            body = f"{name}|{born:.0f}".encode()
+            body = f"{name}|{created_at_ms:.0f}".encode()
         fields += [("waited", "5"), ("meter", "busy:1;x0:0.5")]
-        return resp.encode(txn.encode(), code.encode(), resp.format_fields(fields), body), body, born
+        return resp.encode(txn.encode(), code.encode(), resp.format_fields(fields), body), body, created_at_ms
 
-    def _answer(self, word: str, channel: ServerChannel, place: int) -> None:
-        txn = self.txn(place)
-        data, body, born = self._reply(word, txn, channel.link.node_id, self.requests[place][0])
-        self._answered(channel, txn, data)
-        self.monitor.word(txn, channel.numbers.get(txn, -1), ANSWERS[word][0], body, born)
+    def _send_answer(self, word: str, channel: ServerChannel, index: int) -> None:
+        txn = self.txn(index)
+        data, body, created_at_ms = self._reply(word, txn, channel.link.node_id, self.requests[index][0])
+        self._mark_answered(channel, txn, data)
+        self.monitor.answer_received(txn, channel.numbers.get(txn, -1), ANSWERS[word][0], body, created_at_ms)
         channel.deliver(data)
 
-    def _answered(self, channel: ServerChannel, txn: str, data: bytes) -> None:
+    def _mark_answered(self, channel: ServerChannel, txn: str, data: bytes) -> None:
         channel.asked.remove(txn)
         if txn in channel.aborted:
             channel.aborted.remove(txn)
         channel.done.append(txn)
         channel.last[txn] = data
 
-    def _do_second(self, name: str, place: str) -> None:
-        channel = self._channel(name)
-        channel.deliver(channel.last[self.txn(int(place))])
+    def _do_second(self, name: str, index: str) -> None:
+        channel = self._find_channel(name)
+        channel.deliver(channel.last[self.txn(int(index))])
 
     def _do_stray(self, name: str) -> None:
         data, _, _ = self._reply("full", "f" * 16, 0, "none")
-        self._channel(name).deliver(data)
+        self._find_channel(name).deliver(data)
 
-    def _do_spoil(self, name: str, place: str) -> None:
-        channel = self._channel(name)
-        self._answered(channel, self.txn(int(place)), b"")
-        channel.deliver(resp.encode(self.txn(int(place)).encode(), b"299", b"-", b""))
+    def _do_spoil(self, name: str, index: str) -> None:
+        channel = self._find_channel(name)
+        self._mark_answered(channel, self.txn(int(index)), b"")
+        channel.deliver(resp.encode(self.txn(int(index)).encode(), b"299", b"-", b""))
 
-    def _halfway(self, channel: ServerChannel, place: int) -> None:
-        txn = self.txn(place)
-        data, body, born = self._reply("hit", txn, channel.link.node_id, self.requests[place][0])
-        self._answered(channel, txn, data)
+    def _send_first_half(self, channel: ServerChannel, index: int) -> None:
+        txn = self.txn(index)
+        data, body, created_at_ms = self._reply("hit", txn, channel.link.node_id, self.requests[index][0])
+        self._mark_answered(channel, txn, data)
         channel.halfway = data[len(data) // 2 :]
-        channel.owed = (txn, body, born)
+        channel.owed = (txn, body, created_at_ms)
         channel.deliver(data[: len(data) // 2])
 
-    def _do_half(self, name: str, place: str) -> None:
-        channel = self._channel(name)
-        self._halfway(channel, int(place))
+    def _do_half(self, name: str, index: str) -> None:
+        channel = self._find_channel(name)
+        self._send_first_half(channel, int(index))
         channel.halfway = b""
         channel.sock.dead = "reset"
 
-    def _do_trickle(self, name: str, place: str) -> None:
-        self._halfway(self._channel(name), int(place))
+    def _do_trickle(self, name: str, index: str) -> None:
+        self._send_first_half(self._find_channel(name), int(index))
 
     def _do_rest(self, name: str) -> None:
-        channel = self._channel(name)
+        channel = self._find_channel(name)
         data, channel.halfway = channel.halfway, b""
-        txn, body, born = channel.owed
-        self.monitor.word(txn, channel.numbers.get(txn, -1), "200", body, born)
+        txn, body, created_at_ms = channel.owed
+        self.monitor.answer_received(txn, channel.numbers.get(txn, -1), "200", body, created_at_ms)
         channel.deliver(data)
 
-    # the list
+    # endpoint list
 
-    def _set(self, name: str, state: NodeState, started: float | None = None) -> None:
+    def _set_member(self, name: str, state: NodeState, started: float | None = None) -> None:
         node = self.names[name]
         _, _, before = self.members[node]
         self.members[node] = (name, state, before if started is None else started)
 
     def _do_drain(self, name: str) -> None:
-        self._set(name, NodeState.DRAINING)
-        self._tell_list([name])
+        self._set_member(name, NodeState.DRAINING)
+        self._publish_nodes([name])
 
     def _do_back(self, name: str) -> None:
-        self._set(name, NodeState.READY)
-        self._tell_list([name])
+        self._set_member(name, NodeState.READY)
+        self._publish_nodes([name])
 
     def _do_gone(self, name: str) -> None:
-        self._set(name, NodeState.REMOVED)
-        self._tell_list([name])
+        self._set_member(name, NodeState.REMOVED)
+        self._publish_nodes([name])
 
     def _do_restart(self, name: str) -> None:
-        self._set(name, NodeState.READY, round(self.now))
-        self._tell_list([name])
+        self._set_member(name, NodeState.READY, round(self.now_ms))
+        self._publish_nodes([name])
 
     def _do_replace(self, name: str) -> None:
-        fresh = f"n{sum(other[0] == 'n' for other in self.names) + 1}"
+        new_name = f"n{sum(other[0] == 'n' for other in self.names) + 1}"
         if name[0] != "c":
-            fresh = f"{name[0]}{int(name[1:]) + 5}"
-        self.names[fresh] = node = self.names[name] + 0x1000
-        self.addresses[fresh] = self.addresses[name]
+            new_name = f"{name[0]}{int(name[1:]) + 5}"
+        self.names[new_name] = node = self.names[name] + 0x1000
+        self.addresses[new_name] = self.addresses[name]
         self.processes[self.addresses[name]] = node
-        self._set(name, NodeState.REMOVED)
-        self.members[node] = (fresh, NodeState.READY, 0.0)
-        self._tell_list([name, fresh])
+        self._set_member(name, NodeState.REMOVED)
+        self.members[node] = (new_name, NodeState.READY, 0.0)
+        self._publish_nodes([name, new_name])
 
     def _do_join(self) -> None:
-        fresh = f"n{sum(other[0] == 'n' for other in self.names) + 1}"
-        self.names[fresh] = node = 0x5000 + len(self.names)
-        self.addresses[fresh] = port = 7500 + len(self.names)
+        new_name = f"n{sum(other[0] == 'n' for other in self.names) + 1}"
+        self.names[new_name] = node = 0x5000 + len(self.names)
+        self.addresses[new_name] = port = 7500 + len(self.names)
         self.processes[port] = node
-        self.members[node] = (fresh, NodeState.READY, round(self.now))
-        self._tell_list([fresh])
+        self.members[node] = (new_name, NodeState.READY, round(self.now_ms))
+        self._publish_nodes([new_name])
 
     def _do_relief(self) -> None:
-        self.budget.limit_bytes = MEMORY
-        self.route.send.max_connections = connection_limit(SOCKETS)
+        self.budget.limit_bytes = MEMORY_LIMIT_BYTES
+        self.route.send.max_connections = connection_limit(MAX_SOCKETS)
         assert isinstance(self.route.admit.cpu, FixedCredit)
         self.route.admit.cpu.saved = 0.0
 
@@ -746,29 +763,29 @@
         cls = next(
             (cls for cls in self.scope.requests if not CLASSES[cls].never_cached), self.scope.requests[0]
         )
-        self._event(3, struct.pack(">QQ", self.items[cls], round(self.now)))
+        self._append_event(3, struct.pack(">QQ", self.items[cls], round(self.now_ms)))
 
     def _do_purgeall(self) -> None:
-        self._event(4, struct.pack(">HQ", GROUP, round(self.now)))
+        self._append_event(4, struct.pack(">HQ", PURGE_GROUP, round(self.now_ms)))
 
     def _do_cut(self) -> None:
-        self.log_up = False
+        self.log_connected = False
 
     def _do_mend(self) -> None:
-        self.log_up = True
+        self.log_connected = True
         self._catch_up()
 
     def _do_repeat(self) -> None:
-        self._take(self.log[-1])
+        self._deliver_frame(self.log[-1])
 
     def _do_gap(self) -> None:
         self.log_skips = True
 
-    # our own limits
+    # the router's limits
 
     def _do_term(self) -> None:
-        self.term_at = self.t + LAST
-        self.route.admit.final_deadline_ms = self.now + LAST * 1000.0
+        self.drain_ends_at_s = self.now_s + DRAIN_TIMEOUT_S
+        self.route.admit.final_deadline_ms = self.now_ms + DRAIN_TIMEOUT_S * 1000.0
 
     def _do_reload(self) -> None:
         self.route.send.max_connections = 1
@@ -783,41 +800,41 @@
     def _do_nolinks(self) -> None:
         self.route.send.max_connections = self.route.send.connection_count()
 
-    # -- towards the end --
+    # -- settling --
 
     def default(self) -> str | None:
-        """The step that happens if no peer does anything more; None if nothing is left to do."""
+        """Return the step that happens if no peer acts any more; None if nothing is left to do."""
         urgent = self.urgent()
         return urgent[0] if urgent else None if self.idle() else "wait"
 
     def settle(self) -> None:
-        """Lets time run with peers that say nothing, and checks that all ends and nothing is kept."""
+        """Let time pass with silent peers, and check that all requests end and all resources are released."""
         if self.session.sock.room is not None and not self.session.closing:
             self.do("unstall")
-        for _ in range(MOST_SETTLE):
+        for _ in range(MAX_SETTLE_STEPS):
             step = self.default()
             if step is None or self.violations:
                 break
             self.do(step)
         else:
-            self.monitor.broken("ends", f"not quiet after {MOST_SETTLE} steps")
+            self.monitor.broken("ends", f"not quiet after {MAX_SETTLE_STEPS} steps")
         if self.violations:
             return
-        for seen in self.monitor.seen.values():
-            if seen.state == "open":
-                self.monitor.broken("ends", f"{seen.cls} is open, and nothing more will happen")
-        self._leaks()
+        for observed in self.monitor.observed_requests.values():
+            if observed.state == "open":
+                self.monitor.broken("ends", f"{observed.cls} is open, and nothing more will happen")
+        self._check_leaks()
 
-    def _leaks(self) -> None:
+    def _check_leaks(self) -> None:
         route, state = self.route, self.route.director.state
         loads = [*state.link_loads.values(), state.zone_link]
-        held: dict[str, object] = {
+        remaining: dict[str, object] = {
             "open requests": len(route.requests),
             "request ids": len(route.requests._by_txn),
             "connections": route.send.connection_count(),
             "attempts on connections": len(route.send._connection_by_attempt),
             "bytes of the budget": self.budget._reserved_bytes + self.budget._incomplete_bytes,
-            "requests of the front": len(self.front._open),
+            "requests of the front": len(self.frontend._open),
             "ids of the client": 0 if self.session.finished else len(self.session._decoder.open),
             "answers unsent": 0
             if self.session.finished
@@ -826,34 +843,36 @@
             "load in the module": sum(abs(load.in_flight) for load in loads)
             + round(sum(abs(load.in_flight_work_ms) for load in loads), 6),
         }
-        for name, count in held.items():
+        for name, count in remaining.items():
             if count:
                 self.monitor.broken("no-leak", f"{name}: {count} when all is quiet")
 
     def encode(self) -> bytes:
-        """The state in its canonical form."""
+        """Return the state in its canonical form."""
         return encode_state(self)
 
 
 _current: Simulation | None = None
 
 
-def _logged(event: str, fields: dict[str, object]) -> None:
+def _handle_log_line(event: str, fields: dict[str, object]) -> None:
     if _current is not None and hasattr(_current, "monitor"):
-        _current.logged(event, fields)
+        _current.check_log_line(event, fields)
 
 
 class MonitoredHandle:
-    """The decision module's `handle`; reports its orders to the monitor."""
+    """Wrapper of the decision module's `handle` that reports its orders to the monitor."""
 
     def __init__(self, simulation: Simulation) -> None:
+        """Wrap the decision module of this simulation."""
         self._simulation = simulation
         self._director = simulation.route.director
 
     def __call__(self, now: float, event: Event) -> list[Any]:
+        """Handle an event and report the ordered attempts to the monitor."""
         self._simulation._handle(event)
         actions = type(self._director).handle(self._director, now, event)
-        for act in actions:
-            if isinstance(act, SendAttempt) and (txn := self._simulation.txn_of(act.request_id)):
-                self._simulation.monitor.ordered(txn)
+        for action in actions:
+            if isinstance(action, SendAttempt) and (txn := self._simulation.txn_of(action.request_id)):
+                self._simulation.monitor.attempt_ordered(txn)
         return actions
