--- a/stonecove/explore/swarm.py
+++ b/stonecove/explore/swarm.py
@@ -1,7 +1,7 @@
-"""The machine of the swarm: some real `Swarm`s, with all that may come between them.
+"""State machine of the gossip swarm: several real `Swarm`s with faults between them.
 
-Made up are the wire and the clock. A `wait` is some ticks of all routers, with all that they say to each
-other delivered; what may go wrong comes between two waits.
+The network and the clock are simulated. A `wait` is a number of ticks of all routers in which their datagrams
+are delivered; faults happen between two waits.
 """
 
 from __future__ import annotations
@@ -19,24 +19,24 @@
 from stonecove.gossip.swarm import Swarm
 from stonecove.protocols.gossip import decode, encode
 
-WINDOW, TICK, EPOCH = 1.0, 0.25, 1_700_000_000_000.0
+WINDOW_S, TICK_S, EPOCH_MS = 1.0, 0.25, 1_700_000_000_000.0
 FIGURES = GossipConfig(
     probe_interval_s=0.75, ping_timeout_s=0.05, suspicion_timeout_s=0.5, suspicion_max_multiple=1.5,
     view_settle_s=0.5, view_settle_max_s=1.0, lease_min_s=1.5,
 )  # fmt: skip
-SETTLES = 30.0  # seconds within which all is well again, once nothing is wrong any more
-ROUNDS = 6  # of answers to answers within one tick
+SETTLE_S = 30.0  # seconds within which the swarm recovers after the last fault
+MAX_ROUNDS = 6  # maximum message rounds within one tick
 
 
 class SwarmBounds(NamedTuple):
-    """How much of what may happen."""
+    """Bounds of a scope: search depth, number of faults and kinds of steps."""
 
     name: str
     depth: int
     faults: int
     kinds: tuple[str, ...]
     routers: int = 3
-    ticks: int = 2  # in a wait
+    ticks: int = 2  # per wait
 
 
 SCOPES: tuple[SwarmBounds, ...] = (
@@ -49,75 +49,77 @@
 )
 
 
-# Scopes that came after the list of names that an unknown one is answered with, which stays as it is.
+# Scopes added later; they are left out of the names listed for an unknown scope, since that list is fixed.
 LATER_SCOPES: tuple[SwarmBounds, ...] = (SwarmBounds("swarm-halves", 7, 1, ("halves",), routers=6, ticks=8),)
 
 
 class SwarmMachine(Machine):
-    """Routers that have all joined, at first."""
+    """A swarm of routers; in the initial state all have joined."""
 
     def __init__(self, bounds: SwarmBounds) -> None:
+        """Start all routers and wait until they have joined."""
         super().__init__()
         self.bounds = bounds
         self.faults = bounds.faults
         self.now = 0.0
         self.routers: list[Swarm | None] = [None] * bounds.routers
         self.starts = 0
-        self.stopped: dict[int, list[tuple[int, Datagram]]] = {}  # and what waits for them
+        self.stopped: dict[int, list[tuple[int, Datagram]]] = {}  # datagrams queued for each stopped router
         self.cuts: set[tuple[int, int]] = set()
         self.ever_cut: set[tuple[int, int]] = set()
-        self.held: list[tuple[int, int, Datagram]] = []  # on its way for long
-        self.last: list[tuple[int, int, Datagram]] = []  # delivered within the last wait
-        self.mood: tuple[str, int] | None = None  # what becomes of one router's datagrams in the next wait
+        self.delayed: list[tuple[int, int, Datagram]] = []  # source, target, datagram
+        self.last_delivered: list[tuple[int, int, Datagram]] = []  # delivered within the last wait
+        # Fault ("hold" or "lose") of one router's datagrams during the next wait.
+        self.datagram_fault: tuple[str, int] | None = None
         self.shares = [deque[tuple[float, float]]() for _ in range(bounds.routers)]
-        self.past: list[deque[tuple[float, float]]] = []  # the same of lives that have ended
+        self.ended_shares: list[deque[tuple[float, float]]] = []  # shares of ended incarnations
         self.dead_since: dict[int, float] = {}
-        for place in range(bounds.routers):
-            self._start(place, 0.0)
+        for index in range(bounds.routers):
+            self._start(index, 0.0)
         for _ in range(12):
             self._wait(2)
 
     def enabled(self) -> list[str]:
-        """What may happen now."""
-        steps, places = ["wait"], range(self.bounds.routers)
-        steps += [f"start {place}" for place in places if self.routers[place] is None]
-        steps += [f"go {place}" for place in sorted(self.stopped)]
-        steps += ["heal"] * bool(self.cuts) + ["late"] * bool(self.held)
-        if not self.faults or self.mood is not None:
+        """Return the steps that are possible in the current state."""
+        steps, indexes = ["wait"], range(self.bounds.routers)
+        steps += [f"start {index}" for index in indexes if self.routers[index] is None]
+        steps += [f"go {index}" for index in sorted(self.stopped)]
+        steps += ["heal"] * bool(self.cuts) + ["late"] * bool(self.delayed)
+        if not self.faults or self.datagram_fault is not None:
             return steps
-        kinds, alive = self.bounds.kinds, [p for p in places if self.routers[p] is not None]
-        steps += [f"kill {place}" for place in alive if "kill" in kinds]
-        steps += [f"back {place}" for place in places if "back" in kinds and self.routers[place] is None]
-        steps += [f"stop {place}" for place in alive if "stop" in kinds and place not in self.stopped]
-        steps += [f"part {place}" for place in places if "part" in kinds]
+        kinds, alive = self.bounds.kinds, [p for p in indexes if self.routers[p] is not None]
+        steps += [f"kill {index}" for index in alive if "kill" in kinds]
+        steps += [f"back {index}" for index in indexes if "back" in kinds and self.routers[index] is None]
+        steps += [f"stop {index}" for index in alive if "stop" in kinds and index not in self.stopped]
+        steps += [f"part {index}" for index in indexes if "part" in kinds]
         steps += ["halves"] * ("halves" in kinds and not self.cuts)
         if "cut" in kinds:
-            steps += [f"cut {a} {b}" for a in places for b in places if a != b and (a, b) not in self.cuts]
-        steps += [f"{kind} {place}" for kind in ("hold", "lose") if kind in kinds for place in places]
-        if "again" in kinds and self.last:
+            steps += [f"cut {a} {b}" for a in indexes for b in indexes if a != b and (a, b) not in self.cuts]
+        steps += [f"{kind} {index}" for kind in ("hold", "lose") if kind in kinds for index in indexes]
+        if "again" in kinds and self.last_delivered:
             steps.append("again")
         return steps
 
     def do(self, step: str) -> None:
-        """Takes a step."""
-        word, *numbers = step.split(" ")
+        """Execute `step` and check the invariants."""
+        action, *numbers = step.split(" ")
         args = [int(number) for number in numbers]
-        self.faults -= word in ("kill", "back", "stop", "part", "halves", "cut", "hold", "lose", "again")
-        match word:
+        self.faults -= action in ("kill", "back", "stop", "part", "halves", "cut", "hold", "lose", "again")
+        match action:
             case "wait":
                 self._wait(self.bounds.ticks)
             case "start" | "back":
-                self._start(args[0], -60.0 if word == "back" else 0.0)
+                self._start(args[0], -60.0 if action == "back" else 0.0)
             case "kill":
                 self.routers[args[0]] = None
                 self.stopped.pop(args[0], None)
                 self.dead_since[args[0]] = self.now
-                self.past.append(self.shares[args[0]])
+                self.ended_shares.append(self.shares[args[0]])
                 self.shares[args[0]] = deque()
             case "stop":
                 self.stopped[args[0]] = []
             case "go":
-                self._go(args[0])
+                self._resume(args[0])
             case "cut":
                 self.cuts.add((args[0], args[1]))
             case "part":
@@ -126,164 +128,174 @@
             case "halves":
                 half = self.bounds.routers // 2
                 self.cuts |= {
-                    (one, other)
-                    for one in range(self.bounds.routers)
+                    (first, other)
+                    for first in range(self.bounds.routers)
                     for other in range(self.bounds.routers)
-                    if (one < half) != (other < half)
+                    if (first < half) != (other < half)
                 }
             case "heal":
                 self.cuts.clear()
             case "hold" | "lose":
-                self.mood = word, args[0]
+                self.datagram_fault = action, args[0]
             case "late":
-                held, self.held = self.held, []
-                for source, to, datagram in held:
-                    self._arrive(source, to, datagram)
+                datagrams, self.delayed = self.delayed, []
+                for source, target, datagram in datagrams:
+                    self._receive(source, target, datagram)
                 self._deliver()
             case "again":
-                for source, to, datagram in list(self.last):
-                    self._arrive(source, to, datagram)
+                for source, target, datagram in list(self.last_delivered):
+                    self._receive(source, target, datagram)
                 self._deliver()
         self.ever_cut |= self.cuts
-        self._look()
+        self._check_invariants()
 
     def settle(self) -> None:
-        """Nothing is wrong any more: all have all of it again, and agree."""
-        for place in list(self.stopped):
-            self._go(place)
+        """End all faults; check that the routers agree and that shares are restored."""
+        for index in list(self.stopped):
+            self._resume(index)
         self.cuts.clear()
-        self.mood = None
-        alone = [place for place, router in enumerate(self.routers) if router is not None]
-        for _ in range(round(SETTLES / TICK / 2)):
+        self.datagram_fault = None
+        survivors = [index for index, router in enumerate(self.routers) if router is not None]
+        for _ in range(round(SETTLE_S / TICK_S / 2)):
             self._wait(1)
-        for place, router in enumerate(self.routers):
+        for index, router in enumerate(self.routers):
             if router is None:
-                for by in alone:
-                    self._knows(by, place)
-                self._start(place, 0.0)
-        for _ in range(round(SETTLES / TICK / 2)):
+                for observer_index in survivors:
+                    self._check_knows_ended(observer_index, index)
+                self._start(index, 0.0)
+        for _ in range(round(SETTLE_S / TICK_S / 2)):
             self._wait(1)
         routers = [router for router in self.routers if router is not None]
         for router in routers:
             for member in router.gossip.table:
                 if member.slot is not None and member.claim.state is not MemberState.ALIVE:
-                    self.broken("swarm-denied", f"{member.claim} is held for what it is not")
+                    self.report_violation("swarm-denied", f"{member.claim} is wrong: the router is alive")
         if len({router.gossip.views.current[:2] for router in routers}) > 1:
-            self.broken("swarm-agree", f"views {[tuple(one.gossip.views.current[:2]) for one in routers]}")
+            self.report_violation(
+                "swarm-agree",
+                f"views differ: {[tuple(peer.gossip.views.current[:2]) for peer in routers]}",
+            )
         total = sum(router.share_state(self.now).share() for router in routers)
         if total < 1.0 - 1e-9:
-            self.broken("share-back", f"shares add up to {total:.3f} for good")
+            self.report_violation("share-back", f"shares add up to only {total:.3f} after settling")
 
-    def _knows(self, by: int, dead: int) -> None:
-        router = self.routers[by]
-        member = router.gossip.table.get(ident_of(f"r{dead}")) if router is not None else None
+    def _check_knows_ended(self, observer_index: int, ended_index: int) -> None:
+        router = self.routers[observer_index]
+        member = router.gossip.table.get(ident_of(f"r{ended_index}")) if router is not None else None
         if member is not None and not has_ended(member.claim.state):
-            self.broken(
+            self.report_violation(
                 "swarm-known",
-                f"router {by} holds {dead} for {member.claim.state.name.lower()}, "
-                f"which ended {self.now - self.dead_since[dead]:.1f} s ago",
+                f"router {observer_index} considers {ended_index} {member.claim.state.name.lower()}, "
+                f"which ended {self.now - self.dead_since[ended_index]:.1f} s ago",
             )
 
-    # -- within --
+    # -- internals --
 
-    def _unix(self, place: int) -> float:
-        return EPOCH + self.now * 1000.0
+    def _unix(self, index: int) -> float:
+        return EPOCH_MS + self.now * 1000.0
 
-    def _start(self, place: int, skew: float) -> None:
+    def _start(self, index: int, skew_s: float) -> None:
         self.starts += 1
         count = self.bounds.routers
         shares = Shares(
-            count - 1, 0, count, (count,), WINDOW, self.now, lease_s=FIGURES.lease_duration_s(count)
+            count - 1, 0, count, (count,), WINDOW_S, self.now, lease_s=FIGURES.lease_duration_s(count)
         )
-        unix = self._unix(place) + skew * 1000.0
-        me = Claim(ident_of(f"r{place}"), int(unix), 0, MemberState.ALIVE, 0)
-        self.routers[place] = Swarm(me, shares, FIGURES, self.starts, self.now, self._unix(place))
-        self.dead_since.pop(place, None)
+        unix = self._unix(index) + skew_s * 1000.0
+        own_claim = Claim(ident_of(f"r{index}"), int(unix), 0, MemberState.ALIVE, 0)
+        self.routers[index] = Swarm(own_claim, shares, FIGURES, self.starts, self.now, self._unix(index))
+        self.dead_since.pop(index, None)
 
-    def _go(self, place: int) -> None:
-        waiting = self.stopped.pop(place)
-        self._look()  # it may act before it has looked at the clock
+    def _resume(self, index: int) -> None:
+        waiting = self.stopped.pop(index)
+        self._check_invariants()  # it may act before it has read the clock
         for source, datagram in waiting:
-            self._arrive(source, place, datagram)
+            self._receive(source, index, datagram)
         self._deliver()
 
     def _wait(self, ticks: int) -> None:
-        self.last = []
+        self.last_delivered = []
         for _ in range(ticks):
-            self.now += TICK
-            for place, router in enumerate(self.routers):
-                if router is not None and place not in self.stopped:
-                    router.tick(self.now, self._unix(place))
+            self.now += TICK_S
+            for index, router in enumerate(self.routers):
+                if router is not None and index not in self.stopped:
+                    router.tick(self.now, self._unix(index))
             self._deliver()
-            self._look()
-        self.mood = None
+            self._check_invariants()
+        self.datagram_fault = None
 
     def _deliver(self) -> None:
-        for _ in range(ROUNDS):
-            going = [
-                (place, slot if slot < place else slot + 1, datagram)
-                for place, router in enumerate(self.routers) if router is not None
+        for _ in range(MAX_ROUNDS):
+            outgoing_datagrams = [
+                (index, slot if slot < index else slot + 1, datagram)
+                for index, router in enumerate(self.routers) if router is not None
                 for slot, datagram in router.gossip.outgoing
             ]  # fmt: skip
             for router in self.routers:
                 if router is not None:
                     router.gossip.outgoing, router.gossip.notes = [], []
-            for source, to, datagram in going:
-                if self.mood is not None and self.mood[1] == source:
-                    if self.mood[0] == "hold":
-                        self.held.append((source, to, datagram))
+            for source, target, datagram in outgoing_datagrams:
+                if self.datagram_fault is not None and self.datagram_fault[1] == source:
+                    if self.datagram_fault[0] == "hold":
+                        self.delayed.append((source, target, datagram))
                     continue
-                if (source, to) not in self.cuts:
-                    self.last.append((source, to, datagram))
-                    self._arrive(source, to, datagram)
+                if (source, target) not in self.cuts:
+                    self.last_delivered.append((source, target, datagram))
+                    self._receive(source, target, datagram)
 
-    def _arrive(self, source: int, to: int, datagram: Datagram) -> None:
-        router, sender = self.routers[to], self.routers[source]
+    def _receive(self, source: int, target: int, datagram: Datagram) -> None:
+        router, sender = self.routers[target], self.routers[source]
         if router is None:
-            if sender is not None and (to, source) not in self.cuts and source not in self.stopped:
-                sender.receive_refusal(to if to < source else to - 1, datagram.number, self.now)
-        elif to in self.stopped:
-            self.stopped[to].append((source, datagram))
+            if sender is not None and (target, source) not in self.cuts and source not in self.stopped:
+                sender.receive_refusal(target if target < source else target - 1, datagram.number, self.now)
+        elif target in self.stopped:
+            self.stopped[target].append((source, datagram))
         else:
-            slot = source if source < to else source - 1
-            router.receive(slot, decode(encode(datagram)), self.now, self._unix(to))
+            slot = source if source < target else source - 1
+            router.receive(slot, decode(encode(datagram)), self.now, self._unix(target))
 
-    def _look(self) -> None:
-        self.past = [kept for kept in self.past if kept and kept[-1][0] > self.now]
+    def _check_invariants(self) -> None:
+        self.ended_shares = [
+            recent_shares
+            for recent_shares in self.ended_shares
+            if recent_shares and recent_shares[-1][0] > self.now
+        ]
         total = 0.0
-        for place, kept in enumerate([*self.shares, *self.past]):
-            router = self.routers[place] if place < len(self.routers) else None
-            if router is not None and place not in self.stopped:
+        for index, recent_shares in enumerate([*self.shares, *self.ended_shares]):
+            router = self.routers[index] if index < len(self.routers) else None
+            if router is not None and index not in self.stopped:
                 share = router.share_state(self.now).share()
-                while kept and kept[-1][1] <= share:
-                    kept.pop()
-                kept.append((self.now + WINDOW, share))
-            while kept and kept[0][0] <= self.now:
-                kept.popleft()
-            total += kept[0][1] if kept else 0.0
-        self._look_within_reach()
+                while recent_shares and recent_shares[-1][1] <= share:
+                    recent_shares.pop()
+                recent_shares.append((self.now + WINDOW_S, share))
+            while recent_shares and recent_shares[0][0] <= self.now:
+                recent_shares.popleft()
+            total += recent_shares[0][1] if recent_shares else 0.0
+        self._check_reachable()
         if total > 1.0 + 1e-9:
-            self.broken("share-sum", f"within {WINDOW:g} s the shares add up to {total:.3f}")
+            self.report_violation("share-sum", f"within {WINDOW_S:g} s the shares add up to {total:.3f}")
 
-    def _look_within_reach(self) -> None:
-        """Check that no router holds for failed a running one from which it was never cut off."""
+    def _check_reachable(self) -> None:
+        """Check that no router considers a running router failed that it could always reach."""
         if "halves" not in self.bounds.kinds:
             return
-        for by, router in enumerate(self.routers):
-            for place, other in enumerate(self.routers):
-                if router is None or other is None or by == place:
+        for observer_index, router in enumerate(self.routers):
+            for index, other in enumerate(self.routers):
+                if router is None or other is None or observer_index == index:
                     continue
-                member = router.gossip.table.get(ident_of(f"r{place}"))
-                apart = (by, place) in self.ever_cut or (place, by) in self.ever_cut
-                if member is not None and member.claim.state is MemberState.FAILED and not apart:
-                    self.broken("swarm-in-reach", f"router {by} holds {place} for failed, and reaches it")
+                member = router.gossip.table.get(ident_of(f"r{index}"))
+                was_cut = (observer_index, index) in self.ever_cut or (index, observer_index) in self.ever_cut
+                if member is not None and member.claim.state is MemberState.FAILED and not was_cut:
+                    self.report_violation(
+                        "swarm-in-reach",
+                        f"router {observer_index} considers {index} failed, but can reach it",
+                    )
 
     def encode(self) -> bytes:
-        """The whole state as it is: few states meet, and none is taken for another."""
+        """Return the complete pickled state; equal states may differ, but distinct ones never match."""
         parts = {name: value for name, value in vars(self).items() if name not in ("violations", "bounds")}
         return pickle.dumps(parts, 4)
 
 
 def starter(bounds: SwarmBounds) -> Callable[[], SwarmMachine]:
-    """What starts a machine."""
+    """Return a factory of machines in their initial state."""
     return partial(SwarmMachine, bounds)
--- a/stonecove/explore/trace.py
+++ b/stonecove/explore/trace.py
@@ -1,4 +1,4 @@
-"""A counterexample: found, shrunk, told in words, kept as JSON, played again."""
+"""Counterexamples: shrinking, description in words, storage as JSON, and replay."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 from stonecove.explore.simulation import START, Simulation
 
 FORMAT = 1
-_WORDS = {
+_STEP_DESCRIPTIONS = {
     "ask": "client: request {0} ({cls}) comes in",
     "abort": "client: aborts request {0}",
     "retry": "client: asks again for request {0}",
@@ -66,17 +66,17 @@
 }
 
 
-class Told(NamedTuple):
-    """A step as it happened."""
+class ReplayedStep(NamedTuple):
+    """A replayed step with its time and description."""
 
-    at: float  # ms since the start
+    at_ms: float  # since the start
     step: str
     text: str
 
 
 @dataclass(frozen=True)
 class Trace:
-    """Steps that break a property, and all that is needed to take them again."""
+    """Steps that violate a property, with everything needed to replay them."""
 
     scope: Scope
     steps: Steps
@@ -85,7 +85,7 @@
     seed: str = ""
 
     def to_json(self) -> str:
-        """As text, the same for the same trace."""
+        """Return the trace as JSON; equal traces give equal text."""
         table = {
             "format": FORMAT,
             "scope": asdict(self.scope),
@@ -98,7 +98,7 @@
 
     @classmethod
     def from_json(cls, text: str) -> Trace:
-        """Reads it; raises ValueError with what is wrong."""
+        """Parse a trace; raises ValueError with the reason."""
         try:
             table: dict[str, Any] = json.loads(text)
             if table["format"] != FORMAT:
@@ -120,38 +120,40 @@
 
     @classmethod
     def read(cls, path: Path) -> Trace:
-        """Reads a file; raises ValueError or OSError."""
+        """Read a file; raises ValueError or OSError."""
         return cls.from_json(path.read_text())
 
     def start(self) -> Start:
-        """Plants the seed, and gives what starts the simulation that it was found in."""
+        """Plant the seed and return a function that starts the simulation of this trace."""
         return simulation_start(self.scope, self.seed)
 
-    def play(self) -> tuple[list[Told], list[Violation]]:
-        """Takes the steps again, as far as they can be; tells each, and what is broken in the end."""
+    def play(self) -> tuple[list[ReplayedStep], list[Violation]]:
+        """Replay the steps as far as possible; return the steps taken and the violations at the end."""
         machine = self.start()()
         assert isinstance(machine, Simulation)
-        told = []
+        replayed = []
         for step in self.steps:
             if step != SETTLE and step not in machine.enabled():
                 break
-            told.append(Told(round(machine.now - START * 1000.0, 3), step, in_words(machine, step)))
+            replayed.append(
+                ReplayedStep(round(machine.now_ms - START * 1000.0, 3), step, describe_step(machine, step))
+            )
             if step == SETTLE:
                 machine.settle()
             else:
                 machine.do(step)
             if machine.violations:
                 break
-        return told, machine.violations
+        return replayed, machine.violations
 
-    def story(self) -> str:
-        """For a person on call."""
-        told, violations = self.play()
+    def format_report(self) -> str:
+        """Return the replayed trace as text for an operator."""
+        replayed, violations = self.play()
         prop = PROPERTIES[self.prop]
         lines = [f"{self.prop}: {prop.text} ({prop.source})"]
         if self.seed:
             lines.append(f"with the seeded fault {self.seed}")
-        lines += [f"{one.at:9.1f} ms  {one.text}" for one in told]
+        lines += [f"{step.at_ms:9.1f} ms  {step.text}" for step in replayed]
         lines += [f"           broken: {violation.prop}: {violation.why}" for violation in violations]
         if not violations:
             lines.append("           nothing is broken")
@@ -159,7 +161,7 @@
 
 
 def simulation_start(scope: Scope, seed: str = "") -> Start:
-    """Plants the seed in this process, and returns what starts a simulation of that scope."""
+    """Plant the seed in this process and return a function that starts a simulation of the scope."""
     seeds.plant(seed)
 
     def start() -> Machine:
@@ -168,45 +170,45 @@
     return start
 
 
-def in_words(simulation: Simulation, step: str) -> str:
-    """A step as a sentence."""
+def describe_step(simulation: Simulation, step: str) -> str:
+    """Return the description of a step."""
     word, _, rest = step.partition(" ")
     args = rest.split()
     if word in ANSWERS:
         code, note = ANSWERS[word]
         return f"{args[0]}: answers request {args[1]} with {code}{f', {note}' if note else ''}"
-    place = int(args[0]) if args and args[0].isdigit() else -1
-    cls = simulation.requests[place][0] if 0 <= place < len(simulation.requests) else ""
-    return _WORDS.get(word, word).format(*args, cls=cls)
+    index = int(args[0]) if args and args[0].isdigit() else -1
+    cls = simulation.requests[index][0] if 0 <= index < len(simulation.requests) else ""
+    return _STEP_DESCRIPTIONS.get(word, word).format(*args, cls=cls)
 
 
 def shrink(start: Start, steps: Steps, prop: str) -> Steps:
-    """The fewest steps found that break the same property: by halves, then one by one (Zeller and
-    Hildebrandt,
+    """Return the fewest steps found that violate the same property.
 
-    "Simplifying and isolating failure-inducing input", 2002). Steps that can't be taken are passed over.
+    Removes halves, then smaller parts down to single steps (Zeller and Hildebrandt, "Simplifying and
+    isolating failure-inducing input", 2002). Steps that can't be taken are skipped.
     """
 
-    def broken(some: Steps) -> Steps | None:
-        taken = play_along(start, some, prop)
+    def violating_steps(candidate: Steps) -> Steps | None:
+        taken = replay_possible_steps(start, candidate, prop)
         return taken
 
-    best = broken(steps) or steps
+    best = violating_steps(steps) or steps
     size = max(1, len(best) // 2)
     while size:
-        at = 0
-        while at < len(best):
-            shorter = broken(best[:at] + best[at + size :])
+        index = 0
+        while index < len(best):
+            shorter = violating_steps(best[:index] + best[index + size :])
             if shorter is not None and len(shorter) < len(best):
                 best = shorter
             else:
-                at += size
+                index += size
         size //= 2
     return best
 
 
-def play_along(start: Start, steps: Steps, prop: str) -> Steps | None:
-    """Takes those of the steps that can be taken; the ones that led to a break of the property, or None."""
+def replay_possible_steps(start: Start, steps: Steps, prop: str) -> Steps | None:
+    """Take the steps that can be taken; return those that led to a violation of the property, or None."""
     machine = start()
     taken: list[str] = []
     for step in steps:
--- a/stonecove/explore/walk.py
+++ b/stonecove/explore/walk.py
@@ -1,4 +1,4 @@
-"""Seeded random walks, beyond the bounds of what can be explored whole."""
+"""Seeded random walks, for state spaces too large for exhaustive search."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from stonecove.explore.scope import ALL_FAULTS, FREE, Scope
 from stonecove.explore.search import SETTLE, Found, Start
 
-# How likely a step is to be taken, by its first word; faults are rare, so that much happens between them.
+# Weight of a step by its first word; faults are rare, so that many other steps come between them.
 WEIGHTS = {
     "ask": 6.0,
     "up": 8.0,
@@ -25,45 +25,49 @@
     "end": 8.0,
     "notup": 8.0,
 }
-FAULT = 0.12
-ANSWER = 0.8
+FAULT_WEIGHT = 0.12
+ANSWER_WEIGHT = 0.8
 
 
 @dataclass
 class Walks:
-    """What walks have come to."""
+    """Totals and violations of a series of walks."""
 
     walks: int = 0
     steps: int = 0
-    words: dict[str, int] = field(
-        default_factory=dict
-    )  # by the first word of the step: how often it was taken
+    words: dict[str, int] = field(default_factory=dict)  # number of steps taken, by first word
     found: list[Found] = field(default_factory=list)
 
 
 def weight(step: str) -> float:
-    """How likely a step is against the others."""
-    word = step.partition(" ")[0]
-    if word in WEIGHTS:
-        return WEIGHTS[word]
-    return FAULT if word.rstrip("0123456789") in ALL_FAULTS else ANSWER if word not in FREE else 1.0
+    """Return the relative probability of a step."""
+    action = step.partition(" ")[0]
+    if action in WEIGHTS:
+        return WEIGHTS[action]
+    return (
+        FAULT_WEIGHT
+        if action.rstrip("0123456789") in ALL_FAULTS
+        else ANSWER_WEIGHT
+        if action not in FREE
+        else 1.0
+    )
 
 
-def walk(start: Start, scope: Scope, seed: int, most: int, done: Walks) -> None:
-    """One walk of at most so many steps, then all is let settle."""
-    chooser = random.Random(seed)
+def walk(start: Start, scope: Scope, seed: int, max_steps: int, done: Walks) -> None:
+    """Walk at most `max_steps` random steps, settle the machine, and add the result to `done`."""
+    rng = random.Random(seed)
     machine = start()
     taken: list[str] = []
     done.walks += 1
-    while len(taken) < most and not machine.violations:
-        names = machine.enabled()
-        if not names:
+    while len(taken) < max_steps and not machine.violations:
+        steps = machine.enabled()
+        if not steps:
             break
-        step = chooser.choices(names, list(map(weight, names)))[0]
+        step = rng.choices(steps, list(map(weight, steps)))[0]
         taken.append(step)
         machine.do(step)
-        word = step.partition(" ")[0]
-        done.words[word] = done.words.get(word, 0) + 1
+        action = step.partition(" ")[0]
+        done.words[action] = done.words.get(action, 0) + 1
     if not machine.violations:
         taken.append(SETTLE)
         machine.settle()
--- a/stonecove/scale/faults.py
+++ b/stonecove/scale/faults.py
@@ -37,7 +37,7 @@
 FAULT_DURATION_S = 5.0
 RESTART_SPREAD_S = 2.0  # in which every router is started
 CATCH_UP_TIMEOUT_S = 20.0  # after which routers count as not caught up
-PAUSE_AFTER_FAULT_S = 1.0
+DELAY_AFTER_FAULT_S = 1.0
 SLOW_READ_BYTES, SLOW_READ_INTERVAL_S = 10, 0.1  # 100 bytes a second
 SLOW_RECEIVE_BUFFER_BYTES = 2304  # the smallest receive buffer that Linux gives a socket
 VICTIM_MACHINE = 0
@@ -136,7 +136,7 @@
     end()
     target.wait_until_caught_up(last, CATCH_UP_TIMEOUT_S)
     settled_at_ns = time.time_ns()
-    time.sleep(PAUSE_AFTER_FAULT_S)
+    time.sleep(DELAY_AFTER_FAULT_S)
     return Window(
         name,
         frozenset(affected_routers),
--- a/stonecove/scale/options.py
+++ b/stonecove/scale/options.py
@@ -37,7 +37,7 @@
 
 CONNECTIONS_PER_ROUTER = 2  # of a hollow router: to its control machine, and the gossip socket
 CONNECTIONS_PER_CACHE = 4  # maximum from one real router to one cache
-SPARE_DESCRIPTORS = 64  # standard streams, pipes, event queues, logs
+BASE_DESCRIPTORS = 64  # standard streams, pipes, event queues, logs
 
 REAL_ROUTER_MB = 192.0  # the platform's memory limit
 PROCESS_MB = 64.0  # a control machine takes 28 MB, the process with 290 caches 63 MB
@@ -205,7 +205,7 @@
     control_machine = options.predicted_size
     hollow_process = options.hollow_per_process * (CONNECTIONS_PER_ROUTER + options.rollout)  # a session each
     cache_process = options.caches * (1 + options.real * CONNECTIONS_PER_CACHE)
-    return max(control_machine, hollow_process, cache_process) + SPARE_DESCRIPTORS
+    return max(control_machine, hollow_process, cache_process) + BASE_DESCRIPTORS
 
 
 def memory_needed_mb(options: ScaleOptions) -> float:
--- a/stonecove/soak/judge.py
+++ b/stonecove/soak/judge.py
@@ -17,9 +17,9 @@
 from stonecove.soak.play import SoakRecord
 from stonecove.trial.judge import (
     Verdict,
-    judge_cold_caches,
     judge_endpoint_list,
     judge_processes,
+    judge_slow_start,
 )
 
 DISCONNECT_GRACE_S = 0.1  # no attempt starts later than this after its client disconnected
@@ -198,7 +198,7 @@
     """Apply the rules shared with trials: crashes, slow start, drains and purges."""
     trial_verdict = Verdict(record.trial.trial.title)
     judge_processes(record.trial, trial_verdict)
-    judge_cold_caches(record.trial, trial_verdict)
+    judge_slow_start(record.trial, trial_verdict)
     judge_endpoint_list(record.trial, trial_verdict)
     for violation in trial_verdict.violations:
         rule = "log" if violation.rule == "bug" else violation.rule
--- a/stonecove/standins/zookeeper.py
+++ b/stonecove/standins/zookeeper.py
@@ -62,7 +62,7 @@
         self.ident = ident
         self.password = os.urandom(16)
         self.timeout_ms = timeout_ms
-        self.last_heard_at = time.monotonic()
+        self.last_received_at = time.monotonic()
         self.connection: Connection | None = None
         self.identities: list[Identity] = []
 
@@ -162,7 +162,7 @@
     async def _request(self, payload: bytes) -> bool:
         session = self.session
         assert session is not None
-        session.last_heard_at = time.monotonic()
+        session.last_received_at = time.monotonic()
         reader = Reader(payload)
         xid, kind = reader.int_(), reader.int_()
         if session.connection is not self:
@@ -317,7 +317,11 @@
             return False
         if session.connection is not None and session.connection is not connection:
             session.connection.close()
-        session.connection, session.last_heard_at, connection.session = connection, time.monotonic(), session
+        session.connection, session.last_received_at, connection.session = (
+            connection,
+            time.monotonic(),
+            session,
+        )
         ensemble.record_event(
             "session-resumed" if ident else "session-new", session=f"{session.ident:#x}", server=self.number
         )
@@ -391,7 +395,7 @@
                 await trio.sleep(SESSION_CHECK_INTERVAL_S)
                 now = time.monotonic()
                 for session in list(self.sessions.values()):
-                    if now > session.last_heard_at + session.timeout_ms / 1000:
+                    if now > session.last_received_at + session.timeout_ms / 1000:
                         self.end_session(session, "silent")
 
     # -- commands --
--- a/stonecove/trial/judge.py
+++ b/stonecove/trial/judge.py
@@ -80,7 +80,7 @@
     verdict = Verdict(record.trial.title)
     _check_answers(record, verdict)
     judge_processes(record, verdict)
-    judge_cold_caches(record, verdict)
+    judge_slow_start(record, verdict)
     judge_endpoint_list(record, verdict)
     if isinstance(record.clients, OpenLoopClients):
         _check_open_loop(record, record.clients, verdict)
@@ -150,11 +150,13 @@
             )
 
 
-def judge_cold_caches(record: TrialRecord, verdict: Verdict) -> None:
+def judge_slow_start(record: TrialRecord, verdict: Verdict) -> None:
     """Check that all routers together sent no cold cache more than the rule allows; 1.0 is that limit."""
     max_ratio = 0.0
     for started_at, cache, requested_at_ms in record.colds:
-        peak_at, load_ratio = cold_part(requested_at_ms, started_at, record.trial.window, record.trial.kb)
+        peak_at, load_ratio = peak_slow_start_load(
+            requested_at_ms, started_at, record.trial.window, record.trial.kb
+        )
         if load_ratio > 1.0:
             verdict.violations.append(
                 RuleViolation(
@@ -168,7 +170,7 @@
     verdict.figures["cold_worst"] = max_ratio
 
 
-def cold_part(book: list[float], started: float, window: float, kb: float) -> tuple[float, float]:
+def peak_slow_start_load(book: list[float], started: float, window: float, kb: float) -> tuple[float, float]:
     """Return when a cache's load in one window peaked, and that load as a fraction of what the rule allows.
 
     `book`: Unix ms of each request, `kb` of work each; `started`: Unix time of the cache's start; `window` in
@@ -185,8 +187,8 @@
             sum(request_at - window < other_at <= request_at for other_at in requested_at[: index + 1])
             * work_ms
         )
-        warm_up_fraction = max(0.0, age_s - window) / (rules["warm_up"] / 1000.0)
-        capacity_fraction = min(1.0, rules["cold_from"] + (1.0 - rules["cold_from"]) * warm_up_fraction)
+        slow_start_fraction = max(0.0, age_s - window) / (rules["warm_up"] / 1000.0)
+        capacity_fraction = min(1.0, rules["cold_from"] + (1.0 - rules["cold_from"]) * slow_start_fraction)
         load_ratio = window_work_ms / (rules["tip_multiple"] * capacity_fraction * window * 1000.0 * WEIGHT)
         if load_ratio > peak[1]:
             peak = request_at, load_ratio
@@ -321,7 +323,7 @@
     # start, end (with the window after it), share, router, start of its process
     spans: list[tuple[float, float, float, str, float]] = []
     for router in record.routers:
-        for started, ended in router.lives:
+        for started, ended in router.run_times:
             # After `router_stopped` it still logs, but sends nothing to caches.
             released_at = min(
                 [
@@ -389,7 +391,7 @@
                 and (ended is None or changed_at < ended)
                 and int(line["generation"]) / 1000.0 - record.routers[router_index].shift_at(since)
                 >= since - 0.1
-                for since, ended in record.routers[router_index].lives
+                for since, ended in record.routers[router_index].run_times
             )
             if was_running:
                 false_failures.append((changed_at, router.name, record.routers[router_index].name))
@@ -439,14 +441,14 @@
         if action not in ("kill", "restart"):
             continue
         ended_at = next(
-            (end for _, end in record.routers[router_index].lives if end and end >= fault_at), None
+            (end for _, end in record.routers[router_index].run_times if end and end >= fault_at), None
         )
         if ended_at is None:
             continue
         for router in record.routers:
             was_running = any(
                 start < ended_at - DISCOVERY_S and (end is None or end > ended_at + 10.0)
-                for start, end in router.lives
+                for start, end in router.run_times
             )
             if router is record.routers[router_index] or not was_running:
                 continue
@@ -468,7 +470,7 @@
     expects, max_views, router_name = record.trial.expects, 0, ""
     first_fault_at = record.trial.span[0] + record.began
     for router in record.routers:
-        started_at = router.lives[-1][0] if router.lives else 0.0
+        started_at = router.run_times[-1][0] if router.run_times else 0.0
         view_count = sum(
             max(first_fault_at, started_at) <= float(line["at"]) <= record.ended
             for line in router.lines("gossip_view_changed")
--- a/stonecove/trial/model.py
+++ b/stonecove/trial/model.py
@@ -39,8 +39,8 @@
 
     place: int
     swarm: Swarm | None = None
-    born: float = 0.0
-    due: float = math.inf  # time of its next tick
+    started_at: float = 0.0
+    next_tick_at: float = math.inf
     skew: float = 0.0  # clock error in seconds
     stopped_until: float = 0.0
     waiting: list[tuple[int, bytes, bool]] = field(default_factory=list)  # received while it is suspended
@@ -104,7 +104,12 @@
             router_index % self.zones,
         )
         router.swarm = Swarm(own_claim, shares, self.figures, self.random.getrandbits(32), self.now, unix_ms)
-        router.born, router.stopped_until, router.waiting, router.due = self.now, 0.0, [], math.inf
+        router.started_at, router.stopped_until, router.waiting, router.next_tick_at = (
+            self.now,
+            0.0,
+            [],
+            math.inf,
+        )
         self._schedule_tick(router, self.random.random() * TICK_S)
 
     def kill(self, router_index: int) -> None:
@@ -200,12 +205,12 @@
 
     def _schedule_tick(self, router: SimulatedRouter, delay_s: float) -> None:
         """Schedule the next tick after `delay_s`, unless one is due earlier."""
-        if self.now + delay_s < router.due:
-            router.due, swarm = self.now + delay_s, router.swarm
-            self._schedule(router.due, lambda: self._tick(router, swarm))
+        if self.now + delay_s < router.next_tick_at:
+            router.next_tick_at, swarm = self.now + delay_s, router.swarm
+            self._schedule(router.next_tick_at, lambda: self._tick(router, swarm))
 
     def _tick(self, router: SimulatedRouter, swarm: Swarm | None) -> None:
-        if swarm is None or router.swarm is not swarm or self.now < router.due:
+        if swarm is None or router.swarm is not swarm or self.now < router.next_tick_at:
             return
         if router.stopped_until > self.now:
             self._schedule(router.stopped_until, lambda: self._tick(router, swarm))
@@ -215,7 +220,7 @@
             self._process(router, swarm, slot, data, refused)
         swarm.tick(self.now, self._unix_ms(router))
         self._send_outgoing(router, swarm)
-        router.due = math.inf
+        router.next_tick_at = math.inf
         self._schedule_tick(router, swarm.tick_delay_s(self.now))
 
     def _process(self, router: SimulatedRouter, swarm: Swarm, slot: int, data: bytes, refused: bool) -> None:
--- a/stonecove/trial/open_loop.py
+++ b/stonecove/trial/open_loop.py
@@ -98,8 +98,8 @@
         """Read answers until the connection ends."""
         data = bytearray()
         try:
-            while piece := await self.stream.receive_some(65_536):
-                data += piece
+            while chunk := await self.stream.receive_some(65_536):
+                data += chunk
                 while len(data) >= _RECORD.size:
                     _, kind, request_id, length, padding, _ = _RECORD.unpack_from(data)
                     if len(data) < _RECORD.size + length + padding:
--- a/stonecove/trial/processes.py
+++ b/stonecove/trial/processes.py
@@ -46,7 +46,7 @@
             self._operator.write_text(f'{operator}\nmembers: socket: "{self.socket}"\n')
         self.process: subprocess.Popen[bytes] | None = None
         self.stopped = False
-        self.lives: list[tuple[float, float | None]] = []  # Unix seconds of each process's start and end
+        self.run_times: list[tuple[float, float | None]] = []  # Unix seconds of each process's start and end
         self.shifts = [(0.0, 0.0)]  # (Unix s, total clock shift in s)
         self._clock: Path | None = None
 
@@ -85,7 +85,7 @@
                 stderr=log, stdin=subprocess.DEVNULL, env={**os.environ, **(env or {}), **extra_env},
             )  # fmt: skip
         self.stopped = False
-        self.lives.append((time.time(), None))
+        self.run_times.append((time.time(), None))
 
     def ready(self) -> bool:
         """Return whether it accepts connections."""
@@ -119,11 +119,11 @@
         """Wait until the process has ended; return its exit code."""
         assert self.process is not None
         exit_code = self.process.wait(PROCESS_TIMEOUT_S)
-        started, ended = self.lives[-1]
-        self.lives[-1] = started, ended or time.time()
+        started, ended = self.run_times[-1]
+        self.run_times[-1] = started, ended or time.time()
         return exit_code
 
-    def ask(self, query: str) -> dict[str, Any] | None:
+    def send_query(self, query: str) -> dict[str, Any] | None:
         """Send a query to its members socket; return the answer, None if it cannot answer now."""
         try:
             with socket.socket(socket.AF_UNIX) as sock:
@@ -142,7 +142,7 @@
             words = line.split(" ")
             if len(words) < 2 or not words[0].replace(".", "", 1).isdigit():
                 continue
-            fields = dict(word.split("=", 1) for word in words[2:] if "=" in word)
+            fields = dict(pair.split("=", 1) for pair in words[2:] if "=" in pair)
             if words[1] == CLOCK_SET_EVENT:
                 shift_s = float(fields["by"])
             elif words[1] == event:
--- a/stonecove/trial/rejoin.py
+++ b/stonecove/trial/rejoin.py
@@ -19,7 +19,7 @@
 
 def joined_for_good(router: RouterProcess, until: float) -> float:
     """Return the Unix second since which the current process is joined at `until`; infinity if it is not."""
-    started_at = router.lives[-1][0]
+    started_at = router.run_times[-1][0]
     joined_at = math.inf
     for line in router.lines("gossip_share_changed"):
         if not started_at <= float(line["at"]) <= until:
--- a/stonecove/trial/relay.py
+++ b/stonecove/trial/relay.py
@@ -95,15 +95,15 @@
         """Open and close addresses: one refuses if its router is down and both directions are open."""
         for (viewer, viewed), faults in self.faults.items():
             partitioned = faults.cut or self.faults[viewed, viewer].cut
-            wanted, key = viewed in self._listen_addresses or partitioned, (viewer, viewed)
-            if wanted and key not in self._sockets:
+            required, key = viewed in self._listen_addresses or partitioned, (viewer, viewed)
+            if required and key not in self._sockets:
                 sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
                 sock.setblocking(False)
                 sock.bind(self.address(viewer, viewed))
                 self._sockets[key] = sock
                 self._scopes[key] = trio.CancelScope()
                 self._nursery.start_soon(self._relay, key, sock, self._scopes[key])
-            elif not wanted and key in self._sockets:
+            elif not required and key in self._sockets:
                 self._scopes.pop(key).cancel()
                 self._sockets.pop(key).close()
 
--- a/stonecove/trial/testbed.py
+++ b/stonecove/trial/testbed.py
@@ -178,12 +178,12 @@
 
     def joined(self) -> bool:
         """Return whether all running routers have their full share."""
-        reports = [router.ask("swarm status") for router in self._responsive_routers()]
+        reports = [router.send_query("swarm status") for router in self._responsive_routers()]
         return bool(reports) and all(report is not None and report["status"]["joined"] for report in reports)
 
     def _views_agree(self) -> bool:
         """Return whether all have joined with the same view: a later first view would count as a change."""
-        reports = [router.ask("swarm status") for router in self._responsive_routers()]
+        reports = [router.send_query("swarm status") for router in self._responsive_routers()]
         statuses = [status["status"] for status in reports if status is not None]
         return (
             len(statuses) == len(reports) > 0
@@ -248,7 +248,7 @@
             case "weather":
                 self._set_network_faults(fault.lose, fault.delay, fault.repeat)
             case "cold":
-                self._restart_cold(self.depot.caches[fault.cache])
+                self._restart_empty(self.depot.caches[fault.cache])
             case "drain":
                 cache = self.depot.caches[fault.cache]
                 self.drains.append((now, now + fault.ends - fault.at, cache.ident))
@@ -305,7 +305,7 @@
         assert isinstance(self.depot, LoadedDepot)
         self.depot.pace = factor
 
-    def _restart_cold(self, cache: Cache) -> None:
+    def _restart_empty(self, cache: Cache) -> None:
         """Restart a cache empty, and publish it in the endpoint list."""
         cache.restart_empty()
         self.colds.append((cache.started_ms / 1000.0, f"s-{cache.ident:08x}", cache.request_times_ms))
@@ -339,7 +339,7 @@
         self.streams.change(paths, change)
         if fault.do == "down" and not begins:
             for server in servers:
-                self._restart_cold(server)
+                self._restart_empty(server)
 
     def _log_ports_of(self, router_index: int) -> list[int]:
         """Return the ports at which that router may follow the change log."""
@@ -423,7 +423,7 @@
         time.sleep(SETTLE_TIME_S)
         ended_at = time.time()
         for router_index, router in enumerate(self.routers):
-            if not router.running and router.lives[-1][1] is None:
+            if not router.running and router.run_times[-1][1] is None:
                 self.codes.append((router_index, router.wait()))
         running = [router_index for router_index in router_indices if self.routers[router_index].running]
         joined_at = all_joined_for_good(
@@ -467,7 +467,7 @@
     def _collect_samples(self, samples: list[tuple[float, int, dict[str, Any]]]) -> None:
         while not self._over.wait(SAMPLE_INTERVAL_S):
             for router in self._responsive_routers():
-                if (report := router.ask("swarm status")) is not None:
+                if (report := router.send_query("swarm status")) is not None:
                     samples.append((time.time(), self.routers.index(router), report))
 
     def close(self) -> None:
--- a/tests/test_capacity_control.py
+++ b/tests/test_capacity_control.py
@@ -1,4 +1,4 @@
-"""The measurements of the control plane: they count what was carried, and work out what follows."""
+"""The control plane benchmarks: traffic counting and extrapolation."""
 
 from __future__ import annotations
 
@@ -11,8 +11,8 @@
 import pytest
 import trio
 
-from benchmarks.capacity_coordination import carried_since, carried_to
-from benchmarks.capacity_days import UDP_HEADERS, limit_of, read_figures, worked_out_days
+from benchmarks.capacity_coordination import traffic_by_port, traffic_since
+from benchmarks.capacity_days import UDP_HEADER_BYTES, byte_rate_limit, extrapolated_days, read_figures
 from benchmarks.capacity_fits import ROUTERS, Figures, deep_size, line_fit, power_fit
 from benchmarks.capacity_log import DelaySink, LogServer, Segments, frame
 from benchmarks.capacity_swarm import (
@@ -32,7 +32,7 @@
 HOST = "127.0.0.1"
 
 
-def test_fits_give_back_what_made_the_values() -> None:
+def test_fits_recover_the_generating_parameters() -> None:
     sizes = (25, 50, 100, 200)
     power = power_fit(sizes, [2.3 * size**2 for size in sizes])
     assert power == pytest.approx((2.3, 2.0))
@@ -40,16 +40,16 @@
     assert line_fit(sizes, [7.0 + 0.5 * size for size in sizes]).at(730) == pytest.approx(372.0)
 
 
-def test_a_power_needs_two_positive_values() -> None:
+def test_power_fit_needs_two_positive_values() -> None:
     assert math.isnan(power_fit((10, 20), (0.0, 5.0)).exponent)
 
 
-def test_size_counts_each_object_once() -> None:
-    part = b"x" * 1000
-    assert deep_size([part, part]) - deep_size([part]) < 1000 < deep_size([part])
+def test_deep_size_counts_each_object_once() -> None:
+    shared = b"x" * 1000
+    assert deep_size([shared, shared]) - deep_size([shared]) < 1000 < deep_size([shared])
 
 
-def calm_fleet(count: int) -> CountedModel:
+def steady_fleet(count: int) -> CountedModel:
     model = CountedModel(count)
     start_within(model, range(count), 1.0)
     assert model.until(model.joined, 60.0) < 60.0
@@ -57,55 +57,57 @@
     return model
 
 
-def test_each_datagram_counts_where_it_is_sent_and_where_it_arrives() -> None:
-    model = calm_fleet(6)
-    calm = observe(model, lambda: None, lambda: model.run(10.0))
-    # Nothing is told in calm: each datagram is as short as can be. Some are under way at either end.
-    assert calm.datagrams > 6 * 10 * 3
-    assert calm.bytes == pytest.approx(calm.datagrams * 2 * (FIXED_BYTES + UDP_HEADERS), abs=6 * 200)
-    assert calm.peak * 6 <= calm.bytes
-    assert calm.decision_s > 0.0
+def test_datagrams_count_at_sender_and_receiver() -> None:
+    model = steady_fleet(6)
+    steady = observe(model, lambda: None, lambda: model.run(10.0))
+    # Steady state has no claims, so each datagram has minimum size. Some are in flight at either end.
+    assert steady.datagrams > 6 * 10 * 3
+    assert steady.bytes == pytest.approx(steady.datagrams * 2 * (FIXED_BYTES + UDP_HEADER_BYTES), abs=6 * 200)
+    assert steady.peak_bytes * 6 <= steady.bytes
+    assert steady.decision_s > 0.0
 
 
 def refusals(model: CountedModel) -> int:
-    return sum(box.swarm.gossip.counts["refused"] for box in model.routers[1:] if box.swarm is not None)
+    return sum(
+        router.swarm.gossip.counts["refused"] for router in model.routers[1:] if router.swarm is not None
+    )
 
 
-def test_a_machine_that_vanishes_refuses_nothing() -> None:
-    model = calm_fleet(6)
-    before = refusals(model)  # who started first was refused by those that were not there yet
+def test_removed_machine_refuses_no_datagrams() -> None:
+    model = steady_fleet(6)
+    before = refusals(model)  # the first routers were refused by those not yet started
     observe(model, lambda: vanish(model, [0]), lambda: model.run(3.0))
     assert refusals(model) == before
-    model = calm_fleet(6)
+    model = steady_fleet(6)
     before = refusals(model)
     observe(model, lambda: model.kill(0), lambda: model.run(3.0))
     assert refusals(model) > before
 
 
-def test_a_fleet_that_starts_asks_more_than_one_in_calm() -> None:
+def test_starting_fleet_sends_more_than_a_steady_one() -> None:
     figures = play_fleet(8, True)
-    assert figures["join_datagrams"] >= 2 * 8 * 7  # each asks each other one, and is answered
+    assert figures["join_datagrams"] >= 2 * 8 * 7  # each router pings all others and is answered
     assert figures["join_datagrams_each_s"] > figures["calm_datagrams_each_s"]
     assert figures["restart_extra_datagrams"] > 2 * 7
     assert figures["memory_mb"] > 0.0
 
 
-class Counting:
-    """Counts what is told."""
+class CountingSink:
+    """Counts membership events and signals when all have arrived."""
 
-    def __init__(self, wanted: int) -> None:
-        self.left = wanted
+    def __init__(self, expected: int) -> None:
+        self.remaining = expected
         self.done = trio.Event()
 
     def handle_membership_event(self, event: MembershipEvent) -> None:
-        self.left -= 1
-        if not self.left:
+        self.remaining -= 1
+        if not self.remaining:
             self.done.set()
 
 
-def followed(window: float, purges: int) -> Segments:
-    """What a follower's connection carries for so many purges, all made within a tenth of a second."""
-    server, sink = LogServer(window), Counting(purges)
+def follower_traffic(window_s: float, purges: int) -> Segments:
+    """Return the traffic of a follower's connection for `purges` purges within a tenth of a second."""
+    server, sink = LogServer(window_s), CountingSink(purges)
     carried: list[Segments] = []
 
     def serve() -> None:
@@ -113,15 +115,15 @@
             time.sleep(0.005)
         time.sleep(0.1)
         before = Segments.of(server.followers[0])
-        made = 0
-        while made < purges:
-            server.make()
-            made += 1
-            if not window:
+        recorded = 0
+        while recorded < purges:
+            server.record_purge()
+            recorded += 1
+            if not window_s:
                 server.flush()
         server.flush()
         trio.from_thread.run(sink.done.wait)
-        time.sleep(0.1)  # the last acknowledgement is on its way
+        time.sleep(0.1)  # lets the last acknowledgement arrive
         carried.append(Segments.of(server.followers[0]).since(before))
 
     async def play() -> None:
@@ -140,35 +142,40 @@
     return carried[0]
 
 
-def test_gathered_purges_carry_the_same_bytes_in_fewer_segments() -> None:
-    single, gathered = followed(0.0, 20), followed(0.5, 20)
+def test_batched_purges_need_fewer_segments_for_the_same_bytes() -> None:
+    single, batched = follower_traffic(0.0, 20), follower_traffic(0.5, 20)
     frames = 20 * len(frame(1, 3, bytes(16)))
-    assert single.bytes_out == gathered.bytes_out == frames == 20 * 29
-    assert (single.out, gathered.out) == (20, 1)
-    assert gathered.total < single.total
-    assert single.total == frames + single.bytes_came + (single.out + single.came) * single.headers
-
-
-def test_a_follower_that_goes_away_does_not_end_the_others() -> None:
+    assert single.bytes_sent == batched.bytes_sent == frames == 20 * 29
+    assert (single.segments_sent, batched.segments_sent) == (20, 1)
+    assert batched.total_bytes < single.total_bytes
+    assert (
+        single.total_bytes
+        == frames
+        + single.bytes_received
+        + (single.segments_sent + single.segments_received) * single.header_bytes
+    )
+
+
+def test_disconnected_follower_does_not_affect_the_others() -> None:
     server = LogServer()
-    socks = [socket.create_connection((HOST, server.port), 5.0) for _ in range(2)]
-    for sock in socks:
+    sockets = [socket.create_connection((HOST, server.port), 5.0) for _ in range(2)]
+    for sock in sockets:
         sock.sendall(bytes(8))
         assert sock.recv(13, socket.MSG_WAITALL) == frame(1, 0)
     while len(server.followers) < 2:
         time.sleep(0.005)
-    socks[0].close()
+    sockets[0].close()
     for number in range(2, 30):
-        server.make()
+        server.record_purge()
         server.flush()
-        assert socks[1].recv(29, socket.MSG_WAITALL)[4:12] == number.to_bytes(8, "big")
+        assert sockets[1].recv(29, socket.MSG_WAITALL)[4:12] == number.to_bytes(8, "big")
         time.sleep(0.002)
     assert len(server.followers) == 1
-    socks[1].close()
+    sockets[1].close()
     server.close()
 
 
-def test_delays_are_those_of_the_purges() -> None:
+def test_sink_records_one_delay_per_purge() -> None:
     server = LogServer(0.2)
     sink = DelaySink(server)
 
@@ -179,7 +186,7 @@
                 while not server.followers:
                     await trio.sleep(0.005)
                 count = await trio.to_thread.run_sync(lambda: server.run(100.0, 1.0))
-                while len(sink.delays) < count:
+                while len(sink.delays_s) < count:
                     await trio.sleep(0.005)
             nursery.cancel_scope.cancel()
 
@@ -189,31 +196,33 @@
     finally:
         set_log_sink(None)
         server.close()
-    assert len(sink.delays) == len(server.made)
-    assert max(sink.delays) > 0.1 > min(sink.delays)  # gathered: the first of a window waits for its end
+    assert len(sink.delays_s) == len(server.purged_at_s)
+    assert (
+        max(sink.delays_s) > 0.1 > min(sink.delays_s)
+    )  # batched: the first purge of a window waits for its end
 
 
-def test_only_connections_that_stay_open_are_compared() -> None:
+def test_traffic_since_counts_only_connections_still_open() -> None:
     with socket.create_server((HOST, 0)) as listener:
         address = listener.getsockname()
-        stays, goes = socket.create_connection(address), socket.create_connection(address)
-        ends = [listener.accept()[0] for _ in range(2)]
-        before = carried_to({address[1]})
-        assert set(before) == {stays.getsockname()[1], goes.getsockname()[1]}
-        goes.close()
-        stays.sendall(bytes(1000))
-        assert len(ends[0].recv(1000, socket.MSG_WAITALL)) == 1000
+        open_socket, closed_socket = socket.create_connection(address), socket.create_connection(address)
+        accepted = [listener.accept()[0] for _ in range(2)]
+        before = traffic_by_port({address[1]})
+        assert set(before) == {open_socket.getsockname()[1], closed_socket.getsockname()[1]}
+        closed_socket.close()
+        open_socket.sendall(bytes(1000))
+        assert len(accepted[0].recv(1000, socket.MSG_WAITALL)) == 1000
         deadline = time.monotonic() + 5.0
-        while carried_since(before, {address[1]}).bytes < 1000 and time.monotonic() < deadline:
-            time.sleep(0.005)  # until it is acknowledged
-        carried = carried_since(before, {address[1]})
+        while traffic_since(before, {address[1]}).bytes < 1000 and time.monotonic() < deadline:
+            time.sleep(0.005)  # until the data is acknowledged
+        carried = traffic_since(before, {address[1]})
         assert 1000 < carried.bytes < 1300
         assert carried.segments >= 2
-        for sock in (stays, *ends):
+        for sock in (open_socket, *accepted):
             sock.close()
 
 
-def days_figures() -> Figures:
+def figures_of_all_days() -> Figures:
     figures = {"log_0ms_bytes_s": 3000.0}
     for size in (50, 100):
         figures[f"swarm_calm_bytes_each_s_{size}"] = 600.0
@@ -234,27 +243,29 @@
     return figures
 
 
-def test_days_add_the_change_log_to_the_worst_second_of_the_swarm() -> None:
-    days = {day.name: day for day in worked_out_days(days_figures())}
+def test_days_add_change_log_bytes_to_the_swarms_worst_second() -> None:
+    days = {day.name: day for day in extrapolated_days(figures_of_all_days())}
     assert days["calm"].peak_bytes == pytest.approx(3600.0)
     assert days["kill"].peak_bytes == pytest.approx(3000.0 + 10.0 * ROUTERS)
     assert days["release, ten steps of a tenth"].extra_bytes == pytest.approx(10.0 * 2.0 * ROUTERS)
-    each = 2.0 * ROUTERS
-    apart = days["region cut for 300 s and back"]
-    assert apart.extra_bytes == pytest.approx(each + each / 10.0 * 275.0 + each)
-    assert days["everything started within 2 s"].extra_bytes == pytest.approx(2 * each)
+    extra_bytes_per_event = 2.0 * ROUTERS
+    partition_day = days["region cut for 300 s and back"]
+    assert partition_day.extra_bytes == pytest.approx(
+        extra_bytes_per_event + extra_bytes_per_event / 10.0 * 275.0 + extra_bytes_per_event
+    )
+    assert days["everything started within 2 s"].extra_bytes == pytest.approx(2 * extra_bytes_per_event)
 
 
-def test_the_worst_second_is_no_more_than_the_program_sends() -> None:
-    figures = days_figures() | {f"swarm_join_peak_bytes_{size}": 5000.0 * size for size in (50, 100)}
-    days = {day.name: day for day in worked_out_days(figures)}
-    assert days["everything started within 2 s"].peak_bytes == 3000.0 + limit_of("join")
-    # 160 questions and as many answers a second, each way, 15 with news and 4 probes, 272 bytes each
-    assert limit_of("join") == 2 * 272 * (2 * 160 + 15 + 4)
-    assert limit_of("zone") == 2 * 272 * (15 + 4)
+def test_worst_second_is_capped_by_the_rate_limits() -> None:
+    figures = figures_of_all_days() | {f"swarm_join_peak_bytes_{size}": 5000.0 * size for size in (50, 100)}
+    days = {day.name: day for day in extrapolated_days(figures)}
+    assert days["everything started within 2 s"].peak_bytes == 3000.0 + byte_rate_limit("join")
+    # 160 pings and as many answers per second, each way, 15 with claims and 4 probes, 272 bytes each
+    assert byte_rate_limit("join") == 2 * 272 * (2 * 160 + 15 + 4)
+    assert byte_rate_limit("zone") == 2 * 272 * (15 + 4)
 
 
-def test_figures_of_earlier_runs_are_read_from_their_last_lines(tmp_path: Path) -> None:
+def test_earlier_figures_are_read_from_key_value_lines(tmp_path: Path) -> None:
     path = tmp_path / "run.txt"
     path.write_text("swarm: 25 50\nlog at=once: 3\na_1=2.5 b=1e+03\nb=7\nrc 0\n")
     assert read_figures(path) == {"a_1": 2.5, "b": 7.0}
--- a/tests/test_corpus.py
+++ b/tests/test_corpus.py
@@ -1,4 +1,4 @@
-"""Replays the inputs that `benchmarks/fuzz.py` has saved: no parser crashes, no forged token is accepted."""
+"""Replay the inputs saved by `benchmarks/fuzz.py`: no parser crashes, no forged token is accepted."""
 
 from __future__ import annotations
 
@@ -13,8 +13,8 @@
 
 
 @pytest.mark.parametrize("name", sorted(TARGETS))
-def test_the_corpus_breaks_nothing(name: str) -> None:
-    """Run a fuzz target on its saved inputs, of which there are at least as many as it starts from."""
+def test_saved_inputs_cause_no_finding(name: str) -> None:
+    """A fuzz target accepts its saved inputs, at least as many as it starts from."""
     target, initial_inputs = TARGETS[name]
     lines = (CORPUS / f"{name}.b64").read_text().split()
     assert len(lines) >= len(initial_inputs)
--- a/tests/test_example.py
+++ b/tests/test_example.py
@@ -1,4 +1,4 @@
-"""The example does what the README says, on free ports."""
+"""The example of the README works, on free ports."""
 
 from __future__ import annotations
 
@@ -16,18 +16,18 @@
 
 
 @contextmanager
-def running(*command: str, said: str, on: str, **env: str) -> Iterator[subprocess.Popen[str]]:
-    """Starts a program and waits for the line that says it is up; ends it in the end."""
+def running(*command: str, ready_text: str, stream: str, **env: str) -> Iterator[subprocess.Popen[str]]:
+    """Start a program, wait for the line that contains `ready_text`, and kill it at the end."""
     process = subprocess.Popen(
         [sys.executable, *command],
         stdin=subprocess.PIPE,
         text=True,
         env={**os.environ, **env},
-        **{on: subprocess.PIPE},
+        **{stream: subprocess.PIPE},
     )  # type: ignore[call-overload]
     try:
-        for line in getattr(process, on):
-            if said in line:
+        for line in getattr(process, stream):
+            if ready_text in line:
                 break
         else:
             raise AssertionError(f"{command} ended early")
@@ -37,35 +37,40 @@
         process.communicate()
 
 
-def ask(address: str, *what: str) -> str:
-    done = subprocess.run(
-        [sys.executable, str(EXAMPLES / "ask.py"), address, *what], capture_output=True, text=True, timeout=30
+def run_client(address: str, *arguments: str) -> str:
+    result = subprocess.run(
+        [sys.executable, str(EXAMPLES / "ask.py"), address, *arguments],
+        capture_output=True,
+        text=True,
+        timeout=30,
     )
-    assert done.returncode == 0, done.stdout + done.stderr
-    return done.stdout
+    assert result.returncode == 0, result.stdout + result.stderr
+    return result.stdout
 
 
-def test_the_example_serves(tmp_path: Path) -> None:
+def test_example_router_serves_requests_and_drains_a_cache(tmp_path: Path) -> None:
     text = (EXAMPLES / "config.json").read_text()
-    for old in sorted(set(re.findall(r"127\.0\.0\.1:\d+", text))):
-        text = text.replace(old, ":".join(map(str, free_address())))
+    for address_text in sorted(set(re.findall(r"127\.0\.0\.1:\d+", text))):
+        text = text.replace(address_text, ":".join(map(str, free_address())))
     config = tmp_path / "config.json"
     config.write_text(text)
     found = re.search(r'"listen": "(.*?)"', text)
     assert found
-    depot = running(str(EXAMPLES / "toy_server.py"), str(config), said="toy depot is up", on="stdout")
+    depot = running(
+        str(EXAMPLES / "toy_server.py"), str(config), ready_text="toy depot is up", stream="stdout"
+    )
     with (
         depot as toy,
         running(
-            "-m", "stonecove", said="change_log_connected", on="stderr", RELAY_CONFIG=str(config)
+            "-m", "stonecove", ready_text="change_log_connected", stream="stderr", RELAY_CONFIG=str(config)
         ) as router,
     ):
-        for note in ("filled", "hit"):
-            answer = ask(found[1], "item-image", "7f3a9c21e0b4d655")
+        for cache_status in ("filled", "hit"):
+            answer = run_client(found[1], "item-image", "7f3a9c21e0b4d655")
             assert "Status: 200 OK" in answer and answer.endswith("1900 bytes\n")
             assert toy.stdout
-            assert toy.stdout.readline().endswith(f"item-image 7f3a9c21e0b4d655 part 0: {note}\n")
-        ask(found[1], "pick-confirm", "1")
+            assert toy.stdout.readline().endswith(f"item-image 7f3a9c21e0b4d655 part 0: {cache_status}\n")
+        run_client(found[1], "pick-confirm", "1")
         assert toy.stdin and router.stderr
         toy.stdin.write("drain s-00000011\n")
         toy.stdin.flush()
--- a/tests/test_explore.py
+++ b/tests/test_explore.py
@@ -1,4 +1,4 @@
-"""The explorer: it plays what it says, finds what is planted, and what it once found stays mended."""
+"""Tests of the explorer: it covers its scopes, finds planted faults, and past counterexamples stay fixed."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 import pytest
 
 from stonecove.explore import runner, scope, search, seeds
-from stonecove.explore.copying import DeepCopy, Pickle, Replay, Way, run
+from stonecove.explore.copying import DeepCopy, Pickle, Replay, Restorer, run
 from stonecove.explore.fingerprint import all_parts, check_fields
 from stonecove.explore.properties import PROPERTIES
 from stonecove.explore.reach import HARD_CASES, HARD_STEPS
@@ -26,7 +26,7 @@
 
 ROOT = Path(__file__).parent.parent
 TRACES = sorted((Path(__file__).parent / "traces").glob("*.json"))
-FLOORS = {
+LAYERS = {
     "": 0,
     "runtime": 0,
     "exchange": 1,
@@ -69,27 +69,27 @@
     return scope.named(scope.SMALL, name).with_bounds(**bounds)
 
 
-def explored(one: scope.Scope, processes: int = 4, seed: str = "", **options: object) -> Result:
+def explore_scope(bounds: scope.Scope, processes: int = 4, seed: str = "", **options: object) -> Result:
     with WorkerPool(processes) as pool:
-        result = runner.explore(one, pool, Options(**options), seed)  # type: ignore[arg-type]
+        result = runner.explore(bounds, pool, Options(**options), seed)  # type: ignore[arg-type]
     seeds.plant("")
     return result
 
 
-def told(result: Result) -> list[tuple[tuple[str, ...], str]]:
+def violations_of(result: Result) -> list[tuple[tuple[str, ...], str]]:
     return [(found.steps, found.violation.prop) for found in result.found]
 
 
-# -- the seams --
+# -- imports --
 
 
-def floor_of(module: str) -> int:
-    """Return the floor of a module of this project."""
+def layer_of(module: str) -> int:
+    """Return the layer of a module of this project."""
     name = module.removeprefix("stonecove").removeprefix(".")
-    return FLOORS[name.partition(".")[0]]
+    return LAYERS[name.partition(".")[0]]
 
 
-def test_imports_go_down_only() -> None:
+def test_modules_import_only_from_same_or_lower_layers() -> None:
     for path in (ROOT / "stonecove").rglob("*.py"):
         module = ".".join(path.relative_to(ROOT).with_suffix("").parts).removesuffix(".__init__")
         if module in ("stonecove.__main__", "stonecove.simulator_adapter"):
@@ -99,10 +99,10 @@
                 for name in node.names:
                     whole = f"{node.module}.{name.name}"
                     target = whole if (ROOT / (whole.replace(".", "/") + ".py")).exists() else node.module
-                    assert floor_of(target) <= floor_of(module), f"{module} imports {target}"
+                    assert layer_of(target) <= layer_of(module), f"{module} imports {target}"
 
 
-def test_no_module_imports_itself_through_others() -> None:
+def test_imports_have_no_cycle() -> None:
     paths = {
         ".".join(path.relative_to(ROOT).with_suffix("").parts).removesuffix(".__init__"): path
         for path in (ROOT / "stonecove").rglob("*.py")
@@ -115,7 +115,7 @@
                 imports[module] |= {whole if whole in paths else node.module for whole in wholes}
             elif isinstance(node, ast.Import):
                 imports[module] |= {name.name for name in node.names if name.name in paths}
-    graphlib.TopologicalSorter(imports).prepare()  # raises CycleError, which names the circle
+    graphlib.TopologicalSorter(imports).prepare()  # raises CycleError, which names the cycle
 
 
 @pytest.mark.parametrize(
@@ -144,7 +144,7 @@
         ),
     ],
 )
-def test_what_a_module_does_not_bring_in(module: str, absent: tuple[str, ...]) -> None:
+def test_module_does_not_import(module: str, absent: tuple[str, ...]) -> None:
     code = f"import sys, {module}; sys.exit(any(name in sys.modules for name in {absent!r}))"
     assert subprocess.run([sys.executable, "-c", code], check=False).returncode == 0
 
@@ -152,7 +152,7 @@
 # -- states --
 
 
-def test_the_fingerprint_knows_every_field() -> None:
+def test_fingerprint_ledger_lists_every_field() -> None:
     one = scope.named(scope.SMALL, "links")
     simulation = run(simulation_start(one), ("ask 0", "decide", "up c1.0", "wait", "fire"))
     assert isinstance(simulation, Simulation)
@@ -161,7 +161,7 @@
     assert check_fields(all_parts(simulation)) == ["Route._new is not in the ledger of the fingerprint"]
 
 
-def test_states_are_told_apart_by_what_matters_alone() -> None:
+def test_encoding_ignores_connection_order_only() -> None:
     start = simulation_start(small("clients"))
     one = run(start, ("ask 0", "ask 1", "decide", "up c1.0", "up c1.1")).encode()
     assert run(start, ("ask 0", "ask 1", "decide", "up c1.1", "up c1.0")).encode() == one
@@ -169,20 +169,20 @@
     assert run(start, ("ask 0", "ask 1", "decide", "up c1.0", "up c1.1", "wait")).encode() != one
 
 
-@pytest.mark.parametrize("way", [Replay(simulation_start(small("links"))), DeepCopy(), Pickle()])
-def test_each_way_back_leads_to_the_same_state(way: Way) -> None:
+@pytest.mark.parametrize("restorer", [Replay(simulation_start(small("links"))), DeepCopy(), Pickle()])
+def test_each_restorer_restores_the_same_state(restorer: Restorer) -> None:
     start, steps = simulation_start(small("links")), ("ask 0", "decide", "up c1.0", "wait", "fire", "up c1.1")
     simulation = run(start, steps)
-    way.keep(simulation, steps)
+    restorer.save(simulation, steps)
     for further in (("hit c1.0 0",), ("reset c1.1", "end c1.1")):
-        there = way.back()
+        there = restorer.restore()
         for step in further:
             there.do(step)
         assert there.encode() == run(start, (*steps, *further)).encode()
-    assert way.back().encode() == simulation.encode()
+    assert restorer.restore().encode() == simulation.encode()
 
 
-def test_the_set_of_states_agrees_with_a_plain_one() -> None:
+def test_fingerprint_set_agrees_with_plain_set() -> None:
     np = pytest.importorskip("numpy")
     chooser, ours, plain = np.random.default_rng(7), FingerprintSet(), PlainSet()
     for size in (1, 5, 700, 3, 900, 40, 2000):
@@ -196,37 +196,45 @@
 
 
 @pytest.mark.parametrize(("name", "depth"), [("links", 6), ("confirm", 6), ("drain", 4), ("limits", 4)])
-def test_reduction_leaves_out_no_state_and_no_verdict(name: str, depth: int) -> None:
-    whole = explored(small(name, depth=depth), reduce=False, plain_set=True)
-    reduced = explored(small(name, depth=depth), reduce=True)
-    assert (reduced.states, reduced.depth, told(reduced)) == (whole.states, whole.depth, told(whole))
+def test_reduction_skips_no_state_and_no_violation(name: str, depth: int) -> None:
+    whole = explore_scope(small(name, depth=depth), reduce=False, plain_set=True)
+    reduced = explore_scope(small(name, depth=depth), reduce=True)
+    assert (reduced.states, reduced.depth, violations_of(reduced)) == (
+        whole.states,
+        whole.depth,
+        violations_of(whole),
+    )
     assert reduced.transitions <= whole.transitions
 
 
-def test_reduction_takes_fewer_transitions_where_connections_come_up_together() -> None:
+def test_reduction_saves_transitions_when_connections_open_together() -> None:
     assert (
-        explored(small("clients", depth=6)).transitions
-        < explored(small("clients", depth=6), reduce=False).transitions
+        explore_scope(small("clients", depth=6)).transitions
+        < explore_scope(small("clients", depth=6), reduce=False).transitions
     )
 
 
-def test_breadth_depth_and_processes_agree() -> None:
+def test_search_orders_and_process_counts_agree() -> None:
     one = small("confirm", depth=6)
-    alone, many = explored(one, processes=1), explored(one, processes=4)
-    assert (alone.states, alone.transitions, told(alone)) == (many.states, many.transitions, told(many))
+    alone, many = explore_scope(one, processes=1), explore_scope(one, processes=4)
+    assert (alone.states, alone.transitions, violations_of(alone)) == (
+        many.states,
+        many.transitions,
+        violations_of(many),
+    )
     deep = search.depth_first(simulation_start(one), one.depth)
     assert deep.states == alone.states and not deep.found
 
 
-def test_a_planted_fault_is_found_alike_by_one_process_and_by_four() -> None:
+def test_planted_fault_is_found_equally_by_one_and_four_processes() -> None:
     one = small("confirm", depth=6)
-    alone = explored(one, processes=1, seed="reset-told-as-never-run")
-    many = explored(one, processes=4, seed="reset-told-as-never-run")
-    assert told(alone) and told(alone)[0] == told(many)[0]
-    assert {prop for _, prop in told(alone)} == {prop for _, prop in told(many)}
+    alone = explore_scope(one, processes=1, seed="reset-told-as-never-run")
+    many = explore_scope(one, processes=4, seed="reset-told-as-never-run")
+    assert violations_of(alone) and violations_of(alone)[0] == violations_of(many)[0]
+    assert {prop for _, prop in violations_of(alone)} == {prop for _, prop in violations_of(many)}
 
 
-def test_a_long_run_goes_on_after_a_kill(tmp_path: Path) -> None:
+def test_run_resumes_after_kill(tmp_path: Path) -> None:
     words = ("explore", "run", "--scope", "purge", "--depth", "7", "--processes", "2")
     whole = stonecove(*words)
     save = tmp_path / "front"
@@ -251,10 +259,10 @@
     assert torn.returncode == 2 and "is torn" in torn.stderr
 
 
-# -- what must hold --
+# -- properties --
 
 
-def test_the_small_scope_holds() -> None:
+def test_small_scopes_have_no_violation() -> None:
     done = stonecove("explore", "run", "--scope", "small")
     assert done.returncode == 0, done.stdout + done.stderr
     assert re.fullmatch(
@@ -264,7 +272,7 @@
     )
 
 
-def test_every_seeded_fault_is_found_and_every_property_broken_by_one() -> None:
+def test_every_planted_fault_is_found_and_every_property_violated_by_one() -> None:
     found = runner.find_seeded_faults([seed.name for seed in seeds.SEEDS], min(8, os.cpu_count() or 1))
     wrong = [
         (one.name, one.crash or one.found)
@@ -277,7 +285,7 @@
 
 
 @pytest.mark.parametrize("case", HARD_CASES)
-def test_hard_cases_are_in_their_scope(case: str) -> None:
+def test_hard_case_is_within_its_scope(case: str) -> None:
     one = scope.named(scope.SMALL, HARD_CASES[case])
     simulation = simulation_start(one)()
     for step in HARD_STEPS[case]:
@@ -288,7 +296,7 @@
     assert simulation.violations == []
 
 
-def test_walks_hold_and_are_the_same_each_time() -> None:
+def test_walks_are_reproducible_without_violation() -> None:
     one, other = runner.run_walks(5, 2, 900), runner.run_walks(5, 2, 900)
     assert not one.found and one.steps > 1000
     assert one.words == other.words
@@ -298,7 +306,7 @@
 
 
 @pytest.mark.parametrize("path", TRACES, ids=lambda path: path.stem)
-def test_what_was_found_once_stays_mended(path: Path) -> None:
+def test_past_counterexample_stays_fixed(path: Path) -> None:
     trace = Trace.read(path)
     assert trace.seed, "a kept trace names the fault that its mend took out"
     try:
@@ -306,12 +314,12 @@
         assert trace.prop in {violation.prop for violation in broken}
         mended = Trace(trace.scope, trace.steps, trace.prop, trace.why)
         assert mended.play()[1] == []
-        assert "nothing is broken" in mended.story()
+        assert "nothing is broken" in mended.format_report()
     finally:
         seeds.plant("")
 
 
-def test_a_trace_is_shrunk_kept_and_told(tmp_path: Path) -> None:
+def test_trace_is_shrunk_stored_and_reported(tmp_path: Path) -> None:
     start = simulation_start(small("confirm"), "reset-told-as-never-run")
     try:
         long = (
@@ -328,7 +336,9 @@
         trace = Trace(small("confirm"), steps, "run-is-run", "", "reset-told-as-never-run")
         assert len(steps) < len(long)
         assert Trace.from_json(trace.to_json()) == trace
-        assert "resets the connection" in trace.story() and "broken: run-is-run" in trace.story()
+        assert (
+            "resets the connection" in trace.format_report() and "broken: run-is-run" in trace.format_report()
+        )
         path = tmp_path / "trace.json"
         path.write_text(trace.to_json())
     finally:
@@ -349,12 +359,12 @@
         ("nonsense",),
     ],
 )
-def test_arguments_that_cannot_be_used_end_with_2(arguments: tuple[str, ...]) -> None:
+def test_invalid_arguments_exit_with_2(arguments: tuple[str, ...]) -> None:
     done = stonecove(*arguments)
     assert done.returncode == 2 and done.stderr and "Traceback" not in done.stderr
 
 
-def test_the_demonstration_ends_well() -> None:
+def test_demo_succeeds() -> None:
     done = stonecove("demo", "--requests", "80")
     assert done.returncode == 0, done.stdout + done.stderr
     assert "80 requests, 80 final answers, 0 pick-confirms run twice" in done.stdout
--- a/tests/test_golden_tools_explore.py
+++ b/tests/test_golden_tools_explore.py
@@ -1,6 +1,6 @@
-"""The explorer's traces, counts and saved frontiers, held against golden data.
+"""Compare the explorer's traces, counts and saved frontiers with golden data.
 
-Record anew with `PYTHONPATH=. python tests/test_golden_tools_explore.py --record` from the repository's root.
+To record again, run `PYTHONPATH=. python tests/test_golden_tools_explore.py --record` in the root.
 """
 
 from __future__ import annotations
@@ -68,21 +68,25 @@
 # -- traces --
 
 
-def traces_played() -> Any:
+def replay_traces() -> Any:
     """Return the meaning of each kept trace, and its steps as they happen, with and without its fault."""
-    told = []
+    entries = []
     for path in TRACES:
         trace = Trace.read(path)
-        entry: dict[str, Any] = {"file": path.name, "trace": describe_trace(trace), "story": trace.story()}
+        entry: dict[str, Any] = {
+            "file": path.name,
+            "trace": describe_trace(trace),
+            "story": trace.format_report(),
+        }
         for name, played in (("with its fault", trace), ("without", dataclasses.replace(trace, seed=""))):
             steps, violations = played.play()
             entry[name] = {
-                "steps": [{"at_ms": one.at, "step": one.step, "text": one.text} for one in steps],
+                "steps": [{"at_ms": one.at_ms, "step": one.step, "text": one.text} for one in steps],
                 "violations": [{"property": one.prop, "reason": one.why} for one in violations],
             }
         seeds.plant("")
-        told.append(entry)
-    return told
+        entries.append(entry)
+    return entries
 
 
 def trace_written() -> str:
@@ -95,7 +99,7 @@
 
 
 def trace_errors() -> Any:
-    """Return what is told of texts that are no traces."""
+    """Return the error messages for invalid traces."""
     good = TRACES[0].read_text()
     texts = {
         "not JSON": "{",
@@ -104,12 +108,12 @@
         "without steps": good.replace('"steps"', '"staps"'),
         "a field of the scope that is not known": good.replace('"caches"', '"caches_"'),
     }
-    told = {}
+    entries = {}
     for name, text in texts.items():
-        with pytest.raises(ValueError) as refused:
+        with pytest.raises(ValueError) as error_info:
             Trace.from_json(text)
-        told[name] = str(refused.value).partition(":")[0]
-    return told
+        entries[name] = str(error_info.value).partition(":")[0]
+    return entries
 
 
 def scopes_meaning() -> Any:
@@ -131,7 +135,7 @@
 
 
 def counts() -> Any:
-    """Return what explorations with small bounds count and find."""
+    """Return the counts and violations of explorations with small bounds."""
     found: dict[str, Any] = {}
     with WorkerPool(1) as pool:
         _forget(pool)
@@ -149,7 +153,7 @@
 
 
 def walks() -> Any:
-    """Return what seeded random walks come to."""
+    """Return the counts of seeded random walks."""
     done = runner.run_walks(1, 1, 150)
     return {"walks": done.walks, "steps": done.steps, "by_step": dict(sorted(done.words.items()))}
 
@@ -157,25 +161,25 @@
 # -- saved frontiers --
 
 
-class _EnoughError(Exception):
-    """Enough levels were played."""
+class _StopExplorationError(Exception):
+    """Enough levels were explored."""
 
 
 def saved_frontier(folder: Path) -> Path:
-    """Return the frontier that an exploration has saved before it was ended after some levels."""
+    """Return the frontier that an exploration has saved before it was stopped after some levels."""
     path, levels = folder / FRONTIER, 0
 
     def count(_result: Result, _entries: int) -> None:
         nonlocal levels
         levels += 1
         if levels > LEVELS_BEFORE_THE_SAVE:
-            raise _EnoughError
+            raise _StopExplorationError
 
-    options = Options(save=path, save_every=0.0)
+    options = Options(save=path, save_interval_s=0.0)
     with (
         WorkerPool(1) as pool,
         mock.patch.object(time, "monotonic", lambda: 0.0),
-        pytest.raises(_EnoughError),
+        pytest.raises(_StopExplorationError),
     ):
         runner.explore(_small(FRONTIER_SCOPE, FRONTIER_DEPTH), pool, options, progress=count)
     return path
@@ -218,7 +222,7 @@
 
 
 def ended_meaning() -> Any:
-    """Return what the committed frontier of an exploration that has ended holds, by names and by meaning."""
+    """Return what the committed frontier of a completed exploration holds, by names and by meaning."""
     data = (FOLDER / ENDED).read_bytes()[16:]
     key = frontier_key(data)
     with tempfile.TemporaryDirectory() as name, WorkerPool(1) as pool:
@@ -238,8 +242,8 @@
         shutil.copy(FOLDER / FRONTIER, path)
         bounds = _small(FRONTIER_SCOPE, FRONTIER_DEPTH)
         _forget(pool)
-        gone_on = runner.explore(bounds, pool, Options(save=path, save_every=1e9))
-        ended = runner.explore(bounds, pool, Options(save=path, save_every=1e9))
+        resumed = runner.explore(bounds, pool, Options(save=path, save_interval_s=1e9))
+        completed = runner.explore(bounds, pool, Options(save=path, save_interval_s=1e9))
         _forget(pool)
         fresh = runner.explore(bounds, pool)
         _forget(pool)
@@ -247,15 +251,15 @@
         "key": key,
         "names": globals_of(data),
         "frontier": describe_frontier(Frontier.load(FOLDER / FRONTIER, key)),
-        "gone_on_to": describe_result(gone_on),
-        "loaded_when_done": describe_result(ended),
+        "gone_on_to": describe_result(resumed),
+        "loaded_when_done": describe_result(completed),
         "from_the_start": describe_result(fresh),
     }
 
 
 def command_lines() -> Any:
     """Return what `stonecove explore` prints that is the same each time, and its exit codes."""
-    told = []
+    entries = []
     with (
         tempfile.TemporaryDirectory() as name,
         WorkerPool(1) as pool,
@@ -290,12 +294,14 @@
             ]
             out = re.sub(r" +[\d.]+ s  ", " N s  ", out)
             error = error.partition("of another exploration")[0] if "of another" in error else error
-            told.append({"arguments": arguments, "exit_code": done.exit_code, "stdout": out, "stderr": error})
-    return told
+            entries.append(
+                {"arguments": arguments, "exit_code": done.exit_code, "stdout": out, "stderr": error}
+            )
+    return entries
 
 
 OUTPUTS: dict[str, Callable[[], Any]] = {
-    "traces_played.json": traces_played,
+    "traces_played.json": replay_traces,
     "trace_written.txt": trace_written,
     "trace_errors.json": trace_errors,
     "scopes.json": scopes_meaning,
@@ -308,7 +314,7 @@
 
 
 @pytest.mark.parametrize("name", OUTPUTS)
-def test_explorer_gives_what_was_recorded(name: str) -> None:
+def test_explorer_output_equals_recording(name: str) -> None:
     assert as_json(OUTPUTS[name]()) == recorded(name)
 
 
@@ -330,18 +336,18 @@
     path = saved_frontier(tmp_path)
     made = Frontier.load(path, frontier_key(path.read_bytes()[16:]))
     assert as_json(describe_frontier(made)) == load("frontier_meaning.json")["frontier"]
-    ended = ended_frontier(tmp_path)
-    result = Frontier.load(ended, frontier_key(ended.read_bytes()[16:])).result
+    completed = ended_frontier(tmp_path)
+    result = Frontier.load(completed, frontier_key(completed.read_bytes()[16:])).result
     assert as_json(describe_result(result)) == load("frontier_ended_meaning.json")["loaded"]
 
 
-def test_frontier_goes_on_to_the_counts_of_a_whole_run() -> None:
+def test_resumed_frontier_reaches_counts_of_complete_run() -> None:
     meaning = load("frontier_meaning.json")
     assert meaning["gone_on_to"] == meaning["from_the_start"] == meaning["loaded_when_done"]
     assert meaning["frontier"]["result"]["states"] < meaning["gone_on_to"]["states"]
 
 
-def test_torn_frontier_and_that_of_another_exploration_are_refused(tmp_path: Path) -> None:
+def test_torn_or_foreign_frontier_is_rejected(tmp_path: Path) -> None:
     data = (FOLDER / FRONTIER).read_bytes()
     path = tmp_path / FRONTIER
     path.write_bytes(data[:-3])
--- a/tests/test_golden_tools_runs.py
+++ b/tests/test_golden_tools_runs.py
@@ -39,7 +39,7 @@
 from stonecove.scale.series import Series, play_series
 from stonecove.standins.depot import ReceivedRequest
 from stonecove.standins.loaded import Fetch, LoadedDepot
-from stonecove.trial.judge import cold_part, judge
+from stonecove.trial.judge import judge, peak_slow_start_load
 from stonecove.trial.open_loop import OpenLoopClients
 from stonecove.trial.processes import RouterProcess
 from stonecove.trial.schedule import Trial, read_trial, trial_of
@@ -347,7 +347,7 @@
         router = RouterProcess(folder / name, name, {"listen": "127.0.0.1:1"}, None)
         router.log.write_text(_log(place, ids[1 - place], bad))
         ended = None if place == 0 or bad else BEGAN + 3.0
-        router.lives = [(BEGAN - 5.0, ended)]
+        router.run_times = [(BEGAN - 5.0, ended)]
         routers.append(router)
     record = TrialRecord(
         trial, BEGAN, BEGAN + 10.0, routers, ids, _clients(bad), _RecordedDepot(bad), 1 if bad else 0,
@@ -372,7 +372,11 @@
         table["figures"] = {key: finite(value) for key, value in table["figures"].items()}
         found[name] = {"verdict": table, "in_words": [one.summary() for one in verdict.violations]}
     found["cold part"] = [
-        list(cold_part([(BEGAN + 0.1 * number) * 1000.0 for number in range(count)], BEGAN, 3.0, 40.0))
+        list(
+            peak_slow_start_load(
+                [(BEGAN + 0.1 * number) * 1000.0 for number in range(count)], BEGAN, 3.0, 40.0
+            )
+        )
         for count in (0, 1, 60)
     ]
     return found
--- a/tests/test_scale_run.py
+++ b/tests/test_scale_run.py
@@ -58,7 +58,7 @@
 
 def test_a_killed_control_machine_loses_no_event(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(faults, "FAULT_DURATION_S", 1.0)
-    monkeypatch.setattr(faults, "PAUSE_AFTER_FAULT_S", 0.2)
+    monkeypatch.setattr(faults, "DELAY_AFTER_FAULT_S", 0.2)
     options = dataclasses.replace(SMALL_RUN, real=0, seconds=1.0, faults=(MACHINE_KILLED,))
     measured = play(options, ROUTERS)
     (fault,) = measured.faults
--- a/tests/test_swarm_beside.py
+++ b/tests/test_swarm_beside.py
@@ -19,7 +19,7 @@
 from stonecove.standins.depot import Depot
 from stonecove.standins.webserver import settings
 from stonecove.trial.closed_loop import ClosedLoopClients
-from stonecove.trial.judge import cold_part
+from stonecove.trial.judge import peak_slow_start_load
 from stonecove.trial.schedule import trial_of
 from stonecove.trial.testbed import WEIGHT, Testbed
 
@@ -47,7 +47,7 @@
         return int(testbed.routers[index].lines("gossip_share_changed")[-1]["fleet_size"])
 
     def gossip_fleet_size(index: int) -> int:
-        status = (testbed.routers[index].ask("swarm status") or {"status": {"fleet": 0}})["status"]
+        status = (testbed.routers[index].send_query("swarm status") or {"status": {"fleet": 0}})["status"]
         return int(status["fleet"])
 
     try:
@@ -75,7 +75,7 @@
         testbed.routers[1].pause()
         assert testbed.until(lambda: "edge-1" not in client.get_children(ROUTERS), 20.0)
         time.sleep(0.5)  # longer than the service's `shrink`
-        assert effective_fleet_size(0) == 2 and testbed.routers[0].ask("fleet") is not None
+        assert effective_fleet_size(0) == 2 and testbed.routers[0].send_query("fleet") is not None
         testbed.routers[1].resume()
         assert testbed.until(testbed.joined, 20.0)
     finally:
@@ -175,7 +175,7 @@
     finally:
         clients.end()
         fleet.close()
-    _, fraction = cold_part(cache.request_times_ms, cache.started_ms / 1000.0, WINDOW, KB)
+    _, fraction = peak_slow_start_load(cache.request_times_ms, cache.started_ms / 1000.0, WINDOW, KB)
     assert 0 < fraction <= 1.0
     assert fleet.depot.count_repeated_writes() == 0
     lost_at = [at for at, index in clients.lost if index == 1 and fault.startswith("holder")]
--- a/tests/test_trial.py
+++ b/tests/test_trial.py
@@ -245,7 +245,7 @@
 
 def _router_with_log(folder: Path, *lines: str) -> RouterProcess:
     router = RouterProcess(folder, folder.name, {"listen": "127.0.0.1:1"}, None)
-    router.lives = [(100.0, None)]
+    router.run_times = [(100.0, None)]
     router.log.write_text("".join(f"{line}\n" for line in lines))
     return router
 
--- a/tests/test_vocabulary.py
+++ b/tests/test_vocabulary.py
@@ -15,6 +15,7 @@
 CHECKED_PATHS = (
     "stonecove/routing",
     "stonecove/access",
+    "stonecove/commands",
     "stonecove/discovery",
     "stonecove/fleet",
     "stonecove/frontends",
@@ -26,9 +27,13 @@
     "stonecove/quotas",
     "stonecove/rollout",
     "stonecove/runtime",
+    "stonecove/scale",
     "stonecove/server",
+    "stonecove/soak",
+    "stonecove/standins",
     "stonecove/state",
     "stonecove/transport",
+    "stonecove/trial",
     "stonecove/exchange.py",
     "stonecove/settings.py",
     "stonecove/simulator_adapter.py",
@@ -63,6 +68,7 @@
 QUERY_WORDS = "the words of a line of text, split at blanks"
 WANTED_VERSION = "the wanted state of a roll-out or an instance, as opposed to the present one"
 KEEP_ALIVE = "keep-alive is the term of HTTP and FastCGI"
+WARM_UP_SETTING = "warm_up is the published key of the setting whose value it is"
 ALLOWED_IDENTIFIERS = (
     AllowedIdentifier("stonecove/routing/link_load.py", "PACE_HALF_LIFE_IN_OBJECTIVES", HALF_LIFE),
     AllowedIdentifier("stonecove/routing/popularity.py", "MIN_HALF_LIFE_MS", HALF_LIFE),
@@ -99,12 +105,20 @@
     AllowedIdentifier("stonecove/runtime/timers.py", "due_s", DUE_TIME),
     AllowedIdentifier("stonecove/runtime/timers.py", "next_due", DUE_TIME),
     AllowedIdentifier("stonecove/runtime/timers.py", "run_due", DUE_TIME),
+    AllowedIdentifier("stonecove/scale/configuration.py", "INITIAL_WARM_UP_MS", WARM_UP_SETTING),
+    AllowedIdentifier("stonecove/scale/event_log.py", "due_s", DUE_TIME),
     AllowedIdentifier("stonecove/server/configuration.py", "wanted", WANTED_VERSION),
     AllowedIdentifier("stonecove/server/http.py", "_disable_keep_alive", KEEP_ALIVE),
     AllowedIdentifier("stonecove/server/http.py", "keep_alive", KEEP_ALIVE),
     AllowedIdentifier("stonecove/server/members.py", "words", QUERY_WORDS),
     AllowedIdentifier("stonecove/server/reconfigure.py", "words", QUERY_WORDS),
     AllowedIdentifier("stonecove/server/swarm.py", "words", QUERY_WORDS),
+    AllowedIdentifier("stonecove/standins/loaded.py", "_answer_due", DUE_TIME),
+    AllowedIdentifier("stonecove/standins/zookeeper.py", "_apply_due", DUE_TIME),
+    AllowedIdentifier("stonecove/standins/zookeeper.py", "due_at", DUE_TIME),
+    AllowedIdentifier("stonecove/trial/model.py", "due_at", DUE_TIME),
+    AllowedIdentifier("stonecove/trial/processes.py", "pause", PROCESS_PAUSE),
+    AllowedIdentifier("stonecove/trial/processes.py", "words", QUERY_WORDS),
 )
 
 
