--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -23,7 +23,7 @@
 from stonecove.trial.testbed import TrialRecord
 
 STARTED_AT = 1_800_000_000.0
-CI_SEEDS = range(1, 9)
+CI_SEEDS = (*range(1, 9), 7, 7)  # the fault of seed 7 (KNOWN-RED.txt) does not show in every run
 CI_DURATION_S = 8.0
 CI_JOBS = 2
 
@@ -67,7 +67,7 @@
         self.by_effect = {request_class.effect: request_class for request_class in self.plan.classes}
         self.depot = SoakDepot(2, 20.0, 1000.0)
         self.router = RouterProcess(folder / "edge-0", "edge-0", {"listen": "127.0.0.1:1"}, None)
-        self.router.lives = [(STARTED_AT, STARTED_AT + 11.0)]
+        self.router.run_times = [(STARTED_AT, STARTED_AT + 11.0)]
         self.router.log.write_text(f"{STARTED_AT + 10.5:.3f} router_stopped open=0\n")
         trial = TrialRecord(
             self.plan.trial(), STARTED_AT, STARTED_AT + 11.0, [self.router], ["a"], None, self.depot, 0, []
