--- a/benchmarks/capacity_data.py
+++ b/benchmarks/capacity_data.py
@@ -99,7 +99,7 @@
             sock.sendall(answer[-3:])
         else:
             sock.sendall(answer)
-        self.seen.clear()
+        self.received_requests.clear()
 
 
 def object_number(kb: int, number: int, stalled: bool = False) -> int:
@@ -109,7 +109,7 @@
 
 def _run_depot(pipe: Connection) -> None:
     depot = SizedDepot()
-    pipe.send((depot.log_port, depot.known()))
+    pipe.send((depot.log_port, depot.endpoint_list()))
     while (command := pipe.recv()) != "end":
         if command == "release":
             depot.release.set()
--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -76,7 +76,7 @@
                     "listen": "127.0.0.1:1",
                     "seed": "7",
                     "changelog": f"127.0.0.1:{depot.log_port}",
-                    "known": depot.known(),
+                    "known": depot.endpoint_list(),
                     "settings": {**settings(), "fleet_size": instances},
                 }
             )
@@ -114,7 +114,7 @@
                     kills.append((time.time(), instance_index))
                     os.kill(pid, signal.SIGKILL)
             recovered_s = _all_ready(fleet, instances)
-            clients.end()
+            clients.stop()
             unexplained = [
                 loss
                 for loss in clients.lost
@@ -141,7 +141,7 @@
         f"{total} answers {dict(clients.answers)}, "
         f"p50 {histogram.get_value_at_percentile(50) / 1000:.2f} ms, "
         f"p99 {histogram.get_value_at_percentile(99) / 1000:.2f} ms; {clients.refused_connections} refused, "
-        f"{clients.crossed} sent while the connection was closing"
+        f"{clients.close_races} sent while the connection was closing"
     )
     print(
         f"{len(kills)} kills lost {len(clients.lost) - len(unexplained)} requests in flight; "
@@ -207,7 +207,7 @@
                     "listen": "127.0.0.1:1",
                     "seed": "7",
                     "changelog": f"127.0.0.1:{depot.log_port}",
-                    "known": depot.known(),
+                    "known": depot.endpoint_list(),
                     "settings": router_settings,
                 }
             )
@@ -247,7 +247,7 @@
                     worst = max(worst, sent / _allowed_ms(age_s))
                     if age_s >= 3.0:
                         used.append(sent / (_allowed_ms(age_s) * UTILIZATION_TARGET))
-            clients.end()
+            clients.stop()
             lease_status = send_command(fleet, "status")["leases"]
             answered, lost = sum(clients.answers.values()), len(clients.lost)
             supervisor.terminate()
--- a/benchmarks/membership.py
+++ b/benchmarks/membership.py
@@ -121,7 +121,7 @@
                     "seed": "7",
                     "limits": {"cores": 1.0, "memory_mb": 512, "sockets": 1024},
                     "changelog": f"127.0.0.1:{depot.log_port}",
-                    "known": depot.known(),
+                    "known": depot.endpoint_list(),
                     "settings": settings(),
                 }
             )
@@ -272,7 +272,7 @@
                 )
                 late_requests_ms = [
                     request.at - entry["at"]
-                    for request in depot.seen
+                    for request in depot.received_requests
                     if request.cache == cache_id and entry["at"] < request.at < up_again_at_ms
                 ]
                 new_request_delay.record_value(max(1, round(max(late_requests_ms, default=0.0) * 1000)))
--- a/benchmarks/overload.py
+++ b/benchmarks/overload.py
@@ -15,10 +15,11 @@
 from pathlib import Path
 
 from stonecove.trial import judge
-from stonecove.trial.schedule import PACE, trial_of
+from stonecove.trial.schedule import TRANSFER_KB_PER_S, trial_of
 
 ROUTERS, CACHES, CONCURRENT_TRANSFERS, KB = 20, 4, 2, 200
-CAPACITY_PER_S = CACHES * CONCURRENT_TRANSFERS * PACE / KB  # capacity of the caches, requests per second
+# Capacity of the caches, in requests per second.
+CAPACITY_PER_S = CACHES * CONCURRENT_TRANSFERS * TRANSFER_KB_PER_S / KB
 SLOW_ORIGIN = """\
 title: "the origin at a quarter of its pace for 10 s under full demand", routers: %d, swarm: false
 caches: 4, lasts: 32s, rate: 120, writes: 0.1, window: 1s
@@ -35,7 +36,7 @@
     """Run one trial, print its figures and return them."""
     trial = trial_of(text, "overload", 1)
     with tempfile.TemporaryDirectory() as folder:
-        _, verdict = judge.play(trial, 3, Path(folder))
+        _, verdict = judge.run_trial(trial, 3, Path(folder))
     for violation in verdict.violations:
         print(f"  BROKEN {violation.summary()}")
     print(f"{trial.title}: " + " ".join(f"{key}={value:.4g}" for key, value in verdict.figures.items()))
--- a/benchmarks/swarm.py
+++ b/benchmarks/swarm.py
@@ -39,7 +39,7 @@
 
 def _play(trial: Trial, seed: int = 3) -> dict[str, float]:
     with tempfile.TemporaryDirectory() as folder:
-        _, verdict = judge.play(trial, seed, Path(folder))
+        _, verdict = judge.run_trial(trial, seed, Path(folder))
     for violation in verdict.violations:
         print(f"  BROKEN {violation.summary()}")
     shown = " ".join(f"{key}={value:.4g}" for key, value in verdict.figures.items())
@@ -103,7 +103,7 @@
         "datagrams": datagrams_per_s,
         "p50": _quantile(detection_times_s, 0.5),
         "p99": _quantile(detection_times_s, 0.99),
-        "worst": model.worst,
+        "worst": model.max_share_sum,
     }
 
 
@@ -133,7 +133,8 @@
     for _ in range(100):
         model.run(0.1)
         used_sum, steps = used_sum + model.shares(), steps + 1
-    return {"known": known, "views": views, "down": down, "joining": used_sum / steps, "worst": model.worst}
+    joining, worst = used_sum / steps, model.max_share_sum
+    return {"known": known, "views": views, "down": down, "joining": joining, "worst": worst}
 
 
 def heartbeats(count: int, phi: float, loss_rate: float, stop_s: float, seed: int = 5) -> dict[str, float]:
--- a/benchmarks/tokens.py
+++ b/benchmarks/tokens.py
@@ -251,7 +251,7 @@
                     "seed": "7",
                     "changelog": f"127.0.0.1:{depot.log_port}",
                     "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
-                    "known": depot.known(),
+                    "known": depot.endpoint_list(),
                     "settings": settings(),
                 }
             )
--- a/stonecove/commands/demo.py
+++ b/stonecove/commands/demo.py
@@ -58,7 +58,7 @@
         "seed": "7",
         "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 512},
         "changelog": f"127.0.0.1:{depot.log_port}",
-        "known": depot.known(),
+        "known": depot.endpoint_list(),
         "settings": settings(),
     }
 
--- a/stonecove/commands/overload.py
+++ b/stonecove/commands/overload.py
@@ -13,7 +13,7 @@
 from stonecove.commands.members import new_table, print_table
 
 if TYPE_CHECKING:
-    from stonecove.overload.book import AmplificationStatistics
+    from stonecove.overload.amplification import AmplificationStatistics
 
 EXIT_INVALID = 2
 LOAD_RECORD_FILE = "book.json"
@@ -26,7 +26,7 @@
 
 def _read_record(folder: Path) -> tuple[dict[str, Any], AmplificationStatistics]:
     """Read a trial's load record and its statistics; exit if it is missing or invalid."""
-    from stonecove.overload.book import AmplificationStatistics, LoadEvent
+    from stonecove.overload.amplification import AmplificationStatistics, LoadEvent
 
     try:
         record = json.loads((folder / LOAD_RECORD_FILE).read_text())
@@ -40,7 +40,7 @@
 
 
 def _compute_figures(record: dict[str, Any], book: AmplificationStatistics) -> dict[str, Any]:
-    from stonecove.overload.book import INTENDED, OUTCOMES, WORK_KINDS
+    from stonecove.overload.amplification import INTENDED, OUTCOMES, WORK_KINDS
 
     steady_until_s, fault_ended_s = float(record["first"]), float(record["last"])
     recovery_s = book.recovery_s(fault_ended_s)
@@ -68,7 +68,7 @@
 @click.option("--seconds", is_flag=True, help="Also print one row per second.")
 def report_command(folder: Path, as_json: bool, seconds: bool) -> None:
     """Report by cause the work per intended request, from the --logs of a trial."""
-    from stonecove.overload.book import ATTEMPT, SERVED, WORK_KINDS
+    from stonecove.overload.amplification import ATTEMPT, SERVED, WORK_KINDS
 
     record, book = _read_record(folder)
     figures = _compute_figures(record, book)
@@ -117,7 +117,7 @@
 @click.argument("folder", type=click.Path(path_type=Path, file_okay=False))
 def plot_command(folder: Path) -> None:
     """Draw demand, service and work per intended request by second; print the chart's path."""
-    from stonecove.trial.plot import draw_book
+    from stonecove.trial.plot import draw_load
 
     record, book = _read_record(folder)
-    click.echo(str(draw_book(folder, record["title"], record["faults"], book)))
+    click.echo(str(draw_load(folder, record["title"], record["faults"], book)))
--- a/stonecove/commands/trial.py
+++ b/stonecove/commands/trial.py
@@ -54,7 +54,7 @@
 def run_command(name: str, seed: int, as_json: bool, logs: Path | None) -> None:
     """Run a trial file or a bundled trial, and check its rules."""
     from stonecove.operator_config.grammar import OperatorError
-    from stonecove.trial.judge import play
+    from stonecove.trial.judge import run_trial
     from stonecove.trial.schedule import read_trial
     from stonecove.trial.testbed import TrialError
 
@@ -68,7 +68,7 @@
         folder = logs or Path(temporary)
         try:
             folder.mkdir(parents=True, exist_ok=True)
-            record, verdict = play(schedule, seed, folder)
+            record, verdict = run_trial(schedule, seed, folder)
         except (OSError, TrialError) as error:
             click.echo(f"stonecove trial: {error}", err=True)
             sys.exit(EXIT_INVALID)
@@ -91,10 +91,10 @@
     from stonecove.trial.judge import events_of
 
     samples = [
-        {"at": at_s - record.began, "by": router_index, **sample}
+        {"at": at_s - record.started_at, "by": router_index, **sample}
         for at_s, router_index, sample in record.samples
     ]
-    contents = {"ids": record.ids, "faults": faults, "samples": samples}
+    contents = {"ids": record.member_ids, "faults": faults, "samples": samples}
     (folder / "samples.json").write_text(json.dumps(contents))
     if record.trial.open_loop is not None:
         first, last = record.trial.span
@@ -107,10 +107,10 @@
 @click.argument("folder", type=click.Path(path_type=Path, exists=True, file_okay=False))
 def plot_command(folder: Path) -> None:
     """Draw each router's view of the others over time, from the --logs of a run; print the chart's path."""
-    from stonecove.trial.plot import draw
+    from stonecove.trial.plot import draw_member_states
 
     try:
-        click.echo(str(draw(folder)))
+        click.echo(str(draw_member_states(folder)))
     except (OSError, ValueError, KeyError) as error:
         click.echo(f"stonecove trial: {folder}: {error}", err=True)
         sys.exit(EXIT_INVALID)
--- a/stonecove/overload/__init__.py
+++ b/stonecove/overload/__init__.py
@@ -1,5 +1,5 @@
 """Overload of a fleet: the work that requests cause, summed over all routers. No I/O.
 
-`book` counts, per second and kind, the tries, attempts, repeats, fills, fetches from the origin, connections
-and probes that the requests of clients cause, and determines whether service has recovered.
+`amplification` counts, per second and kind, the tries, attempts, repeats, fills, fetches from the origin,
+connections and probes that the requests of clients cause, and determines whether service has recovered.
 """
--- a/stonecove/overload/book.py
+++ b/stonecove/overload/amplification.py
@@ -3,8 +3,8 @@
 A client intends a request once, and may try it several times. A try leads to attempts at caches; an attempt
 that is sent beside or after another one of the same try is a repeat. Attempts lead to fills from parents and
 fetches from the origin. Each is harmless by itself, but together they may sustain an overload after its cause
-has ended. Therefore they are counted per second, relative to the requests intended in that second, and per
-intended request.
+has ended (a metastable failure). Therefore they are counted per second, relative to the requests intended in
+that second, and per intended request.
 
 No I/O. Times are seconds since any origin that all events share.
 """
@@ -23,24 +23,24 @@
 WORK_KINDS = (TRY, ATTEMPT, REPEAT, FILL, ORIGIN, CONNECT, PROBE)
 SERVED, REFUSED, FAILED, LATE, LOST = "served", "refused", "failed", "late", "lost"
 OUTCOMES = (SERVED, REFUSED, FAILED, LATE, LOST)
-NO_INTENT = -1  # the intent of work that belongs to no request
-MIN_INTENDED = 10  # requests in a second, below which its ratios are noise
+NO_REQUEST = -1  # request number of work that belongs to no request
+MIN_INTENDED = 10  # intended requests per second; with fewer, a second's ratios are noise
 GOOD_SERVED_SHARE = 0.9  # share of the intended requests that are served in a good second
 RECOVERY_SECONDS = 3  # consecutive good seconds that count as recovery
 
 
 class LoadEvent(NamedTuple):
-    """The beginning of an intended request, work of one of WORK_KINDS, or an end by one of OUTCOMES."""
+    """The beginning of an intended request, work of one of WORK_KINDS, or an end with one of OUTCOMES."""
 
     at_s: float
     kind: str
-    intent: int = NO_INTENT
-    cls: str = ""
+    request_number: int = NO_REQUEST
+    request_class: str = ""
 
 
 @dataclass(slots=True)
 class SecondStatistics:
-    """The counts of one second; `ended` has the outcomes of what was intended in it, whenever they came."""
+    """The counts of one second; `ended` counts the outcomes of requests intended in it, ended at any time."""
 
     intended: int = 0
     caused: Counter[str] = field(default_factory=Counter)
@@ -66,24 +66,24 @@
         """
         self.seconds: dict[int, SecondStatistics] = defaultdict(SecondStatistics)
         self.by_class: dict[str, Counter[str]] = defaultdict(Counter)
-        self._caused_by_intent: dict[int, Counter[str]] = defaultdict(Counter)
+        self._caused_by_request: dict[int, Counter[str]] = defaultdict(Counter)
         intended: dict[int, LoadEvent] = {}
         events = sorted(events)
         for event in events:
             if event.kind == INTENDED:
-                intended[event.intent] = event
+                intended[event.request_number] = event
                 self.seconds[int(event.at_s)].intended += 1
-                self.by_class[event.cls][INTENDED] += 1
+                self.by_class[event.request_class][INTENDED] += 1
         for event in events:
-            beginning = intended.get(event.intent)
+            beginning = intended.get(event.request_number)
             if event.kind in OUTCOMES and beginning is not None:
                 self.seconds[int(beginning.at_s)].ended[event.kind] += 1
-                self.by_class[beginning.cls][event.kind] += 1
+                self.by_class[beginning.request_class][event.kind] += 1
             elif event.kind in WORK_KINDS:
                 self.seconds[int(event.at_s)].caused[event.kind] += 1
-                self.by_class[beginning.cls if beginning is not None else ""][event.kind] += 1
+                self.by_class[beginning.request_class if beginning is not None else ""][event.kind] += 1
                 if beginning is not None:
-                    self._caused_by_intent[event.intent][event.kind] += 1
+                    self._caused_by_request[event.request_number][event.kind] += 1
 
     @property
     def intended(self) -> int:
@@ -91,7 +91,7 @@
         return sum(second.intended for second in self.seconds.values())
 
     def total(self, kind: str) -> int:
-        """Return the number of events of a kind of work, or of ends by an outcome."""
+        """Return the number of events of a kind of work, or of requests with an outcome."""
         return sum(second.caused[kind] + second.ended[kind] for second in self.seconds.values())
 
     def worst_second(self, kind: str) -> tuple[int, float]:
@@ -105,12 +105,15 @@
         return at_s, ratio
 
     def most_amplified(self, kind: str) -> tuple[int, int]:
-        """Return the intended request that caused most work of a kind, and how much."""
-        return max(((intent, caused[kind]) for intent, caused in self._caused_by_intent.items()),
-                   key=lambda pair: pair[1], default=(NO_INTENT, 0))  # fmt: skip
+        """Return the number of the request that caused most work of a kind, and the amount of that work."""
+        return max(((number, caused[kind]) for number, caused in self._caused_by_request.items()),
+                   key=lambda pair: pair[1], default=(NO_REQUEST, 0))  # fmt: skip
 
     def recovery_s(self, fault_ended_s: float) -> float:
-        """Return the seconds from the end of the fault until service stays good; infinite if never."""
+        """Return the seconds from the end of the fault until service is good for RECOVERY_SECONDS in a row.
+
+        Their duration is not included; infinity if service does not recover.
+        """
         last = max(self.seconds, default=0)
         good = 0
         for at_s in range(int(fault_ended_s), last):
--- a/stonecove/scale/real_routers.py
+++ b/stonecove/scale/real_routers.py
@@ -9,7 +9,7 @@
 from pathlib import Path
 from typing import Any
 
-from stonecove.overload.book import OUTCOMES, SERVED
+from stonecove.overload.amplification import OUTCOMES, SERVED
 from stonecove.scale.child import resident_mb_of
 from stonecove.trial.open_loop import ClientBehaviour, OpenLoopClients
 from stonecove.trial.processes import RouterProcess
@@ -116,7 +116,7 @@
     def close(self) -> None:
         """Stop the load and all routers."""
         if self._clients is not None:
-            self._clients.end()
+            self._clients.stop()
         for process in self._processes.values():
             if process.running:
                 process.kill()
--- a/stonecove/scale/router_tables.py
+++ b/stonecove/scale/router_tables.py
@@ -27,7 +27,7 @@
     settings["domain"]["zone_link_kb_per_s"] = [0.0] + [ZONE_LINK_KB_PER_S] * ZONES
     settings["limits"]["peers"] = swarm
     return {
-        "known": depot.known(),
+        "known": depot.endpoint_list(),
         "settings": settings,
         "limits": {"cores": CORES, "memory_mb": MEMORY_MB, "sockets": SOCKETS},
     }
--- a/stonecove/soak/clients.py
+++ b/stonecove/soak/clients.py
@@ -19,7 +19,7 @@
 MAX_REQUESTS_PER_BATCH = 5  # per connection
 ITEM_COUNT = 400
 ANSWER_TOLERANCE_S = 0.55  # after the request's TTL; includes 50 ms for socket delays
-CLOSE_RACE_S = 0.05  # a request sent this shortly before a close is retried once
+CLOSE_RACE_S = 0.05  # a request sent within this time of a close is retried once
 RECONNECT_DELAY_S = 0.05
 FRAGMENT_INTERVAL_S = 0.02  # between two fragments of a request
 
@@ -60,7 +60,7 @@
 
 
 class SoakClients:
-    """Threads that send requests to all routers."""
+    """Client threads that send requests to all routers, and abandon some of them."""
 
     def __init__(self, addresses: Sequence[tuple[str, int]], plan: SoakPlan, lag: HostLag) -> None:
         """Start the client threads."""
@@ -243,13 +243,15 @@
             return answer.body.startswith(f"{request.item_id:x}:".encode())
         return answer.body == b"confirmed"
 
-    def _retry_after_close(self, rng: random.Random, raced: SentRequest) -> None:
+    def _retry_after_close(self, rng: random.Random, raced_request: SentRequest) -> None:
         """Retry a request that raced a close, on a new connection to a random router."""
         router_index = rng.randrange(len(self._addresses))
         connection = self._connect(router_index)
         if connection is None:
             return
-        request = self._record_request(raced.request_class, router_index, raced.item_id, raced.ttl_s, 1)
+        request = self._record_request(
+            raced_request.request_class, router_index, raced_request.item_id, raced_request.ttl_s, 1
+        )
         request.is_retry = True
         self._send(connection, request, 1)
         self._await_answers(connection, [request])
--- a/stonecove/soak/depot.py
+++ b/stonecove/soak/depot.py
@@ -54,7 +54,7 @@
     def _serve(self, sock: socket.socket) -> None:
         depot = self._depot
         assert isinstance(depot, SoakDepot)
-        depot.connects.append(time.time() * 1000.0)
+        depot.connection_times_ms.append(time.time() * 1000.0)
         buffer, decoder = Buffer(1 << 20), resp.Decoder()
         open_request_ids: set[str] = set()
         idle_since = time.monotonic()
@@ -151,9 +151,9 @@
         with contextlib.suppress(OSError):
             sock.sendall(answer)
 
-    def known(self, host: str = HOST) -> dict[str, object]:
+    def endpoint_list(self, host: str = HOST) -> dict[str, object]:
         """Return the current endpoint list and past purges in the form of a start-up configuration."""
-        results: Any = super().known(host)["results"]
+        results: Any = super().endpoint_list(host)["results"]
         snapshot: dict[str, Any] = results[0]
         for entry, cache in zip(snapshot["fleet"]["instances"], self.servers, strict=True):
             entry["lifecycle"], entry["startedAtMs"] = cache.state, int(cache.started_ms)
--- a/stonecove/soak/host.py
+++ b/stonecove/soak/host.py
@@ -34,7 +34,7 @@
             last_woke_at = now
 
     def worst_s(self, since: float, until: float) -> float:
-        """Return the longest delay in seconds that ended between two Unix times or shortly after."""
+        """Return the longest delay in seconds that ended between two Unix times or shortly afterwards."""
         return max(
             (delay_s for woke_at, delay_s in self._delays if since <= woke_at <= until + 0.1 + delay_s),
             default=0.0,
--- a/stonecove/soak/judge.py
+++ b/stonecove/soak/judge.py
@@ -14,7 +14,7 @@
 from stonecove.soak.clients import Outcome, SentRequest
 from stonecove.soak.depot import Arrival
 from stonecove.soak.plan import Effect
-from stonecove.soak.play import SoakRecord
+from stonecove.soak.testbed import SoakRecord
 from stonecove.trial.judge import (
     Verdict,
     judge_endpoint_list,
@@ -22,9 +22,9 @@
     judge_slow_start,
 )
 
-DISCONNECT_GRACE_S = 0.1  # no attempt starts later than this after its client disconnected
-DISCONNECT_TOLERANCE_S = 0.15  # attempts are recorded when complete, by threads of a busy host
-WINDOW_TOLERANCE_S = 0.2  # attempts are recorded when complete
+DISCONNECT_GRACE_S = 0.1  # no attempt may start later than this after its client disconnected
+DISCONNECT_TOLERANCE_S = 0.15  # attempts are recorded when completely received, on a busy host
+WINDOW_TOLERANCE_S = 0.2  # attempts are recorded only when completely received
 LOG_ERROR_PATTERNS = ("Traceback (most recent call last)", " internal_error ", " request_undecided ")
 
 RULES = {
@@ -111,26 +111,26 @@
 
 def _check_answers(record: SoakRecord) -> Iterator[SoakViolation]:
     for request in record.sent_requests:
-        at_s = request.sent_at - record.trial.began
+        at_s = request.sent_at - record.trial.started_at
         if request.outcome is Outcome.LOST and not _host_was_late(record, request):
             after_s = request.ended_at - request.sent_at
             yield SoakViolation(
                 "answer",
                 at_s,
-                f"{_describe(request)} had no answer after {after_s:.3f} s of {request.ttl_s:.3f} s",
+                f"{_describe(request)} was lost {after_s:.3f} s after sending, TTL {request.ttl_s:.3f} s",
             )
         if request.is_retry and request.outcome is Outcome.CLOSE_RACE:
-            yield SoakViolation("answer", at_s, f"retry {_describe(request)} raced a close again")
+            yield SoakViolation("answer", at_s, f"{_describe(request)}, a retry, raced a close again")
         if request.answer_count > 1:
             yield SoakViolation(
-                "second answer", at_s, f"{_describe(request)} had {request.answer_count} answers"
+                "second answer", at_s, f"{_describe(request)} was answered {request.answer_count} times"
             )
         if not request.body_matches:
             yield SoakViolation("body", at_s, f"{_describe(request)} was answered with the wrong body")
 
 
 def _host_was_late(record: SoakRecord, request: SentRequest) -> bool:
-    """Return whether the host's wake-up delay could explain that an answer in time was seen too late."""
+    """Return whether the host's wake-up delay could explain that a timely answer was detected too late."""
     late_s = request.ended_at - request.counts_lost_at
     return 0.0 <= late_s < record.lag_between(request.sent_at, request.ended_at) - 0.1
 
@@ -162,7 +162,7 @@
                 for earlier in arrivals[:index]
                 if earlier.rejected_at is None or earlier.rejected_at > later.received_at
             ]
-            at_s = later.received_at - record.trial.began
+            at_s = later.received_at - record.trial.started_at
             if not possibly_executed or effect is Effect.PURE:
                 continue
             if effect is Effect.SIDE_EFFECT:
@@ -186,7 +186,7 @@
             )
             if arrival.received_at > request.ended_at + allowed_s:
                 after_s = arrival.received_at - request.ended_at
-                at_s = arrival.received_at - record.trial.began
+                at_s = arrival.received_at - record.trial.started_at
                 yield SoakViolation(
                     "left",
                     at_s,
@@ -207,7 +207,7 @@
 
 def _check_shutdowns(record: SoakRecord) -> Iterator[SoakViolation]:
     for shutdown in record.shutdowns:
-        at_s = shutdown.sigterm_at - record.trial.began
+        at_s = shutdown.sigterm_at - record.trial.started_at
         if shutdown.was_killed:
             after_s = record.plan.sigkill_after_s
             yield SoakViolation(
@@ -215,14 +215,14 @@
             )
         elif shutdown.exit_code:
             yield SoakViolation(
-                "exit", at_s, f"router {shutdown.router_index} exited with {shutdown.exit_code}"
+                "exit", at_s, f"router {shutdown.router_index} exited with code {shutdown.exit_code}"
             )
     for router_index, router in enumerate(record.trial.routers):
         for line in router.lines("router_stopped"):
             if line["open"] != "0":
-                at_s = float(line["at"]) - record.trial.began
+                at_s = float(line["at"]) - record.trial.started_at
                 yield SoakViolation(
-                    "left over", at_s, f"router {router_index} had {line['open']} open requests"
+                    "left over", at_s, f"router {router_index} stopped with {line['open']} open requests"
                 )
 
 
@@ -239,10 +239,14 @@
     for router_index, count in enumerate(record.descriptors):
         if count > record.plan.max_sockets:
             yield SoakViolation(
-                "descriptors", 0.0, f"router {router_index} used {count} of {record.plan.max_sockets}"
+                "descriptors",
+                0.0,
+                f"router {router_index} had {count} open file descriptors, limit {record.plan.max_sockets}",
             )
     for router_index, used_mb in enumerate(record.memory_mb):
         if used_mb > record.plan.max_memory_mb:
             yield SoakViolation(
-                "memory", 0.0, f"router {router_index} used {used_mb:.0f} of {record.plan.max_memory_mb} MB"
+                "memory",
+                0.0,
+                f"router {router_index} used {used_mb:.0f} MB, limit {record.plan.max_memory_mb} MB",
             )
--- a/stonecove/soak/plan.py
+++ b/stonecove/soak/plan.py
@@ -9,10 +9,10 @@
 from stonecove.trial.schedule import Expects, Fault, Trial
 
 FIRST_FAULT_AT_S = 1.0
-EXTRA_QUIET_S = 4.0  # extra time without faults at the start of some seeds
-FAULT_COUNT_RANGE = (4, 9)  # minimum and maximum per seed
+EXTRA_QUIET_S = 4.0  # additional time without faults at the start of some plans
+FAULT_COUNT_RANGE = (4, 9)  # minimum and maximum per plan
 DEADLINES_MS = (200.0, 400.0, 1000.0, 1500.0, 3000.0, 5000.0, 9000.0)
-WINDOWS_MS = (400.0, 1500.0, 5000.0)
+WINDOWS_MS = (400.0, 1500.0, 5000.0)  # deduplication windows
 MAX_SOCKETS = (96, 192, 512)
 MAX_MEMORY_MB = (96, 192)
 MAX_COUNTED_DEADLINE_S = 3.0  # longer deadlines are capped at this to compute the time of SIGKILL
@@ -41,7 +41,7 @@
     HANG = "hang"  # keeps reading, never answers
     LATE = "late"
     TRUNCATED = "half"  # sends half an answer, then closes the connection
-    DUPLICATE = "twice"  # sends the same answer two times
+    DUPLICATE = "twice"  # sends the same answer twice
     NEVER_COMPLETE = "never-whole"  # sends half an answer and leaves the connection open
     REFUSE = "refuse"  # 503: the request never executed
     FAIL = "fail"  # 500: the request may have executed
@@ -128,7 +128,7 @@
 
     @property
     def ends_at_s(self) -> float:
-        """Return when all signals have been sent."""
+        """Return the time at which all signals have been sent."""
         return self.at_s + self.signal_count * self.interval_s
 
     def summary(self) -> str:
@@ -139,7 +139,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Restart:
-    """A drain of a router with SIGKILL at the earliest allowed time, further signals and a new start."""
+    """A shutdown by SIGTERM, further signals, and SIGKILL at the earliest allowed time; then a new start."""
 
     at_s: float
     router_index: int
@@ -148,7 +148,7 @@
 
     @property
     def ends_at_s(self) -> float:
-        """Return the start of the drain; its end depends on the deadlines."""
+        """Return the start of the shutdown; its end depends on the deadlines."""
         return self.at_s
 
     def summary(self) -> str:
@@ -167,7 +167,7 @@
 
     @property
     def ends_at_s(self) -> float:
-        """Return when the connections are opened; they stay open for some seconds."""
+        """Return the time at which the connections are opened; they stay open for some seconds."""
         return self.at_s
 
     def summary(self) -> str:
@@ -211,8 +211,8 @@
             for planned in self.faults
             if isinstance(planned, ChangeLogFault)
         )
-        # Ends before the load begins. A fault that names servers makes the testbed route connections
-        # through relays.
+        # A fault that names servers makes the testbed route connections through relays. This one has no other
+        # effect, since it ends before the load begins.
         relay_fault = Fault(-RELAY_FAULT_LEAD_S, "weather", (), of=("log",), ends=-RELAY_FAULT_LEAD_S)
         return Trial(
             f"soak {self.seed}", self.router_count, CACHE_COUNT, self.duration_s, 10.0, self.requests_per_s,
--- a/stonecove/soak/run.py
+++ b/stonecove/soak/run.py
@@ -11,7 +11,7 @@
 
 from stonecove.soak.judge import SoakVerdict, SoakViolation, judge_soak
 from stonecove.soak.plan import SoakPlan, draw_plan
-from stonecove.soak.play import SoakTestbed
+from stonecove.soak.testbed import SoakTestbed
 from stonecove.trial.testbed import TrialError
 
 
--- a/stonecove/soak/play.py
+++ b/stonecove/soak/testbed.py
@@ -44,7 +44,7 @@
     sigterm_at: float
     ended_at: float
     exit_code: int
-    was_killed: bool  # it had not exited when SIGKILL was due
+    was_killed: bool  # it was still running when SIGKILL was due
 
 
 def no_lag(_since: float, _until: float) -> float:
@@ -69,20 +69,20 @@
 
 
 class SoakTestbed(Testbed):
-    """The testbed of a soak with its depot, clients and faults."""
+    """The testbed of a trial, with the depot, the clients and the faults of a soak."""
 
     def __init__(self, plan: SoakPlan, folder: Path) -> None:
         """Set up stand-ins and router configurations without starting a router."""
         self.plan = plan
         self.shutdowns: list[Shutdown] = []
-        self._changed_reloads = 0
+        self._changed_reload_count = 0
         self._idle_sockets: list[tuple[float, list[socket.socket]]] = []
         self._alternate_log_ports: list[int] = []
         super().__init__(plan.trial(), plan.seed, folder)
 
     # -- router configuration --
 
-    def _depot(self) -> Depot:
+    def _create_depot(self) -> Depot:
         return SoakDepot(CACHE_COUNT, WEIGHT, self.plan.idle_timeout_ms)
 
     @property
@@ -91,7 +91,7 @@
         assert isinstance(self.depot, SoakDepot)
         return self.depot
 
-    def _streams(self, seed: int) -> StreamRelays:
+    def _create_stream_relays(self, seed: int) -> StreamRelays:
         router_indexes = range(self.plan.router_count)
         self._log_ports = [
             self.depot.add_change_log(host_of(router_index)) for router_index in router_indexes
@@ -134,9 +134,9 @@
         """
         config = self._config(router_index, self.plan.seed, self.routers[router_index].address)
         if is_changed:
-            self._changed_reloads += 1
-            config["limits"]["sockets"] = self.plan.max_sockets - 8 * (self._changed_reloads % 2)
-            port = self._log_ports_of(router_index)[self._changed_reloads % 2]
+            self._changed_reload_count += 1
+            config["limits"]["sockets"] = self.plan.max_sockets - 8 * (self._changed_reload_count % 2)
+            port = self._log_ports_of(router_index)[self._changed_reload_count % 2]
             config["changelog"] = f"{host_of(router_index)}:{port}"
         self.routers[router_index].configure(config)
 
@@ -158,15 +158,15 @@
             self._shut_down_all(router_indexes)
             ended_at = time.time()
         finally:
-            self._over.set()
+            self._stopping.set()
             clients.stop()
             usage.close()
             self._close_idle_connections(float("inf"))
         time.sleep(SETTLE_S)
         host_lag.close()
         trial_record = TrialRecord(
-            self.trial, started_at, ended_at, self.routers, self.ids, None, self.depot, 0, self.colds,
-            codes=self.codes, drains=self.drains, purges=self.purges,
+            self.trial, started_at, ended_at, self.routers, self.member_ids, None, self.depot, 0,
+            self.cache_starts, unexpected_exits=self.unexpected_exits, drains=self.drains, purges=self.purges,
         )  # fmt: skip
         return SoakRecord(
             self.plan, trial_record, clients.sent_requests, clients.unexpected_answers,
@@ -180,7 +180,7 @@
             steps += self._soak_steps(soak_fault)
         steps.append((self.plan.duration_s, lambda: None))
         for at_s, step in sorted(steps, key=lambda step: step[0]):
-            if at_s > self.plan.duration_s:  # the fault lasts until the end of the shutdown
+            if at_s > self.plan.duration_s:  # the end of a fault that lasts throughout the final shutdown
                 continue
             while (remaining_s := started_at + at_s - time.time()) > 0:
                 self._close_idle_connections(time.time())
@@ -208,8 +208,8 @@
                     (soak_fault.ends_at_s, lambda: setattr(self.soak_depot, "log_behaviour", None)),
                 ]
             case ServerFault(fault):
-                steps: list[tuple[float, Callable[[], None]]] = [(fault.at, lambda: self.do(fault))]
-                return steps + ([(fault.ends, lambda: self.undo(fault))] if fault.ends else [])
+                steps: list[tuple[float, Callable[[], None]]] = [(fault.at, lambda: self.begin_fault(fault))]
+                return steps + ([(fault.ends, lambda: self.end_fault(fault))] if fault.ends else [])
             case Reloads():
                 return [(soak_fault.at_s, lambda: self._spawn(lambda: self._reload(soak_fault)))]
             case Restart():
@@ -259,7 +259,7 @@
             thread.join()
 
     def _shut_down(self, router_index: int, signals: tuple[tuple[float, str], ...]) -> None:
-        """Send SIGTERM, the further signals, and SIGKILL at the platform's earliest time for it."""
+        """Send SIGTERM, the further signals, and SIGKILL at the earliest time that the platform allows."""
         router = self.routers[router_index]
         sigterm_at = time.time()
         router.signal(signal.SIGTERM)
@@ -271,7 +271,7 @@
         if was_killed:
             router.signal(signal.SIGKILL)
         exit_code = router.wait()
-        self.relays.down(router_index)
+        self.relays.announce_exit(router_index)
         self.shutdowns.append(Shutdown(router_index, sigterm_at, time.time(), exit_code, was_killed))
 
 
@@ -286,7 +286,10 @@
 
 
 def _handles_signals(router: RouterProcess) -> bool:
-    """Return whether a new process blocks or handles SIGHUP, as from its first line on; waits up to 10 s."""
+    """Wait up to 10 s until a new process blocks or handles SIGHUP; return whether it does.
+
+    Routers do so from their first line on.
+    """
     assert router.process is not None
     status = Path(f"/proc/{router.process.pid}/status")
     deadline = time.monotonic() + 10.0
--- a/stonecove/standins/depot.py
+++ b/stonecove/standins/depot.py
@@ -1,4 +1,4 @@
-"""A depot run in threads: caches, a parent cache, an origin and a change log, as described in PROTOCOL."""
+"""A depot run in threads: caches, a parent cache, an origin and a change log, by the platform's protocol."""
 
 from __future__ import annotations
 
@@ -17,10 +17,10 @@
 from stonecove.protocols.buffer import Buffer
 
 NOTHING, WHOLE_LIST, CHANGES, OBJECT_PURGE, GROUP_PURGE = range(5)  # kinds of change log frames
-_HEAD = struct.Struct(">IQB")
-_RECORD = struct.Struct(">IIHBBBHIQ")
+_FRAME_HEADER = struct.Struct(">IQB")
+_MEMBER_RECORD = struct.Struct(">IIHBBBHIQ")
 _STATE_CODES = {"up": 0, "draining": 1, "removed": 2}
-# A cache drops its copies within this time of a purge; until then routers request none of them.
+# Caches apply a purge within this time; until then, routers must not request copies older than the purge.
 PURGE_SETTLING_MS = 6000.0
 _MACHINE_TYPES = ("small-box", "parent", "origin")
 WRITE = "pick-confirm"  # the request class with an effect
@@ -28,7 +28,7 @@
 
 
 class ReceivedRequest(NamedTuple):
-    """A request that reached a server. `source`: id of the server that it may fill from, as sent."""
+    """A request that a server received. `source`: id of the server that it may fill from, as sent."""
 
     at: float  # Unix ms
     cache: int
@@ -91,7 +91,7 @@
             yield from decoder.arrays(buffer)
 
     def _serve(self, sock: socket.socket) -> None:
-        self._depot.connects.append(time.time() * 1000.0)
+        self._depot.connection_times_ms.append(time.time() * 1000.0)
         for command in self._commands(sock):
             if command[0] == b"fetch":
                 self._fetch(sock, command)
@@ -99,7 +99,7 @@
     def _fetch(self, sock: socket.socket, command: list[bytes]) -> None:
         fields = resp.parse_fields(command[2])
         self.fetches += 1
-        self._depot.seen.append(
+        self._depot.received_requests.append(
             ReceivedRequest(
                 time.time() * 1000.0, self.ident, command[1].decode(), fields["cls"], fields.get("from", "")
             )
@@ -168,7 +168,7 @@
 
 def event_frame(number: int, kind: int, payload: bytes = b"") -> bytes:
     """Return a change log frame; one of kind `NOTHING` only reports the number of the last event."""
-    return _HEAD.pack(9 + len(payload), number, kind) + payload
+    return _FRAME_HEADER.pack(9 + len(payload), number, kind) + payload
 
 
 def member_record(cache: Cache, host: str, state: str, weight: float) -> bytes:
@@ -178,8 +178,9 @@
         _STATE_CODES[state],
         round(weight * 1000),
     )
-    return _RECORD.pack(cache.ident, address, cache.port, code, cache.zone, cache.kind, 0, weight_milli,
-                        int(cache.started_ms))  # fmt: skip
+    return _MEMBER_RECORD.pack(
+        cache.ident, address, cache.port, code, cache.zone, cache.kind, 0, weight_milli, int(cache.started_ms)
+    )
 
 
 def object_purge(key: int, purged_at_ms: float) -> bytes:
@@ -206,16 +207,16 @@
         self._lock = threading.Lock()
         self._run_counts: Counter[str] = Counter()  # by transaction id, for classes with an effect
         self._purges: list[float] = []
-        # Unix ms of the answer, and of the copy's creation.
+        # (answered at, copy created at), in Unix ms
         self._served_copies: list[tuple[float, float]] = []
-        self.seen: list[ReceivedRequest] = []
-        self.connects: list[float] = []  # Unix ms
+        self.received_requests: list[ReceivedRequest] = []
+        self.connection_times_ms: list[float] = []  # Unix ms
         self.caches = [self.cache_type(0x11 + index, 0, self) for index in range(caches)]
         for index, cache in enumerate(self.caches):
             cache.zone = 1 + index % zones
         self.parent, self.origin = self.cache_type(0x21, 1, self), self.cache_type(0x31, 2, self)
         self.servers = [*self.caches, self.parent, self.origin]
-        # Each builds the event's frame for the host at which servers are listed.
+        # Each returns the event's frame, with the servers listed at the given host.
         self._events: list[Callable[[str], bytes]] = []
         self._followers: list[tuple[str, socket.socket]] = []
         self._log_listeners: list[_Listener] = []
@@ -244,7 +245,7 @@
             )
 
     def last_settled_purge(self, now_ms: float) -> float:
-        """Return the time (Unix ms) of the last purge that caches have applied by then; 0 if none."""
+        """Return the time (Unix ms) of the last purge that caches have applied by `now_ms`; 0 if none."""
         return max(
             (purged_at_ms for purged_at_ms in self._purges if purged_at_ms < now_ms - PURGE_SETTLING_MS),
             default=0.0,
@@ -260,7 +261,7 @@
         self._log_listeners.append(_Listener(partial(self._follow, host)))
         return self._log_listeners[-1].port
 
-    def known(self, host: str = HOST) -> dict[str, object]:
+    def endpoint_list(self, host: str = HOST) -> dict[str, object]:
         """Return the initial endpoint list, in the form of the JSON configuration."""
         entries = [
             {
--- a/stonecove/standins/loaded.py
+++ b/stonecove/standins/loaded.py
@@ -41,10 +41,10 @@
 
 
 class Fetch(NamedTuple):
-    """A fill from the parent, or a fetch from the origin. `served`: it was not rejected."""
+    """A fill from the parent, or a fetch from the origin. `served`: whether it was not rejected."""
 
     at: float  # Unix ms
-    what: str  # fill, origin
+    kind: str  # `fill` or `origin`
     txn: str
     served: bool
 
@@ -71,13 +71,14 @@
 
     def __init__(self, caches: int, weight: float, zones: int, capacity: ServerCapacity) -> None:
         """Start all servers. `weight`: link weight of a cache in the endpoint list."""
-        self.capacity, self.pace = capacity, 1.0  # pace: current fraction of the origin's capacity
+        self.capacity = capacity
+        self.origin_speed_factor = 1.0  # the origin's current fraction of its capacity
         self.fetches: list[Fetch] = []
-        self.stops: list[float] = []  # Unix seconds at which the origin stopped
+        self.origin_stop_times: list[float] = []  # Unix seconds at which the origin stopped
         self._rejected_at: deque[float] = deque()  # times of the origin's rejections within the last second
         self._stopped_until = 0.0
         self._queues: dict[int, SlotQueue] = {}
-        # By cache or parent, and part.
+        # Unix seconds, by id of the cache or parent and name of the part.
         self._fill_ends_at: dict[tuple[int, str], float] = {}
         self._pending: list[tuple[float, int, socket.socket, bytes]] = []
         self._sequence = itertools.count()
@@ -106,7 +107,7 @@
         self._answering.join()
         super().close()
 
-    # -- within --
+    # -- processing --
 
     def _process(self, cache: Cache, txn: str, fields: dict[str, str], now: float) -> tuple[float, bytes]:
         """Return the time of the response, and the response."""
@@ -168,7 +169,7 @@
     def _from_origin(self, txn: str, now: float) -> float | None:
         ends_at = None
         if now >= self._stopped_until:
-            work_s = self.capacity.slots / (self.capacity.origin_per_s * self.pace)
+            work_s = self.capacity.slots / (self.capacity.origin_per_s * self.origin_speed_factor)
             ends_at = self._queues[self.origin.ident].reserve(now, work_s)
         self.fetches.append(Fetch(now * 1000.0, "origin", txn, ends_at is not None))
         if ends_at is None and now >= self._stopped_until:
@@ -176,7 +177,7 @@
             while self._rejected_at[0] < now - 1.0:
                 self._rejected_at.popleft()
             if len(self._rejected_at) > self.capacity.origin_per_s:
-                self.stops.append(now)
+                self.origin_stop_times.append(now)
                 self._stopped_until = now + self.capacity.stop_s
                 self._rejected_at.clear()
         return ends_at
--- a/stonecove/standins/zkdata.py
+++ b/stonecove/standins/zkdata.py
@@ -231,7 +231,7 @@
         persistent: list[str],
         recursive: list[str],
     ) -> None:
-        """Handle setWatches: report what has changed since that transaction, and watch the rest."""
+        """Handle setWatches: report paths that changed after transaction `zxid`, and watch the others."""
         watchers = self.watchers
         for path in data:
             node = self.nodes.get(path)
@@ -364,7 +364,7 @@
 
 
 def _resolve_acl(acl: tuple[Acl, ...], identities: list[Identity]) -> tuple[Acl, ...]:
-    """Replace the scheme auth by the client's identities; raise ZkError if no entry remains."""
+    """Replace entries of the scheme `auth` by the client's identities; raise ZkError if no entry remains."""
     resolved: list[Acl] = []
     for entry in acl:
         if entry.scheme == "auth":
--- a/stonecove/standins/zookeeper.py
+++ b/stonecove/standins/zookeeper.py
@@ -2,14 +2,14 @@
 
 It serves the client protocol of ZooKeeper 3.4 to 3.9, and takes line commands on a control port:
 
-    expire SESSION | expire-path PATH    end the session now, with its ephemeral nodes
-    drop SESSION                         reset its connection; the session stays
+    expire SESSION | expire-path PATH    end the session (that owns the node) and delete its ephemeral nodes
+    drop SESSION                         reset the session's connection; the session stays open
     partition [SERVER] | heal            keep connections open but silent until healed
     lag MS [SERVER]                      delay transactions at that server (default: the last one)
-    garble N [SESSION]                   replace the next N outgoing frames (of that session) by noise
+    garble N [SESSION]                   replace the next N outgoing frames (of that session) by random bytes
     slow MS                              delay each reply
     readonly on|off                      report a read-only server to new connections
-    restart                              lose all sessions with their ephemeral nodes; other nodes stay
+    restart                              end all sessions and delete their ephemeral nodes; other nodes stay
     trace                                list all recorded events, one JSON object per line
     sessions | tree PATH | create PATH DATA | set PATH DATA | delete PATH
 
@@ -50,7 +50,7 @@
 MAX_TRACE_ENTRIES = 200_000
 
 
-def _now() -> int:
+def _now_ms() -> int:
     return int(time.time() * 1000)
 
 
@@ -89,7 +89,7 @@
             self.session.ident if self.session else 0,
         ):
             ensemble.frames_to_garble -= 1
-            data = ensemble.noise(len(data))
+            data = ensemble.garbled_frame(len(data))
         self._outgoing.append((time.monotonic() + ensemble.reply_delay_s, data))
         self._wake.set()
 
@@ -197,15 +197,15 @@
         assert self.session is not None
         ensemble = self.server.ensemble
         try:
-            txn, paths = ensemble.leader.write(requests, self.session.ident, self.identities(), _now())
+            txn, paths = ensemble.leader.write(requests, self.session.ident, self.identities(), _now_ms())
         except ZkError:
             # A failed write is ordered among the others, too: its reply follows those of earlier writes.
-            await self.server.wait_for(ensemble.leader.zxid)
+            await self.server.wait_until_applied(ensemble.leader.zxid)
             raise
         ensemble.replicate()
         for request, path in zip(requests, paths, strict=True):
             ensemble.record_event(request.kind, path=path, zxid=txn.zxid, session=f"{self.session.ident:#x}")
-        await self.server.wait_for(txn.zxid)
+        await self.server.wait_until_applied(txn.zxid)
         return paths
 
     def identities(self) -> list[Identity]:
@@ -274,14 +274,14 @@
                 self._arrived = trio.Event()
                 await self._arrived.wait()
 
-    async def wait_for(self, zxid: int) -> None:
+    async def wait_until_applied(self, zxid: int) -> None:
         """Wait until this server has applied that transaction."""
         while self.replica.applied < zxid:
             await self._applied.wait()
 
     async def serve(self, stream: trio.SocketStream) -> None:
         """Serve one client."""
-        self.ensemble.connects += 1
+        self.ensemble.accepted_connections += 1
         self.ensemble.record_event("connect", server=self.number)
         connection = Connection(self, stream)
         self.ensemble.connections.add(connection)
@@ -339,12 +339,12 @@
     """All servers, their sessions and the faults injected into them."""
 
     def __init__(self, servers: int, seed: int = 1) -> None:
-        """Create the servers; `seed` determines the noise of garbled frames."""
+        """Create the servers; `seed` determines the bytes of garbled frames."""
         self.leader = Leader()
         self.servers = [Server(self, number) for number in range(servers)]
         self.sessions: dict[int, Session] = {}
         self.connections: set[Connection] = set()
-        self.connects = 0
+        self.accepted_connections = 0
         self.frames_to_garble = 0
         self.garbled_session_id = 0  # 0: any session
         self.reply_delay_s = 0.0
@@ -352,18 +352,18 @@
         self.trace: deque[dict[str, object]] = deque(maxlen=MAX_TRACE_ENTRIES)
         self._random = random.Random(seed)
         self._replicated = 0
-        self._next_session = (_now() << 16) & 0x7FFFFFFFFFFFFFFF
+        self._next_session = (_now_ms() << 16) & 0x7FFFFFFFFFFFFFFF
 
     def record_event(self, event: str, **fields: object) -> None:
         """Add an event to the trace."""
         self.trace.append({"at": time.time() * 1000, "what": event, **fields})
 
-    def noise(self, count: int) -> bytes:
-        """Return bytes that are not a frame: the length that they begin with is negative."""
+    def garbled_frame(self, count: int) -> bytes:
+        """Return random bytes that are not a frame: the length at their start is negative."""
         return b"\xff" + self._random.randbytes(max(7, count - 1))
 
     def replicate(self) -> None:
-        """Pass new transactions to all servers."""
+        """Pass transactions that were not replicated yet to all servers."""
         while self._replicated < len(self.leader.log):
             for server in self.servers:
                 server.enqueue(self._replicated)
@@ -380,14 +380,14 @@
         """End a session, closed by its client, expired or lost."""
         self.sessions.pop(session.ident, None)
         paths = sorted(self.leader.replica.ephemerals.get(session.ident, set()))
-        self.leader.end_session(session.ident, _now())
+        self.leader.end_session(session.ident, _now_ms())
         self.replicate()
         self.record_event("session-end", session=f"{session.ident:#x}", why=why, paths=paths)
         if why != "closed" and session.connection is not None:
             session.connection.close()
 
     async def run(self) -> None:
-        """End sessions that were silent for their timeout."""
+        """Run all servers, and end each session whose client was silent for its timeout."""
         async with trio.open_nursery() as nursery:
             for server in self.servers:
                 nursery.start_soon(server.run)
@@ -450,11 +450,11 @@
             case "create" | "set" | "delete":
                 path, _, data = (rest[0] if rest else "").partition(" ")
                 acl = (Acl(31, "world", "anyone"),)
-                self.leader.write([WriteRequest(verb, path, data.encode(), acl)], 0, [], _now())
+                self.leader.write([WriteRequest(verb, path, data.encode(), acl)], 0, [], _now_ms())
                 self.replicate()
                 self.record_event(verb, path=path, session="control")
             case "connects":
-                return [str(self.connects)]
+                return [str(self.accepted_connections)]
             case _:
                 raise ValueError(f"unknown command {verb!r}")
         self.record_event("command", line=line)
@@ -603,7 +603,7 @@
 
 async def _sync(connection: Connection, reader: Reader) -> bytes:
     path = reader.string()
-    await connection.server.wait_for(connection.server.ensemble.leader.zxid)
+    await connection.server.wait_until_applied(connection.server.ensemble.leader.zxid)
     return jute.string(path)
 
 
--- a/stonecove/trial/closed_loop.py
+++ b/stonecove/trial/closed_loop.py
@@ -23,15 +23,15 @@
     """
 
     def __init__(
-        self, addresses: Sequence[Address], pace: float, skew: bool = False, kb: int = 40, writes: float = 0.0
+        self, addresses: Sequence[Address], rate: float, skew: bool = False, kb: int = 40, writes: float = 0.0
     ) -> None:
-        """Start all workers. `pace`: total requests per second; `writes`: fraction that is not idempotent."""
+        """Start all workers. `rate`: total requests per second; `writes`: fraction that is not idempotent."""
         router_count = len(addresses)
-        self._addresses, self.pace, self.kb, self._writes = addresses, pace, kb, writes
+        self._addresses, self.rate, self.kb, self._writes = addresses, rate, kb, writes
         self.weights = [1.0 / (rank + 1) if skew else 1.0 for rank in range(router_count)]
-        self.over = threading.Event()
+        self.stopping = threading.Event()
         self.answers: Counter[str] = Counter()
-        self.crossed = 0  # requests sent while the router closed the connection, and sent again
+        self.close_races = 0  # requests that raced a close of their connection, and were sent again
         self.refused_connections = 0  # refused connections: no request was accepted
         # (Unix s, router index) of each accepted request without an answer
         self.lost: list[tuple[float, int]] = []
@@ -43,8 +43,8 @@
 
     def _run_worker(self, seed: int) -> None:
         rng, connections, request_number = random.Random(seed), dict[int, FastCgiClient](), 0
-        while not self.over.is_set():
-            time.sleep(rng.expovariate(self.pace / WORKERS))
+        while not self.stopping.is_set():
+            time.sleep(rng.expovariate(self.rate / WORKERS))
             router_index = rng.choices(range(len(self.weights)), self.weights)[0]
             request_number += 1
             if router_index in connections and connections[router_index].closed():
@@ -52,8 +52,8 @@
             item, started_at = rng.randrange(1, 400), time.monotonic()
             request_class = "pick-confirm" if rng.random() < self._writes else "item-image"
             status = self._send(connections, router_index, seed << 32 | request_number, item, request_class)
-            if status == "crossed":  # protocol: a request that meets a close is sent again, once
-                self.crossed += 1
+            if status == "crossed":  # by the protocol, a request that races a close is sent again, once
+                self.close_races += 1
                 status = self._send(
                     connections, router_index, seed << 32 | request_number | 1 << 31, item, request_class
                 )
@@ -96,8 +96,8 @@
             connections.pop(router_index).close()
             return "crossed" if time.monotonic() - started_at < 0.05 else "lost"
 
-    def end(self) -> None:
+    def stop(self) -> None:
         """Stop all workers and wait for them."""
-        self.over.set()
+        self.stopping.set()
         for thread in self._threads:
             thread.join()
--- a/stonecove/trial/judge.py
+++ b/stonecove/trial/judge.py
@@ -7,7 +7,7 @@
 from pathlib import Path
 from typing import Any
 
-from stonecove.overload.book import (
+from stonecove.overload.amplification import (
     ATTEMPT,
     CONNECT,
     FILL,
@@ -21,14 +21,14 @@
 from stonecove.standins.depot import WRITE
 from stonecove.standins.loaded import LoadedDepot
 from stonecove.standins.webserver import settings
-from stonecove.trial.open_loop import OpenLoopClients, meaning_of
-from stonecove.trial.rejoin import longest_rejoin
-from stonecove.trial.schedule import PACE, Trial
+from stonecove.trial.open_loop import OpenLoopClients, request_number_of
+from stonecove.trial.rejoin import join_time_limit_s
+from stonecove.trial.schedule import TRANSFER_KB_PER_S, Trial
 from stonecove.trial.testbed import WEIGHT, Testbed, TrialRecord
 
-CLIENT_TIMEOUT_S = 25.0  # clients wait so long: a request lost within it is blamed on the kill or pause
-RECORD_DELAY_S = 0.5  # a stand-in on a busy machine may record a request late by this much
-DISCOVERY_S = 2.0  # after its start a router may not know all other members yet
+CLIENT_TIMEOUT_S = 25.0  # clients wait this long: a request lost within it is attributed to a kill or pause
+RECORD_DELAY_S = 0.5  # a stand-in on a busy machine may record a request this much later
+DISCOVERY_S = 2.0  # for this long after its start, a router may not know all other members
 RECONNECT_S = 2.0  # time to read the change log again once it is reachable
 MAX_NOTIFICATION_DELAY_S = 7.0  # maximum allowance for an event while the change log is cut off
 
@@ -43,7 +43,7 @@
     what: str
 
     def summary(self) -> str:
-        """Return one line for people."""
+        """Return a one-line description for display."""
         return f"{self.rule} at {self.at:.2f} s, {', '.join(self.processes) or 'nobody'}: {self.what}"
 
 
@@ -65,11 +65,11 @@
         }
 
 
-def play(trial: Trial, seed: int, folder: Path) -> tuple[TrialRecord, Verdict]:
+def run_trial(trial: Trial, seed: int, folder: Path) -> tuple[TrialRecord, Verdict]:
     """Run a trial and judge it; raise TrialError or OSError if it cannot be run."""
     testbed = Testbed(trial, seed, folder)
     try:
-        record = testbed.play()
+        record = testbed.run()
     finally:
         testbed.close()
     return record, judge(record)
@@ -96,32 +96,32 @@
     assert clients is not None
     lost = [
         (lost_at, router_index) for lost_at, router_index in clients.lost
-        if not any(router_index == who and start - 0.1 <= lost_at <= end + CLIENT_TIMEOUT_S
-                   for start, end, who, _ in record.router_faults)
+        if not any(router_index == faulty_index and start - 0.1 <= lost_at <= end + CLIENT_TIMEOUT_S
+                   for start, end, faulty_index, _ in record.router_faults)
     ]  # fmt: skip
     if len(lost) > expects.lost:
         lost_at, router_index = lost[0]
         verdict.violations.append(
             RuleViolation(
                 "answer",
-                lost_at - record.began,
+                lost_at - record.started_at,
                 (record.routers[router_index].name,),
                 f"{len(lost)} taken requests had no answer, though nothing ended them",
             )
         )
-    if record.repeated:
+    if record.repeated_write_count:
         verdict.violations.append(
             RuleViolation(
                 "write",
-                record.ended - record.began,
+                record.ended_at - record.started_at,
                 (),
-                f"{record.repeated} requests with an effect ran more than once",
+                f"{record.repeated_write_count} requests with an effect ran more than once",
             )
         )
     total = sum(clients.answers.values())  # for open-loop clients, the answers to all attempts
     verdict.figures |= {
         "answers": total, "served": clients.answers["200"] / max(1, total), "lost": len(lost),
-        "lost_to_faults": len(clients.lost) - len(lost), "writes_twice": record.repeated,
+        "lost_to_faults": len(clients.lost) - len(lost), "writes_twice": record.repeated_write_count,
         "p50_ms": clients.latency_us.get_value_at_percentile(50) / 1000.0,
         "p99_ms": clients.latency_us.get_value_at_percentile(99) / 1000.0,
     }  # fmt: skip
@@ -129,11 +129,11 @@
 
 def judge_processes(record: TrialRecord, verdict: Verdict) -> None:
     """Check that no router crashed or logged an internal error."""
-    for router_index, exit_code in record.codes:
+    for router_index, exit_code in record.unexpected_exits:
         verdict.violations.append(
             RuleViolation(
                 "crash",
-                record.ended - record.began,
+                record.ended_at - record.started_at,
                 (record.routers[router_index].name,),
                 f"ended with {exit_code}",
             )
@@ -143,7 +143,7 @@
             verdict.violations.append(
                 RuleViolation(
                     "bug",
-                    float(bug_lines[0]["at"]) - record.began,
+                    float(bug_lines[0]["at"]) - record.started_at,
                     (router.name,),
                     f"{len(bug_lines)} in its log: {bug_lines[0]}",
                 )
@@ -151,9 +151,12 @@
 
 
 def judge_slow_start(record: TrialRecord, verdict: Verdict) -> None:
-    """Check that all routers together sent no cold cache more than the rule allows; 1.0 is that limit."""
+    """Check that all routers together sent no cold cache more than the rule allows.
+
+    The figure `cold_worst` is relative to that limit: 1.0 reaches it.
+    """
     max_ratio = 0.0
-    for started_at, cache, requested_at_ms in record.colds:
+    for started_at, cache, requested_at_ms in record.cache_starts:
         peak_at, load_ratio = peak_slow_start_load(
             requested_at_ms, started_at, record.trial.window, record.trial.kb
         )
@@ -161,7 +164,7 @@
             verdict.violations.append(
                 RuleViolation(
                     "cold",
-                    peak_at - record.began,
+                    peak_at - record.started_at,
                     tuple(router.name for router in record.routers),
                     f"{cache} was sent {load_ratio:.2f} of what it bears",
                 )
@@ -170,26 +173,28 @@
     verdict.figures["cold_worst"] = max_ratio
 
 
-def peak_slow_start_load(book: list[float], started: float, window: float, kb: float) -> tuple[float, float]:
+def peak_slow_start_load(
+    requested_at_ms: list[float], started_at: float, window_s: float, kb: float
+) -> tuple[float, float]:
     """Return when a cache's load in one window peaked, and that load as a fraction of what the rule allows.
 
-    `book`: Unix ms of each request, `kb` of work each; `started`: Unix time of the cache's start; `window` in
-    seconds.
+    `requested_at_ms`: Unix ms of each request, of `kb` of work each; `started_at`: Unix time of the cache's
+    start.
     """
     rules: Any = settings()["rules"]
-    work_ms, peak = kb / PACE * 1000.0, (started, 0.0)
-    requested_at = sorted(request_at / 1000.0 for request_at in book)
+    work_ms, peak = kb / TRANSFER_KB_PER_S * 1000.0, (started_at, 0.0)
+    requested_at = sorted(request_at / 1000.0 for request_at in requested_at_ms)
     for index, request_at in enumerate(requested_at):
-        age_s = request_at - started
+        age_s = request_at - started_at
         if age_s > rules["warm_up"] / 1000.0:
             break
         window_work_ms = (
-            sum(request_at - window < other_at <= request_at for other_at in requested_at[: index + 1])
+            sum(request_at - window_s < other_at <= request_at for other_at in requested_at[: index + 1])
             * work_ms
         )
-        slow_start_fraction = max(0.0, age_s - window) / (rules["warm_up"] / 1000.0)
+        slow_start_fraction = max(0.0, age_s - window_s) / (rules["warm_up"] / 1000.0)
         capacity_fraction = min(1.0, rules["cold_from"] + (1.0 - rules["cold_from"]) * slow_start_fraction)
-        load_ratio = window_work_ms / (rules["tip_multiple"] * capacity_fraction * window * 1000.0 * WEIGHT)
+        load_ratio = window_work_ms / (rules["tip_multiple"] * capacity_fraction * window_s * 1000.0 * WEIGHT)
         if load_ratio > peak[1]:
             peak = request_at, load_ratio
     return peak
@@ -198,35 +203,35 @@
 def judge_endpoint_list(record: TrialRecord, verdict: Verdict) -> None:
     """Check that a drained cache is not used after its grace period, and that no answer predates a purge."""
     for drain_start, drain_end, cache_id in record.drains:
-        grace = (
+        grace_ends_at = (
             drain_start
-            + settings_of("rules", "drain_grace") / 1000.0
+            + setting("rules", "drain_grace") / 1000.0
             + RECORD_DELAY_S
             + _notification_delay_s(record, drain_start)
         )
         late_fetches = [
             fetch
-            for fetch in record.depot.seen
-            if grace < fetch.at / 1000.0 < drain_end
+            for fetch in record.depot.received_requests
+            if grace_ends_at < fetch.at / 1000.0 < drain_end
             and (fetch.cache == cache_id or fetch.source == f"s-{cache_id:08x}")
         ]
         if late_fetches:
             verdict.violations.append(
                 RuleViolation(
                     "drain",
-                    late_fetches[0].at / 1000.0 - record.began,
+                    late_fetches[0].at / 1000.0 - record.started_at,
                     (),
                     f"s-{cache_id:08x} was asked {len(late_fetches)} times after its grace",
                 )
             )
     for purged_at_ms in record.purges:
         delay_s = RECORD_DELAY_S + _notification_delay_s(record, purged_at_ms / 1000.0)
-        grace = settings_of("domain", "heed_within") + delay_s * 1000.0
-        if stale_count := record.depot.count_stale_answers(purged_at_ms, grace):
+        grace_ms = setting("domain", "heed_within") + delay_s * 1000.0
+        if stale_count := record.depot.count_stale_answers(purged_at_ms, grace_ms):
             verdict.violations.append(
                 RuleViolation(
                     "purge",
-                    purged_at_ms / 1000.0 - record.began,
+                    purged_at_ms / 1000.0 - record.started_at,
                     (),
                     f"{stale_count} answers were older than it after its grace",
                 )
@@ -240,18 +245,19 @@
     """
     depot, events, seen_ids = record.depot, list[LoadEvent](), set[str]()
     if isinstance(record.clients, OpenLoopClients):
-        events += [event._replace(at_s=event.at_s - record.began) for event in record.clients.events]
-    for fetch in depot.seen:
-        at_s, request_number = fetch.at / 1000.0 - record.began, meaning_of(fetch.txn)
+        events += [event._replace(at_s=event.at_s - record.started_at) for event in record.clients.events]
+    for fetch in depot.received_requests:
+        at_s, request_number = fetch.at / 1000.0 - record.started_at, request_number_of(fetch.txn)
         events.append(LoadEvent(at_s, ATTEMPT, request_number, fetch.cls))
         if fetch.txn in seen_ids:
             events.append(LoadEvent(at_s, REPEAT, request_number, fetch.cls))
         seen_ids.add(fetch.txn)
     if isinstance(depot, LoadedDepot):
-        events += [LoadEvent(fetch.at / 1000.0 - record.began, FILL if fetch.what == "fill" else ORIGIN,
-                        meaning_of(fetch.txn)) for fetch in depot.fetches]  # fmt: skip
+        events += [LoadEvent(fetch.at / 1000.0 - record.started_at, FILL if fetch.kind == "fill" else ORIGIN,
+                        request_number_of(fetch.txn)) for fetch in depot.fetches]  # fmt: skip
     events += [
-        LoadEvent(connected_at_ms / 1000.0 - record.began, CONNECT) for connected_at_ms in depot.connects
+        LoadEvent(connected_at_ms / 1000.0 - record.started_at, CONNECT)
+        for connected_at_ms in depot.connection_times_ms
     ]
     return [event for event in events if event.at_s >= 0]
 
@@ -270,7 +276,7 @@
         "valued": valued_fraction,
         "amplification_worst": max_attempts, "origin_worst": statistics.worst_second(ORIGIN)[1],
         "repeats_worst": statistics.worst_second(REPEAT)[1], "recovery_s": recovery_s,
-        "origin_stops": len(record.depot.stops) if isinstance(record.depot, LoadedDepot) else 0,
+        "origin_stops": len(record.depot.origin_stop_times) if isinstance(record.depot, LoadedDepot) else 0,
     }  # fmt: skip
     if expects.amplification is not None and max_attempts > expects.amplification:
         verdict.violations.append(
@@ -298,9 +304,9 @@
 def _notification_delay_s(record: TrialRecord, event_at: float) -> float:
     """Return the seconds by which an event of that time may arrive late because a change log was cut off."""
     cut_ends = [
-        record.began + fault.ends
+        record.started_at + fault.ends
         for fault in record.trial.faults
-        if "log" in fault.of and fault.at <= event_at - record.began + RECONNECT_S and fault.ends
+        if "log" in fault.of and fault.at <= event_at - record.started_at + RECONNECT_S and fault.ends
     ]
     return max(
         0.0,
@@ -311,7 +317,7 @@
     )
 
 
-def settings_of(section: str, name: str) -> float:
+def setting(section: str, name: str) -> float:
     """Return a value of the trials' settings."""
     table: Any = settings()[section]
     return float(table[name])
@@ -324,14 +330,14 @@
     spans: list[tuple[float, float, float, str, float]] = []
     for router in record.routers:
         for started, ended in router.run_times:
-            # After `router_stopped` it still logs, but sends nothing to caches.
+            # After `router_stopped`, the process still logs but sends nothing to caches.
             released_at = min(
                 [
                     float(line["at"])
                     for line in router.lines("router_stopped")
-                    if started <= float(line["at"]) <= (ended or record.ended)
+                    if started <= float(line["at"]) <= (ended or record.ended_at)
                 ],
-                default=ended or record.ended,
+                default=ended or record.ended_at,
             )
             share_changes = [
                 (float(line["at"]), float(line["unleased_fraction"]) / max(1, int(line["fleet_size"])))
@@ -342,7 +348,7 @@
                 share_changes, [*share_changes[1:], (released_at, 0.0)], strict=True
             ):
                 spans.append((changed_at, next_change_at + window, share, router.name, started))
-    max_sum, worst_at, worst_routers = 0.0, record.began, tuple[str, ...]()
+    max_sum, worst_at, worst_routers = 0.0, record.started_at, tuple[str, ...]()
     for changed_at in sorted({span[0] for span in spans}):
         max_shares: dict[tuple[str, float], float] = {}
         for since, until, share, name, process_start in spans:
@@ -356,7 +362,7 @@
             )
     if max_sum > 1.0 + len(record.routers) * 0.001:  # the log rounds shares to three digits
         verdict.violations.append(
-            RuleViolation("shares", worst_at - record.began, worst_routers, f"add up to {max_sum:.3f}")
+            RuleViolation("shares", worst_at - record.started_at, worst_routers, f"add up to {max_sum:.3f}")
         )
     verdict.figures["rule_worst"] = (
         min(max_sum, 1.0) if max_sum <= 1.0 + len(record.routers) * 0.001 else max_sum
@@ -367,7 +373,7 @@
     """Check which routers were declared failed, how soon after their end, and in how many views."""
     expects, index_by_id = (
         record.trial.expects,
-        {member_id: router_index for router_index, member_id in enumerate(record.ids)},
+        {member_id: router_index for router_index, member_id in enumerate(record.member_ids)},
     )
     false_failures: list[tuple[float, str, str]] = []
     learned_at: dict[tuple[int, str], list[float]] = {}
@@ -375,7 +381,7 @@
     for router in record.routers:
         for line in router.lines("gossip_member_changed"):
             changed_at, router_index = float(line["at"]), index_by_id.get(line["member"])
-            if router_index is None or changed_at > record.ended:
+            if router_index is None or changed_at > record.ended_at:
                 continue
             is_newer_generation = int(line["generation"]) > generations.get((router.name, router_index), 0)
             generations[router.name, router_index] = max(
@@ -400,7 +406,7 @@
         verdict.violations.append(
             RuleViolation(
                 "failed",
-                changed_at - record.began,
+                changed_at - record.started_at,
                 (observer, member),
                 f"{observer} declared {member} over, which was there ({len(false_failures)} in all)",
             )
@@ -415,11 +421,11 @@
     last_fault_s = record.trial.span[1]
     if expects.joined_within is not None:
         join_delay_s = (
-            math.inf if record.joined_at is None else record.joined_at - record.began - last_fault_s
+            math.inf if record.joined_at is None else record.joined_at - record.started_at - last_fault_s
         )
         verdict.figures["joined_s"] = join_delay_s
-        if join_delay_s > longest_rejoin(
-            expects.joined_within, record.routers, record.began + last_fault_s, record.trial.window
+        if join_delay_s > join_time_limit_s(
+            expects.joined_within, record.routers, record.started_at + last_fault_s, record.trial.window
         ):
             verdict.violations.append(
                 RuleViolation(
@@ -468,11 +474,11 @@
 def _check_views(record: TrialRecord, verdict: Verdict) -> None:
     """Check that no router went through more membership views than expected."""
     expects, max_views, router_name = record.trial.expects, 0, ""
-    first_fault_at = record.trial.span[0] + record.began
+    first_fault_at = record.trial.span[0] + record.started_at
     for router in record.routers:
         started_at = router.run_times[-1][0] if router.run_times else 0.0
         view_count = sum(
-            max(first_fault_at, started_at) <= float(line["at"]) <= record.ended
+            max(first_fault_at, started_at) <= float(line["at"]) <= record.ended_at
             for line in router.lines("gossip_view_changed")
         )
         if view_count > max_views:
--- a/stonecove/trial/model.py
+++ b/stonecove/trial/model.py
@@ -1,8 +1,8 @@
 """Simulates many gossip members on one clock, with a network that loses, delays, duplicates and partitions.
 
-The decisions are the program's own: each router runs a `Swarm`, its datagrams are encoded by
-`protocols.gossip`, and time advances only when nothing is left to deliver. After each tick the shares that
-routers act upon are summed over the window of the rule; `worst` keeps the largest sum.
+The decisions are the program's own: each router runs a `Swarm`, and its datagrams are encoded by
+`protocols.gossip`. Time advances from one scheduled event to the next. After each tick the shares that
+routers act upon are summed over the window of the rule; `max_share_sum` keeps the largest sum.
 """
 
 from __future__ import annotations
@@ -35,15 +35,15 @@
 
 @dataclass(slots=True)
 class SimulatedRouter:
-    """One router address, used by one process after the other; `swarm` is the current one, if any."""
+    """One router address, used by successive processes; `swarm` belongs to the current one, if any."""
 
-    place: int
+    index: int
     swarm: Swarm | None = None
     started_at: float = 0.0
     next_tick_at: float = math.inf
     skew: float = 0.0  # clock error in seconds
-    stopped_until: float = 0.0
-    waiting: list[tuple[int, bytes, bool]] = field(default_factory=list)  # received while it is suspended
+    suspended_until: float = 0.0
+    undelivered: list[tuple[int, bytes, bool]] = field(default_factory=list)  # received while it is suspended
     # By pool (zone, or None for parents): descending maxima of recent shares as (valid until, share).
     shares: dict[int | None, deque[tuple[float, float]]] = field(default_factory=dict)
 
@@ -57,7 +57,7 @@
         seed: int = 1,
         zones: int = 1,
         window: float = 3.0,
-        figures: GossipConfig | None = None,
+        config: GossipConfig | None = None,
     ) -> None:
         """Create the routers without starting them; they are assigned to zones round-robin."""
         self.now = 0.0
@@ -65,15 +65,15 @@
         self.network = NetworkConditions()
         self.cuts: set[tuple[int, int]] = set()
         self.random = random.Random(seed)
-        self.figures = figures or GossipConfig()
+        self.config = config or GossipConfig()
         self.zones = zones
         self.routers = [SimulatedRouter(router_index) for router_index in range(count)]
         self.sent = 0
-        self.worst = 0.0
+        self.max_share_sum = 0.0
         self.notes: list[tuple[float, int, str, dict[str, object]]] = []
         self._order = itertools.count()
         self._queue: list[tuple[float, int, Callable[[], None]]] = []
-        # of processes that have ended
+        # Recent shares of processes that have ended, by pool.
         self._ended_shares: list[tuple[int | None, deque[tuple[float, float]]]] = []
         self._shares_recorded_at = -1.0
 
@@ -94,7 +94,7 @@
             tuple(routers_by_zone),
             self.window,
             self.now,
-            lease_s=self.figures.lease_duration_s(len(self.routers)),
+            lease_s=self.config.lease_duration_s(len(self.routers)),
         )
         own_claim = Claim(
             ident_of(name or f"router-{router_index}"),
@@ -103,8 +103,8 @@
             MemberState.ALIVE,
             router_index % self.zones,
         )
-        router.swarm = Swarm(own_claim, shares, self.figures, self.random.getrandbits(32), self.now, unix_ms)
-        router.started_at, router.stopped_until, router.waiting, router.next_tick_at = (
+        router.swarm = Swarm(own_claim, shares, self.config, self.random.getrandbits(32), self.now, unix_ms)
+        router.started_at, router.suspended_until, router.undelivered, router.next_tick_at = (
             self.now,
             0.0,
             [],
@@ -119,9 +119,9 @@
         self._ended_shares += router.shares.items()
         router.shares = {}
 
-    def stop(self, router_index: int, seconds: float) -> None:
-        """Suspend the process for so many seconds; it continues without noticing."""
-        self.routers[router_index].stopped_until = self.now + seconds
+    def suspend(self, router_index: int, seconds: float) -> None:
+        """Suspend the process for `seconds`, as SIGSTOP does."""
+        self.routers[router_index].suspended_until = self.now + seconds
 
     def cut(self, sources: Iterable[int], targets: Iterable[int], both: bool = True) -> None:
         """Drop datagrams from `sources` to `targets`; with `both`, those of the other direction, too."""
@@ -133,7 +133,7 @@
                     self.cuts.add((target, source))
 
     def run(self, seconds: float, each: Callable[[], None] | None = None) -> None:
-        """Advance the time by so many seconds; call `each` every TICK_S."""
+        """Advance the time by `seconds`; call `each` every TICK_S."""
         end = self.now + seconds
         while self._queue and self._queue[0][0] <= end:
             due_at, _, call = heapq.heappop(self._queue)
@@ -160,7 +160,9 @@
     def running_routers(self) -> list[SimulatedRouter]:
         """Return the routers that run and are not suspended."""
         return [
-            router for router in self.routers if router.swarm is not None and router.stopped_until <= self.now
+            router
+            for router in self.routers
+            if router.swarm is not None and router.suspended_until <= self.now
         ]
 
     def state_of(self, of: int, by: int) -> str:
@@ -176,7 +178,7 @@
             (member := router.swarm.gossip.table.get(ident)) is not None
             and (member.claim.state is MemberState.FAILED or has_ended(member.claim.state))
             for router in self.running_routers()
-            if router.swarm is not None and router.place != router_index
+            if router.swarm is not None and router.index != router_index
         )
 
     def joined(self) -> bool:
@@ -212,10 +214,10 @@
     def _tick(self, router: SimulatedRouter, swarm: Swarm | None) -> None:
         if swarm is None or router.swarm is not swarm or self.now < router.next_tick_at:
             return
-        if router.stopped_until > self.now:
-            self._schedule(router.stopped_until, lambda: self._tick(router, swarm))
+        if router.suspended_until > self.now:
+            self._schedule(router.suspended_until, lambda: self._tick(router, swarm))
             return
-        received, router.waiting = router.waiting, []
+        received, router.undelivered = router.undelivered, []
         for slot, data, refused in received:
             self._process(router, swarm, slot, data, refused)
         swarm.tick(self.now, self._unix_ms(router))
@@ -234,9 +236,9 @@
     def _send_outgoing(self, router: SimulatedRouter, swarm: Swarm) -> None:
         outgoing, swarm.gossip.outgoing = swarm.gossip.outgoing, []
         for slot, datagram in outgoing:
-            self._transmit(router.place, slot if slot < router.place else slot + 1, encode(datagram))
+            self._transmit(router.index, slot if slot < router.index else slot + 1, encode(datagram))
         notes, swarm.gossip.notes = swarm.gossip.notes, []
-        self.notes += [(self.now, router.place, note.event, note.fields) for note in notes]
+        self.notes += [(self.now, router.index, note.event, note.fields) for note in notes]
 
     def _transmit(self, source: int, target: int, data: bytes) -> None:
         self.sent += 1
@@ -255,9 +257,9 @@
         self._deliver(router, source, data, False)
 
     def _deliver(self, router: SimulatedRouter, peer_index: int, data: bytes, refused: bool) -> None:
-        slot = peer_index if peer_index < router.place else peer_index - 1
-        if router.stopped_until > self.now or router.swarm is None:
-            router.waiting.append((slot, data, refused))
+        slot = peer_index if peer_index < router.index else peer_index - 1
+        if router.suspended_until > self.now or router.swarm is None:
+            router.undelivered.append((slot, data, refused))
             return
         self._process(router, router.swarm, slot, data, refused)
         self._send_outgoing(router, router.swarm)
@@ -275,10 +277,10 @@
                     maxima.popleft()
                 total += maxima[0][1] if ended_pool == pool else 0.0
             for router in self.routers:
-                if pool is not None and router.place % self.zones != pool:
+                if pool is not None and router.index % self.zones != pool:
                     continue
                 maxima = router.shares.setdefault(pool, deque())
-                if router.swarm is not None and router.stopped_until <= self.now:
+                if router.swarm is not None and router.suspended_until <= self.now:
                     share = router.swarm.share_state(self.now).share(pool)
                     while maxima and maxima[-1][1] <= share:
                         maxima.pop()
@@ -286,4 +288,4 @@
                 while maxima and maxima[0][0] <= self.now:
                     maxima.popleft()
                 total += maxima[0][1] if maxima else 0.0
-            self.worst = max(self.worst, total)
+            self.max_share_sum = max(self.max_share_sum, total)
--- a/stonecove/trial/open_loop.py
+++ b/stonecove/trial/open_loop.py
@@ -18,18 +18,18 @@
 import trio
 from hdrh.histogram import HdrHistogram
 
-from stonecove.overload.book import FAILED, INTENDED, LATE, LOST, REFUSED, SERVED, TRY, LoadEvent
+from stonecove.overload.amplification import FAILED, INTENDED, LATE, LOST, REFUSED, SERVED, TRY, LoadEvent
 from stonecove.protocols.fastcgi import codec as fastcgi
 from stonecove.trial.relay import Address
 from stonecove.trial.thread import TrioThread
 
 MAX_REQUESTS_IN_FLIGHT = 32  # per connection
 IDLE_TIMEOUT_S = 4.0  # after which a connection without requests is closed
-CROSSED_CLOSE_S = 0.05  # a request that met a close within this time is sent again
-RETRY_DELAY_S = 0.05, 0.3  # until the next attempt, if the answer has no delay
+CLOSE_RACE_S = 0.05  # a request whose connection closes within this time of sending is sent again
+RETRY_DELAY_S = 0.05, 0.3  # range until the next attempt, unless the answer asks for a longer delay
 IDS_PER_REQUEST = 16  # request ids reserved for the attempts of one intended request
-STATUS = {"200": SERVED, "429": REFUSED, "503": REFUSED}
-_RECORD = struct.Struct(">BBHHBB")
+OUTCOME_BY_STATUS = {"200": SERVED, "429": REFUSED, "503": REFUSED}
+_RECORD_HEADER = struct.Struct(">BBHHBB")
 
 
 @dataclass(frozen=True, slots=True)
@@ -38,13 +38,13 @@
 
     tries: int = 1
     timeout_s: float = 3.0  # for one attempt
-    obeys_retry_after: bool = True  # waits for as long as the answer says
-    items: int = 400
-    kb: int = 40
-    writes: float = 0.0
+    obeys_retry_after: bool = True  # whether they wait for the delay that an answer asks for
+    items: int = 400  # number of distinct objects requested
+    kb: int = 40  # work of a request
+    writes: float = 0.0  # fraction of requests with an effect
 
 
-def meaning_of(attempt_id: str) -> int:
+def request_number_of(attempt_id: str) -> int:
     """Return the number of the intended request that an attempt belongs to, by the attempt's id."""
     return int(attempt_id, 16) // IDS_PER_REQUEST
 
@@ -100,15 +100,17 @@
         try:
             while chunk := await self.stream.receive_some(65_536):
                 data += chunk
-                while len(data) >= _RECORD.size:
-                    _, kind, request_id, length, padding, _ = _RECORD.unpack_from(data)
-                    if len(data) < _RECORD.size + length + padding:
+                while len(data) >= _RECORD_HEADER.size:
+                    _, kind, request_id, length, padding, _ = _RECORD_HEADER.unpack_from(data)
+                    if len(data) < _RECORD_HEADER.size + length + padding:
                         break
-                    self._handle_record(kind, request_id, bytes(data[_RECORD.size : _RECORD.size + length]))
-                    del data[: _RECORD.size + length + padding]
+                    self._handle_record(
+                        kind, request_id, bytes(data[_RECORD_HEADER.size : _RECORD_HEADER.size + length])
+                    )
+                    del data[: _RECORD_HEADER.size + length + padding]
         except (trio.BrokenResourceError, trio.ClosedResourceError):
             pass
-        self.end()
+        self.mark_closed()
         await self.stream.aclose()
 
     def _handle_record(self, kind: int, request_id: int, content: bytes) -> None:
@@ -124,7 +126,7 @@
             request.complete = True
             request.done.set()
 
-    def end(self) -> None:
+    def mark_closed(self) -> None:
         """Mark the connection as closed and wake all tasks that wait for an answer."""
         self.closed = True
         for request in self.pending.values():
@@ -148,7 +150,7 @@
         self.lost: list[tuple[float, int]] = []
         self.latency_us = HdrHistogram(1, 60_000_000, 3)
         self.refused_connections = 0  # no request was accepted
-        self.crossed = 0  # requests sent while the router closed the connection, and sent again
+        self.close_races = 0  # requests that raced a close of their connection, and were sent again
         self._addresses = addresses
         self._connections: list[list[_Connection]] = [[] for _ in addresses]
         self._random = random.Random(seed)
@@ -158,7 +160,7 @@
         self._call(lambda: self._nursery.start_soon(self._arrivals))
         self._call(lambda: self._nursery.start_soon(self._close_idle))
 
-    def end(self) -> None:
+    def stop(self) -> None:
         """Stop arrivals and wait for the requests in flight."""
         self._stopping = True
         deadline = time.monotonic() + self.behaviour.timeout_s + 1.0
@@ -188,7 +190,7 @@
             for connections in self._connections:
                 for connection in connections:
                     if not connection.pending and time.monotonic() - connection.idle_since > IDLE_TIMEOUT_S:
-                        connection.end()
+                        connection.mark_closed()
                         await connection.stream.aclose()
                 connections[:] = [connection for connection in connections if not connection.closed]
 
@@ -231,9 +233,9 @@
                 return REFUSED, 0.0
             request = _PendingRequest(time.monotonic())
             status, retry_after_s = await self._exchange(connection, request, f"/svc/{request_class}", fields)
-            if status != LOST or time.monotonic() - request.sent_at > CROSSED_CLOSE_S:
+            if status != LOST or time.monotonic() - request.sent_at > CLOSE_RACE_S:
                 break
-            self.crossed += 1
+            self.close_races += 1
         if status == LOST:
             self.lost.append((time.time(), router_index))
         return status, retry_after_s
@@ -262,7 +264,7 @@
         status = lines[0].removeprefix("Status: ")[:3]
         self.answers[status] += 1
         throttle_ms = [line.partition(":")[2] for line in lines if line.lower().startswith("x-throttle-ms:")]
-        return STATUS.get(status, FAILED), float(throttle_ms[0]) / 1000.0 if throttle_ms else 0.0
+        return OUTCOME_BY_STATUS.get(status, FAILED), float(throttle_ms[0]) / 1000.0 if throttle_ms else 0.0
 
     async def _connect(self, router_index: int) -> _Connection:
         """Return a connection that can take a request, a new one if there is none; raise OSError."""
--- a/stonecove/trial/plot.py
+++ b/stonecove/trial/plot.py
@@ -14,7 +14,7 @@
 from matplotlib.axes import Axes  # noqa: E402
 from matplotlib.patches import Patch  # noqa: E402
 
-from stonecove.overload.book import ATTEMPT, SERVED, WORK_KINDS, AmplificationStatistics  # noqa: E402
+from stonecove.overload.amplification import ATTEMPT, SERVED, WORK_KINDS, AmplificationStatistics  # noqa: E402
 
 COLOURS = {
     "alive": "#d8ead3", "paused": "#c9daf8", "suspect": "#ffe599", "unreachable": "#f9cb9c",
@@ -23,7 +23,7 @@
 FAULT_TIME = re.compile(r"^([0-9.]+) s:")
 
 
-def draw(folder: Path) -> Path:
+def draw_member_states(folder: Path) -> Path:
     """Draw `trial.png` in the folder; raise OSError, ValueError or KeyError if the samples cannot be used."""
     record = json.loads((folder / "samples.json").read_text())
     ids, samples = record["ids"], record["samples"]
@@ -50,7 +50,7 @@
     _draw_faults(axes, record["faults"], -1.5)
     axes.set_yticks(
         [router_index * (count + 1) + (count - 1) / 2 for router_index in range(count)],
-        [f"as {router_index} sees them" for router_index in range(count)],
+        [f"view of router {router_index}" for router_index in range(count)],
     )
     axes.invert_yaxis()
     axes.set_xlabel("seconds since the load began")
@@ -74,7 +74,7 @@
             axes.text(float(match[1]), text_y, text, rotation=30, fontsize=7, va="bottom")
 
 
-def draw_book(folder: Path, title: str, faults: list[str], statistics: AmplificationStatistics) -> Path:
+def draw_load(folder: Path, title: str, faults: list[str], statistics: AmplificationStatistics) -> Path:
     """Draw `overload.png` in the folder: intended and served requests, and the work for each, by second."""
     figure, (demand, ratios) = plt.subplots(2, 1, figsize=(12, 7), sharex=True)
     seconds = sorted(statistics.seconds)
@@ -87,15 +87,15 @@
         label="served",
         color="#38761d",
     )
-    demand.set_ylabel("requests a second")
-    for cause in WORK_KINDS:
+    demand.set_ylabel("requests per second")
+    for kind in WORK_KINDS:
         ratios.plot(
             seconds,
-            [statistics.seconds[second].ratio(cause) for second in seconds],
-            label=cause,
-            linewidth=2.0 if cause == ATTEMPT else 1.0,
+            [statistics.seconds[second].ratio(kind) for second in seconds],
+            label=kind,
+            linewidth=2.0 if kind == ATTEMPT else 1.0,
         )
-    ratios.set_ylabel("for each that was meant")
+    ratios.set_ylabel("work per intended request")
     ratios.set_xlabel("seconds since the load began")
     _draw_faults(demand, faults, demand.get_ylim()[1])
     for axes in (demand, ratios):
--- a/stonecove/trial/processes.py
+++ b/stonecove/trial/processes.py
@@ -1,4 +1,4 @@
-"""Starts the routers under trial as real processes, and signals them: by pid, and only those started here."""
+"""Starts the routers under trial as real processes, and signals only these processes, by their pids."""
 
 from __future__ import annotations
 
@@ -15,9 +15,9 @@
 from stonecove.trial import shifted
 from stonecove.trial.relay import Address
 
-PROCESS_TIMEOUT_S = 30.0  # for a start or an end
+PROCESS_TIMEOUT_S = 30.0  # for the exit of a process
 QUERY_TIMEOUT_S = 2.0
-CLOCK_SET_EVENT = "trial-clock"  # log event: from here on the router's clock is shifted by so much
+CLOCK_SET_EVENT = "trial-clock"  # the testbed's own log line: total clock shift from this line on
 
 
 def free_address(host: str) -> Address:
@@ -45,7 +45,7 @@
             self._operator = folder / "operator.cue"
             self._operator.write_text(f'{operator}\nmembers: socket: "{self.socket}"\n')
         self.process: subprocess.Popen[bytes] | None = None
-        self.stopped = False
+        self.suspended = False
         self.run_times: list[tuple[float, float | None]] = []  # Unix seconds of each process's start and end
         self.shifts = [(0.0, 0.0)]  # (Unix s, total clock shift in s)
         self._clock: Path | None = None
@@ -62,16 +62,19 @@
         return self.process is not None and self.process.poll() is None
 
     def set_clock(self, shift_s: float) -> None:
-        """Shift its clock by so many seconds; has to be called before the first start, by 0 for no shift."""
+        """Shift its clock by further `shift_s` seconds.
+
+        Must be called before the first start if the clock is ever to be shifted; 0 for no shift yet.
+        """
         self.shifts.append((time.time(), self.shifts[-1][1] + shift_s))
         self._clock = self.folder / "clock"
-        shifted.write(self._clock, self.shifts[-1][1])
-        with self.log.open("ab") as log:  # the times of lines do not show which follow it
+        shifted.write_offset(self._clock, self.shifts[-1][1])
+        with self.log.open("ab") as log:  # the lines' own times do not show which were logged after the shift
             log.write(f"0 {CLOCK_SET_EVENT} by={self.shifts[-1][1]}\n".encode())
 
     def start(self, env: dict[str, str] | None = None) -> None:
         """Start a new process."""
-        assert not self.running, f"{self.name} runs already"
+        assert not self.running, f"{self.name} is already running"
         module, extra_env = "stonecove", {"RELAY_CONFIG": str(self._config)}
         if self._clock is not None:
             module = shifted.__name__
@@ -84,7 +87,7 @@
                 command,
                 stderr=log, stdin=subprocess.DEVNULL, env={**os.environ, **(env or {}), **extra_env},
             )  # fmt: skip
-        self.stopped = False
+        self.suspended = False
         self.run_times.append((time.time(), None))
 
     def ready(self) -> bool:
@@ -103,12 +106,12 @@
     def pause(self) -> None:
         """Suspend the process with SIGSTOP."""
         self.signal(signal.SIGSTOP)
-        self.stopped = True
+        self.suspended = True
 
     def resume(self) -> None:
         """Continue the process with SIGCONT."""
         self.signal(signal.SIGCONT)
-        self.stopped = False
+        self.suspended = False
 
     def kill(self) -> None:
         """Kill the process with SIGKILL and wait until it has ended."""
@@ -136,7 +139,7 @@
         return answer
 
     def lines(self, event: str) -> list[dict[str, str]]:
-        """Return the log lines of an event, of all processes; `at`: Unix seconds by the unshifted clock."""
+        """Return the log lines of an event, from all processes; `at`: Unix seconds by the unshifted clock."""
         matches, shift_s = [], 0.0
         for line in self.log.read_text(errors="replace").splitlines() if self.log.exists() else ():
             words = line.split(" ")
@@ -150,5 +153,5 @@
         return matches
 
     def shift_at(self, at_s: float) -> float:
-        """Return the seconds by which its clock was shifted at that time."""
+        """Return the seconds by which its clock was shifted at `at_s` (Unix seconds)."""
         return next(shift_s for since, shift_s in reversed(self.shifts) if since <= at_s)
--- a/stonecove/trial/relay.py
+++ b/stonecove/trial/relay.py
@@ -27,17 +27,18 @@
 
 
 @dataclass(slots=True)
-class Faults:
+class DatagramFaults:
     """Faults injected into the datagrams of one direction between two routers."""
 
     lose: float = 0.0
-    delay: tuple[float, float] = (0.0, 0.0)  # range in seconds; if it is not one value, the order changes
+    # Range in seconds; if it is not a single value, the order changes.
+    delay: tuple[float, float] = (0.0, 0.0)
     repeat: float = 0.0
     cut: bool = False
 
 
 def _own_address(viewer: int, viewed: int) -> str:
-    """Return a loopback address that no other pair uses, so that nobody takes its port while it is closed."""
+    """Return a loopback address that no other pair uses, so that its port is not taken while it is closed."""
     return f"127.{64 + viewer}.{1 + viewed}.7"
 
 
@@ -47,8 +48,8 @@
     def __init__(self, count: int, seed: int) -> None:
         """Open no address yet: all routers count as down at first."""
         self.count = count
-        self.global_faults = Faults()  # of all directions, in addition to their own faults
-        self.faults = {(a, b): Faults() for a in range(count) for b in range(count) if a != b}
+        self.global_faults = DatagramFaults()  # of all directions, in addition to their own faults
+        self.faults = {(a, b): DatagramFaults() for a in range(count) for b in range(count) if a != b}
         self.counts: Counter[str] = Counter()
         self._random = random.Random(seed)
         self._listen_addresses: dict[int, Address] = {}
@@ -65,13 +66,13 @@
         """Return the address by which one router knows another."""
         return _own_address(viewer, viewed), self._ports[viewer, viewed]
 
-    def up(self, router_index: int, listen: Address) -> None:
+    def announce_start(self, router_index: int, listen: Address) -> None:
         """Announce that the router's process is about to start and will listen at that address."""
-        self._call(partial(self._set_up, router_index, listen))
+        self._call(partial(self._set_listen_address, router_index, listen))
 
-    def down(self, router_index: int) -> None:
+    def announce_exit(self, router_index: int) -> None:
         """Announce that the router's process has ended."""
-        self._call(partial(self._set_up, router_index, None))
+        self._call(partial(self._set_listen_address, router_index, None))
 
     def change(self, change: Callable[[], None]) -> None:
         """Apply a change of the faults, then open and close addresses as needed."""
@@ -84,7 +85,7 @@
 
     # -- in the relay's thread --
 
-    def _set_up(self, router_index: int, listen: Address | None) -> None:
+    def _set_listen_address(self, router_index: int, listen: Address | None) -> None:
         if listen is None:
             self._listen_addresses.pop(router_index, None)
         else:
@@ -118,7 +119,7 @@
                 except (OSError, trio.ClosedResourceError):
                     if sock.fileno() < 0:
                         return
-                    continue  # an earlier datagram that was forwarded has been refused
+                    continue  # a datagram forwarded earlier from this socket was refused
                 self._forward(key, data)
 
     def _forward(self, key: tuple[int, int], data: bytes) -> None:
@@ -151,7 +152,7 @@
             if sock is not None:
                 sock.sendto(data, target)
                 return
-            # The sender has ended since; its datagram still has to come from its address.
+            # The sender has exited since; its datagram must still come from its address.
             with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as late_socket:
                 late_socket.bind(self.address(viewed, viewer))
                 late_socket.sendto(data, target)
--- a/stonecove/trial/schedule.py
+++ b/stonecove/trial/schedule.py
@@ -15,8 +15,8 @@
 from stonecove.trial.open_loop import ClientBehaviour
 
 SCHEMA = "schema.cue"
-PACE = 4200.0  # KB/s of one transfer, as in the trials' settings
-# faults that need a duration
+TRANSFER_KB_PER_S = 4200.0  # rate of one transfer, as in the trials' settings
+# Faults that need a duration.
 LASTING_FAULTS = (
     "pause",
     "starve",
@@ -30,7 +30,7 @@
     "slow",
 )
 SERVER_FAULTS = ("reset", "swallow", "down")  # faults that need `of`
-# faults that need not name routers
+# Faults that need not name routers.
 FAULTS_WITHOUT_ROUTERS = (
     "weather",
     "cold",
@@ -61,7 +61,7 @@
     factor: float = 1.0
 
     def summary(self) -> str:
-        """Return a short description for people."""
+        """Return a one-line description for display."""
         routers = ",".join(map(str, self.who)) or "all ways"
         targets = f" {'and' if self.both else 'to'} {','.join(map(str, self.to))}" if self.to else ""
         targets = f" and {', '.join(self.of)}" if self.of else targets
@@ -92,18 +92,18 @@
     title: str
     routers: int
     caches: int
-    lasts: float
-    joins: float
-    rate: float
-    writes: float
-    kb: int
-    window: float
-    swarm: bool
-    twins: tuple[int, ...]
+    lasts: float  # duration of the load
+    joins: float  # time limit for all routers to join before the load
+    rate: float  # requests per second
+    writes: float  # fraction of requests with an effect
+    kb: int  # work of a read
+    window: float  # of the rule for cold caches
+    swarm: bool  # whether the routers gossip
+    twins: tuple[int, ...]  # routers that have the name of the first of them
     zones: int
-    ahead: tuple[float, ...]
+    ahead: tuple[float, ...]  # by router: how far its clock is ahead at first
     open_loop: ClientBehaviour | None  # None: clients wait for an answer before the next request
-    bears: ServerCapacity | None
+    bears: ServerCapacity | None  # None: the servers' capacity is unlimited
     faults: tuple[Fault, ...]
     expects: Expects
 
@@ -143,7 +143,7 @@
         table["joins"] / 1000.0, float(table["rate"]), float(table["writes"]), table["kb"],
         table["window"] / 1000.0, table["swarm"], tuple(table["twins"]),
         table["zones"], tuple(ahead / 1000.0 for ahead in table["ahead"]),
-        _client_behaviour(table), _origin_capacity(table),
+        _client_behaviour(table), _server_capacity(table),
         tuple(sorted((_fault_of(fault, table, rng) for fault in table["faults"]),
                      key=lambda fault: fault.at)),
         Expects(expects["false_failed"], expects["lost"], expects.get("views"), seconds("joined_within"),
@@ -164,11 +164,14 @@
     )
 
 
-def _origin_capacity(table: dict[str, Any]) -> ServerCapacity | None:
+def _server_capacity(table: dict[str, Any]) -> ServerCapacity | None:
     if (capacity := table.get("bears")) is None:
         return None
     return ServerCapacity(
-        float(capacity["origin"]), table["kb"] / PACE, capacity["places"], stop_s=capacity["stop"] / 1000.0
+        float(capacity["origin"]),
+        table["kb"] / TRANSFER_KB_PER_S,
+        capacity["places"],
+        stop_s=capacity["stop"] / 1000.0,
     )
 
 
@@ -194,12 +197,12 @@
                  table["factor"])  # fmt: skip
 
 
-def _check(table: dict[str, Any], value: Value, notes: Diagnostics) -> None:
+def _check(table: dict[str, Any], value: Value, diagnostics: Diagnostics) -> None:
     """Check what the schema cannot: relations between several fields."""
 
     def report(path: str, text: str) -> None:
         location = value_at_path(value, path)
-        notes.add(location.at if location is not None else (), path, text)
+        diagnostics.add(location.at if location is not None else (), path, text)
 
     if unknown := [who for who in table["twins"] if who >= table["routers"]]:
         report("twins", f"names router {unknown[0]}, and there are {table['routers']}")
--- a/stonecove/trial/shifted.py
+++ b/stonecove/trial/shifted.py
@@ -18,8 +18,8 @@
 _OFFSET = struct.Struct("=d")
 
 
-def write(path: Path, offset_s: float) -> None:
-    """Set the clock offset to so many seconds."""
+def write_offset(path: Path, offset_s: float) -> None:
+    """Write the clock offset in seconds to the file, which a running program reads at once."""
     with path.open("r+b" if path.exists() else "wb") as file:
         file.write(_OFFSET.pack(offset_s))
 
--- a/stonecove/trial/streams.py
+++ b/stonecove/trial/streams.py
@@ -1,4 +1,4 @@
-"""TCP relays between each router and each server: silence, lost responses, resets and refusals.
+"""TCP relays between each router and each server: partitions, lost responses, resets and refusals.
 
 Each router knows the servers at a loopback address of its own, by the servers' own ports. A connection to it
 is relayed to the server. A partitioned path behaves like a network: open connections stay open and silent, no
@@ -51,7 +51,7 @@
     server: Address
     faults: StreamFaults = field(default_factory=StreamFaults)
     sock: socket.socket | None = None
-    # occupy the accept queue, so that no other connection is established
+    # connections that fill the accept queue, so that no other is established
     fillers: list[socket.socket] = field(default_factory=list)
     open: trio.Event = field(default_factory=trio.Event)  # set while it is not partitioned
     pairs: list[tuple[socket.socket, socket.socket]] = field(default_factory=list)
--- a/stonecove/trial/testbed.py
+++ b/stonecove/trial/testbed.py
@@ -17,16 +17,16 @@
 from stonecove.trial.closed_loop import ClosedLoopClients
 from stonecove.trial.open_loop import OpenLoopClients
 from stonecove.trial.processes import RouterProcess, free_address
-from stonecove.trial.rejoin import all_joined_for_good
-from stonecove.trial.relay import Address, DatagramRelays, Faults
+from stonecove.trial.rejoin import all_joined_since
+from stonecove.trial.relay import Address, DatagramFaults, DatagramRelays
 from stonecove.trial.schedule import Fault, Trial
 from stonecove.trial.streams import StreamFaults, StreamRelays, host_of
 
 SAMPLE_INTERVAL_S = 0.25  # between two samples of the routers' member tables
-STARVE_INTERVAL_S = 0.05  # suspended and running in turn, for so long each
+STARVE_INTERVAL_S = 0.05  # length of each phase: suspended, then running, in turn
 FLOOD_DATAGRAMS_PER_S = 10_000.0
 SETTLE_TIME_S = 1.0  # after the load, for requests in flight to end
-WEIGHT = 1.0  # concurrent transfers that a cache's link carries; a cold cache takes few
+WEIGHT = 1.0  # concurrent transfers that a cache's link carries; a cold cache is sent few
 ZONE_LINK_KB_PER_S = 6e6
 GROUP = 17  # invalidation group of all objects that the load requests
 
@@ -40,21 +40,21 @@
     """What a trial recorded for the judge; times are Unix seconds."""
 
     trial: Trial
-    began: float
-    ended: float
+    started_at: float
+    ended_at: float
     routers: list[RouterProcess]
-    ids: list[str]
-    clients: ClosedLoopClients | OpenLoopClients | None  # None: judged elsewhere
+    member_ids: list[str]  # by router
+    clients: ClosedLoopClients | OpenLoopClients | None  # None in soaks, which judge their own clients
     depot: Depot
-    repeated: int
-    colds: list[tuple[float, str, list[float]]]  # start, empty cache, Unix ms of requests
-    # start, end, router, fault
+    repeated_write_count: int  # writes that ran more than once
+    cache_starts: list[tuple[float, str, list[float]]]  # start, empty cache, Unix ms of requests
+    # start, end, router, kind of fault
     router_faults: list[tuple[float, float, int, str]] = field(default_factory=list)
-    codes: list[tuple[int, int]] = field(default_factory=list)  # router and exit code of unexpected ends
+    unexpected_exits: list[tuple[int, int]] = field(default_factory=list)  # router, exit code
     samples: list[tuple[float, int, dict[str, Any]]] = field(default_factory=list)
     drains: list[tuple[float, float, int]] = field(default_factory=list)  # start, end, cache
     purges: list[float] = field(default_factory=list)  # Unix ms
-    joined_at: float | None = None  # since when all running routers had joined, after the last fault
+    joined_at: float | None = None  # time since which all running routers were joined; None: not all were
 
 
 class Testbed:
@@ -62,26 +62,26 @@
 
     __test__ = False  # pytest would collect a class of this name
 
-    def __init__(self, trial: Trial, seed: int, folder: Path, more: str = "") -> None:
-        """Start no router yet; `more`: text added to the operator file of each router."""
-        self.trial, self.folder, self._extra_operator_config = trial, folder, more
-        self.depot = self._depot()
+    def __init__(self, trial: Trial, seed: int, folder: Path, extra_operator_config: str = "") -> None:
+        """Start no router yet; `extra_operator_config`: text added to the operator file of each router."""
+        self.trial, self.folder, self._extra_operator_config = trial, folder, extra_operator_config
+        self.depot = self._create_depot()
         self.clients: ClosedLoopClients | OpenLoopClients | None = None
         self._log_ports = [self.depot.log_port] * trial.routers
-        self.streams = self._streams(seed) if trial.relayed else None
+        self.streams = self._create_stream_relays(seed) if trial.relayed else None
         self.relays = DatagramRelays(trial.routers, seed)
         self.names = [f"edge-{router_index}" for router_index in range(trial.routers)]
         for twin in trial.twins[1:]:
             self.names[twin] = self.names[trial.twins[0]]
-        self.ids = [format_member_id(ident_of(name)) for name in self.names]
+        self.member_ids = [format_member_id(ident_of(name)) for name in self.names]
         self.listens = [free_address(f"127.41.0.{1 + router_index}") for router_index in range(trial.routers)]
-        self.routers = [self._router(router_index, seed) for router_index in range(trial.routers)]
+        self.routers = [self._create_router(router_index, seed) for router_index in range(trial.routers)]
         self.router_faults: list[tuple[float, float, int, str]] = []
-        self.colds: list[tuple[float, str, list[float]]] = []
+        self.cache_starts: list[tuple[float, str, list[float]]] = []
         self.drains: list[tuple[float, float, int]] = []
         self.purges: list[float] = []
-        self.codes: list[tuple[int, int]] = []
-        self._over = threading.Event()
+        self.unexpected_exits: list[tuple[int, int]] = []
+        self._stopping = threading.Event()
         self._threads: list[threading.Thread] = []
 
     def _settings(self, router_index: int) -> dict[str, Any]:
@@ -108,14 +108,15 @@
         servers = host_of(router_index) if self.streams is not None else HOST
         return {
             "name": self.names[router_index], "listen": f"{host}:{port}", "seed": f"{seed + router_index:x}",
-            "changelog": f"{servers}:{self._log_ports[router_index]}", "known": self.depot.known(servers),
+            "changelog": f"{servers}:{self._log_ports[router_index]}",
+            "known": self.depot.endpoint_list(servers),
             "settings": self._settings(router_index),
             "limits": self._limits(),
             "peer_listen": ":".join(map(str, self.listens[router_index])),
             "peers": [":".join(map(str, self.relays.address(router_index, other))) for other in others],
         }  # fmt: skip
 
-    def _router(self, router_index: int, seed: int) -> RouterProcess:
+    def _create_router(self, router_index: int, seed: int) -> RouterProcess:
         trial = self.trial
         config = self._config(router_index, seed, free_address(f"127.40.0.{1 + router_index}"))
         router = RouterProcess(
@@ -128,13 +129,13 @@
             router.set_clock(dict(enumerate(trial.ahead)).get(router_index, 0.0))
         return router
 
-    def _depot(self) -> Depot:
+    def _create_depot(self) -> Depot:
         trial = self.trial
         if trial.bears is None:
             return Depot(trial.caches, WEIGHT, trial.zones)
         return LoadedDepot(trial.caches, float(trial.bears.slots), trial.zones, trial.bears)
 
-    def _streams(self, seed: int) -> StreamRelays:
+    def _create_stream_relays(self, seed: int) -> StreamRelays:
         """Create relays to all servers, and a change log per router that lists its own addresses of them."""
         self._log_ports = [
             self.depot.add_change_log(host_of(router_index)) for router_index in range(self.trial.routers)
@@ -146,13 +147,13 @@
 
     def start(self, router_index: int) -> None:
         """Start a process of that router."""
-        self.relays.up(router_index, self.listens[router_index])
+        self.relays.announce_start(router_index, self.listens[router_index])
         self.routers[router_index].start()
 
     def kill(self, router_index: int) -> None:
         """Kill the router's process with SIGKILL."""
         self.routers[router_index].kill()
-        self.relays.down(router_index)
+        self.relays.announce_exit(router_index)
 
     def terminate(self, router_index: int) -> None:
         """Send SIGTERM to the router and wait until its process has ended."""
@@ -161,18 +162,19 @@
 
     def _wait_exit(self, router_index: int) -> None:
         exit_code = self.routers[router_index].wait()
-        self.relays.down(router_index)
+        self.relays.announce_exit(router_index)
         if exit_code:
-            self.codes.append((router_index, exit_code))
+            self.unexpected_exits.append((router_index, exit_code))
 
     def wait_ready(self, router_indices: list[int], timeout_s: float = 30.0) -> None:
-        """Wait until all are ready; raise TrialError if one is not in time."""
+        """Wait until all accept connections; raise TrialError if one exits or does not within `timeout_s`."""
         deadline = time.monotonic() + timeout_s
         for router_index in router_indices:
             while not self.routers[router_index].ready():
                 if time.monotonic() > deadline or not self.routers[router_index].running:
                     raise TrialError(
-                        f"{self.names[router_index]} did not become ready: {self.routers[router_index].log}"
+                        f"{self.names[router_index]} exited or did not accept connections within "
+                        f"{timeout_s:g} s; its log is {self.routers[router_index].log}"
                     )
                 time.sleep(0.02)
 
@@ -182,7 +184,10 @@
         return bool(reports) and all(report is not None and report["status"]["joined"] for report in reports)
 
     def _views_agree(self) -> bool:
-        """Return whether all have joined with the same view: a later first view would count as a change."""
+        """Return whether all have joined with the same view.
+
+        A router that gets its first view only later would count as a change of views.
+        """
         reports = [router.send_query("swarm status") for router in self._responsive_routers()]
         statuses = [status["status"] for status in reports if status is not None]
         return (
@@ -192,7 +197,7 @@
         )
 
     def _responsive_routers(self) -> list[RouterProcess]:
-        return [router for router in self.routers if router.running and not router.stopped]
+        return [router for router in self.routers if router.running and not router.suspended]
 
     def until(self, condition: Any, timeout_s: float) -> bool:
         """Wait up to `timeout_s` for a condition; return whether it came true."""
@@ -203,18 +208,18 @@
             time.sleep(0.05)
         return True
 
-    def do(self, fault: Fault) -> None:
-        """Inject a fault; one that lasts is ended by `undo`."""
+    def begin_fault(self, fault: Fault) -> None:
+        """Inject a fault; one that lasts is ended by `end_fault`."""
         now = time.time()
         match fault.do:
             case "kill":
                 for router_index in fault.who:
-                    self._note_router_fault(now, router_index, fault)
+                    self._record_router_fault(now, router_index, fault)
                     self.kill(router_index)
             case "start" | "restart":
                 for router_index in fault.who:
                     if self.routers[router_index].running:
-                        self._note_router_fault(now, router_index, fault)
+                        self._record_router_fault(now, router_index, fault)
                         self.kill(router_index)
                     self.start(router_index)
             case "roll":
@@ -224,11 +229,11 @@
                     self._spawn(lambda router_index=router_index: self.terminate(router_index))
             case "pause":
                 for router_index in fault.who:
-                    self._note_router_fault(now, router_index, fault)
+                    self._record_router_fault(now, router_index, fault)
                     self.routers[router_index].pause()
             case "starve":
                 for router_index in fault.who:
-                    self._note_router_fault(now, router_index, fault)
+                    self._record_router_fault(now, router_index, fault)
                     self._spawn(
                         lambda router_index=router_index: self._starve(
                             router_index, now + fault.ends - fault.at
@@ -258,12 +263,12 @@
             case "surge":
                 self._set_load_factor(fault.factor)
             case "slow":
-                self._set_origin_pace(fault.factor)
+                self._set_origin_speed(fault.factor)
             case "clock":
                 for router_index in fault.who:
                     self.routers[router_index].set_clock(fault.shift)
 
-    def undo(self, fault: Fault) -> None:
+    def end_fault(self, fault: Fault) -> None:
         """End a fault that lasts."""
         match fault.do:
             case "pause":
@@ -274,7 +279,7 @@
             case "surge":
                 self._set_load_factor(1.0)
             case "slow":
-                self._set_origin_pace(1.0)
+                self._set_origin_speed(1.0)
             case "drain":
                 self.depot.announce_state(self.depot.caches[fault.cache], "up")
             case "cut":
@@ -282,7 +287,7 @@
             case "weather":
                 self._set_network_faults(0.0, (0.0, 0.0), 0.0)
 
-    def _note_router_fault(self, started_at: float, router_index: int, fault: Fault) -> None:
+    def _record_router_fault(self, started_at: float, router_index: int, fault: Fault) -> None:
         ends_at = started_at + fault.ends - fault.at if fault.ends else started_at
         self.router_faults.append((started_at, ends_at, router_index, fault.do))
 
@@ -301,14 +306,14 @@
         assert isinstance(self.clients, OpenLoopClients)
         self.clients.rate = self.trial.rate * factor
 
-    def _set_origin_pace(self, factor: float) -> None:
+    def _set_origin_speed(self, factor: float) -> None:
         assert isinstance(self.depot, LoadedDepot)
-        self.depot.pace = factor
+        self.depot.origin_speed_factor = factor
 
     def _restart_empty(self, cache: Cache) -> None:
         """Restart a cache empty, and publish it in the endpoint list."""
         cache.restart_empty()
-        self.colds.append((cache.started_ms / 1000.0, f"s-{cache.ident:08x}", cache.request_times_ms))
+        self.cache_starts.append((cache.started_ms / 1000.0, f"s-{cache.ident:08x}", cache.request_times_ms))
         self.depot.announce_state(cache, "up")
 
     def _change_server_faults(self, fault: Fault, begins: bool) -> None:
@@ -346,7 +351,7 @@
         return [self._log_ports[router_index]]
 
     def _servers_named(self, name: str) -> list[Cache]:
-        """Return the servers that a schedule means by a name."""
+        """Return the servers that a name in a schedule stands for."""
         kind, _, number = name.partition("-")
         match kind:
             case "cache":
@@ -361,20 +366,20 @@
 
     def _set_network_faults(self, lose: float, delay: tuple[float, float], repeat: float) -> None:
         def change() -> None:
-            self.relays.global_faults = Faults(lose, delay, repeat)
+            self.relays.global_faults = DatagramFaults(lose, delay, repeat)
 
         self.relays.change(change)
 
     def _roll(self, router_indices: tuple[int, ...]) -> None:
-        """Terminate and start the routers one by one, the next once the last is ready."""
+        """Terminate and start the routers one by one, each once the one before is ready."""
         for router_index in router_indices:
-            if not self._over.is_set():
+            if not self._stopping.is_set():
                 self.terminate(router_index)
                 self.start(router_index)
                 self.until(self.routers[router_index].ready, 30.0)
 
     def _starve(self, router_index: int, end: float) -> None:
-        while time.time() < end and not self._over.is_set():
+        while time.time() < end and not self._stopping.is_set():
             self.routers[router_index].signal(signal.SIGSTOP)
             time.sleep(STARVE_INTERVAL_S)
             self.routers[router_index].signal(signal.SIGCONT)
@@ -383,7 +388,7 @@
     def _flood(self, router_index: int, end: float) -> None:
         """Send malformed datagrams from a peer's address and from an unknown one."""
         self.relays.flood(
-            self.listens[router_index], router_index, FLOOD_DATAGRAMS_PER_S, end - time.time(), self._over
+            self.listens[router_index], router_index, FLOOD_DATAGRAMS_PER_S, end - time.time(), self._stopping
         )
 
     def _spawn(self, call: Any) -> None:
@@ -393,14 +398,14 @@
 
     # -- the trial --
 
-    def play(self) -> TrialRecord:
+    def run(self) -> TrialRecord:
         """Run the trial; raise TrialError if the routers do not become ready or do not join."""
         trial, router_indices = self.trial, list(range(self.trial.routers))
         for router_index in router_indices:
             self.start(router_index)
         self.wait_ready(router_indices)
         if trial.swarm and not self.until(self._views_agree, trial.joins):
-            raise TrialError("the routers did not join the swarm in time")
+            raise TrialError(f"the routers did not join with the same view within {trial.joins:g} s")
         addresses = [router.address for router in self.routers]
         load_started_at = time.time()
         clients: ClosedLoopClients | OpenLoopClients
@@ -416,17 +421,17 @@
             self._run_schedule(load_started_at)
             time.sleep(max(0.0, load_started_at + trial.lasts - time.time()))
         finally:
-            self._over.set()
-            clients.end()
+            self._stopping.set()
+            clients.stop()
         for thread in self._threads:
             thread.join()
         time.sleep(SETTLE_TIME_S)
         ended_at = time.time()
         for router_index, router in enumerate(self.routers):
             if not router.running and router.run_times[-1][1] is None:
-                self.codes.append((router_index, router.wait()))
+                self.unexpected_exits.append((router_index, router.wait()))
         running = [router_index for router_index in router_indices if self.routers[router_index].running]
-        joined_at = all_joined_for_good(
+        joined_at = all_joined_since(
             [self.routers[router_index] for router_index in running],
             load_started_at + trial.span[1],
             ended_at,
@@ -440,13 +445,13 @@
             load_started_at,
             ended_at,
             self.routers,
-            self.ids,
+            self.member_ids,
             clients,
             self.depot,
             self.depot.count_repeated_writes(),
-            self.colds,
+            self.cache_starts,
             self.router_faults,
-            self.codes,
+            self.unexpected_exits,
             samples,
             self.drains,
             self.purges,
@@ -460,19 +465,19 @@
         for at_s, begins, fault in sorted(steps, key=lambda step: step[:2]):
             time.sleep(max(0.0, load_started_at + at_s - time.time()))
             if begins:
-                self.do(fault)
+                self.begin_fault(fault)
             else:
-                self.undo(fault)
+                self.end_fault(fault)
 
     def _collect_samples(self, samples: list[tuple[float, int, dict[str, Any]]]) -> None:
-        while not self._over.wait(SAMPLE_INTERVAL_S):
+        while not self._stopping.wait(SAMPLE_INTERVAL_S):
             for router in self._responsive_routers():
                 if (report := router.send_query("swarm status")) is not None:
                     samples.append((time.time(), self.routers.index(router), report))
 
     def close(self) -> None:
         """End all processes, threads and relays, suspended processes included."""
-        self._over.set()
+        self._stopping.set()
         for router in self.routers:
             if router.running:
                 with contextlib.suppress(OSError):
--- a/tests/soak_faults.py
+++ b/tests/soak_faults.py
@@ -235,7 +235,7 @@
         path.write_text(text.replace(edit.before, edit.after))
 
 
-def find(fault: PlantedFault, seeds: str, jobs: int) -> tuple[int, str] | None:
+def detect(fault: PlantedFault, seeds: str, jobs: int) -> tuple[int, str] | None:
     """Run seeds with the fault until an expected rule is violated; return the seed and the rule, or None."""
     first, _, last = seeds.partition("-")
     seed_numbers = list(range(int(first), int(last or first) + 1))
@@ -269,10 +269,10 @@
     for fault in FAULTS:
         if arguments.names and fault.name not in arguments.names:
             continue
-        detection = find(fault, arguments.seeds, arguments.jobs)
+        detection = detect(fault, arguments.seeds, arguments.jobs)
         missed_count += detection is None
         print(
-            f"{fault.name}: {'NOT FOUND' if detection is None else f'seed {detection[0]}, {detection[1]}'}",
+            f"{fault.name}: {'MISSED' if detection is None else f'seed {detection[0]}, {detection[1]}'}",
             flush=True,
         )
     return 1 if missed_count else 0
--- a/tests/test_golden_tools_runs.py
+++ b/tests/test_golden_tools_runs.py
@@ -33,7 +33,7 @@
 
 from stonecove.commands.main import cli
 from stonecove.operator_config.grammar import OperatorError
-from stonecove.overload.book import AmplificationStatistics, LoadEvent
+from stonecove.overload.amplification import AmplificationStatistics, LoadEvent
 from stonecove.scale import ledger, options, report
 from stonecove.scale.results import ControlCost, Delays, FaultResult, MachineCost, Measurement
 from stonecove.scale.series import Series, play_series
@@ -282,17 +282,19 @@
 
     def __init__(self, bad: bool) -> None:
         ms = BEGAN * 1000.0
-        self.seen = [
+        self.received_requests = [
             ReceivedRequest(
                 ms + 1000.0 + 40.0 * number, 0x11 + number % 2, f"{16 * number:x}", "item-image", "s-00000021"
             )
             for number in range(1, 220)
             for _ in range(2 if bad else 1)
         ]
-        self.seen += [ReceivedRequest(ms + 2000.0, 0x11, f"{16 * 3:x}", "item-image", "s-00000021")]
+        self.received_requests += [
+            ReceivedRequest(ms + 2000.0, 0x11, f"{16 * 3:x}", "item-image", "s-00000021")
+        ]
         self.fetches = [Fetch(ms + 1500.0, "fill", "30", True), Fetch(ms + 1600.0, "origin", "30", False)]
-        self.connects = [ms + 500.0, ms + 900.0]
-        self.stops = [ms + 3000.0] if bad else []
+        self.connection_times_ms = [ms + 500.0, ms + 900.0]
+        self.origin_stop_times = [ms + 3000.0] if bad else []
         self._bad = bad
 
     def count_stale_answers(self, purged_at_ms: float, grace_ms: float = 500.0) -> int:
@@ -387,7 +389,7 @@
         record = _record(logs / "routers", bad)
         return record, judge(record)
 
-    with mock.patch("stonecove.trial.judge.play", play):
+    with mock.patch("stonecove.trial.judge.run_trial", play):
         return CliRunner().invoke(cli, ["trial", "run", str(FOLDER / "trial_result.cue"), *words])
 
 
--- a/tests/test_gossip_refutation.py
+++ b/tests/test_gossip_refutation.py
@@ -17,7 +17,7 @@
     assert (
         fleet.model.until(lambda: fleet.model.joined() and fleet.model.shares() > 0.999, SETTLE_S) < SETTLE_S
     )
-    assert fleet.model.worst <= 1.0 + 1e-9
+    assert fleet.model.max_share_sum <= 1.0 + 1e-9
     fleet.model.run(3.0)
     assert len(fleet.tables()) == 1
 
@@ -99,7 +99,7 @@
     fleet = PartitionedFleet(9, seed, 3)
     fleet.partition_zone(0)
     fleet.model.run(7.0)
-    fleet.model.stop(4, 5.0)
+    fleet.model.suspend(4, 5.0)
     fleet.model.run(2.0)
     fleet.heal()
     fleet.model.run(9.0)
--- a/tests/test_overload.py
+++ b/tests/test_overload.py
@@ -10,7 +10,7 @@
 
 import pytest
 
-from stonecove.overload.book import (
+from stonecove.overload.amplification import (
     ATTEMPT,
     FAILED,
     INTENDED,
@@ -31,8 +31,8 @@
 READ, WRITE = "item-image", "pick-confirm"
 
 
-def make_events(seconds: int, rate: int, tries: dict[int, int], bad: set[int]) -> list[LoadEvent]:
-    """Return evenly spaced requests, with a number of tries by second; those of bad seconds are refused."""
+def make_events(seconds: int, rate: int, tries: dict[int, int], refused_seconds: set[int]) -> list[LoadEvent]:
+    """Return evenly spaced requests; `tries`: tries of each request by second, 1 by default."""
     events = []
     for number in range(seconds * rate):
         at = number / rate
@@ -40,7 +40,7 @@
         for retry in range(tries.get(int(at), 1)):
             try_at = at + retry * 0.001
             events += [LoadEvent(try_at, TRY, number, READ), LoadEvent(try_at, ATTEMPT, number)]
-        events.append(LoadEvent(at + 0.5, REFUSED if int(at) in bad else SERVED, number, READ))
+        events.append(LoadEvent(at + 0.5, REFUSED if int(at) in refused_seconds else SERVED, number, READ))
     return events
 
 
@@ -98,11 +98,11 @@
         results = [fetch(item, 100.0) for item in range(40)]
         served = [at for at, data in results if b"via_origin" in data]
         assert len(served) == 8 and max(served) == pytest.approx(100.8, abs=0.01)  # waits 0.4 s
-        assert depot.stops == [100.0]
+        assert depot.origin_stop_times == [100.0]
         assert b"src_refused" in fetch(50, 100.9)[1]  # the origin has stopped
         assert b"via_origin" in fetch(51, 101.5)[1]
         assert b"joined" in fetch(51, 101.7)[1] and b"hit" in fetch(51, 102.0)[1]
-        assert [one.served for one in depot.fetches].count(True) == 9
+        assert [sent.served for sent in depot.fetches].count(True) == 9
     finally:
         depot.close()
 
@@ -110,8 +110,8 @@
 def test_the_change_log_reports_to_each_listener_its_own_addresses() -> None:
     depot = Depot(2, zones=2)
     try:
-        instances = depot.known("127.9.9.9")["results"][0]["fleet"]["instances"]  # type: ignore[index]
-        assert [(one["hostPort"].split(":")[0], one["zone"]) for one in instances[:2]] == [
+        instances = depot.endpoint_list("127.9.9.9")["results"][0]["fleet"]["instances"]  # type: ignore[index]
+        assert [(entry["hostPort"].split(":")[0], entry["zone"]) for entry in instances[:2]] == [
             ("127.9.9.9", "edge-1"), ("127.9.9.9", "edge-2")]  # fmt: skip
         assert depot.add_change_log("127.9.9.9") != depot.log_port
     finally:
@@ -119,7 +119,7 @@
 
 
 def test_a_trial_writes_statistics_that_can_be_reported(tmp_path: Path) -> None:
-    """Run real routers before an origin of a few fetches per second, with clients that retry."""
+    """Run real routers in front of an origin that serves few fetches per second, with clients that retry."""
     text = """title: "pressed", routers: 2, lasts: 6s, window: 300ms, rate: 40, writes: 0.2, swarm: false
         crowd: {tries: 3, patience: 1s, items: 100000}, bears: {origin: 60}
         faults: [{at: 2s, do: "slow", factor: 0.1, for: 2s}, {at: 2s, do: "surge", factor: 1.5, for: 1s}]"""
@@ -154,12 +154,12 @@
 
 
 def test_open_loop_clients_continue_while_a_router_is_stopped(tmp_path: Path) -> None:
-    """Check that open arrivals wait for no answer, and that an answer after the limit counts as late."""
+    """Arrivals of an open loop wait for no answer, and an answer after the timeout counts as late."""
     text = """title: "t", routers: 2, lasts: 4s, window: 300ms, rate: 60, crowd: {patience: 500ms}
         faults: [{at: 1s, do: "pause", who: [0], for: 2s}]"""
     testbed = Testbed(trial_of(text, "t", 1), 5, tmp_path)
     try:
-        record = testbed.play()
+        record = testbed.run()
     finally:
         testbed.close()
     verdict = judge(record)
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -20,8 +20,8 @@
 from stonecove.soak.depot import Arrival, SoakDepot
 from stonecove.soak.judge import RULES, SoakVerdict, SoakViolation, judge_soak
 from stonecove.soak.plan import Effect, IdleConnections, Reloads, Restart, SoakPlan, draw_plan
-from stonecove.soak.play import Shutdown, SoakRecord, SoakTestbed
 from stonecove.soak.run import reduce_seed, run_seed, run_seeds
+from stonecove.soak.testbed import Shutdown, SoakRecord, SoakTestbed
 from stonecove.trial.processes import RouterProcess
 from stonecove.trial.testbed import TrialRecord
 
@@ -221,7 +221,7 @@
 
 
 def _is_sigterm_blocked_at_listen(folder: Path) -> bool:
-    """Return whether a starting router accepts connections while SIGTERM does not reach it yet."""
+    """Return whether a starting router accepts connections while SIGTERM is still blocked."""
     testbed = SoakTestbed(draw_plan(EARLY_STOP_SEED, CI_DURATION_S), folder)
     testbed.close()
     done = subprocess.run(
--- a/tests/test_swarm.py
+++ b/tests/test_swarm.py
@@ -163,7 +163,7 @@
             case 2 | 3:
                 model.start(one, skew=rng.choice((0.0, 2.0, -2.0)))
             case 4:
-                model.stop(one, rng.uniform(0.1, 4.0))
+                model.suspend(one, rng.uniform(0.1, 4.0))
             case 5:
                 model.cut([one], rng.sample(indices, 3), both=rng.random() < 0.5)
             case 6:
@@ -180,7 +180,7 @@
         if model.routers[index].swarm is None:
             model.start(index)
     assert model.until(lambda: model.joined() and model.shares() > 0.999, 60.0) < 60.0
-    assert model.worst <= 1.0 + 1e-9
+    assert model.max_share_sum <= 1.0 + 1e-9
 
 
 SHORT_TIMINGS = GossipConfig(
@@ -211,7 +211,7 @@
                 case 2 | 3 | 4:
                     model.start(one, skew=rng.choice((0.0, 2.0, -2.0)))
                 case 5:
-                    model.stop(one, rng.choice((0.3, 2.0, 8.0)))
+                    model.suspend(one, rng.choice((0.3, 2.0, 8.0)))
                 case 6 | 7 | 8:
                     model.cut([one], rng.sample(indices, 3), both=rng.random() < 0.6)
                 case 9:
@@ -223,7 +223,7 @@
                 if router.swarm is not None
                 for slot, one in enumerate(router.swarm.gossip.shares.slots)
             )
-        assert model.worst <= 1.0 + 1e-9, number
+        assert model.max_share_sum <= 1.0 + 1e-9, number
     assert freed  # otherwise no lease has expired and the test shows nothing
 
 
@@ -268,7 +268,7 @@
 def test_a_router_paused_for_5_s_under_loss_is_not_failed_and_fails_nobody(loss: float) -> None:
     model = joined_fleet(10)
     model.network = NetworkConditions(loss)
-    model.stop(4, 5.0)
+    model.suspend(4, 5.0)
     model.run(30.0)
     assert failures(model) == []
     assert any(event == "gossip_stopped" for _, index, event, _ in model.notes if index == 4)
@@ -334,7 +334,7 @@
 def test_a_router_whose_lease_expired_has_the_unleased_share_until_all_count_it(stopped: bool) -> None:
     model = joined_fleet(5)
     if stopped:
-        model.stop(2, 70.0)
+        model.suspend(2, 70.0)
     else:
         model.cut([2], range(5))
     model.run(70.0)
@@ -346,7 +346,7 @@
     model.cuts.clear()
     assert model.until(lambda: model.joined() and model.shares() > 0.999, 60.0) < 60.0
     assert any(event == "gossip_suspected" for _, index, event, _ in model.notes if index == 2)
-    assert model.worst <= 1.0 + 1e-9
+    assert model.max_share_sum <= 1.0 + 1e-9
 
 
 def test_a_machine_that_is_off_can_be_declared_gone() -> None:
@@ -368,7 +368,7 @@
     model.start(1, skew=-3600.0)
     assert model.until(lambda: model.joined() and model.state_of(1, by=0) == "alive", 30.0) < 30.0
     assert any(event == "gossip_generation_raised" for _, index, event, _ in model.notes if index == 1)
-    assert model.worst <= 1.0 + 1e-9
+    assert model.max_share_sum <= 1.0 + 1e-9
 
 
 def test_another_router_at_an_address_ends_the_one_before() -> None:
@@ -390,7 +390,7 @@
         index: fields["kept"] for _, index, event, fields in model.notes if event == "gossip_name_conflict"
     }
     assert conflicts == {1: "ours", 2: "theirs"}
-    assert model.joined() and model.worst <= 1.0 + 1e-9
+    assert model.joined() and model.max_share_sum <= 1.0 + 1e-9
 
 
 def test_two_that_start_together_under_one_name_do_not_exceed_each_other_for_ever() -> None:
--- a/tests/test_swarm_beside.py
+++ b/tests/test_swarm_beside.py
@@ -96,7 +96,7 @@
         router_settings["limits"] |= {"peers": True}  # type: ignore[operator]
         router_settings["rules"] |= {"overload_for": WINDOW * 1000.0}  # type: ignore[operator]
         log = f"127.0.0.1:{self.depot.log_port}"
-        base = {"changelog": log, "known": self.depot.known(), "settings": router_settings}
+        base = {"changelog": log, "known": self.depot.endpoint_list(), "settings": router_settings}
         self.daemon = Daemon(folder, self.count, "leases: {}\n messages: true", SWARM % folder, base)
         try:
             self.daemon.wait_phase("ready")
@@ -173,7 +173,7 @@
             fleet.daemon.write(more="leases: {}")
             assert "fleet.messages" in fleet.daemon.do("reload", code=1)
     finally:
-        clients.end()
+        clients.stop()
         fleet.close()
     _, fraction = peak_slow_start_load(cache.request_times_ms, cache.started_ms / 1000.0, WINDOW, KB)
     assert 0 < fraction <= 1.0
--- a/tests/test_trial.py
+++ b/tests/test_trial.py
@@ -22,24 +22,24 @@
 from stonecove.standins.depot import ReceivedRequest
 from stonecove.trial.judge import judge
 from stonecove.trial.processes import RouterProcess
-from stonecove.trial.rejoin import all_joined_for_good, joined_for_good, longest_rejoin
+from stonecove.trial.rejoin import all_joined_since, join_time_limit_s, joined_since
 from stonecove.trial.schedule import Trial, read_trial, trial_of
 from stonecove.trial.testbed import Testbed, TrialRecord
 
 TRIALS = Path(__file__).parent.parent / "stonecove" / "trial" / "trials"
 SMALL_TRIAL = 'title: "t", lasts: 4s, window: 300ms, rate: 30\n'
-Play = Callable[[Trial], TrialRecord]
+RunTrial = Callable[[Trial], TrialRecord]
 
 
 @pytest.fixture
-def play(tmp_path: Path) -> Iterator[Play]:
+def run_trial(tmp_path: Path) -> Iterator[RunTrial]:
     testbeds = []
 
-    def play_trial(trial: Trial) -> TrialRecord:
+    def run_on_testbed(trial: Trial) -> TrialRecord:
         testbeds.append(Testbed(trial, 5, tmp_path))
-        return testbeds[-1].play()
+        return testbeds[-1].run()
 
-    yield play_trial
+    yield run_on_testbed
     for testbed in testbeds:
         testbed.close()
 
@@ -48,12 +48,12 @@
 
 
 @pytest.mark.parametrize("path", SHORT_TRIALS, ids=lambda path: path.stem)
-def test_bundled_trials_violate_no_rule(path: Path, play: Play) -> None:
+def test_bundled_trials_violate_no_rule(path: Path, run_trial: RunTrial) -> None:
     """Suspension, loss, one-sided and full partitions, a mass kill, a rolling restart, late datagrams.
 
-    Also twins, a flood, and 20 starts.
+    Also routers with the same name, a flood of datagrams, and 20 starts.
     """
-    record = play(read_trial(path, 5))
+    record = run_trial(read_trial(path, 5))
     verdict = judge(record)
     assert [violation.summary() for violation in verdict.violations] == []
     assert verdict.figures["answers"] > 0
@@ -64,7 +64,7 @@
 
 
 @pytest.mark.parametrize(
-    ("text", "named"),
+    ("text", "expected_text"),
     [
         ("lasts: 1s", "title"),
         ('title: "t", lasts: 5s, faults: [{at: 1s, do: "pause", who: [0]}]', "faults[0]"),
@@ -79,10 +79,10 @@
         ('title: "t", lasts: 5s, faults: [{at: 1s, do: "clock", who: [0]}]', "ahead or back"),
     ],
 )
-def test_invalid_trial_is_rejected_with_the_reason(text: str, named: str, tmp_path: Path) -> None:
+def test_invalid_trial_is_rejected_with_the_reason(text: str, expected_text: str, tmp_path: Path) -> None:
     with pytest.raises(OperatorError) as rejected:
         trial_of(text, "t.cue", 1)
-    assert named in str(rejected.value)
+    assert expected_text in str(rejected.value)
     path = tmp_path / "t.cue"
     path.write_text(text)
     completed = subprocess.run(
@@ -91,7 +91,7 @@
         text=True,
         check=False,
     )
-    assert (completed.returncode, named in completed.stderr) == (2, True)
+    assert (completed.returncode, expected_text in completed.stderr) == (2, True)
 
 
 def test_the_same_seed_draws_the_same_routers() -> None:
@@ -100,27 +100,29 @@
     assert drawn[0] == drawn[1] != drawn[2]
 
 
-def test_judge_reports_rule_time_and_processes(play: Play) -> None:
-    """Every rule is violated in the record of a real trial, and each violation is found."""
-    record = play(trial_of(SMALL_TRIAL + "routers: 2", "t", 1))
+def test_judge_reports_rule_time_and_processes(run_trial: RunTrial) -> None:
+    """Violate each of these rules in the record of a real trial: the judge reports every violation."""
+    record = run_trial(trial_of(SMALL_TRIAL + "routers: 2", "t", 1))
     assert judge(record).violations == []
-    now = record.began + 1.0
+    now = record.started_at + 1.0
     with record.routers[0].log.open("a") as log:
         log.write(
             f"{now:.3f} gossip_share_changed joined=True unleased_fraction=1.000 fleet_size=1 "
             "by_zone=0,1 view=1\n"
         )
         log.write(
-            f"{now:.3f} gossip_member_changed member={record.ids[1]} state=failed generation=9999999999999\n"
+            f"{now:.3f} gossip_member_changed member={record.member_ids[1]} state=failed "
+            "generation=9999999999999\n"
         )
         log.write(f"{now:.3f} internal_error where=x\n")
     assert record.clients is not None
     record.clients.lost.append((now, 1))
-    record.repeated = 1
-    record.codes.append((0, -6))
-    record.colds.append((now, "s-1", [now * 1000.0 + 5.0] * 4000))
+    record.repeated_write_count = 1
+    record.unexpected_exits.append((0, -6))
+    record.cache_starts.append((now, "s-1", [now * 1000.0 + 5.0] * 4000))
     record.drains.append((now - 2.0, now + 1.0, 0x21))
-    record.depot.seen.append(ReceivedRequest(now * 1000.0, 0x11, "1", "item-image", "s-00000021"))
+    fetch = ReceivedRequest(now * 1000.0, 0x11, "1", "item-image", "s-00000021")
+    record.depot.received_requests.append(fetch)
     item = {"item": "7", "chunk": "0", "cls": "item-image"}
     record.depot.caches[0].copy("7/0", 0.0)
     record.purges.append(time.time() * 1000.0)
@@ -176,7 +178,7 @@
 
 
 @pytest.mark.parametrize(
-    ("record", "changes", "named"),
+    ("operator_text", "changes", "expected_text"),
     [
         ("swarm: period: 1ms", {}, "swarm.period"),
         ("swarm: {period: 200ms, answer: 150ms}", {}, "swarm.answer"),
@@ -187,7 +189,7 @@
     ],
 )
 def test_invalid_swarm_configuration_exits_with_code_2_and_one_line(
-    record: str, changes: dict[str, object], named: str, tmp_path: Path
+    operator_text: str, changes: dict[str, object], expected_text: str, tmp_path: Path
 ) -> None:
     config = json.loads(json.dumps(Stand.plain_config()))
     listen = ":".join(map(str, free_address()))
@@ -195,7 +197,7 @@
     config["settings"]["limits"]["peers"] = changes.get("may", True)
     path, operator = tmp_path / "config.json", tmp_path / "operator.cue"
     path.write_text(json.dumps(config))
-    operator.write_text(record + "\n")
+    operator.write_text(operator_text + "\n")
     completed = subprocess.run(
         [sys.executable, "-m", "stonecove", "run", "--operator", str(operator)],
         env={"RELAY_CONFIG": str(path)},
@@ -204,11 +206,11 @@
         check=False,
     )
     assert completed.returncode == 2
-    assert named in completed.stderr and len(completed.stderr.splitlines()) == 1
+    assert expected_text in completed.stderr and len(completed.stderr.splitlines()) == 1
 
 
 def test_outdated_decision_is_made_again_before_the_first_byte() -> None:
-    """The check before the first byte: an attempt whose share has expired is never sent."""
+    """Check before the first byte: an attempt whose share has expired is never sent."""
     simulation = run(simulation_start(scope.named(scope.SMALL, "links")), ("ask 0", "decide"))
     assert isinstance(simulation, Simulation)
     outdated = [True]
@@ -251,7 +253,7 @@
 
 
 def test_router_is_joined_since_it_last_regained_its_share(tmp_path: Path) -> None:
-    """Guard against sampling too early: all look joined while none has learned of the fault yet."""
+    """Guard against sampling too early, when all seem joined because none has learned of the fault yet."""
     first = _router_with_log(
         tmp_path / "a",
         "90.000 gossip_share_changed joined=False",  # an earlier process
@@ -262,10 +264,10 @@
         "114.000 gossip_share_changed joined=True",
     )
     second = _router_with_log(tmp_path / "b", "104.000 gossip_share_changed joined=True")
-    assert (joined_for_good(first, 120.0), joined_for_good(second, 120.0)) == (113.5, 104.0)
-    assert all_joined_for_good([first, second], 110.0, 120.0) == 113.5
-    assert all_joined_for_good([second], 110.0, 120.0) == 110.0  # joined throughout
-    assert all_joined_for_good([first, second], 110.0, 113.0) is None
-    assert longest_rejoin(3.0, [first, second], 110.0, 3.0) == 5.0
-    assert longest_rejoin(9.0, [first], 110.0, 3.0) == 9.0
-    assert longest_rejoin(3.0, [second], 110.0, 3.0) == 3.0
+    assert (joined_since(first, 120.0), joined_since(second, 120.0)) == (113.5, 104.0)
+    assert all_joined_since([first, second], 110.0, 120.0) == 113.5
+    assert all_joined_since([second], 110.0, 120.0) == 110.0  # joined throughout
+    assert all_joined_since([first, second], 110.0, 113.0) is None
+    assert join_time_limit_s(3.0, [first, second], 110.0, 3.0) == 5.0
+    assert join_time_limit_s(9.0, [first], 110.0, 3.0) == 9.0
+    assert join_time_limit_s(3.0, [second], 110.0, 3.0) == 3.0
