--- a/stonecove/explore/reach.py
+++ b/stonecove/explore/reach.py
@@ -69,7 +69,7 @@
     ("routing/candidates.py", "has_copy|_is_congested|is_zone_link_congested", "load of a congested link"),
     ("routing/stored_copies.py", "record", "load of a congested link; covered by the benchmark days"),
     ("routing/link_load.py", "estimate_capacity|expected_slowdown", "load of a congested link"),
-    ("routing/link_load.py", "resize", "settings that change: tests/test_reconfigured.py"),
+    ("routing/link_load.py", "resize", "settings that change: tests/test_director_reconfiguration.py"),
     (
         "routing/slow_start.py",
         "capacity_fraction|admits|charge|should_request_lease|forget_removed",
@@ -83,18 +83,22 @@
     (
         "routing/director.py",
         "_on_settings|_on_fleet_size",
-        "settings that change, and numbers of routers: tests/test_reconfigured.py",
+        "settings that change, and numbers of routers: tests/test_director_reconfiguration.py",
     ),
     ("routing/director.py", "_on_lease_terms|_on_lease_granted", "leases: the machine of explore.fleet"),
     ("routing/state.py", "enable_leases|forget_removed", "leases: the machine of explore.fleet"),
-    ("routing/state.py", "reconfigure|link_share", "settings that change: tests/test_reconfigured.py"),
+    (
+        "routing/state.py",
+        "reconfigure|link_share",
+        "settings that change: tests/test_director_reconfiguration.py",
+    ),
     ("routing/hedging.py", "limit|try_spend", "leases: the machine of explore.fleet"),
     (
         "routing/class_statistics.py",
         "configure|is_starved",
-        "settings that change: tests/test_reconfigured.py",
+        "settings that change: tests/test_director_reconfiguration.py",
     ),
-    ("routing/purges.py", "configure|_sweep", "settings that change: tests/test_reconfigured.py"),
+    ("routing/purges.py", "configure|_sweep", "settings that change: tests/test_director_reconfiguration.py"),
     (
         "routing/dispatch.py",
         "_send|_is_allowed|_may_repeat|_max_age_ms|_fetch_mode|_fits_budget",
@@ -162,7 +166,7 @@
         "",
         "a whole core is never overdrawn by waiting in the scopes; covered by the load day",
     ),
-    ("", "reconfigure", "settings that change: tests/test_settings_change.py"),
+    ("", "reconfigure", "settings that change: tests/test_settings_reload.py"),
     ("", "__len__|log_statistics|stats", "reported counts"),
 )
 
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -20,7 +20,7 @@
 
 
 def pytest_configure(config: pytest.Config) -> None:
-    """Register the tests that are known to fail, which must go on failing."""
+    """Register the known failures; a listed test must fail, so that the list stays current."""
     known_red.configure(config, config.rootpath / known_red.NAME)
 
 
--- a/tests/golden_coordination_frames.py
+++ b/tests/golden_coordination_frames.py
@@ -1,11 +1,11 @@
-"""Cases of the coordination area: ZooKeeper's requests, replies and watch events."""
+"""Golden cases of the coordination area: requests, replies and watch events of ZooKeeper."""
 
 from __future__ import annotations
 
 import struct
 from typing import Any
 
-from golden_folder import Format, Meaning, Named, Replay, packed, unpacked
+from golden_folder import Format, Meaning, NamedMeaning, Replay, bytes_from_json, bytes_to_json
 
 from stonecove.protocols.buffer import Buffer
 from stonecove.protocols.zookeeper import messages as zk
@@ -25,18 +25,18 @@
 }
 
 
-def _data_of(meaning: Meaning) -> bytes:
-    return b"x" * meaning["padding"] if "padding" in meaning else unpacked(meaning["data"])
+def _request_data(meaning: Meaning) -> bytes:
+    return b"x" * meaning["padding"] if "padding" in meaning else bytes_from_json(meaning["data"])
 
 
 def build_operation(meaning: Meaning) -> zk.Request:
-    """Return the program's value for a request."""
+    """Build the request that a meaning describes."""
     path = meaning.get("path", "")
     match meaning["operation"]:
         case "create" | "create2" as name:
             return zk.Create(
                 path,
-                _data_of(meaning),
+                _request_data(meaning),
                 tuple(zk.Acl(*entry) for entry in meaning["acl"]),
                 CREATE_MODES[meaning["mode"]],
                 name == "create2",
@@ -50,7 +50,7 @@
         case "get_children2":
             return zk.GetChildren2(path, meaning["watch"])
         case "set_data":
-            return zk.SetData(path, _data_of(meaning), meaning["version"])
+            return zk.SetData(path, _request_data(meaning), meaning["version"])
         case "sync":
             return zk.Sync(path)
         case "check":
@@ -74,20 +74,20 @@
 
 
 def encode_request(meaning: Meaning) -> bytes:
-    """Return the frame of a request."""
+    """Encode the request that a meaning describes as a frame."""
     match meaning["operation"]:
         case "connect":
             return zk.connect_request(
                 meaning["last_zxid"],
                 meaning["timeout_ms"],
                 meaning["session"],
-                unpacked(meaning["password"]),
+                bytes_from_json(meaning["password"]),
                 meaning["read_only"],
             )
         case "ping":
             return zk.ping()
         case "auth":
-            return zk.auth(meaning["scheme"], unpacked(meaning["credentials"]))
+            return zk.auth(meaning["scheme"], bytes_from_json(meaning["credentials"]))
     return zk.request(meaning["xid"], build_operation(meaning))
 
 
@@ -95,24 +95,24 @@
     return {"operation": name, **({"path": path} if path else {}), **fields}
 
 
-OPEN = [[31, "world", "anyone"]]
+OPEN_ACL = [[31, "world", "anyone"]]
 
 
 def create_request(path: str, data: bytes = b"", mode: str = "persistent", **changes: Any) -> Meaning:
-    fields = {"data": packed(data), "mode": mode, "acl": OPEN, **changes}
+    fields = {"data": bytes_to_json(data), "mode": mode, "acl": OPEN_ACL, **changes}
     return operation_request("create", path, **fields)
 
 
-def _watches(**changes: Any) -> Meaning:
+def _set_watches_request(**changes: Any) -> Meaning:
     kinds: dict[str, list[str]] = {
         kind: [] for kind in ("data", "exist", "child", "persistent", "persistent_recursive")
     }
     return operation_request("set_watches", **{"zxid": 0x1234, **kinds, **changes})
 
 
-def _request_samples() -> tuple[Named, ...]:
-    password = packed(bytes(range(16)))
-    operations: list[Named] = [
+def _request_samples() -> tuple[NamedMeaning, ...]:
+    password = bytes_to_json(bytes(range(16)))
+    operations: list[NamedMeaning] = [
         *((f"create {mode}", create_request("/a/b", b"{}", mode)) for mode in CREATE_MODES),
         (
             "create with two access entries",
@@ -126,8 +126,8 @@
             for name in ("exists", "get_data", "get_children2")
             for watch in (False, True)
         ),
-        ("set_data", operation_request("set_data", "/a/b", data=packed(b'{"a": 1}'), version=7)),
-        ("set_data to nothing", operation_request("set_data", "/a/b", data=packed(b""), version=-1)),
+        ("set_data", operation_request("set_data", "/a/b", data=bytes_to_json(b'{"a": 1}'), version=7)),
+        ("set_data to nothing", operation_request("set_data", "/a/b", data=bytes_to_json(b""), version=-1)),
         ("sync", operation_request("sync", "/a")),
         ("check", operation_request("check", "/a", version=2)),
         *((f"add_watch {mode}", operation_request("add_watch", "/a", mode=mode)) for mode in WATCH_MODES),
@@ -140,7 +140,7 @@
                     operation_request("check", "/a", version=2),
                     create_request("/a/b", b"x"),
                     {**create_request("/a/c", b"y", "ephemeral"), "operation": "create2"},
-                    operation_request("set_data", "/a", data=packed(b"z"), version=2),
+                    operation_request("set_data", "/a", data=bytes_to_json(b"z"), version=2),
                     operation_request("delete", "/a/d", version=-1),
                 ],
             ),
@@ -158,12 +158,12 @@
         ("connect again", {**connect, "read_only": False}),
         ("connect, read-only allowed", {**connect, "read_only": True}),
         ("ping", operation_request("ping")),
-        ("auth", operation_request("auth", scheme="digest", credentials=packed(b"router:secret"))),
+        ("auth", operation_request("auth", scheme="digest", credentials=bytes_to_json(b"router:secret"))),
         *numbered,
         ("greatest xid", {"xid": 0x7FFFFFFF, **operation_request("sync", "/a")}),
-        ("set watches", {"xid": -8, **_watches(data=["/a"], exist=["/b"], child=["/c", "/d"])}),
+        ("set watches", {"xid": -8, **_set_watches_request(data=["/a"], exist=["/b"], child=["/c", "/d"])}),
         ("set watches, persistent ones too", {
-            "xid": -8, **_watches(child=["/c"], persistent=["/p"], persistent_recursive=["/q"])}),
+            "xid": -8, **_set_watches_request(child=["/c"], persistent=["/p"], persistent_recursive=["/q"])}),
     )  # fmt: skip
 
 
@@ -180,7 +180,7 @@
     ),
 )
 
-# -- replies, as a server writes them --
+# -- replies as encoded by a server --
 
 
 def int_field(value: int) -> bytes:
@@ -236,22 +236,22 @@
 
 
 def _multi_results() -> bytes:
-    def head(kind: int, done: bool = False) -> bytes:
-        return struct.pack(">ibi", kind, done, -1)
-
-    parts = [
-        head(13),
-        head(1) + text_field("/a/b"),
-        head(15) + text_field("/a/c") + stat_field(),
-        head(5) + stat_field(version=3),
-        head(2),
+    def result_header(kind: int, is_last: bool = False) -> bytes:
+        return struct.pack(">ibi", kind, is_last, -1)
+
+    results = [
+        result_header(13),
+        result_header(1) + text_field("/a/b"),
+        result_header(15) + text_field("/a/c") + stat_field(),
+        result_header(5) + stat_field(version=3),
+        result_header(2),
     ]
-    return b"".join(parts) + head(-1, True)
+    return b"".join(results) + result_header(-1, True)
 
 
 def _multi_failure() -> bytes:
-    parts = [struct.pack(">ibi", -1, False, code) + int_field(code) for code in (0, -103, -2)]
-    return b"".join(parts) + struct.pack(">ibi", -1, True, -1)
+    results = [struct.pack(">ibi", -1, False, code) + int_field(code) for code in (0, -103, -2)]
+    return b"".join(results) + struct.pack(">ibi", -1, True, -1)
 
 
 REPLY_KINDS = {
@@ -312,7 +312,7 @@
     if isinstance(result, zk.Stat):
         return {"stat": describe_stat(result)}
     if isinstance(result, zk.Data):
-        return {"data": packed(result.data), "stat": describe_stat(result.stat)}
+        return {"data": bytes_to_json(result.data), "stat": describe_stat(result.stat)}
     if isinstance(result, zk.Children):
         return {"children": list(result.names), "stat": describe_stat(result.stat)}
     if isinstance(result, zk.Created):
@@ -327,13 +327,13 @@
     return {"type": name, "state": event.state, "path": event.path}
 
 
-def _read_reply(operation: str, payload: bytes) -> Meaning:
+def _describe_reply(operation: str, payload: bytes) -> Meaning:
     if operation == "connect":
         connected = zk.read_connected(payload)
         return {
             "timeout_ms": connected.timeout,
             "session": connected.session,
-            "password": packed(connected.password),
+            "password": bytes_to_json(connected.password),
             "read_only": connected.read_only,
         }
     header, reader = zk.read_header(payload)
@@ -346,13 +346,13 @@
 
 
 def play_replies(inputs: list[Meaning]) -> list[Any]:
-    """Read each input's bytes as frames from a server, and return what they mean."""
+    """Decode each input's bytes as frames from a server, and return their meanings."""
     outputs: list[Any] = []
-    for entry in inputs:
+    for step in inputs:
         buffer = Buffer(1 << 21)
-        buffer.feed(unpacked(entry["bytes"]))
+        buffer.feed(bytes_from_json(step["bytes"]))
         try:
-            outputs.append([_read_reply(entry["operation"], payload) for payload in zk.frames(buffer)])
+            outputs.append([_describe_reply(step["operation"], payload) for payload in zk.frames(buffer)])
         except zk.ZooKeeperError:
             outputs.append("malformed")
     return outputs
@@ -400,7 +400,9 @@
         ("multi", reply_frame(8, 0x29, 0, _multi_results()[:-9])),
         ("multi", reply_frame(8, 0x29, 0, struct.pack(">ibi", 4, False, -1))),
     ]
-    return [{"operation": operation, "bytes": packed(data)} for operation, data in (*valid, *malformed)]
+    return [
+        {"operation": operation, "bytes": bytes_to_json(data)} for operation, data in (*valid, *malformed)
+    ]
 
 
 REPLIES = Replay("zookeeper-replies", _reply_script, play_replies)
--- a/tests/golden_coordination_gossip.py
+++ b/tests/golden_coordination_gossip.py
@@ -6,12 +6,12 @@
 import zlib
 from typing import Any
 
-from golden_folder import Format, Meaning, Named, key_of
+from golden_folder import Format, Meaning, NamedMeaning, key_of
 
 from stonecove.gossip.claims import Claim, Datagram, Kind, MemberState
 from stonecove.protocols.gossip import GossipError, decode, encode
 
-KINDS = {
+DATAGRAM_KINDS = {
     "ping": Kind.PING,
     "ack": Kind.ACK,
     "indirect_ping_request": Kind.ASK,
@@ -21,7 +21,7 @@
     "sync": Kind.SYNC,
     "stale": Kind.STALE,
 }
-STATES = {
+MEMBER_STATES = {
     "alive": MemberState.ALIVE,
     "leaving": MemberState.LEAVING,
     "suspect": MemberState.SUSPECT,
@@ -45,18 +45,18 @@
         "member": claim.ident,
         "generation": claim.generation,
         "incarnation": claim.incarnation,
-        "state": key_of(STATES, claim.state),
+        "state": key_of(MEMBER_STATES, claim.state),
         "zone": claim.zone,
     }
 
 
 def build_update(meaning: Meaning) -> Claim:
-    """Return the program's value for a member update."""
+    """Build the claim that a member update describes."""
     return Claim(
         meaning["member"],
         meaning["generation"],
         meaning["incarnation"],
-        STATES[meaning["state"]],
+        MEMBER_STATES[meaning["state"]],
         meaning["zone"],
     )
 
@@ -64,7 +64,7 @@
 def describe_datagram(datagram: Datagram) -> Meaning:
     """Return the meaning of a datagram."""
     return {
-        "kind": key_of(KINDS, datagram.kind),
+        "kind": key_of(DATAGRAM_KINDS, datagram.kind),
         "number": datagram.number,
         "sender": describe_update(datagram.sender),
         "in_reply_to": datagram.in_reply_to,
@@ -81,9 +81,9 @@
 
 
 def build_datagram(meaning: Meaning) -> Datagram:
-    """Return the program's value for a datagram."""
+    """Build the datagram that a meaning describes."""
     return Datagram(
-        kind=KINDS[meaning["kind"]],
+        kind=DATAGRAM_KINDS[meaning["kind"]],
         number=meaning["number"],
         sender=build_update(meaning["sender"]),
         in_reply_to=meaning["in_reply_to"],
@@ -129,13 +129,14 @@
     }
 
 
-def _datagram_samples() -> tuple[Named, ...]:
+def _datagram_samples() -> tuple[NamedMeaning, ...]:
     every_state = [
-        _update(number + 1, state, incarnation=number, zone=number) for number, state in enumerate(STATES)
+        _update(number + 1, state, incarnation=number, zone=number)
+        for number, state in enumerate(MEMBER_STATES)
     ]
     extremes = _update((1 << 64) - 1, "left", generation=(1 << 48) - 1, incarnation=65_535, zone=255)
     return (
-        *((f"{kind}, nothing more", _datagram(kind)) for kind in KINDS),
+        *((f"{kind}, nothing more", _datagram(kind)) for kind in DATAGRAM_KINDS),
         ("ping of a joined member", _datagram("ping", joined=True, paused_s=5.3)),
         ("ack", _datagram("ack", in_reply_to=0x0A0B0C0D, joined=True)),
         ("request to ping for us", _datagram("indirect_ping_request", in_reply_to=9, target_member=0xABCDEF)),
@@ -166,7 +167,7 @@
     )
 
 
-def _summed(data: bytes) -> bytes:
+def _with_checksum(data: bytes) -> bytes:
     """Return a datagram with its checksum recomputed."""
     return data[:-4] + struct.pack(">I", zlib.crc32(data[:-4]))
 
@@ -174,31 +175,31 @@
 def _broken_datagrams() -> tuple[tuple[str, bytes], ...]:
     valid = encode(build_datagram(_datagram("update", updates=[_update(1), _update(2)])))
 
-    def changed(index: int, value: int) -> bytes:
-        return _summed(valid[:index] + bytes([value]) + valid[index + 1 :])
+    def with_byte_changed(index: int, value: int) -> bytes:
+        return _with_checksum(valid[:index] + bytes([value]) + valid[index + 1 :])
 
     return (
         ("empty", b""),
         ("shorter than any datagram", valid[:63]),
-        ("longer than any datagram", _summed(valid + bytes(257 - len(valid)))),
-        ("another format", changed(0, ord("x"))),
-        ("another version", changed(2, 2)),
+        ("longer than any datagram", _with_checksum(valid + bytes(257 - len(valid)))),
+        ("another format", with_byte_changed(0, ord("x"))),
+        ("another version", with_byte_changed(2, 2)),
         ("one bit changed", valid[:20] + bytes([valid[20] ^ 1]) + valid[21:]),
         ("checksum changed", valid[:-1] + bytes([valid[-1] ^ 0x80])),
         ("cut off within its updates", valid[:-10]),
-        ("kind 0", changed(3, 0)),
-        ("kind 9", changed(3, 9)),
-        ("sender's state 6", changed(24, 6)),
-        ("an update's state 6", changed(60 + 16, 6)),
-        ("one update more than there is", changed(58, 3)),
-        ("one bucket more than there is", changed(59, 1)),
+        ("kind 0", with_byte_changed(3, 0)),
+        ("kind 9", with_byte_changed(3, 9)),
+        ("sender's state 6", with_byte_changed(24, 6)),
+        ("an update's state 6", with_byte_changed(60 + 16, 6)),
+        ("one update more than there is", with_byte_changed(58, 3)),
+        ("one bucket more than there is", with_byte_changed(59, 1)),
     )
 
 
 def _gossip_reason(error: Exception) -> str:
     message = str(error)
-    found = [reason for text, reason in GOSSIP_REASONS.items() if text in message]
-    return found[0] if len(found) == 1 else f"unexpected: {message}"
+    reasons = [reason for text, reason in GOSSIP_REASONS.items() if text in message]
+    return reasons[0] if len(reasons) == 1 else f"unexpected: {message}"
 
 
 DATAGRAMS = Format(
--- a/tests/golden_coordination_records.py
+++ b/tests/golden_coordination_records.py
@@ -1,16 +1,16 @@
-"""Golden cases of the records that caches and routers write into the coordination service."""
+"""Golden cases of the coordination area: records of caches and routers in the coordination service."""
 
 from __future__ import annotations
 
 from typing import Any
 
-from golden_folder import NO_TABLES, Format, Meaning, json_with, key_of, reason_of
+from golden_folder import NOT_JSON_OBJECTS, Format, Meaning, json_with, key_of, reason_without_json_error
 
 from stonecove.discovery import Member, presence
 from stonecove.discovery.records import RecordError, TopologyNames, encode_member, parse_member
 from stonecove.routing.endpoints import Node, NodeState
 
-NAMES = TopologyNames(("hub", "edge-1"), ("box", "parent", "origin"))
+TOPOLOGY_NAMES = TopologyNames(("hub", "edge-1"), ("box", "parent", "origin"))
 NODE_STATES = {"ready": NodeState.READY, "draining": NodeState.DRAINING}
 
 
@@ -31,7 +31,7 @@
 
 
 def build_member(meaning: Meaning) -> Member:
-    """Return the member that a meaning describes."""
+    """Build the member that a meaning describes."""
     node = Node(
         node_id=meaning["node"],
         kind=meaning["kind_index"],
@@ -59,7 +59,7 @@
     }
 
 
-MEMBER_RECORD = encode_member(build_member(_member()), NAMES)
+MEMBER_RECORD = encode_member(build_member(_member()), TOPOLOGY_NAMES)
 _INVALID_MEMBER_FIELDS: tuple[tuple[str, Any], ...] = (
     ("id", 0),
     ("id", "s-zz"),
@@ -86,8 +86,8 @@
 
 MEMBERS = Format(
     "member-records",
-    lambda meaning: encode_member(build_member(meaning), NAMES),
-    lambda data: describe_member(parse_member(data, NAMES)),
+    lambda meaning: encode_member(build_member(meaning), TOPOLOGY_NAMES),
+    lambda data: describe_member(parse_member(data, TOPOLOGY_NAMES)),
     samples=(
         ("ready", _member()),
         ("draining", _member(state="draining")),
@@ -111,7 +111,7 @@
         ("unknown fields", json_with(MEMBER_RECORD, rack="r1", more={"a": []})),
     ),
     broken=(
-        *NO_TABLES,
+        *NOT_JSON_OBJECTS,
         ("too long", b" " * 4097),
         *(
             (f"without {name}", json_with(MEMBER_RECORD, **{name: None}))
@@ -123,7 +123,7 @@
         ),
     ),  # fmt: skip
     error=RecordError,
-    reason=reason_of,
+    reason=reason_without_json_error,
 )
 
 
@@ -139,7 +139,7 @@
 
 
 def build_peer(meaning: Meaning) -> presence.Peer:
-    """Return the router that a meaning describes."""
+    """Build the presence record that a meaning describes."""
     return presence.Peer(
         name=meaning["name"],
         zone=meaning["zone_index"],
@@ -160,19 +160,19 @@
     }
 
 
-PEER_RECORD = presence.encode_peer(build_peer(_peer()), NAMES)
+PEER_RECORD = presence.encode_peer(build_peer(_peer()), TOPOLOGY_NAMES)
 
 PRESENCE = Format(
     "presence-records",
-    lambda meaning: presence.encode_peer(build_peer(meaning), NAMES),
-    lambda data: describe_peer(presence.parse_peer(data, NAMES)),
+    lambda meaning: presence.encode_peer(build_peer(meaning), TOPOLOGY_NAMES),
+    lambda data: describe_peer(presence.parse_peer(data, TOPOLOGY_NAMES)),
     samples=tuple((state, _peer(state=state)) for state in ("starting", "ready", "draining")),
     inputs=(
         ("needed fields alone", b'{"zone": "hub", "state": "ready"}'),
         ("long texts are cut, unknown fields", json_with(PEER_RECORD, name="n" * 150, listen="l" * 150, x=1)),
     ),
     broken=(
-        *NO_TABLES,
+        *NOT_JSON_OBJECTS,
         ("too long", b" " * 4097),
         ("without zone", json_with(PEER_RECORD, zone=None)),
         ("zone by place", json_with(PEER_RECORD, zone=1)),
@@ -183,7 +183,7 @@
         ("started is true", json_with(PEER_RECORD, started=True)),
     ),
     error=RecordError,
-    reason=reason_of,
+    reason=reason_without_json_error,
 )
 
 FORMATS = (MEMBERS, PRESENCE)
--- a/tests/golden_coordination_rollouts.py
+++ b/tests/golden_coordination_rollouts.py
@@ -5,7 +5,7 @@
 import json
 from typing import Any
 
-from golden_folder import NO_TABLES, Format, Meaning, json_with, key_of, reason_of
+from golden_folder import NOT_JSON_OBJECTS, Format, Meaning, json_with, key_of, reason_without_json_error
 
 from stonecove.rollout.messages import (
     MAX_OVERLAY_BYTES,
@@ -51,7 +51,7 @@
 
 
 def build_target(meaning: Meaning) -> Target:
-    """Return the program's value for a target."""
+    """Build the target that a meaning describes."""
     bounds = Bounds(
         meaning["most_rejected_fraction"],
         meaning["most_missing_fraction"],
@@ -101,7 +101,7 @@
     valid = build_target(_target()).encode()
     bounds = json.loads(valid)["bounds"]
     return (
-        *NO_TABLES,
+        *NOT_JSON_OBJECTS,
         ("too long", b" " * (MAX_TARGET_BYTES + 1)),
         *((f"without {name}", json_with(valid, **{name: None})) for name in json.loads(valid)),
         *((f"{name} is a list", json_with(valid, **{name: [-1]})) for name in json.loads(valid)),
@@ -160,7 +160,7 @@
     ),  # fmt: skip
     broken=_broken_targets(),
     error=MessageError,
-    reason=reason_of,
+    reason=reason_without_json_error,
 )
 
 
@@ -195,7 +195,7 @@
     ),  # fmt: skip
     inputs=(("unknown fields beside it", b'{"merge": {"a": 1}, "version": 12, "by": "x"}'),),
     broken=(
-        *NO_TABLES,
+        *NOT_JSON_OBJECTS,
         ("too long", b" " * (MAX_OVERLAY_BYTES + 1)),
         ("another version", b'{"version": 13, "merge": {}}'),
         ("no version", b'{"merge": {}}'),
@@ -206,7 +206,7 @@
     ),
     unwritable=(("too long", {"version": 12, "merge_patch": {}, "padding": MAX_OVERLAY_BYTES}),),
     error=MessageError,
-    reason=reason_of,
+    reason=reason_without_json_error,
 )
 
 
@@ -228,7 +228,7 @@
 
 
 def build_report(meaning: Meaning) -> Report:
-    """Return the program's value for a report."""
+    """Build the report that a meaning describes."""
     rejected = meaning["rejected"]
     return Report(
         in_force=meaning["version_in_force"],
@@ -263,7 +263,7 @@
     health = json.loads(valid)["health"]
     required = [name for name in json.loads(valid) if name not in ("refused", "settled")]
     return (
-        *NO_TABLES,
+        *NOT_JSON_OBJECTS,
         ("too long", b" " * (MAX_REPORT_BYTES + 1)),
         *((f"without {name}", json_with(valid, **{name: None})) for name in required),
         *((f"{name} is a list", json_with(valid, **{name: [1]})) for name in [*required, "refused"]),
@@ -302,7 +302,7 @@
     ),  # fmt: skip
     broken=_broken_reports(),
     error=MessageError,
-    reason=reason_of,
+    reason=reason_without_json_error,
 )
 
 FORMATS = (TARGETS, OVERLAYS, REPORTS)
--- a/tests/golden_coordination_sessions.py
+++ b/tests/golden_coordination_sessions.py
@@ -1,4 +1,4 @@
-"""Cases of the coordination area: whole sessions with ZooKeeper."""
+"""Golden cases of the coordination area: whole sessions with ZooKeeper."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
     stat_field,
     text_field,
 )
-from golden_folder import Meaning, Replay, packed, unpacked
+from golden_folder import Meaning, Replay, bytes_from_json, bytes_to_json
 
 from stonecove.protocols.zookeeper import messages as zk
 from stonecove.protocols.zookeeper.node_watch import NodeWatch
@@ -48,7 +48,7 @@
     "credentials_rejected": State.REFUSED,
     "closed": State.CLOSED,
 }
-DISCONNECTS = {
+DISCONNECT_REASONS = {
     "silent": "server silent",
     "not up in time": "connect timeout",
     "read-only": "read-only server",
@@ -64,8 +64,10 @@
 CONFIG = SessionConfig(10.0, 1.0, (0.05, 5.0), 0.5, (("digest", b"router:secret"),))
 
 
-def _disconnect(why: str) -> str:
-    return next((reason for text, reason in DISCONNECTS.items() if why.startswith(text)), why)
+def _disconnect_reason(error_text: str) -> str:
+    return next(
+        (reason for text, reason in DISCONNECT_REASONS.items() if error_text.startswith(text)), error_text
+    )
 
 
 def describe_session_event(event: SessionEvent) -> Meaning:
@@ -73,7 +75,7 @@
     if isinstance(event, Up):
         return {"event": "connected", "session": event.session, "resumed": event.resumed}
     if isinstance(event, Down):
-        return {"event": "disconnected", "reason": _disconnect(event.reason)}
+        return {"event": "disconnected", "reason": _disconnect_reason(event.reason)}
     if isinstance(event, Expired):
         return {"event": "session_expired", "session": event.session}
     if isinstance(event, Watched):
@@ -87,7 +89,7 @@
     }
 
 
-def _split(data: bytes) -> list[str]:
+def _split_frames(data: bytes) -> list[str]:
     frames = []
     while data:
         end = 4 + struct.unpack_from(">i", data)[0]
@@ -96,29 +98,29 @@
     return frames
 
 
-class Client:
-    """A session without I/O and its users, driven by the steps of a script.
+class ScriptedClient:
+    """A session without I/O and its event listeners, driven by the steps of a script.
 
-    It dispatches events as the router does: a reply to the sender of its request, all else to every user in
-    the order in which they were added.
+    It dispatches events as the router does: a reply to the sender of its request, any other event to all
+    listeners in the order in which they were added.
     """
 
     def __init__(self) -> None:
         self.session = Session(SERVERS, 7, CONFIG)
         self.now = 0.0
-        self.reports: list[Meaning] = []
-        self.feeds: list[Callable[[SessionEvent], None]] = []
+        self.pending_reports: list[Meaning] = []
+        self.event_listeners: list[Callable[[SessionEvent], None]] = []
         self.commands: dict[str, Callable[[Meaning], None]] = {}
-        self._calls: dict[int, Callable[[Reply], None]] = {}
-        self._token = 1000
+        self._callbacks: dict[int, Callable[[Reply], None]] = {}
+        self._last_token = 1000
 
-    def ask(self, request: zk.Request, call: Callable[[Reply], None]) -> None:
-        """Send a request whose reply goes to `call`."""
-        self._token += 1
-        self._calls[self._token] = call
-        self.session.send_request(self._token, request, self.now)
+    def send_request(self, request: zk.Request, callback: Callable[[Reply], None]) -> None:
+        """Send a request whose reply is passed to `callback`."""
+        self._last_token += 1
+        self._callbacks[self._last_token] = callback
+        self.session.send_request(self._last_token, request, self.now)
 
-    def play(self, step: Meaning) -> Meaning:
+    def run_step(self, step: Meaning) -> Meaning:
         """Run one step, and return its outcome."""
         self.now, session = step["at_s"], self.session
         match step["do"]:
@@ -127,7 +129,7 @@
             case "opened":
                 session.opened(self.now)
             case "received":
-                session.received(unpacked(step["bytes"]), self.now)
+                session.received(bytes_from_json(step["bytes"]), self.now)
             case "lost":
                 session.lost(step["reason"], self.now)
             case "time_passes":
@@ -140,35 +142,35 @@
                 session.send_request(step["token"], build_operation(step["request"]), self.now)
             case command:
                 self.commands[command](step)
-        return self._outcome(list(self._hand_over()))
+        return self._outcome(list(self._dispatch_events()))
 
-    def _hand_over(self) -> Iterable[Meaning]:
+    def _dispatch_events(self) -> Iterable[Meaning]:
         for event in self.session.events():
-            if isinstance(event, Reply) and event.token in self._calls:
-                self._calls.pop(event.token)(event)
+            if isinstance(event, Reply) and event.token in self._callbacks:
+                self._callbacks.pop(event.token)(event)
                 continue
             yield describe_session_event(event)
-            for feed in self.feeds:
-                feed(event)
+            for listener in self.event_listeners:
+                listener(event)
 
     def _outcome(self, events: list[Meaning]) -> Meaning:
         plan = self.session.plan(self.now)
-        reports = list(self.reports)
-        self.reports.clear()
+        reports = list(self.pending_reports)
+        self.pending_reports.clear()
         state = next(name for name, candidate in SESSION_STATES.items() if candidate is self.session.state)
         outcome: Meaning = {
             "state": state,
             "connect_to": None if plan.connect is None else list(plan.connect),
             "next_due_s": None if math.isinf(plan.until) else round(plan.until, 6),
-            "sent": _split(self.session.data_to_send()),
+            "sent": _split_frames(self.session.data_to_send()),
             "events": events,
             "told": reports,
         }
         return {name: value for name, value in outcome.items() if value not in ([], None)}
 
 
-class Script:
-    """Builds the steps of a script; replies have the xids of the requests in the order of sending."""
+class ScriptBuilder:
+    """Builds the steps of a script; each reply has the xid of the oldest unanswered request."""
 
     def __init__(self) -> None:
         self.steps: list[Meaning] = []
@@ -176,51 +178,51 @@
         self._xid = 0
         self.zxid = 0x100
 
-    def do(self, what: str, after: float = 0.01, **fields: Any) -> None:
+    def add_step(self, action: str, after_s: float = 0.01, **fields: Any) -> None:
         """Add a step."""
-        self._now = round(self._now + after, 6)
-        self.steps.append({"at_s": self._now, "do": what, **fields})
+        self._now = round(self._now + after_s, 6)
+        self.steps.append({"at_s": self._now, "do": action, **fields})
 
-    def received(self, *frames: bytes, after: float = 0.01) -> None:
-        """Add bytes from the server."""
-        self.do("received", after, bytes=packed(b"".join(frames)))
+    def receive(self, *frames: bytes, after_s: float = 0.01) -> None:
+        """Add a step that receives bytes from the server."""
+        self.add_step("received", after_s, bytes=bytes_to_json(b"".join(frames)))
 
-    def connect(self, session: int = 0xABCDEF, after: float = 0.01) -> None:
-        """Connect, and have the session accepted."""
-        self.do("connecting", after)
-        self.do("opened")
-        self.received(connected_frame(9_000, session))
-        self.received(reply_frame(-4, self.zxid))
+    def connect(self, session: int = 0xABCDEF, after_s: float = 0.01) -> None:
+        """Add steps that connect and in which the server accepts the session."""
+        self.add_step("connecting", after_s)
+        self.add_step("opened")
+        self.receive(connected_frame(9_000, session))
+        self.receive(reply_frame(-4, self.zxid))
 
     def reply(self, error: int = 0, body: bytes = b"") -> None:
-        """Answer the oldest unanswered request."""
+        """Add a reply to the oldest unanswered request."""
         self._xid += 1
         self.zxid += 1
-        self.received(reply_frame(self._xid, self.zxid, error, body))
+        self.receive(reply_frame(self._xid, self.zxid, error, body))
 
-    def lose(self, requests: int = 0, reason: str = "reset") -> None:
-        """Lose the connection with so many requests unanswered."""
+    def lose_connection(self, requests: int = 0, reason: str = "reset") -> None:
+        """Add the loss of the connection with that many requests unanswered."""
         self._xid += requests
-        self.do("lost", reason=reason)
+        self.add_step("lost", reason=reason)
 
-    def ask(self, token: int, request: Meaning) -> None:
-        """Send a request."""
-        self.do("ask", token=token, request=request)
+    def send_request(self, token: int, request: Meaning) -> None:
+        """Add a step that sends a request."""
+        self.add_step("ask", token=token, request=request)
 
 
 def _play_session(steps: list[Meaning]) -> list[Any]:
-    client = Client()
-    return [client.play(step) for step in steps]
+    client = ScriptedClient()
+    return [client.run_step(step) for step in steps]
 
 
 def _session_script() -> list[Meaning]:
-    script = Script()
-    script.do("connecting")
-    script.do("opened")
+    script = ScriptBuilder()
+    script.add_step("connecting")
+    script.add_step("opened")
     connected = connected_frame(9_000, 0xABCDEF)
-    script.received(connected[:7])
-    script.received(connected[7:])
-    script.received(reply_frame(-4, 0x100))
+    script.receive(connected[:7])
+    script.receive(connected[7:])
+    script.receive(reply_frame(-4, 0x100))
     requests: list[tuple[Meaning, int, bytes]] = [
         (operation_request("get_data", "/a/b", watch=True), 0, data_field(b"one", mzxid=0x80)),
         (operation_request("exists", "/a/none", watch=True), -101, b""),
@@ -229,85 +231,85 @@
         (operation_request("add_watch", "/r", mode="persistent_recursive"), 0, b""),
         (operation_request("add_watch", "/p", mode="persistent"), 0, b""),
         (create_request("/a/e", b"{}", "ephemeral"), 0, text_field("/a/e")),
-        (operation_request("set_data", "/a/e", data=packed(b"{1}"), version=4), -103, b""),
+        (operation_request("set_data", "/a/e", data=bytes_to_json(b"{1}"), version=4), -103, b""),
         (operation_request("sync", "/a"), 0, text_field("/a")),
     ]
     for token, (request, _, _) in enumerate(requests):
-        script.ask(token, request)
+        script.send_request(token, request)
     for _, error, body in requests:
         script.reply(error, body)
-    script.received(
+    script.receive(
         event_frame(3, "/a/b"), event_frame(1, "/a/none"), event_frame(4, "/a"), event_frame(2, "/r/x")
     )
-    script.ask(20, operation_request("get_data", "/a/b", watch=True))
+    script.send_request(20, operation_request("get_data", "/a/b", watch=True))
     script.reply(0, data_field(b"two", mzxid=0x81))
-    script.do("time_passes", 3.1)
-    script.received(reply_frame(-2, script.zxid))
-    script.ask(21, operation_request("get_data", "/a/d", watch=False))
-    script.lose(1)
-    script.ask(22, operation_request("get_data", "/a/d", watch=False))
-    script.do("connecting", 0.1)
-    script.do("opened")
-    script.received(connected_frame(9_000, 0xABCDEF))
-    script.received(reply_frame(-4, script.zxid), reply_frame(-8, script.zxid))
-    script.ask(23, operation_request("get_children2", "/a", watch=True))
+    script.add_step("time_passes", 3.1)
+    script.receive(reply_frame(-2, script.zxid))
+    script.send_request(21, operation_request("get_data", "/a/d", watch=False))
+    script.lose_connection(1)
+    script.send_request(22, operation_request("get_data", "/a/d", watch=False))
+    script.add_step("connecting", 0.1)
+    script.add_step("opened")
+    script.receive(connected_frame(9_000, 0xABCDEF))
+    script.receive(reply_frame(-4, script.zxid), reply_frame(-8, script.zxid))
+    script.send_request(23, operation_request("get_children2", "/a", watch=True))
     script.reply(0, children_field("b"))
-    script.do("close")
+    script.add_step("close")
     script.reply()
     return script.steps
 
 
 def _failure_script() -> list[Meaning]:
-    script = Script()
-    script.do("connecting")
-    script.do("time_passes", 1.5)  # the connection is never established
-    script.do("connecting", 0.1)
-    script.do("opened")
-    script.received(connected_frame(9_000, 0xABCDEF, True))  # no leader
-    script.do("connecting", 0.1)
-    script.do("opened")
-    script.received(int_field(-1))  # malformed
-    script.do("connecting", 0.1)
-    script.do("lost", reason="refused")  # the backoff has grown
-    script.do("connecting", 0.5)
-    script.do("opened")
-    script.received(connected_frame(9_000, 0xABCDEF))
-    script.received(reply_frame(-4, 0x200))
-    script.received(reply_frame(-2, 0x1FF))  # older than its previous zxid
-    script.connect(after=0.1)
-    script.steps[-1]["bytes"] = packed(reply_frame(-4, 0x200))
-    script.ask(1, operation_request("get_data", "/a", watch=True))
-    script.received(reply_frame(1, 0x201, -118))  # the session has moved
-    script.do("connecting", 0.1)
-    script.do("opened")
-    script.received(connected_frame(9_000, 0xABCDEF))
-    script.received(reply_frame(-4, 0x202))
-    script.do("time_passes", 7.0)  # the server is silent
-    script.do("connecting", 0.1)
-    script.do("opened")
-    script.received(connected_frame(0, 0))  # the session has expired
-    script.do("connecting", 0.1)
-    script.do("opened")
-    script.received(connected_frame(9_000, 0xABCDF0))
-    script.received(reply_frame(-4, 0x203, -115))  # the credentials are rejected
-    script.do("connecting", 5.1)
-    script.do("opened")
-    script.received(connected_frame(9_000, 0xABCDF0))
-    script.received(reply_frame(-4, 0x204))
-    script.ask(2, operation_request("get_data", "/a", watch=False))
-    script.received(reply_frame(9, 0x205))  # a reply to something else
-    script.do("move", servers=[["10.1.0.1", 2181], ["10.1.0.2", 2181]])
-    script.do("connecting")
-    script.do("opened")
-    script.received(connected_frame(9_000, 0x123))
-    script.ask(3, operation_request("get_data", "/a", watch=False))
-    script.received(reply_frame(3, 0x10, -112))  # a reply reports that the session has expired
-    script.do("close")
+    script = ScriptBuilder()
+    script.add_step("connecting")
+    script.add_step("time_passes", 1.5)  # the connection is never established
+    script.add_step("connecting", 0.1)
+    script.add_step("opened")
+    script.receive(connected_frame(9_000, 0xABCDEF, True))  # no leader
+    script.add_step("connecting", 0.1)
+    script.add_step("opened")
+    script.receive(int_field(-1))  # malformed
+    script.add_step("connecting", 0.1)
+    script.add_step("lost", reason="refused")  # the backoff has grown
+    script.add_step("connecting", 0.5)
+    script.add_step("opened")
+    script.receive(connected_frame(9_000, 0xABCDEF))
+    script.receive(reply_frame(-4, 0x200))
+    script.receive(reply_frame(-2, 0x1FF))  # older than its previous zxid
+    script.connect(after_s=0.1)
+    script.steps[-1]["bytes"] = bytes_to_json(reply_frame(-4, 0x200))
+    script.send_request(1, operation_request("get_data", "/a", watch=True))
+    script.receive(reply_frame(1, 0x201, -118))  # the session has moved
+    script.add_step("connecting", 0.1)
+    script.add_step("opened")
+    script.receive(connected_frame(9_000, 0xABCDEF))
+    script.receive(reply_frame(-4, 0x202))
+    script.add_step("time_passes", 7.0)  # the server is silent
+    script.add_step("connecting", 0.1)
+    script.add_step("opened")
+    script.receive(connected_frame(0, 0))  # the session has expired
+    script.add_step("connecting", 0.1)
+    script.add_step("opened")
+    script.receive(connected_frame(9_000, 0xABCDF0))
+    script.receive(reply_frame(-4, 0x203, -115))  # the credentials are rejected
+    script.add_step("connecting", 5.1)
+    script.add_step("opened")
+    script.receive(connected_frame(9_000, 0xABCDF0))
+    script.receive(reply_frame(-4, 0x204))
+    script.send_request(2, operation_request("get_data", "/a", watch=False))
+    script.receive(reply_frame(9, 0x205))  # a reply to something else
+    script.add_step("move", servers=[["10.1.0.1", 2181], ["10.1.0.2", 2181]])
+    script.add_step("connecting")
+    script.add_step("opened")
+    script.receive(connected_frame(9_000, 0x123))
+    script.send_request(3, operation_request("get_data", "/a", watch=False))
+    script.receive(reply_frame(3, 0x10, -112))  # a reply reports that the session has expired
+    script.add_step("close")
     return script.steps
 
 
 SESSION = Replay("zookeeper-session", _session_script, _play_session)
-FAILURES = Replay("zookeeper-session-trouble", _failure_script, _play_session)
+SESSION_FAILURES = Replay("zookeeper-session-trouble", _failure_script, _play_session)
 
 # -- a router's own node, and a single watched node --
 
@@ -317,14 +319,14 @@
 )
 
 
-class _NodeNotes:
+class _NodeRecorder:
     """Records the reported state of a watched node."""
 
     def __init__(self, report: Callable[[Meaning], None]) -> None:
         self._report = report
 
     def put(self, data: bytes, stat: zk.Stat) -> None:
-        self._report({"node": "present", "data": packed(data), "mzxid": stat.mzxid})
+        self._report({"node": "present", "data": bytes_to_json(data), "mzxid": stat.mzxid})
 
     def absent(self) -> None:
         self._report({"node": "absent"})
@@ -334,36 +336,36 @@
 
 
 def _play_presence(steps: list[Meaning]) -> list[Any]:
-    client = Client()
+    client = ScriptedClient()
 
     def report(meaning: Meaning) -> None:
-        client.reports.append(meaning)
+        client.pending_reports.append(meaning)
 
     registrar = Registrar(
         "/fleet/routers",
         "r1",
         OWN_RECORD,
-        client.ask,
+        client.send_request,
         lambda: client.session.session,
         lambda data: data == OWN_RECORD,
         lambda event, **fields: report({"alarm": "name not registered"}),
     )
-    client.feeds.append(registrar.feed)
+    client.event_listeners.append(registrar.feed)
 
-    def change(step: Meaning) -> None:
-        registrar.update_record(unpacked(step["record"]), lambda: report({"record": "stored"}))
+    def change_record(step: Meaning) -> None:
+        registrar.update_record(bytes_from_json(step["record"]), lambda: report({"record": "stored"}))
 
     client.commands = {
-        "change_record": change,
+        "change_record": change_record,
         "retry_name": lambda step: registrar.retry_name(),
         "node_vanished": lambda step: registrar.recreate_node(),
         "retire": lambda step: registrar.retire(),
     }
-    return [client.play(step) for step in steps]
+    return [client.run_step(step) for step in steps]
 
 
 def _presence_script() -> list[Meaning]:
-    script, exists, missing = Script(), -110, -101
+    script, exists, missing = ScriptBuilder(), -110, -101
     script.connect()
     script.reply(missing)  # the path is created from the root down
     script.reply(missing)
@@ -371,68 +373,70 @@
     script.reply(missing)
     script.reply(0, text_field("/fleet/routers"))
     script.reply(0, text_field("/fleet/routers/r1"))
-    script.do("change_record", record=packed(b'{"state": "draining"}'))
-    script.do("change_record", record=packed(b'{"state": "left"}'))
+    script.add_step("change_record", record=bytes_to_json(b'{"state": "draining"}'))
+    script.add_step("change_record", record=bytes_to_json(b'{"state": "left"}'))
     script.reply(0, stat_field(version=1))
     script.reply(0, stat_field(version=2))
-    script.do("change_record", record=packed(b'{"state": "left"}'))
-    script.do("change_record", record=packed(OWN_RECORD))
+    script.add_step("change_record", record=bytes_to_json(b'{"state": "left"}'))
+    script.add_step("change_record", record=bytes_to_json(OWN_RECORD))
     script.reply(missing)  # the node is gone: created again
     script.reply(0, text_field("/fleet/routers/r1"))
-    script.do("node_vanished")
-    script.lose(1)  # the create request, which gets no reply
-    script.connect(after=0.1)
+    script.add_step("node_vanished")
+    script.lose_connection(1)  # the create request, which gets no reply
+    script.connect(after_s=0.1)
     script.reply(exists)
     script.reply(0, data_field(OWN_RECORD, owner=0xABCDEF))  # the create had succeeded
-    script.lose()
-    script.do("connecting", 0.1)
-    script.do("opened")
-    script.received(connected_frame(0, 0))
-    script.connect(0xABCDF0, after=0.1)
+    script.lose_connection()
+    script.add_step("connecting", 0.1)
+    script.add_step("opened")
+    script.receive(connected_frame(0, 0))
+    script.connect(0xABCDF0, after_s=0.1)
     script.reply(exists)  # left by the process before the restart: deleted
     script.reply(0, data_field(OWN_RECORD, owner=0x77, version=3))
     script.reply()
     script.reply(0, text_field("/fleet/routers/r1"))
-    script.do("node_vanished")
+    script.add_step("node_vanished")
     script.reply(exists)  # owned by another router
     script.reply(0, data_field(OTHER_RECORD, owner=0x78, version=1))
-    script.do("change_record", record=packed(OTHER_RECORD))
-    script.do("retry_name")
+    script.add_step("change_record", record=bytes_to_json(OTHER_RECORD))
+    script.add_step("retry_name")
     script.reply(-102)  # not allowed
-    script.do("retry_name")
+    script.add_step("retry_name")
     script.reply(0, text_field("/fleet/routers/r1"))
-    script.do("retire")
-    script.do("change_record", record=packed(OWN_RECORD))
+    script.add_step("retire")
+    script.add_step("change_record", record=bytes_to_json(OWN_RECORD))
     return script.steps
 
 
 def _play_node_watch(steps: list[Meaning]) -> list[Any]:
-    client = Client()
-    watch = NodeWatch("/configuration/target", client.ask, _NodeNotes(client.reports.append))
-    client.feeds.append(watch.feed)
-    return [client.play(step) for step in steps]
+    client = ScriptedClient()
+    watch = NodeWatch(
+        "/configuration/target", client.send_request, _NodeRecorder(client.pending_reports.append)
+    )
+    client.event_listeners.append(watch.feed)
+    return [client.run_step(step) for step in steps]
 
 
 def _node_watch_script() -> list[Meaning]:
-    script, path, missing = Script(), "/configuration/target", -101
+    script, path, missing = ScriptBuilder(), "/configuration/target", -101
     script.connect()
     script.reply(missing)
     script.reply(missing)
-    script.received(event_frame(1, path))
+    script.receive(event_frame(1, path))
     script.reply(0, data_field(b"v1", mzxid=0x31))
-    script.received(event_frame(3, path), event_frame(3, "/configuration/other"))
-    script.received(event_frame(3, path))  # during a read
+    script.receive(event_frame(3, path), event_frame(3, "/configuration/other"))
+    script.receive(event_frame(3, path))  # during a read
     script.reply(0, data_field(b"v2", mzxid=0x32))
     script.reply(0, data_field(b"v3", mzxid=0x33))
-    script.received(event_frame(2, path))
+    script.receive(event_frame(2, path))
     script.reply(missing)
-    script.reply(0, stat_field())  # it was created in between
+    script.reply(0, stat_field())  # created between the two requests
     script.reply(0, data_field(b"v4", mzxid=0x34))
-    script.received(event_frame(3, path))
+    script.receive(event_frame(3, path))
     script.reply(-102)
-    script.received(event_frame(3, path))
-    script.lose(1)
-    script.connect(after=0.1)
+    script.receive(event_frame(3, path))
+    script.lose_connection(1)
+    script.connect(after_s=0.1)
     script.reply(0, data_field(b"v5", mzxid=0x35))
     return script.steps
 
@@ -443,14 +447,14 @@
 # -- all nodes below a path --
 
 
-class _TreeNotes:
+class _TreeRecorder:
     """Records the reported state of the nodes below a path."""
 
     def __init__(self, report: Callable[[Meaning], None]) -> None:
         self._report = report
 
     def put(self, name: str, data: bytes, stat: zk.Stat) -> None:
-        self._report({"present": name, "data": packed(data), "czxid": stat.czxid})
+        self._report({"present": name, "data": bytes_to_json(data), "czxid": stat.czxid})
 
     def removed(self, names: Iterable[str]) -> None:
         self._report({"removed": sorted(names)})
@@ -464,40 +468,42 @@
 
 def _play_tree(recursive: bool) -> Callable[[list[Meaning]], list[Any]]:
     def play(steps: list[Meaning]) -> list[Any]:
-        client = Client()
-        tree = TreeWatch("/caches", client.ask, _TreeNotes(client.reports.append), recursive)
-        client.feeds.append(tree.feed)
+        client = ScriptedClient()
+        tree = TreeWatch(
+            "/caches", client.send_request, _TreeRecorder(client.pending_reports.append), recursive
+        )
+        client.event_listeners.append(tree.feed)
         client.commands = {"confirm": lambda step: tree.confirm()}
-        return [client.play(step) for step in steps]
+        return [client.run_step(step) for step in steps]
 
     return play
 
 
 def _tree_script(recursive: bool, watch_error: int = 0) -> list[Meaning]:
-    script = Script()
+    script = ScriptBuilder()
     script.connect()
     if recursive:
         script.reply(watch_error)
     script.reply(0, children_field("n1", "n2", "n3"))
     script.reply(0, data_field(b"a1", czxid=0x11))
     script.reply(0, data_field(b"a2", czxid=0x12))
-    script.reply(-101)  # it is already deleted
-    script.received(event_frame(4, "/caches"))
+    script.reply(-101)  # already deleted
+    script.receive(event_frame(4, "/caches"))
     script.reply(0, children_field("n1", "n4"))
     script.reply(0, data_field(b"a4", czxid=0x14))
-    script.received(event_frame(3, "/caches/n1"))
+    script.receive(event_frame(3, "/caches/n1"))
     script.reply(0, data_field(b"b1", czxid=0x11))
-    script.received(event_frame(2, "/caches/n4"))
-    script.received(event_frame(1, "/caches/n5"))
+    script.receive(event_frame(2, "/caches/n4"))
+    script.receive(event_frame(1, "/caches/n5"))
     script.reply(0, data_field(b"a5", czxid=0x15))
-    script.received(event_frame(3, "/caches/n1"))
+    script.receive(event_frame(3, "/caches/n1"))
     script.reply(0, data_field(b"c1", czxid=0x16))  # deleted and created again
-    script.do("confirm")
+    script.add_step("confirm")
     script.reply(0, text_field("/caches"))
     script.reply(0, children_field("n1", "n5"))
-    script.received(event_frame(3, "/caches/n1"))
-    script.lose(1)
-    script.connect(after=0.1)
+    script.receive(event_frame(3, "/caches/n1"))
+    script.lose_connection(1)
+    script.connect(after_s=0.1)
     script.reply(0, children_field("n1", "n5"))
     script.reply(0, data_field(b"d1", czxid=0x16))
     if recursive and not watch_error:  # missed events are not reported: all nodes are read again
@@ -505,9 +511,9 @@
     return script.steps
 
 
-TREES = (
+TREE_WATCHES = (
     Replay("zookeeper-tree", lambda: _tree_script(False), _play_tree(False)),
     Replay("zookeeper-tree-recursive", lambda: _tree_script(True), _play_tree(True)),
     Replay("zookeeper-tree-recursive-unknown", lambda: _tree_script(True, -6), _play_tree(True)),
 )
-CASES = (SESSION, FAILURES, PRESENCE, NODE_WATCH, *TREES)
+CASES = (SESSION, SESSION_FAILURES, PRESENCE, NODE_WATCH, *TREE_WATCHES)
--- a/tests/golden_decisions_cases.py
+++ b/tests/golden_decisions_cases.py
@@ -1,7 +1,7 @@
-"""Seeded closed-loop conversations with the routing decisions.
+"""Seeded closed-loop simulations of a fleet around the routing decisions.
 
-A simulated fleet and its clients respond to the actions of the director, so that each event depends on the
-actions before it. Settings are written as the published JSON.
+The simulated fleet and its clients respond to the actions of the director, so that each event depends on the
+actions before it. Settings are in the form of the published JSON.
 """
 
 from __future__ import annotations
@@ -17,8 +17,9 @@
 from functools import partial
 from typing import Any, NamedTuple
 
-from golden_decisions_storage import stored_lines
+from golden_decisions_storage import stored_steps
 from golden_decisions_types import (
+    CACHE_STATUSES,
     CACHED,
     CANCELLED,
     CONNECT_FAILED,
@@ -31,8 +32,7 @@
     FILLED_BY_ORIGIN,
     HIT,
     MISS,
-    NO_NOTE,
-    NOTES,
+    NO_CACHE_STATUS,
     OK,
     ORIGIN_FAILED,
     OUTCOMES,
@@ -57,9 +57,9 @@
 # -- settings, as the published JSON --
 
 
-def request_class(name: str, deadline: float, on_time: float, **more: Any) -> dict[str, Any]:
-    """Return one class of requests."""
-    return {"name": name, "deadline": deadline, "on_time": on_time, **more}
+def request_class(name: str, deadline: float, on_time: float, **optional_settings: Any) -> dict[str, Any]:
+    """Return the settings of one request class."""
+    return {"name": name, "deadline": deadline, "on_time": on_time, **optional_settings}
 
 
 CLASSES = [
@@ -71,12 +71,12 @@
     request_class("payments", 5000.0, 900.0, effect="side_effect"),
     request_class("pages", 2500.0, 400.0, importance=3.0),
 ]
-APPENDED = request_class("previews", 2000.0, 300.0)
+APPENDED_CLASS = request_class("previews", 2000.0, 300.0)
 LIFETIMES = [0.0, 8000.0, 0.0, 0.0, 0.0, 0.0, 3000.0]
 
 
-def router_settings(**parts: Any) -> dict[str, Any]:
-    """Return settings; the given tables are merged into the usual ones."""
+def router_settings(**overrides: Any) -> dict[str, Any]:
+    """Return the default settings with overrides; a table is merged into the default one."""
     base: dict[str, Any] = {
         "zone": 1,
         "fleet_size": 3,
@@ -109,8 +109,8 @@
             "connect_timeout": 300.0,
         },
     }
-    for name, part in parts.items():
-        base[name] = {**base[name], **part} if isinstance(base.get(name), dict) else part
+    for name, value in overrides.items():
+        base[name] = {**base[name], **value} if isinstance(base.get(name), dict) else value
     return base
 
 
@@ -119,20 +119,20 @@
 
 def make_endpoints(caches: int, parents: int, origins: int, weight: float = 20.0) -> list[Endpoint]:
     """Return ready endpoints after their slow start, with two caches of a zone that must not be used."""
-    found = [Endpoint(0xA01 + n, 0, 0.0, READY, n % 3, 1, weight * (1 + n % 2)) for n in range(caches)]
-    found += [Endpoint(0xB01 + n, 0, 0.0, READY, 0, 2, weight) for n in range(2)]
-    found += [Endpoint(0xC01 + n, 1, 0.0, READY, 0, 0, 2 * weight) for n in range(parents)]
-    return found + [Endpoint(0xD01 + n, 2, 0.0, READY, 0, 0, 5 * weight) for n in range(origins)]
+    endpoints = [Endpoint(0xA01 + n, 0, 0.0, READY, n % 3, 1, weight * (1 + n % 2)) for n in range(caches)]
+    endpoints += [Endpoint(0xB01 + n, 0, 0.0, READY, 0, 2, weight) for n in range(2)]
+    endpoints += [Endpoint(0xC01 + n, 1, 0.0, READY, 0, 0, 2 * weight) for n in range(parents)]
+    return endpoints + [Endpoint(0xD01 + n, 2, 0.0, READY, 0, 0, 5 * weight) for n in range(origins)]
 
 
 @dataclass(frozen=True)
 class Scenario:
-    """One conversation: the settings, the fleet, and the rates of events."""
+    """The settings, the fleet and the event rates of one simulation."""
 
     name: str
     seed: int
     events: int
-    settings: tuple[dict[str, Any], ...]  # the first at the start, the others in turn later
+    settings: tuple[dict[str, Any], ...]  # the first at the start, then the others in turn
     endpoints: list[Endpoint]
     request_interval_ms: float = 12.0  # mean
     objects: int = 400
@@ -159,14 +159,14 @@
 
 
 class Recording(NamedTuple):
-    """The events and actions of a conversation."""
+    """The events and actions of a simulation."""
 
     events: list[Step]
     times: list[float]
     actions: list[list[list[Any]]]
     event_kinds: Counter[str]
     outcomes: Counter[int]
-    notes: Counter[int]
+    cache_statuses: Counter[int]
 
     @property
     def action_kinds(self) -> Counter[str]:
@@ -174,10 +174,10 @@
         return Counter(str(action[0]) for actions in self.actions for action in actions)
 
 
-PlannedEvent = Callable[[], Step | None]
+ScheduledEvent = Callable[[], Step | None]
 
 
-class Conversation:
+class Simulation:
     """Simulate a fleet and its clients around one director, with a random generator of their own."""
 
     def __init__(self, scenario: Scenario) -> None:
@@ -185,10 +185,10 @@
         self._random = random.Random(scenario.seed)
         self._director = Director(read_settings(json.dumps(scenario.settings[0])), scenario.seed)
         self._now_ms = 100_000.0
-        self._queue: list[tuple[float, int, PlannedEvent]] = []
+        self._queue: list[tuple[float, int, ScheduledEvent]] = []
         self._sequence = itertools.count()
-        self._endpoints = {one.node: one for one in scenario.endpoints}
-        self._open: dict[int, OpenRequest] = {}
+        self._endpoints = {endpoint.node: endpoint for endpoint in scenario.endpoints}
+        self._open_requests: dict[int, OpenRequest] = {}
         self._request_ids = itertools.count(1)
         self._lease_ids = itertools.count(1)
         self._faults: dict[int, str] = {}
@@ -198,55 +198,56 @@
         self._recording = Recording([], [], [], Counter(), Counter(), Counter())
 
     def run(self) -> Recording:
-        """Return the conversation once it has as many events as the scenario asks for."""
+        """Run until the scenario's number of events has been delivered; return the recording."""
         scenario = self._scenario
         if scenario.leases is not None:
             self._deliver("lease-terms", scenario.leases)
         else:
-            self._deliver("lease", (0, 0xA01, 5.0, self._now_ms + 100.0))  # to a router without leases
+            # A grant to a router that has no lease terms.
+            self._deliver("lease", (0, 0xA01, 5.0, self._now_ms + 100.0))
         for number in range(scenario.early_requests):
             self._now_ms += 1.0
-            key = self._key(50) if number % 10 == 0 else 1 + number
-            self._deliver(*self._request(next(self._request_ids), key=key))
+            key = self._draw_key(50) if number % 10 == 0 else 1 + number
+            self._deliver(*self._make_request(next(self._request_ids), key=key))
         self._deliver("list", (CACHED, tuple(self._endpoints.values())))
-        self._schedule(0.0, self._arrive)
-        for mean_ms, planned in (
+        self._schedule(0.0, self._receive_request)
+        for mean_ms, scheduled in (
             (700.0, self._change_faults),
             (scenario.list_interval_ms, self._update_list),
             (scenario.purge_interval_ms, self._purge),
-            (3000.0, self._probe_end),
-            (1200.0, self._settings_change),
-            (1500.0, self._fleet_size),
+            (3000.0, self._end_probe),
+            (1200.0, self._change_settings),
+            (1500.0, self._change_fleet_size),
         ):
-            self._schedule_repeatedly(mean_ms, planned)
+            self._schedule_repeatedly(mean_ms, scheduled)
         while len(self._recording.events) < scenario.events:
-            due_ms, _, planned = heapq.heappop(self._queue)
+            due_ms, _, scheduled = heapq.heappop(self._queue)
             self._now_ms = max(self._now_ms, due_ms)
-            step = planned()
+            step = scheduled()
             if step is not None:
                 self._deliver(*step)
         return self._recording
 
     # -- the clock --
 
-    def _schedule(self, delay_ms: float, planned: PlannedEvent) -> None:
-        heapq.heappush(self._queue, (self._now_ms + delay_ms, next(self._sequence), planned))
+    def _schedule(self, delay_ms: float, scheduled: ScheduledEvent) -> None:
+        heapq.heappush(self._queue, (self._now_ms + delay_ms, next(self._sequence), scheduled))
 
-    def _schedule_repeatedly(self, mean_ms: float, planned: PlannedEvent) -> None:
-        def again() -> Step | None:
-            self._schedule_repeatedly(mean_ms, planned)
-            return planned()
+    def _schedule_repeatedly(self, mean_ms: float, scheduled: ScheduledEvent) -> None:
+        def run_and_reschedule() -> Step | None:
+            self._schedule_repeatedly(mean_ms, scheduled)
+            return scheduled()
 
-        self._schedule(self._random.uniform(0.3, 1.7) * mean_ms, again)
+        self._schedule(self._random.uniform(0.3, 1.7) * mean_ms, run_and_reschedule)
 
     def _deliver(self, kind: str, arguments: tuple[Any, ...]) -> None:
-        found = self._recording
+        recording = self._recording
         event = EVENT_FACTORIES[kind](*arguments)
-        found.events.append((kind, arguments))
-        found.times.append(self._now_ms)
-        found.event_kinds[kind] += 1
+        recording.events.append((kind, arguments))
+        recording.times.append(self._now_ms)
+        recording.event_kinds[kind] += 1
         actions = [describe_action(action) for action in self._director.handle(self._now_ms, event)]
-        found.actions.append(actions)
+        recording.actions.append(actions)
         for action in actions:
             self._respond(action)
 
@@ -255,15 +256,17 @@
     def _respond(self, action: list[Any]) -> None:
         match action:
             case ["send", request, node, _, source, *_]:
-                self._attempt(request, node, source)
+                self._start_attempt(request, node, source)
             case ["cancel", request, attempt]:
-                self._schedule(1.0, lambda: self._end(request, attempt, 0, CANCELLED, NO_NOTE, 1.0))
+                self._schedule(
+                    1.0, lambda: self._end_attempt(request, attempt, 0, CANCELLED, NO_CACHE_STATUS, 1.0)
+                )
             case ["reject", request, retry_after_ms]:
-                opened = self._open.pop(request, None)
-                if opened is not None and retry_after_ms > 0 and self._random.random() < 0.5:
-                    self._schedule(retry_after_ms, lambda: self._request(next(self._request_ids)))
+                open_request = self._open_requests.pop(request, None)
+                if open_request is not None and retry_after_ms > 0 and self._random.random() < 0.5:
+                    self._schedule(retry_after_ms, lambda: self._make_request(next(self._request_ids)))
             case ["fail", request]:
-                self._open.pop(request, None)
+                self._open_requests.pop(request, None)
             case ["timer", token, expires_at_ms]:
                 late_ms = self._random.choice((0.0, 0.0, 0.4, 3.0))
                 self._schedule(expires_at_ms - self._now_ms + late_ms, lambda: ("timer-end", (token,)))
@@ -271,201 +274,219 @@
                 self._schedule(5.0, self._update_list)
             case ["request-lease", node, work, limit, growth, share, _]:
                 if self._random.random() < 0.7:
-                    self._grant(node, min(work * self._random.uniform(1.0, 6.0), limit + growth), share)
+                    self._grant_lease(node, min(work * self._random.uniform(1.0, 6.0), limit + growth), share)
 
-    def _grant(self, node: int, work: float, share: float) -> None:
-        number, lifetime_ms = next(self._lease_ids), self._random.uniform(100.0, 1500.0)
-        granted = 1.0 + 3.0 * share if node == RETRY_LEASE_NODE else work
+    def _grant_lease(self, node: int, work: float, share: float) -> None:
+        lease_id, lifetime_ms = next(self._lease_ids), self._random.uniform(100.0, 1500.0)
+        granted_work = 1.0 + 3.0 * share if node == RETRY_LEASE_NODE else work
         expires_at_ms = self._now_ms + lifetime_ms
-        self._schedule(4.0, lambda: ("lease", (number, node, granted, expires_at_ms)))
+        self._schedule(4.0, lambda: ("lease", (lease_id, node, granted_work, expires_at_ms)))
         if self._random.random() < 0.3:
-            self._schedule(lifetime_ms * 0.6, lambda: ("lease", (number, node, 0.0, expires_at_ms)))
-
-    def _attempt(self, request: int, node: int, source: int) -> None:
-        chooser = self._random
-        opened = self._open.setdefault(request, OpenRequest(0, 10.0))
-        attempt = len(opened.sent_ms)
-        opened.sent_ms.append(self._now_ms)
-        outcome, note, duration_ms = self._outcome(node, source, opened)
+            self._schedule(lifetime_ms * 0.6, lambda: ("lease", (lease_id, node, 0.0, expires_at_ms)))
+
+    def _start_attempt(self, request: int, node: int, source: int) -> None:
+        rng = self._random
+        open_request = self._open_requests.setdefault(request, OpenRequest(0, 10.0))
+        attempt = len(open_request.sent_ms)
+        open_request.sent_ms.append(self._now_ms)
+        outcome, cache_status, duration_ms = self._draw_outcome(node, source, open_request)
         if duration_ms == math.inf:
             return
-        if chooser.random() < 0.1:
+        if rng.random() < 0.1:
             self._schedule(duration_ms * 0.5, lambda: ("response-start", (request, attempt, node)))
-        self._schedule(duration_ms, lambda: self._end(request, attempt, node, outcome, note, duration_ms))
-        if chooser.random() < 0.01:  # an end that is delivered twice, and one of an unknown attempt
+        self._schedule(
+            duration_ms, lambda: self._end_attempt(request, attempt, node, outcome, cache_status, duration_ms)
+        )
+        if rng.random() < 0.01:  # a duplicate end, and the end of an unknown attempt
             self._schedule(
-                duration_ms + 1.0, lambda: self._end(request, attempt, node, outcome, note, duration_ms)
+                duration_ms + 1.0,
+                lambda: self._end_attempt(request, attempt, node, outcome, cache_status, duration_ms),
             )
             self._schedule(
-                duration_ms * 0.5, lambda: self._end(request, attempt + 7, node, outcome, note, duration_ms)
+                duration_ms * 0.5,
+                lambda: self._end_attempt(request, attempt + 7, node, outcome, cache_status, duration_ms),
             )
 
-    def _outcome(self, node: int, source: int, opened: OpenRequest) -> tuple[int, int, float]:
-        """Return outcome, note and duration of an attempt; the duration is infinite if its end is lost."""
-        chooser, scenario = self._random, self._scenario
-        transfer_ms = max(1.0, opened.size_kb) * scenario.transfer_slowdown * chooser.lognormvariate(0.0, 0.3)
-        wait_ms = chooser.expovariate(1 / 60.0)
+    def _draw_outcome(self, node: int, source: int, open_request: OpenRequest) -> tuple[int, int, float]:
+        """Return outcome, cache status and duration of an attempt; infinite if its end is lost."""
+        rng, scenario = self._random, self._scenario
+        transfer_ms = (
+            max(1.0, open_request.size_kb) * scenario.transfer_slowdown * rng.lognormvariate(0.0, 0.3)
+        )
+        wait_ms = rng.expovariate(1 / 60.0)
         match self._faults.get(node):
             case "dead":
-                return CONNECT_FAILED, NO_NOTE, 1.0
+                return CONNECT_FAILED, NO_CACHE_STATUS, 1.0
             case "silent":
-                return TIMEOUT, NO_NOTE, math.inf if chooser.random() < 0.7 else 2500.0
+                return TIMEOUT, NO_CACHE_STATUS, math.inf if rng.random() < 0.7 else 2500.0
             case "slow":
                 transfer_ms *= 8.0
-            case "resetting" if chooser.random() < 0.6:
-                return RESET, NO_NOTE, transfer_ms * 0.3
-            case "full" if chooser.random() < 0.6:
-                return OVERLOADED, NO_NOTE, 2.0
-            case "erring" if chooser.random() < 0.6:
-                return ERROR, NO_NOTE, transfer_ms * 0.5
+            case "resetting" if rng.random() < 0.6:
+                return RESET, NO_CACHE_STATUS, transfer_ms * 0.3
+            case "full" if rng.random() < 0.6:
+                return OVERLOADED, NO_CACHE_STATUS, 2.0
+            case "erring" if rng.random() < 0.6:
+                return ERROR, NO_CACHE_STATUS, transfer_ms * 0.5
         if source == node:
-            return (OK, HIT, transfer_ms) if chooser.random() < 0.5 else (MISS, NO_NOTE, 3.0)
+            return (OK, HIT, transfer_ms) if rng.random() < 0.5 else (MISS, NO_CACHE_STATUS, 3.0)
         kind = self._endpoints[source].kind if source in self._endpoints else 2
         if self._faults.get(source) in ("dead", "silent", "erring"):
             return (
                 ERROR,
-                chooser.choice((SOURCE_REJECTED, SOURCE_DISCONNECTED, SOURCE_MISSING_OBJECT)),
+                rng.choice((SOURCE_REJECTED, SOURCE_DISCONNECTED, SOURCE_MISSING_OBJECT)),
                 wait_ms + 5.0,
             )
-        if kind == 2 and self._origin_rejects and chooser.random() < 0.8:
-            return ERROR, chooser.choice((ORIGIN_FAILED, SOURCE_REJECTED)), wait_ms + 5.0
-        roll = chooser.random()
-        if roll < 0.5:
+        if kind == 2 and self._origin_rejects and rng.random() < 0.8:
+            return ERROR, rng.choice((ORIGIN_FAILED, SOURCE_REJECTED)), wait_ms + 5.0
+        draw = rng.random()
+        if draw < 0.5:
             return OK, HIT, transfer_ms
-        if roll < 0.75:
+        if draw < 0.75:
             return OK, FILLED_BY_ORIGIN if kind == 2 else FILLED, wait_ms + transfer_ms * 1.5
-        if roll < 0.93:
-            return OK, chooser.choice((0, 0, 1, 2, 3, 4, 5, 9)), wait_ms + transfer_ms
-        return chooser.choice(OUTCOMES[1:]), chooser.choice(NOTES), wait_ms + transfer_ms
+        if draw < 0.93:
+            return OK, rng.choice((0, 0, 1, 2, 3, 4, 5, 9)), wait_ms + transfer_ms
+        return rng.choice(OUTCOMES[1:]), rng.choice(CACHE_STATUSES), wait_ms + transfer_ms
 
-    def _end(
-        self, request: int, attempt: int, node: int, outcome: int, note: int, duration_ms: float
+    def _end_attempt(
+        self, request: int, attempt: int, node: int, outcome: int, cache_status: int, duration_ms: float
     ) -> Step:
-        chooser = self._random
-        final = outcome == OK or (outcome not in (CANCELLED, MISS) and chooser.random() < 0.05)
+        rng = self._random
+        final = outcome == OK or (outcome not in (CANCELLED, MISS) and rng.random() < 0.05)
         if final:
-            self._open.pop(request, None)
+            self._open_requests.pop(request, None)
         self._recording.outcomes[outcome] += 1
-        self._recording.notes[note] += 1
-        waited_ms = chooser.uniform(0.0, 0.8) * duration_ms if note in (FILLED, FILLED_BY_ORIGIN) else 0.0
-        load = tuple(chooser.random() for _ in range(chooser.randrange(3)))
-        return "attempt-end", (request, attempt, node, outcome, duration_ms, final, note, waited_ms, load)
-
-    # -- events that no action causes --
-
-    def _arrive(self) -> Step:
-        self._schedule(self._random.expovariate(1 / self._scenario.request_interval_ms), self._arrive)
-        return self._request(next(self._request_ids))
-
-    def _key(self, objects: int) -> int:
+        self._recording.cache_statuses[cache_status] += 1
+        waited_ms = rng.uniform(0.0, 0.8) * duration_ms if cache_status in (FILLED, FILLED_BY_ORIGIN) else 0.0
+        load = tuple(rng.random() for _ in range(rng.randrange(3)))
+        return "attempt-end", (
+            request,
+            attempt,
+            node,
+            outcome,
+            duration_ms,
+            final,
+            cache_status,
+            waited_ms,
+            load,
+        )
+
+    # -- events that are not caused by an action --
+
+    def _receive_request(self) -> Step:
+        self._schedule(
+            self._random.expovariate(1 / self._scenario.request_interval_ms), self._receive_request
+        )
+        return self._make_request(next(self._request_ids))
+
+    def _draw_key(self, objects: int) -> int:
         rank = int(self._random.paretovariate(0.7)) % objects
         return (1 + rank) * 0x9E3779B97F4A7C15 % (1 << 64)
 
-    def _request(self, request: int, key: int = 0) -> Step:
-        chooser, scenario = self._random, self._scenario
-        kind = chooser.choice((0, 0, 0, 1, 1, 6, chooser.randrange(self._class_count)))
-        if chooser.random() < 0.005:
-            kind = 200  # an unknown class
-        key = key or self._key(scenario.objects)
+    def _make_request(self, request: int, key: int = 0) -> Step:
+        rng, scenario = self._random, self._scenario
+        class_index = rng.choice((0, 0, 0, 1, 1, 6, rng.randrange(self._class_count)))
+        if rng.random() < 0.005:
+            class_index = 200  # an unknown class
+        key = key or self._draw_key(scenario.objects)
         size_kb = 0.0
-        if chooser.random() < scenario.known_size_fraction:
+        if rng.random() < scenario.known_size_fraction:
             size_kb = (
                 scenario.max_size_kb if key % 37 == 0 else 5.0 + key % 97 * scenario.max_size_kb / 4000.0
             )
-        timeout_ms = chooser.choice((4000.0, 2500.0, 1000.0, max(0.0, chooser.uniform(-300.0, 9000.0))))
-        chunk = chooser.randrange(12) if key % 5 == 0 else 0
-        self._open[request] = OpenRequest(kind, size_kb)
-        if chooser.random() < 0.04:
-            self._schedule(chooser.uniform(0.0, 800.0), lambda: self._disconnect(request))
-        return "request", (request, kind, key, timeout_ms, size_kb, key % 6, chunk)
+        timeout_ms = rng.choice((4000.0, 2500.0, 1000.0, max(0.0, rng.uniform(-300.0, 9000.0))))
+        chunk = rng.randrange(12) if key % 5 == 0 else 0
+        self._open_requests[request] = OpenRequest(class_index, size_kb)
+        if rng.random() < 0.04:
+            self._schedule(rng.uniform(0.0, 800.0), lambda: self._disconnect(request))
+        return "request", (request, class_index, key, timeout_ms, size_kb, key % 6, chunk)
 
     def _disconnect(self, request: int) -> Step:
-        self._open.pop(request, None)
+        self._open_requests.pop(request, None)
         return "disconnect", (request,)
 
     def _change_faults(self) -> None:
         """Change which endpoints are faulty."""
-        chooser, scenario = self._random, self._scenario
+        rng, scenario = self._random, self._scenario
         self._faults = {}
-        self._origin_rejects = chooser.random() < scenario.origin_overload_fraction
-        if chooser.random() < scenario.fault_fraction:
-            nodes = sorted(node for node, one in self._endpoints.items() if one.kind != 2)
-            for node in chooser.sample(nodes, min(len(nodes), chooser.choice((1, 1, 2, 4)))):
-                self._faults[node] = chooser.choice(("dead", "silent", "slow", "resetting", "full", "erring"))
+        self._origin_rejects = rng.random() < scenario.origin_overload_fraction
+        if rng.random() < scenario.fault_fraction:
+            nodes = sorted(node for node, endpoint in self._endpoints.items() if endpoint.kind != 2)
+            for node in rng.sample(nodes, min(len(nodes), rng.choice((1, 1, 2, 4)))):
+                self._faults[node] = rng.choice(("dead", "silent", "slow", "resetting", "full", "erring"))
 
     def _update_list(self) -> Step:
-        chooser = self._random
-        roll = chooser.random()
-        if roll < 0.06:
+        rng = self._random
+        draw = rng.random()
+        if draw < 0.06:
             return "list", (FAILED, ())
-        if roll < 0.14:
-            form = chooser.choice((SNAPSHOT, CACHED))
-            return "list", (form, tuple(self._endpoints.values()))
+        if draw < 0.14:
+            list_kind = rng.choice((SNAPSHOT, CACHED))
+            return "list", (list_kind, tuple(self._endpoints.values()))
         changed = []
-        for node in chooser.sample(sorted(self._endpoints), chooser.choice((1, 1, 2))):
-            one = self._change(self._endpoints[node])
-            changed.append(one)
-            if one.state == REMOVED:
+        for node in rng.sample(sorted(self._endpoints), rng.choice((1, 1, 2))):
+            endpoint = self._change_endpoint(self._endpoints[node])
+            changed.append(endpoint)
+            if endpoint.state == REMOVED:
                 del self._endpoints[node]
-                restored = one._replace(
-                    state=READY, started_ms=chooser.choice((one.started_ms, self._now_ms))
+                restored = endpoint._replace(
+                    state=READY, started_ms=rng.choice((endpoint.started_ms, self._now_ms))
                 )
-                self._schedule(chooser.choice((200.0, 3000.0)), partial(self._restore, restored))
+                self._schedule(rng.choice((200.0, 3000.0)), partial(self._restore_endpoint, restored))
             else:
-                self._endpoints[node] = one
+                self._endpoints[node] = endpoint
         return "list", (DELTA, tuple(changed))
 
-    def _change(self, one: Endpoint) -> Endpoint:
-        chooser = self._random
-        if chooser.random() < self._scenario.restart_fraction:
-            return one._replace(started_ms=self._now_ms - chooser.choice((0.0, 500.0, 4000.0)), state=READY)
-        if one.state == DRAINING:
-            return one._replace(state=chooser.choice((READY, READY, REMOVED)))
-        match chooser.randrange(4):
-            case 0 if one.kind != 2:
-                return one._replace(state=DRAINING)
-            case 1 if one.kind != 2:
-                return one._replace(state=REMOVED)
+    def _change_endpoint(self, endpoint: Endpoint) -> Endpoint:
+        rng = self._random
+        if rng.random() < self._scenario.restart_fraction:
+            return endpoint._replace(started_ms=self._now_ms - rng.choice((0.0, 500.0, 4000.0)), state=READY)
+        if endpoint.state == DRAINING:
+            return endpoint._replace(state=rng.choice((READY, READY, REMOVED)))
+        match rng.randrange(4):
+            case 0 if endpoint.kind != 2:
+                return endpoint._replace(state=DRAINING)
+            case 1 if endpoint.kind != 2:
+                return endpoint._replace(state=REMOVED)
             case 2:
-                return one._replace(weight=one.weight * chooser.choice((0.5, 2.0)))
-        return one
+                return endpoint._replace(weight=endpoint.weight * rng.choice((0.5, 2.0)))
+        return endpoint
 
-    def _restore(self, one: Endpoint) -> Step:
-        self._endpoints[one.node] = one
-        return "list", (DELTA, (one,))
+    def _restore_endpoint(self, endpoint: Endpoint) -> Step:
+        self._endpoints[endpoint.node] = endpoint
+        return "list", (DELTA, (endpoint,))
 
     def _purge(self) -> Step:
-        chooser = self._random
-        age = chooser.choice((0.0, 30.0, 2000.0))
-        if chooser.random() < 0.3:
-            return "purge", (age, chooser.randrange(6), 0)
-        key = self._key(20)
+        rng = self._random
+        age = rng.choice((0.0, 30.0, 2000.0))
+        if rng.random() < 0.3:
+            return "purge", (age, rng.randrange(6), 0)
+        key = self._draw_key(20)
         return "purge", (age, key % 6, key)
 
-    def _probe_end(self) -> Step:
+    def _end_probe(self) -> Step:
         node = self._random.choice(sorted(self._endpoints))
         return "probe-end", (node, self._random.random() < 0.5, 3.0, (0.5,))
 
-    def _settings_change(self) -> Step | None:
+    def _change_settings(self) -> Step | None:
         settings = self._scenario.settings
         if len(settings) == 1:
             return None
         self._settings_index = 1 + self._settings_index % (len(settings) - 1)
-        chosen = settings[self._settings_index]
-        self._class_count = len(chosen["classes"])
-        return "settings-change", (chosen,)
+        next_settings = settings[self._settings_index]
+        self._class_count = len(next_settings["classes"])
+        return "settings-change", (next_settings,)
 
-    def _fleet_size(self) -> Step | None:
+    def _change_fleet_size(self) -> Step | None:
         if not self._scenario.fleet_sizes:
             return None
-        fleet = self._random.choice(self._scenario.fleet_sizes)
-        return "fleet-size", (fleet, (0, fleet - fleet // 3, fleet // 3))
+        fleet_size = self._random.choice(self._scenario.fleet_sizes)
+        return "fleet-size", (fleet_size, (0, fleet_size - fleet_size // 3, fleet_size // 3))
 
 
-# -- the conversations --
+# -- the scenarios --
 
-_MORE_CLASSES = [*CLASSES, APPENDED]
-_NO_EXTRAS = {"second_copies": False, "cancel": False, "retry_after": False, "most_tries": 3}
+_CLASSES_WITH_APPENDED = [*CLASSES, APPENDED_CLASS]
+_RESTRICTED_LIMITS = {"second_copies": False, "cancel": False, "retry_after": False, "most_tries": 3}
 
 SCENARIOS = [
     Scenario(
@@ -517,15 +538,17 @@
         seed=15,
         events=3600,
         settings=(
-            router_settings(discovery="ask", limits=_NO_EXTRAS),
-            router_settings(classes=_MORE_CLASSES, rules={"warm_up": 4000.0, "cold_from": 0.05}),
+            router_settings(discovery="ask", limits=_RESTRICTED_LIMITS),
+            router_settings(classes=_CLASSES_WITH_APPENDED, rules={"warm_up": 4000.0, "cold_from": 0.05}),
             router_settings(
-                classes=_MORE_CLASSES,
+                classes=_CLASSES_WITH_APPENDED,
                 weights="rough",
                 fleet_size=9,
                 domain={"purge_settles": 900.0, "instances_by_zone": [], "zone_link_kb_per_s": [0.0, 9e4]},
             ),
-            router_settings(classes=_MORE_CLASSES, discovery="ask", limits={"max_retry_after": 50.0}),
+            router_settings(
+                classes=_CLASSES_WITH_APPENDED, discovery="ask", limits={"max_retry_after": 50.0}
+            ),
         ),
         endpoints=make_endpoints(5, 2, 1),
         list_interval_ms=500.0,
@@ -541,10 +564,10 @@
             router_settings(
                 zone=0,
                 domain={"client_kb_per_s": 0.0, "joins": False, "shield_kind": -1, "instances_by_zone": []},
-                limits=_NO_EXTRAS,
+                limits=_RESTRICTED_LIMITS,
             ),
         ),
-        endpoints=[one._replace(zone=0) for one in make_endpoints(3, 0, 1, weight=0.0)],
+        endpoints=[endpoint._replace(zone=0) for endpoint in make_endpoints(3, 0, 1, weight=0.0)],
         fault_fraction=0.5,
     ),
     Scenario(
@@ -565,17 +588,17 @@
 ]
 
 
-# -- what is stored --
+# -- the stored form --
 
 
-def summary_of(found: Recording) -> dict[str, Any]:
-    """Return what is stored of a conversation."""
-    lines = [[now, *actions] for now, actions in zip(found.times, found.actions, strict=True)]
+def summary_of(recording: Recording) -> dict[str, Any]:
+    """Return the stored form of a recording."""
+    steps = [[now_ms, *actions] for now_ms, actions in zip(recording.times, recording.actions, strict=True)]
     return {
-        "events": len(found.events),
-        "event_kinds": dict(sorted(found.event_kinds.items())),
-        "action_kinds": dict(sorted(found.action_kinds.items())),
-        "outcomes": {str(code): count for code, count in sorted(found.outcomes.items())},
-        "notes": {str(code): count for code, count in sorted(found.notes.items())},
-        **stored_lines(lines),
+        "events": len(recording.events),
+        "event_kinds": dict(sorted(recording.event_kinds.items())),
+        "action_kinds": dict(sorted(recording.action_kinds.items())),
+        "outcomes": {str(code): count for code, count in sorted(recording.outcomes.items())},
+        "notes": {str(code): count for code, count in sorted(recording.cache_statuses.items())},
+        **stored_steps(steps),
     }
--- a/tests/golden_decisions_types.py
+++ b/tests/golden_decisions_types.py
@@ -1,6 +1,6 @@
 """Events and actions of the routing decisions, built and described without the names of the code.
 
-This is the only module of the recordings that uses the program's types: a rename changes no recorded data.
+Only this module uses the program's event and action types, so that a rename there changes no recorded data.
 """
 
 from __future__ import annotations
@@ -45,10 +45,10 @@
 DELTA, SNAPSHOT, CACHED, FAILED = 0, 1, 2, 3
 OUTCOMES = (0, 1, 4, 5, 8, 9, 10, 13, 14, 255)
 OK, CANCELLED, TIMEOUT, MISS, OVERLOADED, UNSENT, RESET, ERROR, CONNECT_FAILED, UNKNOWN = OUTCOMES
-NO_NOTE, HIT, FILLED, FILLED_BY_ORIGIN = 0, 1, 2, 3
+NO_CACHE_STATUS, HIT, FILLED, FILLED_BY_ORIGIN = 0, 1, 2, 3
 SOURCE_REJECTED, SOURCE_DISCONNECTED, SOURCE_MISSING_OBJECT, NO_FILL_SLOT, ORIGIN_FAILED = 6, 7, 8, 9, 10
-NOTES = range(11)
-RETRY_LEASE_NODE = -1  # in place of a node id: the lease is of retries
+CACHE_STATUSES = range(11)
+RETRY_LEASE_NODE = -1  # node id of a lease for retries
 
 
 class Endpoint(NamedTuple):
@@ -78,7 +78,7 @@
 
 def make_list(kind: int, endpoints: Iterable[Endpoint]) -> Event:
     """Return an update of the endpoint list."""
-    return EndpointListUpdate(EndpointListKind(kind), tuple(make_node(*one) for one in endpoints))
+    return EndpointListUpdate(EndpointListKind(kind), tuple(make_node(*endpoint) for endpoint in endpoints))
 
 
 def make_request(
@@ -95,13 +95,21 @@
     outcome: int,
     duration_ms: float,
     final: bool,
-    note: int,
+    cache_status: int,
     fill_wait_ms: float,
     load: tuple[float, ...],
 ) -> Event:
     """Return the end of an attempt."""
     return AttemptEnded(
-        request, attempt, node, Outcome(outcome), duration_ms, final, CacheStatus(note), fill_wait_ms, load
+        request,
+        attempt,
+        node,
+        Outcome(outcome),
+        duration_ms,
+        final,
+        CacheStatus(cache_status),
+        fill_wait_ms,
+        load,
     )
 
 
@@ -141,7 +149,7 @@
 
 
 def make_lease_terms(unleased_fraction: float, retry_fraction: float) -> Event:
-    """Return the fractions of its shares that a router spends without a lease."""
+    """Return the fractions of its shares that a router may use without a lease."""
     return LeaseTerms(unleased_fraction, retry_fraction)
 
 
@@ -190,5 +198,5 @@
 
 
 def describe_action(action: Action) -> list[Any]:
-    """Return an action as a list that names no class: its kind, then its values in a fixed order."""
+    """Return an action as a list without class names: its kind, then its values in a fixed order."""
     return DESCRIBERS[type(action)](action)
--- a/tests/golden_fleet_control.py
+++ b/tests/golden_fleet_control.py
@@ -1,4 +1,4 @@
-"""Golden cases of the fleet area: answers on a router's members socket, on members, roll-outs and gossip."""
+"""Golden cases of the fleet area: answers of a router's members socket on members, roll-outs and gossip."""
 
 from __future__ import annotations
 
@@ -11,9 +11,9 @@
 import trio
 import trio.testing
 from golden_coordination_gossip import build_datagram
-from golden_coordination_records import NAMES, build_member
+from golden_coordination_records import TOPOLOGY_NAMES, build_member
 from golden_coordination_rollouts import build_target
-from golden_fleet_files import FOLDER, UNIX, temporary_folder
+from golden_fleet_files import FOLDER, UNIX_TIME_S, temporary_folder
 from golden_folder import Meaning, Replay, Snapshot
 
 from stonecove.discovery import MembersUpdate
@@ -59,7 +59,7 @@
 }
 
 
-def router_config(**more: Any) -> Config:
+def router_config(**overrides: Any) -> Config:
     """Return a router's configuration."""
     table = {
         "name": "r-0",
@@ -67,7 +67,7 @@
         "seed": "7",
         "changelog": "127.0.0.1:1",
         "settings": SETTINGS,
-        **more,
+        **overrides,
     }
     return config_from(table, {})
 
@@ -79,39 +79,41 @@
 
 # -- members, roll-outs and settings of a router --
 
-OPERATOR = """
+OPERATOR_FILE = """
 sources: zookeeper: {{servers: ["{server}"], path: "/caches"}}
 presence: {{path: "/routers", shares: "derived", grow: 0ms, shrink: 0ms}}
 members: {{socket: "{socket}", batch: 0ms}}
 configuration: {{settings: true, path: "/configuration"}}
 """
-QUESTIONS = (
+QUERIES = (
     "list", "explain s-000000a1", "explain 162", "explain s-000000a3", "explain s-000000ff", "explain x",
     "explain s-zz", "trace", "sources", "fleet", "configuration", "", "sing a song",
 )  # fmt: skip
 
 
-def _node(ident: int, port: int, **changes: Any) -> Meaning:
+def _member_meaning(node_id: int, port: int, **changes: Any) -> Meaning:
     return {
-        "node": ident,
+        "node": node_id,
         "host": "10.1.0.9",
         "port": port,
         "zone_index": 1,
         "kind_index": 0,
         "cell": 3,
         "weight": 20.0,
-        "started_ms": UNIX * 1000.0 - 60_000.0,
+        "started_ms": UNIX_TIME_S * 1000.0 - 60_000.0,
         "state": "ready",
         **changes,
     }
 
 
-class _Router:
+class _RouterComponents:
     """The components of a router that answer on its members socket, with a coordination service."""
 
     def __init__(self, folder: Path, server: str, nursery: trio.Nursery) -> None:
-        (folder / "operator.cue").write_text(OPERATOR.format(server=server, socket=folder / "members.sock"))
-        self.clock = Clock(lambda: UNIX)
+        (folder / "operator.cue").write_text(
+            OPERATOR_FILE.format(server=server, socket=folder / "members.sock")
+        )
+        self.clock = Clock(lambda: UNIX_TIME_S)
         config = router_config()
         route = _route(config, self.clock)
         changelog = ChangeLogClient("127.0.0.1", 1, Follower(0))
@@ -132,49 +134,49 @@
         nursery.start_soon(agent.run)
 
 
-async def _until(done: Callable[[], bool]) -> None:
+async def _wait_until(condition: Callable[[], bool]) -> None:
     with trio.fail_after(10):
-        while not done():
+        while not condition():
             await trio.sleep(0.002)
 
 
-async def _service(nursery: trio.Nursery) -> str:
+async def _start_coordination_service(nursery: trio.Nursery) -> str:
     """Start a coordination service; return its address."""
     output: list[str] = []
     nursery.start_soon(standin.serve, "127.0.0.1", [0], ("127.0.0.1", 0), 0.0, output.append)
-    await _until(lambda: len(output) == 2)
+    await _wait_until(lambda: len(output) == 2)
     return output[0].split()[-1]
 
 
-class _Writer:
-    """Another client of the coordination service."""
+class _CoordinationClient:
+    """A client of the coordination service, besides the router."""
 
     def __init__(self, server: str, nursery: trio.Nursery) -> None:
         host, _, port = server.rpartition(":")
-        self.ensemble = ZooKeeperClient(((host, int(port)),), 1, SessionConfig(), lambda: None)
-        nursery.start_soon(self.ensemble.run)
+        self.client = ZooKeeperClient(((host, int(port)),), 1, SessionConfig(), lambda: None)
+        nursery.start_soon(self.client.run)
 
-    async def ask(self, request: zk.Request) -> Reply:
+    async def send_request(self, request: zk.Request) -> Reply:
         """Return the reply to a request."""
-        await _until(lambda: self.ensemble.session.connected)
+        await _wait_until(lambda: self.client.session.connected)
         replies: list[Reply] = []
-        self.ensemble.request(request, replies.append)
-        await _until(lambda: bool(replies))
+        self.client.request(request, replies.append)
+        await _wait_until(lambda: bool(replies))
         return replies[0]
 
 
-def _fields(value: Any) -> Any:
-    """Return an answer in which values assigned by the coordination service are replaced by their types."""
+def _mask_volatile_fields(value: Any) -> Any:
+    """Return an answer in which values that the coordination service assigns are replaced by their types."""
     if isinstance(value, dict):
         volatile = ("server", "session", "zxid", "watches")
         return {
-            name: f"<{type(field).__name__}>" if name in volatile else _fields(field)
+            name: f"<{type(field).__name__}>" if name in volatile else _mask_volatile_fields(field)
             for name, field in value.items()
         }
-    return [_fields(item) for item in value] if isinstance(value, list) else value
+    return [_mask_volatile_fields(item) for item in value] if isinstance(value, list) else value
 
 
-def _target(version: int, **changes: Any) -> bytes:
+def _encoded_target(version: int, **changes: Any) -> bytes:
     sample = next(
         entry["meaning"]
         for entry in json.loads((FOLDER.path.parent / "coordination" / "rollout-targets.json").read_text())[
@@ -185,14 +187,14 @@
     return build_target({**sample, "version": version, "previous_version": 0, **changes}).encode()
 
 
-def _members() -> Meaning:
+def _members_answers() -> Meaning:
     """Return what a router answers on its members socket, and what it stores in the coordination service."""
-    found: Meaning = {}
+    results: Meaning = {}
 
     async def play(folder: Path) -> None:
         async with trio.open_nursery() as nursery:
-            server = await _service(nursery)
-            writer = _Writer(server, nursery)
+            server = await _start_coordination_service(nursery)
+            client = _CoordinationClient(server, nursery)
             for path in (
                 "/caches",
                 "/routers",
@@ -200,89 +202,91 @@
                 "/configuration/versions",
                 "/configuration/routers",
             ):
-                await writer.ask(zk.Create(path))
-            for ident in (0xA1, 0xA2):
-                record = encode_member(build_member(_node(ident, 6500 + ident)), NAMES)
-                await writer.ask(zk.Create(f"/caches/n{ident:x}", record))
-            await writer.ask(zk.Create("/caches/bad", b"{}"))
-            await writer.ask(zk.Create("/routers/r-1", b'{"name": "r-1", "zone": "hub", "state": "ready"}'))
-            good = Overlay(5, {"limits": {"most_tries": 2}}).encode()
-            await writer.ask(zk.Create("/configuration/versions/0000000005", good))
-            router = _Router(folder, server, nursery)
+                await client.send_request(zk.Create(path))
+            for node_id in (0xA1, 0xA2):
+                record = encode_member(build_member(_member_meaning(node_id, 6500 + node_id)), TOPOLOGY_NAMES)
+                await client.send_request(zk.Create(f"/caches/n{node_id:x}", record))
+            await client.send_request(zk.Create("/caches/bad", b"{}"))
+            await client.send_request(
+                zk.Create("/routers/r-1", b'{"name": "r-1", "zone": "hub", "state": "ready"}')
+            )
+            valid_overlay = Overlay(5, {"limits": {"most_tries": 2}}).encode()
+            await client.send_request(zk.Create("/configuration/versions/0000000005", valid_overlay))
+            router = _RouterComponents(folder, server, nursery)
             members = router.members
-            await _until(lambda: len(members.handle_query(["list"])["nodes"]) == 2)
-            await _until(lambda: members.handle_query(["fleet"]).get("holds", {}).get("fleet") == 2)
-            draining = build_member(_node(0xA1, 6661, state="draining"))
-            other = build_member(_node(0xA3, 6663, kind_index=1, started_ms=0.0))
-            members.handle_membership_event(MembersUpdate(True, (draining, other)))
-            removed = other._replace(node=other.node._replace(state=NodeState.REMOVED))
+            await _wait_until(lambda: len(members.handle_query(["list"])["nodes"]) == 2)
+            await _wait_until(lambda: members.handle_query(["fleet"]).get("holds", {}).get("fleet") == 2)
+            draining = build_member(_member_meaning(0xA1, 6661, state="draining"))
+            parent = build_member(_member_meaning(0xA3, 6663, kind_index=1, started_ms=0.0))
+            members.handle_membership_event(MembersUpdate(True, (draining, parent)))
+            removed = parent._replace(node=parent.node._replace(state=NodeState.REMOVED))
             members.handle_membership_event(MembersUpdate(False, (removed,)))
             await trio.testing.wait_all_tasks_blocked(0.01)
-            found["answers"] = {
-                question: _fields(await _query_socket(folder, question)) for question in QUESTIONS
+            results["answers"] = {
+                query: _mask_volatile_fields(await _query_socket(folder, query)) for query in QUERIES
             }
-            found["socket_rights"] = oct((folder / "members.sock").stat().st_mode & 0o777)
-            found["stored"] = await _play_roll_outs(writer, router)
+            results["socket_rights"] = oct((folder / "members.sock").stat().st_mode & 0o777)
+            results["stored"] = await _run_rollouts(client, router)
             nursery.cancel_scope.cancel()
 
     with temporary_folder() as folder:
         trio.run(play, folder)
-    return found
+    return results
 
 
-async def _play_roll_outs(writer: _Writer, router: _Router) -> Meaning:
-    """Roll versions out, and return what the router stores and answers at each."""
+async def _run_rollouts(client: _CoordinationClient, router: _RouterComponents) -> Meaning:
+    """Roll out versions, and return what the router stores and answers at each step."""
 
-    def in_force() -> Any:
+    def configuration_answer() -> Any:
         return router.members.handle_query(["configuration"])["configuration"]
 
-    async def report() -> str:
-        reply = await writer.ask(zk.GetData("/configuration/routers/r-0"))
+    async def read_report() -> str:
+        reply = await client.send_request(zk.GetData("/configuration/routers/r-0"))
         assert isinstance(reply.result, zk.Data)
         return reply.result.data.decode()
 
-    async def reported(expected: str) -> str:
+    async def wait_for_report(expected: str) -> str:
         with trio.fail_after(10):
-            while not (expected in (text := await report()) and '"settled":true' in text):
+            while not (expected in (text := await read_report()) and '"settled":true' in text):
                 await trio.sleep(0.01)
         return text
 
-    async def present(state: str) -> str:
+    async def wait_for_presence(state: str) -> str:
         with trio.fail_after(10):
             while True:
-                reply = await writer.ask(zk.GetData("/routers/r-0"))
+                reply = await client.send_request(zk.GetData("/routers/r-0"))
                 assert isinstance(reply.result, zk.Data)
                 if state in (text := reply.result.data.decode()):
                     return text
                 await trio.sleep(0.002)
 
-    found: Meaning = {}
-    found["presence at the start"] = await present("starting")
+    results: Meaning = {}
+    results["presence at the start"] = await wait_for_presence("starting")
     await router.members.ready()
-    found["presence of a router that serves"] = await present("ready")
-    found["report at the start"] = await reported('"in_force":0')
-    await writer.ask(zk.Create("/configuration/target", _target(5)))
-    found["report with a version in force"] = await reported('"in_force":5')
-    found["answer with a version in force"] = in_force()
-    bad = Overlay(6, {"domain": {"shield_kind": 2}}).encode()
-    await writer.ask(zk.Create("/configuration/versions/0000000006", bad))
-    await writer.ask(zk.SetData("/configuration/target", _target(6, attempt=4)))
-    found["report with a rejected version"] = await reported('"version":6')
-    found["answer with a rejected version"] = in_force()
+    results["presence of a router that serves"] = await wait_for_presence("ready")
+    results["report at the start"] = await wait_for_report('"in_force":0')
+    await client.send_request(zk.Create("/configuration/target", _encoded_target(5)))
+    results["report with a version in force"] = await wait_for_report('"in_force":5')
+    results["answer with a version in force"] = configuration_answer()
+    rejected_overlay = Overlay(6, {"domain": {"shield_kind": 2}}).encode()
+    await client.send_request(zk.Create("/configuration/versions/0000000006", rejected_overlay))
+    await client.send_request(zk.SetData("/configuration/target", _encoded_target(6, attempt=4)))
+    results["report with a rejected version"] = await wait_for_report('"version":6')
+    results["answer with a rejected version"] = configuration_answer()
     try:
         router.settings.apply(settings_from({**SETTINGS, "zone": 0}), 9)
     except SettingsRefused as error:
-        found["rejected at once"] = str(error)
-    found["answer after that"] = in_force()
+        results["rejected at once"] = str(error)
+    results["answer after that"] = configuration_answer()
     await router.members.announce_draining()
-    found["presence of a router that drains"] = await present("draining")
-    return found
+    results["presence of a router that drains"] = await wait_for_presence("draining")
+    return results
 
 
-async def _query_socket(folder: Path, question: str) -> Any:
+async def _query_socket(folder: Path, query: str) -> Any:
     stream = await trio.open_unix_socket(str(folder / "members.sock"))
     async with stream:
-        await stream.send_all(question.encode() + b"\n")
+        await stream.send_all(query.encode() + b"\n")
         data = b""
         async for chunk in stream:
             data += chunk
@@ -293,10 +297,10 @@
 # -- gossip --
 
 
-def _sender(number: int, **changes: Any) -> Meaning:
+def _sender_meaning(number: int, **changes: Any) -> Meaning:
     return {
         "member": 0x1000 + number,
-        "generation": int(UNIX * 1000) - 1000 * number,
+        "generation": int(UNIX_TIME_S * 1000) - 1000 * number,
         "incarnation": number,
         "state": "alive",
         "zone": number % 2,
@@ -304,38 +308,69 @@
     }
 
 
-def _gossip(kind: str, number: int, **changes: Any) -> Meaning:
-    empty = {"in_reply_to": 0, "target_member": 0, "newest_generation": 0, "view": 3, "view_digest": 7}
-    more = {"table_digest": 9, "paused_s": 0.0, "joined": True, "updates": [], "bucket_digests": []}
-    return {"kind": kind, "number": 50 + number, "sender": _sender(number), **empty, **more, **changes}
+def _datagram_meaning(kind: str, number: int, **changes: Any) -> Meaning:
+    header_defaults = {
+        "in_reply_to": 0,
+        "target_member": 0,
+        "newest_generation": 0,
+        "view": 3,
+        "view_digest": 7,
+    }
+    content_defaults = {
+        "table_digest": 9,
+        "paused_s": 0.0,
+        "joined": True,
+        "updates": [],
+        "bucket_digests": [],
+    }
+    return {
+        "kind": kind,
+        "number": 50 + number,
+        "sender": _sender_meaning(number),
+        **header_defaults,
+        **content_defaults,
+        **changes,
+    }
 
 
-_IDENT = 0x7098ED7ECE658641  # the hash of the router's name
+_ROUTER_MEMBER_ID = 0x7098ED7ECE658641  # the hash of the router's name
 
 
-def _swarm_script() -> list[Meaning]:
-    suspect, failed = _sender(3, state="suspect"), _sender(4, state="failed")
-    paused = _gossip("ping", 1, updates=[suspect, failed], paused_s=5.5)
-    leaving = _gossip("update", 2, sender=_sender(2, state="leaving", incarnation=9))
+def _gossip_script() -> list[Meaning]:
+    suspect, failed = _sender_meaning(3, state="suspect"), _sender_meaning(4, state="failed")
+    paused = _datagram_meaning("ping", 1, updates=[suspect, failed], paused_s=5.5)
+    leaving = _datagram_meaning("update", 2, sender=_sender_meaning(2, state="leaving", incarnation=9))
     steps: list[Meaning] = [{"do": "ask", "question": "status"}, {"do": "ask", "question": "history"}]
-    local = {
-        "member": _IDENT,
-        "generation": int(UNIX * 1000),
+    claim_about_receiver = {
+        "member": _ROUTER_MEMBER_ID,
+        "generation": int(UNIX_TIME_S * 1000),
         "incarnation": 4,
         "state": "suspect",
         "zone": 1,
     }
-    last = _sender(5, state="suspect")
+    claim_about_router_5 = _sender_meaning(5, state="suspect")
     steps += [
         {"do": "hear", "from": 0, "after_s": 0.5, "datagram": paused},
         {"do": "hear", "from": 1, "after_s": 0.25, "datagram": leaving},
-        {"do": "hear", "from": 2, "after_s": 0.25, "datagram": _gossip("ack", 5)},
+        {"do": "hear", "from": 2, "after_s": 0.25, "datagram": _datagram_meaning("ack", 5)},
         {"do": "ask", "question": "status"},
-        {"do": "hear", "from": 0, "datagram": _gossip("indirect_ping_request", 1, target_member=0x1002)},
-        {"do": "hear", "from": 0, "datagram": _gossip("sync", 1, bucket_digests=[0] * 16)},
-        {"do": "hear", "from": 2, "datagram": _gossip("ping", 5, sender=_sender(5, generation=17))},
-        {"do": "hear", "from": 0, "datagram": _gossip("update", 1, updates=[local, last])},
-        {"do": "hear", "from": 2, "datagram": _gossip("ping", 5, joined=False)},
+        {
+            "do": "hear",
+            "from": 0,
+            "datagram": _datagram_meaning("indirect_ping_request", 1, target_member=0x1002),
+        },
+        {"do": "hear", "from": 0, "datagram": _datagram_meaning("sync", 1, bucket_digests=[0] * 16)},
+        {
+            "do": "hear",
+            "from": 2,
+            "datagram": _datagram_meaning("ping", 5, sender=_sender_meaning(5, generation=17)),
+        },
+        {
+            "do": "hear",
+            "from": 0,
+            "datagram": _datagram_meaning("update", 1, updates=[claim_about_receiver, claim_about_router_5]),
+        },
+        {"do": "hear", "from": 2, "datagram": _datagram_meaning("ping", 5, joined=False)},
         *({"do": "time passes", "after_s": 0.25} for _ in range(8)),
         {"do": "ask", "question": "explain r-0000000000001003"},
         {"do": "ask", "question": "explain r-0000000000001001"},
@@ -353,7 +388,7 @@
     return steps
 
 
-def _play_swarm(steps: list[Meaning]) -> list[Any]:
+def _play_gossip(steps: list[Meaning]) -> list[Any]:
     now = 1000.0
 
     async def play() -> list[Any]:
@@ -362,10 +397,10 @@
         assert record is not None
         peers = tuple(f"127.0.0.1:{number}" for number in (1, 2, 3))
         config = router_config(peer_listen="127.0.0.1:0", peers=list(peers))
-        clock = Clock(lambda: UNIX + now - 1000.0)
+        clock = Clock(lambda: UNIX_TIME_S + now - 1000.0)
         route = _route(config, clock)
-        datagrams = bind_datagram_socket(config)
-        agent = SwarmAgent(record, config, datagrams, route, clock, None)
+        sock = bind_datagram_socket(config)
+        agent = SwarmAgent(record, config, sock, route, clock, None)
         agent.swarm.begin(now)
         outputs: list[Any] = []
         for step in steps:
@@ -381,13 +416,13 @@
                     agent.set_presence_count(FleetSizeChanged(step["fleet"], tuple(step["by_zone"])))
                 case "time passes":
                     agent.swarm.tick(now, clock.now())
-            counted = agent.derived_fleet_size()
-            assert counted is not None
+            derived_size = agent.derived_fleet_size()
+            assert derived_size is not None
             outgoing, agent.swarm.gossip.outgoing = agent.swarm.gossip.outgoing, []
             sent = [{"to": peer, "bytes": encode(datagram).hex()} for peer, datagram in outgoing]
-            by_zone = list(counted.routers_by_zone)
-            outputs.append({"routers": counted.fleet_size, "routers_by_zone": by_zone, "sent": sent})
-        datagrams.close()
+            by_zone = list(derived_size.routers_by_zone)
+            outputs.append({"routers": derived_size.fleet_size, "routers_by_zone": by_zone, "sent": sent})
+        sock.close()
         return outputs
 
     with mock.patch("time.monotonic", lambda: now):
@@ -395,6 +430,6 @@
 
 
 CASES = (
-    Snapshot("control-members", _members),
-    Replay("control-swarm", _swarm_script, _play_swarm),
+    Snapshot("control-members", _members_answers),
+    Replay("control-swarm", _gossip_script, _play_gossip),
 )
--- a/tests/golden_fleet_files.py
+++ b/tests/golden_fleet_files.py
@@ -1,4 +1,4 @@
-"""Helpers shared by the cases of the fleet area."""
+"""Helpers shared by the golden cases of the fleet area."""
 
 from __future__ import annotations
 
@@ -13,20 +13,20 @@
 from typing import Any
 from unittest import mock
 
-from golden_folder import Folder, Meaning
+from golden_folder import GoldenFolder, Meaning
 
-FOLDER = Folder("fleet")
-UNIX = 1_764_576_000.0
+FOLDER = GoldenFolder("fleet")
+UNIX_TIME_S = 1_764_576_000.0
 
 
 @contextmanager
 def temporary_folder() -> Iterator[Path]:
-    """Provide a folder with a path short enough for Unix sockets."""
+    """Create a temporary folder with a path short enough for Unix sockets."""
     with tempfile.TemporaryDirectory(prefix="golden-") as folder:
         yield Path(folder)
 
 
-def as_json(data: bytes) -> Any:
+def json_or_text(data: bytes) -> Any:
     """Return the parsed JSON, or the text if it is not JSON."""
     try:
         return json.loads(data)
@@ -34,14 +34,14 @@
         return data.decode()
 
 
-def files_in(folder: Path) -> Meaning:
+def file_texts(folder: Path) -> Meaning:
     """Return the texts of a folder's files by file name."""
     return {path.name: path.read_text() for path in sorted(folder.iterdir())}
 
 
 @contextmanager
-def notified() -> Iterator[Callable[[], list[str]]]:
-    """Set NOTIFY_SOCKET to a test socket; provides a function that returns the messages received."""
+def notify_socket() -> Iterator[Callable[[], list[str]]]:
+    """Set NOTIFY_SOCKET to a test socket; yield a function that returns the messages received."""
     with temporary_folder() as folder, socket.socket(socket.AF_UNIX, socket.SOCK_DGRAM) as sock:
         sock.bind(str(folder / "notify"))
         sock.setblocking(False)
--- a/tests/golden_fleet_lease_file.py
+++ b/tests/golden_fleet_lease_file.py
@@ -1,11 +1,11 @@
-"""Golden cases of the fleet area: the file that names the lease socket to an instance."""
+"""Golden cases of the fleet area: the file that gives an instance its lease socket and quotas."""
 
 from __future__ import annotations
 
 import json
 from typing import Any
 
-from golden_fleet_files import as_json, temporary_folder
+from golden_fleet_files import json_or_text, temporary_folder
 from golden_folder import Format, Meaning
 
 from stonecove.quotas.quota import Limit, Plan
@@ -96,8 +96,8 @@
 
 
 def _broken_lease_files() -> tuple[tuple[str, bytes], ...]:
-    good = _write_lease_file(_lease_file(limits=_describe_plan(PLAN)))
-    table = as_json(good)
+    valid = _write_lease_file(_lease_file(limits=_describe_plan(PLAN)))
+    table = json_or_text(valid)
 
     def changed(**changes: Any) -> bytes:
         return json.dumps({**table, **changes}).encode()
--- a/tests/golden_fleet_spans.py
+++ b/tests/golden_fleet_spans.py
@@ -1,4 +1,4 @@
-"""Cases of the fleet area: spans of requests and files of spans."""
+"""Golden cases of the fleet area: spans of requests and span files."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from typing import Any, cast
 
 from conftest import make_class
-from golden_fleet_files import files_in, temporary_folder
+from golden_fleet_files import file_texts, temporary_folder
 from golden_folder import Meaning, Snapshot
 
 from stonecove.exchange import Answer, ClientRequest, Verdict
@@ -19,12 +19,12 @@
 from stonecove.state.requests import Attempt, OpenRequest
 
 
-class _Stages:
-    """The methods of a router that tracing wraps, without any behaviour."""
+class _StubStages:
+    """A stub of the router methods that tracing wraps."""
 
     def __init__(self) -> None:
         self.requests = [None, None]
-        self.next: OpenRequest | None = None
+        self.next_request: OpenRequest | None = None
         self.send = SimpleNamespace(start=lambda attempt: None, begin=lambda attempt: b"")
         self.relay = SimpleNamespace(
             handle_reply=lambda attempt, reply: None,
@@ -36,7 +36,7 @@
         )
 
     def submit(self, client_request: ClientRequest) -> OpenRequest | None:
-        return self.next
+        return self.next_request
 
 
 def _client_request(txn: str) -> ClientRequest:
@@ -45,14 +45,14 @@
     )
 
 
-def _traced(stages: _Stages, number: int, txn: str) -> OpenRequest:
-    asked = _client_request(txn)
-    request = stages.next = OpenRequest(number, asked, make_class(), 5000.0)
-    stages.submit(asked)
+def _submit_request(stages: _StubStages, number: int, txn: str) -> OpenRequest:
+    client_request = _client_request(txn)
+    request = stages.next_request = OpenRequest(number, client_request, make_class(), 5000.0)
+    stages.submit(client_request)
     return request
 
 
-def _attempt(stages: _Stages, request: OpenRequest, number: int, node: int, source: int) -> Attempt:
+def _start_attempt(stages: _StubStages, request: OpenRequest, number: int, node: int, source: int) -> Attempt:
     attempt = Attempt(
         request, number, SendAttempt(request.request_id, node, 4000.0, source, 2, 0.0, 5), 1000.0
     )
@@ -61,43 +61,43 @@
     return attempt
 
 
-def _trace_file(data: bytes) -> str:
-    """Return the lines with masked times, and random ids replaced by their order of appearance."""
+def _mask_span_file(data: bytes) -> str:
+    """Return a span file with masked times, and random ids replaced by their order of appearance."""
     ids: dict[str, str] = {}
 
-    def named(match: re.Match[str]) -> str:
-        ident = match[2]
-        return f"{match[1]}{ids.setdefault(ident, f'<span {len(ids) + 1}>')}" if ident else match[0]
+    def number_id(match: re.Match[str]) -> str:
+        span_id = match[2]
+        return f"{match[1]}{ids.setdefault(span_id, f'<span {len(ids) + 1}>')}" if span_id else match[0]
 
-    text = re.sub(r'("span": "|"parent": ")([0-9a-f]{16}|)', named, data.decode())
+    text = re.sub(r'("span": "|"parent": ")([0-9a-f]{16}|)', number_id, data.decode())
     return re.sub(r'("start": |"end": |"at": )\d{19}', r"\1<ns>", text)
 
 
 def _request_spans() -> Meaning:
-    """Return the span file of requests that have passed through a router's stages."""
-    stages = _Stages()
+    """Return the span files of requests that have passed through a router's stages."""
+    stages = _StubStages()
     with temporary_folder() as folder:
         config = SimpleNamespace(name="r-0")
         provider = start_tracing(f"1:100000:2:{folder / 'trace'}", cast(Any, config), cast(Any, stages))
-        served = _traced(stages, 1, "00000000000000aa")
-        full = _attempt(stages, served, 0, 0xA1, 0xA1)
-        stages.recorder.attempt_ended(full, Outcome.REJECTED_OVERLOADED)
-        good = _attempt(stages, served, 1, 0xA2, 0xB1)
-        good.written_at_ms = 1001.0
-        stages.send.begin(good)
-        stages.relay.handle_reply(good, Reply("200", {"tell": "filled"}, b"body"))
-        stages.recorder.attempt_ended(good, Outcome.OK)
+        served = _submit_request(stages, 1, "00000000000000aa")
+        overloaded = _start_attempt(stages, served, 0, 0xA1, 0xA1)
+        stages.recorder.attempt_ended(overloaded, Outcome.REJECTED_OVERLOADED)
+        successful = _start_attempt(stages, served, 1, 0xA2, 0xB1)
+        successful.written_at_ms = 1001.0
+        stages.send.begin(successful)
+        stages.relay.handle_reply(successful, Reply("200", {"tell": "filled"}, b"body"))
+        stages.recorder.attempt_ended(successful, Outcome.OK)
         stages.relay.answer(served, Answer(Verdict.SERVED, b"body"))
-        refused = _traced(stages, 2, "00000000000000ab")
-        stages.relay.answer(refused, Answer(Verdict.REFUSED, retry_after_ms=250.0))
-        left = _traced(stages, 3, "00000000000000ac")
-        given_up = _attempt(stages, left, 0, 0xA1, 0xA1)
-        stages.relay.client_disconnected(left)
-        stages.recorder.attempt_ended(given_up, Outcome.CANCELLED)
-        stages.next = None
+        rejected = _submit_request(stages, 2, "00000000000000ab")
+        stages.relay.answer(rejected, Answer(Verdict.REFUSED, retry_after_ms=250.0))
+        disconnected = _submit_request(stages, 3, "00000000000000ac")
+        cancelled = _start_attempt(stages, disconnected, 0, 0xA1, 0xA1)
+        stages.relay.client_disconnected(disconnected)
+        stages.recorder.attempt_ended(cancelled, Outcome.CANCELLED)
+        stages.next_request = None
         stages.submit(_client_request("00000000000000ad"))
         provider.shutdown()
-        return {"files": {path.name: _trace_file(path.read_bytes()) for path in sorted(folder.iterdir())}}
+        return {"files": {path.name: _mask_span_file(path.read_bytes()) for path in sorted(folder.iterdir())}}
 
 
 def _sampled() -> Meaning:
@@ -106,36 +106,43 @@
     from opentelemetry.sdk.trace.sampling import TraceIdRatioBased
 
     txns = [f"{0x9E3779B97F4A7C15 * number % (1 << 64):016x}" for number in range(40)]
-    found: Meaning = {"requests": txns}
+    results: Meaning = {"requests": txns}
     for ratio in (0.0, 0.1, 0.5, 1.0):
-        ids = RequestIdGenerator()
-        tracer = TracerProvider(sampler=TraceIdRatioBased(ratio), id_generator=ids).get_tracer("test")
-        chosen = []
+        id_generator = RequestIdGenerator()
+        tracer = TracerProvider(sampler=TraceIdRatioBased(ratio), id_generator=id_generator).get_tracer(
+            "test"
+        )
+        sampled = []
         for number, txn in enumerate(txns):
-            ids.txn = txn
+            id_generator.txn = txn
             span = tracer.start_span("request")
             if span.is_recording():
-                chosen.append(number)
-        found[f"traced at {ratio:g}"] = chosen
-    return found
+                sampled.append(number)
+        results[f"traced at {ratio:g}"] = sampled
+    return results
 
 
-def _span(name: str, ident: int, parent: int, start: int, end: int, *events: Any, **attributes: Any) -> Any:
+def _span(
+    name: str, span_id: int, parent_id: int, start_ns: int, end_ns: int, *events: Any, **attributes: Any
+) -> Any:
     from opentelemetry.sdk.resources import Resource
     from opentelemetry.sdk.trace import Event, ReadableSpan
     from opentelemetry.trace import SpanContext
 
-    trace = int("00000000000000aa" * 2, 16)
-    began = 1_764_576_000_000_000_000
+    trace_id = int("00000000000000aa" * 2, 16)
+    base_time_ns = 1_764_576_000_000_000_000
     return ReadableSpan(
         name,
-        SpanContext(trace, ident, False),
-        SpanContext(trace, parent, False) if parent else None,
+        SpanContext(trace_id, span_id, False),
+        SpanContext(trace_id, parent_id, False) if parent_id else None,
         Resource({"service.instance.id": "r-0"}),
         attributes,
-        [Event(what, more, began + at) for what, at, more in events],
-        start_time=began + start,
-        end_time=began + end,
+        [
+            Event(event_name, event_attributes, base_time_ns + offset_ns)
+            for event_name, offset_ns, event_attributes in events
+        ],
+        start_time=base_time_ns + start_ns,
+        end_time=base_time_ns + end_ns,
     )
 
 
@@ -150,21 +157,21 @@
         "attempt", 0x13, 0x11, 800_000, 9_400_000, ("written", 900_000, {}),
         ("arrived", 9_300_000, {"word": "200", "bytes": 4}), number=1, node="s-000000a2", outcome="ok",
     )  # fmt: skip
-    found: Meaning = {}
+    results: Meaning = {}
     for max_bytes, max_rotated in ((100_000, 2), (600, 2), (600, 0), (1, 1)):
         with temporary_folder() as folder:
             (folder / "r-0").mkdir()
             exporter = SpanFileExporter(folder / "r-0" / "trace", max_bytes, max_rotated)
             for spans in ([first], [second, request], [], [first, second]):
                 exporter.export(spans)
-            found[f"most_bytes {max_bytes}, kept {max_rotated}"] = files_in(folder / "r-0")
+            results[f"most_bytes {max_bytes}, kept {max_rotated}"] = file_texts(folder / "r-0")
             if max_bytes == 100_000:
                 (folder / "r-0" / "trace").open("ab").write(b'{"trace": "00000000000000aa, broken\n')
-                spans_found = list(traces.read_spans(folder, "aa"))
-                found["spans of the request"] = len(spans_found)
-                found["told"] = list(traces.format_spans(spans_found))
-                found["spans of another request"] = len(list(traces.read_spans(folder, "ab")))
-    return found
+                request_spans = list(traces.read_spans(folder, "aa"))
+                results["spans of the request"] = len(request_spans)
+                results["told"] = list(traces.format_spans(request_spans))
+                results["spans of another request"] = len(list(traces.read_spans(folder, "ab")))
+    return results
 
 
 CASES = (
--- a/tests/golden_fleet_supervisor.py
+++ b/tests/golden_fleet_supervisor.py
@@ -1,4 +1,4 @@
-"""Cases of the fleet area: answers of the supervisor's control socket."""
+"""Golden cases of the fleet area: answers of the supervisor's control socket."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 import trio
 import trio.testing
-from golden_fleet_files import notified, temporary_folder
+from golden_fleet_files import notify_socket, temporary_folder
 from golden_folder import Meaning, Snapshot
 
 from stonecove.fleet import control, journal, runfile
@@ -27,14 +27,14 @@
     if isinstance(value, dict):
         return {
             name: MASKS[name]
-            if name in MASKS and isinstance(one, (int, float))
-            else {unit: "<pid>" for unit in one}
+            if name in MASKS and isinstance(item, (int, float))
+            else {instance: "<pid>" for instance in item}
             if name == "pids"
-            else _masked(one, folder)
-            for name, one in value.items()
+            else _masked(item, folder)
+            for name, item in value.items()
         }
     if isinstance(value, list):
-        return [_masked(one, folder) for one in value]
+        return [_masked(item, folder) for item in value]
     return value.replace(folder, "<folder>") if isinstance(value, str) else value
 
 
@@ -69,74 +69,79 @@
 )
 
 
-def _supervisor() -> Meaning:
-    """Return a supervisor's answers and the files it leaves.
+def _supervisor_answers() -> Meaning:
+    """Return a supervisor's answers and the files that it leaves behind.
 
-    It adopts `r-0` (a sleeping process in place of a router) and can't start `r-1`. The clock is stopped
-    until the end.
+    It adopts `r-0` (a sleeping process in place of a router) and can't start `r-1`. The clock only
+    advances by a jump until the last status has been read.
     """
     clock = trio.testing.MockClock()
-    found: Meaning = {}
+    results: Meaning = {}
 
-    async def ask(folder: Path, question: dict[str, Any]) -> Any:
-        data = json.dumps(question).encode() + b"\n"
+    async def send_command(folder: Path, command: dict[str, Any]) -> Any:
+        data = json.dumps(command).encode() + b"\n"
         return await trio.to_thread.run_sync(_send, folder, data)
 
-    async def play(place: Path, received_messages: Callable[[], list[str]]) -> None:
-        folder = place / "fleet"
-        operator = place / "operator.cue"
+    async def play(base_folder: Path, received_messages: Callable[[], list[str]]) -> None:
+        folder = base_folder / "fleet"
+        operator = base_folder / "operator.cue"
         instances = ", ".join(
-            f'"r-{number}": {{config: "{place}/none.json", listen: "127.0.0.1:{number + 1}"}}'
+            f'"r-{number}": {{config: "{base_folder}/none.json", listen: "127.0.0.1:{number + 1}"}}'
             for number in range(2)
         )
         operator.write_text(
             f'fleet: {{folder: "{folder}", instances: {{{instances}}}, restarts: most: 0, leases: {{}}}}'
         )
-        sleeping = subprocess.Popen(["sleep", "60"])
+        sleeping_process = subprocess.Popen(["sleep", "60"])
         try:
             (folder / "r-0").mkdir(parents=True)
-            start = runfile.start_ticks(sleeping.pid) or 0
-            runfile.write(folder / "r-0", runfile.Run(sleeping.pid, start, runfile.boot_id()))
+            start = runfile.start_ticks(sleeping_process.pid) or 0
+            runfile.write(folder / "r-0", runfile.Run(sleeping_process.pid, start, runfile.boot_id()))
             supervisor = Supervisor(operator)
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(supervisor.run)
                 await trio.testing.wait_all_tasks_blocked(0.02)
-                rights = (folder / "control.sock").stat().st_mode & 0o777
-                found["control_socket_rights"] = oct(rights)
+                permissions = (folder / "control.sock").stat().st_mode & 0o777
+                results["control_socket_rights"] = oct(permissions)
                 with (folder / "r-0" / "log.pipe").open("wb", buffering=0) as pipe:
                     pipe.write(b"1764576000.000 stats served=7 open=3 share=0.25\n1764576000.100 later a=b\n")
                 await trio.testing.wait_all_tasks_blocked(0.02)
-                found["answers"] = [
-                    {"question": question, "answer": _masked(await ask(folder, question), str(place))}
-                    for question in COMMANDS
+                results["answers"] = [
+                    {
+                        "question": command,
+                        "answer": _masked(await send_command(folder, command), str(base_folder)),
+                    }
+                    for command in COMMANDS
                 ]
-                unreadable = await trio.to_thread.run_sync(_send, folder, b"no JSON\n")
-                found["keys of the answer to what is no JSON"] = sorted(unreadable)
-                for _ in range(500):  # until the supervisor has seen its exit
+                malformed_answer = await trio.to_thread.run_sync(_send, folder, b"no JSON\n")
+                results["keys of the answer to what is no JSON"] = sorted(malformed_answer)
+                for _ in range(500):  # until the supervisor has noticed the exit of r-0
                     if runfile.read(folder / "r-0") is None:
                         break
                     await trio.testing.wait_all_tasks_blocked(0.02)
                 clock.jump(0.06)
                 await trio.testing.wait_all_tasks_blocked(0.02)
-                found["last status"] = _masked(await ask(folder, {"do": "status"}), str(place))
+                results["last status"] = _masked(
+                    await send_command(folder, {"do": "status"}), str(base_folder)
+                )
                 clock.rate = 1.0
                 signal.raise_signal(signal.SIGTERM)
         finally:
-            sleeping.kill()
-            sleeping.wait()
-        found["notified"] = received_messages()
-        found["files"] = sorted(str(path.relative_to(folder)) for path in folder.rglob("*"))
+            sleeping_process.kill()
+            sleeping_process.wait()
+        results["notified"] = received_messages()
+        results["files"] = sorted(str(path.relative_to(folder)) for path in folder.rglob("*"))
         records, _ = journal.decode((folder / "journal").read_bytes())
-        found["journal"] = [_masked(record, str(place)) for record in records]
+        results["journal"] = [_masked(record, str(base_folder)) for record in records]
 
-    with temporary_folder() as place, notified() as received_messages:
-        trio.run(play, place, received_messages, clock=clock)
-    return found
+    with temporary_folder() as base_folder, notify_socket() as received_messages:
+        trio.run(play, base_folder, received_messages, clock=clock)
+    return results
 
 
 def _control_errors() -> Meaning:
     """Return the client's errors for missing, failing and malformed answers of the control socket."""
-    found: Meaning = {}
+    results: Meaning = {}
     with temporary_folder() as folder:
 
         def status_error() -> str:
@@ -145,17 +150,17 @@
             except control.ControlError as error:
                 return re.sub(r": Expecting.*", ": <no JSON>", str(error).replace(str(folder), "<folder>"))
 
-        found["no socket"] = status_error()
+        results["no socket"] = status_error()
         with socket.socket(socket.AF_UNIX) as sock:
             sock.bind(str(folder / control.SOCKET_NAME))
-        found["nobody listens"] = status_error()
+        results["nobody listens"] = status_error()
         (folder / control.SOCKET_NAME).unlink()
         with socket.socket(socket.AF_UNIX) as sock:
             sock.bind(str(folder / control.SOCKET_NAME))
             sock.listen()
             for name, data in (("an error", b'{"error": "no"}\n'), ("a list", b"[]\n"), ("no JSON", b"x\n")):
-                found[name] = _call_with_answer(sock, data, status_error)
-    return found
+                results[name] = _call_with_answer(sock, data, status_error)
+    return results
 
 
 def _call_with_answer(listener: socket.socket, data: bytes, call: Callable[[], str]) -> str:
@@ -169,12 +174,12 @@
 
     thread = threading.Thread(target=answer)
     thread.start()
-    found = call()
+    result = call()
     thread.join()
-    return found
+    return result
 
 
 CASES = (
-    Snapshot("control-supervisor", _supervisor),
+    Snapshot("control-supervisor", _supervisor_answers),
     Snapshot("control-errors", _control_errors),
 )
--- a/tests/golden_tools_cases.py
+++ b/tests/golden_tools_cases.py
@@ -1,4 +1,4 @@
-"""What the golden data on the tools share: folders, and descriptions of what the tools read and write."""
+"""Helpers shared by the golden tests of the tools: files, and descriptions of the tools' types."""
 
 from __future__ import annotations
 
@@ -15,37 +15,37 @@
 from stonecove.scale.results import Delays
 from stonecove.trial.schedule import Fault, Trial
 
-ROOT = Path(__file__).parent.parent
+REPOSITORY = Path(__file__).parent.parent
 FOLDER = Path(__file__).parent / "golden" / "tools"
 
 
-def load(name: str) -> Any:
-    """Return what a golden JSON file holds."""
+def read_json(name: str) -> Any:
+    """Return the value of a golden JSON file."""
     return json.loads((FOLDER / name).read_text())
 
 
-def as_json(found: Any) -> Any:
-    """Return what a JSON file would give back."""
-    return json.loads(json.dumps(found))
+def json_round_trip(value: Any) -> Any:
+    """Return a value as it is after it was written to JSON and read back."""
+    return json.loads(json.dumps(value))
 
 
-def write(name: str, found: Any) -> None:
-    """Write a golden file: bytes and text as they are, all else as JSON."""
-    if isinstance(found, bytes):
-        (FOLDER / name).write_bytes(found)
+def write_golden(name: str, content: Any) -> None:
+    """Write a golden file: bytes and text as they are, other values as JSON."""
+    if isinstance(content, bytes):
+        (FOLDER / name).write_bytes(content)
     elif name.endswith(".json"):
-        (FOLDER / name).write_text(json.dumps(found, indent=1) + "\n")
+        (FOLDER / name).write_text(json.dumps(content, indent=1) + "\n")
     else:
-        (FOLDER / name).write_text(found)
+        (FOLDER / name).write_text(content)
 
 
-def recorded(name: str) -> Any:
-    """Return what a golden file holds: text as it is, JSON decoded."""
-    return load(name) if name.endswith(".json") else (FOLDER / name).read_bytes().decode()
+def read_golden(name: str) -> Any:
+    """Return the content of a golden file: text as it is, JSON decoded."""
+    return read_json(name) if name.endswith(".json") else (FOLDER / name).read_bytes().decode()
 
 
-def finite(value: float) -> float | str:
-    """Return a number as JSON can hold it."""
+def json_number(value: float) -> float | str:
+    """Return a number, or the name of an infinity, which JSON cannot represent."""
     return value if math.isfinite(value) else "infinity" if value > 0 else "-infinity"
 
 
@@ -85,37 +85,37 @@
     }
 
 
-def describe_found(found: Found) -> dict[str, Any]:
+def describe_violation(found: Found) -> dict[str, Any]:
     """Return a violation with the steps that lead to it."""
     return {"steps": list(found.steps), "property": found.violation.prop, "reason": found.violation.why}
 
 
 def describe_result(result: Result) -> dict[str, Any]:
-    """Return what an exploration counted, without what differs from run to run."""
+    """Return the counts of an exploration that are the same in each run."""
     return {
         "states": result.states,
         "transitions": result.transitions,
         "depth": result.depth,
         "settled": result.settled,
         "complete": result.complete,
-        "violations": [describe_found(one) for one in result.found],
+        "violations": [describe_violation(violation) for violation in result.found],
     }
 
 
-def describe_frontier(front: Frontier) -> dict[str, Any]:
-    """Return all that a saved frontier holds, but the fingerprints' values."""
+def describe_frontier(frontier: Frontier) -> dict[str, Any]:
+    """Return the content of a saved frontier without the values of fingerprints."""
     return {
-        "visited": len(front.visited),
-        "sleeping": sorted(sorted(steps) for steps in front.sleeping.values()),
+        "visited": len(frontier.visited),
+        "sleeping": sorted(sorted(steps) for steps in frontier.sleeping.values()),
         "entries": [
             {
-                "steps": list(one.steps),
-                "to_do": list(one.todo) if one.todo is not None else None,
-                "sleeping": sorted(one.sleep),
+                "steps": list(entry.steps),
+                "to_do": list(entry.todo) if entry.todo is not None else None,
+                "sleeping": sorted(entry.sleep),
             }
-            for one in front.entries
+            for entry in frontier.entries
         ],
-        "result": describe_result(front.result),
+        "result": describe_result(frontier.result),
     }
 
 
@@ -146,15 +146,15 @@
     return {"count": delays.count, "p50_ms": delays.p50_ms, "p99_ms": delays.p99_ms, "max_ms": delays.max_ms}
 
 
-def describe_life(life: Incarnation) -> dict[str, Any]:
-    """Return when a router took each event in force."""
+def describe_incarnation(incarnation: Incarnation) -> dict[str, Any]:
+    """Return when a router applied each event."""
     return {
-        "router": life.router,
-        "known_up_to": life.last,
-        "began_ns": life.started_at_ns,
-        "ended_ns": life.ended_at_ns,
-        "repeated": life.repeated,
-        "taken_ns": life.applied_at_ns.tolist(),
+        "router": incarnation.router,
+        "known_up_to": incarnation.last,
+        "began_ns": incarnation.started_at_ns,
+        "ended_ns": incarnation.ended_at_ns,
+        "repeated": incarnation.repeated,
+        "taken_ns": incarnation.applied_at_ns.tolist(),
     }
 
 
@@ -196,7 +196,7 @@
         "slow_start_window_s": trial.window,
         "gossip": trial.swarm,
         "routers_of_one_name": list(trial.twins),
-        "zones": [trial.zone(place) for place in range(trial.routers)],
+        "zones": [trial.zone(index) for index in range(trial.routers)],
         "clocks_ahead_s": list(trial.ahead),
         "open_loop_clients": None
         if clients is None
@@ -218,7 +218,7 @@
             "patience_s": capacity.max_wait_s,
             "origin_stops_s": capacity.stop_s,
         },
-        "faults": [describe_fault(one) for one in trial.faults],
+        "faults": [describe_fault(fault) for fault in trial.faults],
         "faults_span_s": list(trial.span),
         "server_ways_break": trial.relayed,
         "expected": {
--- a/tests/stand.py
+++ b/tests/process_harness.py
@@ -1,4 +1,4 @@
-"""Run the real program for tests over sockets, with stand-ins for clients, caches and the change log."""
+"""Runs a router process for tests over sockets, with stand-ins for clients, caches and the change log."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 from stonecove.runtime.log_events import LogEvent
 
-WAIT_TIMEOUT_S = 30.0  # generous, as no test measures speed with it
+WAIT_TIMEOUT_S = 30.0  # generous, as no test measures speed by it
 SETTINGS: dict[str, Any] = {
     "areas": ["hub", "edge-1"],
     "models": ["box", "parent", "origin"],
@@ -74,30 +74,30 @@
 }
 
 
-def resp(*items: bytes) -> bytes:
+def resp_array(*items: bytes) -> bytes:
     """Return items as an array of RESP bulk strings."""
     return b"*%d\r\n" % len(items) + b"".join(b"$%d\r\n%b\r\n" % (len(item), item) for item in items)
 
 
 class CacheCommand(NamedTuple):
-    """A command that a cache received."""
+    """A command that a cache received; `txn` is the transaction id of its request."""
 
     cache: Cache
     sock: socket.socket
-    word: str
+    name: str
     txn: str
     fields: dict[str, str]
     body: bytes
 
-    def reply(self, word: str = "200", body: bytes = b"", **fields: object) -> None:
-        """Send an answer, of a cached copy unless `fields` say otherwise."""
+    def reply(self, status: str = "200", body: bytes = b"", **fields: object) -> None:
+        """Send a reply; its fields are those of a cached copy, apart from the given ones."""
         table = {"tell": "hit", "ver": "aa11", "born": int(time.time() * 1000), **fields}
         text = ",".join(f"{name}={value}" for name, value in table.items())
-        self.sock.sendall(resp(self.txn.encode(), word.encode(), text.encode(), body))
+        self.sock.sendall(resp_array(self.txn.encode(), status.encode(), text.encode(), body))
 
 
 class Listener:
-    """Serves each connection in its own thread."""
+    """A listening socket that serves each connection in a thread of its own."""
 
     def __init__(self, serve: Callable[[socket.socket], None], sock: socket.socket | None = None) -> None:
         self._serve = serve
@@ -130,7 +130,7 @@
 
 
 class Cache:
-    """A cache that passes the commands it receives to the test."""
+    """A cache that hands the commands it receives to the test."""
 
     def __init__(self, ident: int, commands: queue.Queue[CacheCommand]) -> None:
         self.ident, self.name = ident, f"s-{ident:08x}"
@@ -151,44 +151,47 @@
 
 
 class ChangeLog:
-    """A change log that records the sequence number at which each connection starts."""
+    """A change log; `start_numbers` gets the sequence number from which each connection continues.
+
+    `first_frames`, if it is set, returns what a new connection is sent first, in place of a keep-alive.
+    """
 
     def __init__(self, sock: socket.socket | None = None) -> None:
-        self.missed: Callable[[], bytes] | None = None  # returns the first bytes sent on a new connection
-        self.since: queue.Queue[int] = queue.Queue()
+        self.first_frames: Callable[[], bytes] | None = None
+        self.start_numbers: queue.Queue[int] = queue.Queue()
         self.listener = Listener(self._serve, sock)
 
     def _serve(self, sock: socket.socket) -> None:
         last = struct.unpack(">Q", sock.recv(8, socket.MSG_WAITALL))[0]
-        sock.sendall(self.missed() if self.missed else struct.pack(">IQB", 9, last, 0))
-        self.since.put(last)
+        sock.sendall(self.first_frames() if self.first_frames else struct.pack(">IQB", 9, last, 0))
+        self.start_numbers.put(last)
         sock.recv(1)
 
-    def tell(self, number: int, kind: int, payload: bytes = b"") -> None:
+    def send_event(self, number: int, kind: int, payload: bytes = b"") -> None:
         """Send an event on the latest connection."""
-        Stand.wait(lambda: self.listener.accepted, "a connection to the change log")
+        ProcessHarness.wait_until(lambda: self.listener.accepted, "a connection to the change log")
         sock = self.listener.accepted[-1]
         sock.sendall(struct.pack(">IQB", 9 + len(payload), number, kind) + payload)
 
-    def trickle(self) -> None:
-        """Send one more byte of a frame that is never completed."""
+    def send_byte(self) -> None:
+        """Send one byte on the latest connection, as a part of a frame that is never completed."""
         with contextlib.suppress(OSError):
             self.listener.accepted[-1].send(b"\0")
 
 
-def record(kind: int, ident: int, content: bytes = b"", padding: int = 0) -> bytes:
+def fastcgi_record(kind: int, ident: int, content: bytes = b"", padding: int = 0) -> bytes:
     """Return a FastCGI record."""
     return struct.pack(">BBHHBB", 1, kind, ident, len(content), padding, 0) + content + bytes(padding)
 
 
-def pair(name: str, value: str) -> bytes:
+def name_value_pair(name: str, value: str) -> bytes:
     """Return a FastCGI name-value pair."""
     size = struct.pack(">I", len(value) | 1 << 31) if len(value) > 127 else bytes((len(value),))
     return bytes((len(name),)) + size + name.encode() + value.encode()
 
 
 class Answer(NamedTuple):
-    """A complete answer; status 0 if the request ended without a response."""
+    """A complete answer to a request; its status is 0 if the request ended without a response."""
 
     ident: int
     status: int
@@ -198,14 +201,14 @@
 
 
 class Client:
-    """One FastCGI connection."""
+    """A client with one FastCGI connection to the router."""
 
     def __init__(self, address: tuple[str, int]) -> None:
         self.sock = socket.create_connection(address, WAIT_TIMEOUT_S)
         self._stream = self.sock.makefile("rb")
-        self._out: dict[int, bytes] = {}
+        self._responses: dict[int, bytes] = {}
 
-    def request(
+    def encode_request(
         self,
         ident: int = 1,
         path: str = "/svc/image",
@@ -225,54 +228,56 @@
             **fields,
         }
         params = b"".join(
-            pair(*variable) for variable in {"SCRIPT_NAME": path, **(cgi or {})}.items()
-        ) + b"".join(pair(f"HTTP_{name}", value) for name, value in table.items() if value is not None)
-        stdin = record(5, ident, body, padding) if body else b""
+            name_value_pair(*variable) for variable in {"SCRIPT_NAME": path, **(cgi or {})}.items()
+        ) + b"".join(
+            name_value_pair(f"HTTP_{name}", value) for name, value in table.items() if value is not None
+        )
+        stdin = fastcgi_record(5, ident, body, padding) if body else b""
         return (
-            record(1, ident, struct.pack(">HB5x", 1, 1))
-            + record(4, ident, params[:20], padding)
-            + record(4, ident, params[20:])
-            + record(4, ident)
+            fastcgi_record(1, ident, struct.pack(">HB5x", 1, 1))
+            + fastcgi_record(4, ident, params[:20], padding)
+            + fastcgi_record(4, ident, params[20:])
+            + fastcgi_record(4, ident)
             + stdin
-            + record(5, ident)
+            + fastcgi_record(5, ident)
         )
 
     def send(self, ident: int = 1, **options: Any) -> None:
-        """Send a request; for the options, see `request`."""
-        self.sock.sendall(self.request(ident, **options))
+        """Send a request; for the options, see `encode_request`."""
+        self.sock.sendall(self.encode_request(ident, **options))
 
-    def record(self) -> tuple[int, int, bytes]:
-        """Return kind, id and content of the next record; raises EOFError at the end of the connection."""
+    def read_record(self) -> tuple[int, int, bytes]:
+        """Return the kind, request id and content of the next record; raise EOFError at the end."""
         head = self._stream.read(8)
         if len(head) < 8:
             raise EOFError
         _, kind, ident, length, padding, _ = struct.unpack(">BBHHBB", head)
         return kind, ident, self._stream.read(length + padding)[:length]
 
-    def answer(self) -> Answer:
-        """Return the next answer that is complete, whatever its id."""
+    def read_answer(self) -> Answer:
+        """Return the next complete answer, whichever request it belongs to."""
         while True:
-            kind, ident, content = self.record()
+            kind, ident, content = self.read_record()
             if kind == 6:
-                self._out[ident] = self._out.get(ident, b"") + content
+                self._responses[ident] = self._responses.get(ident, b"") + content
             elif kind == 3:
-                head, _, body = self._out.pop(ident, b"").partition(b"\r\n\r\n")
+                head, _, body = self._responses.pop(ident, b"").partition(b"\r\n\r\n")
                 lines = [line.split(": ", 1) for line in head.decode().split("\r\n") if line]
                 fields = {name: value for name, value in lines}
                 return Answer(ident, int(fields.get("Status", "0")[:3]), fields, body, content[4])
 
-    def ask(self, **options: Any) -> Answer:
+    def exchange(self, **options: Any) -> Answer:
         """Send a request, and return the next answer."""
         self.send(**options)
-        return self.answer()
+        return self.read_answer()
 
     def close(self) -> None:
         """Close the connection."""
         self._stream.close()
         self.sock.close()
 
-    def ended(self) -> bool:
-        """Return whether the router has closed the connection."""
+    def is_disconnected(self) -> bool:
+        """Wait for data or the end of the connection; return whether the router has closed or reset it."""
         try:
             return self.sock.recv(1) == b""
         except ConnectionResetError:
@@ -280,20 +285,20 @@
 
 
 class UnresponsiveAddress:
-    """An address at which connections are not established until `open`, as with a machine that is down."""
+    """An address at which connections are not established until `accept`, as with a machine that is down."""
 
     def __init__(self) -> None:
         self.sock = socket.socket()
         self.sock.bind(("127.0.0.1", 0))
         self.sock.listen(0)
         self.port: int = self.sock.getsockname()[1]
-        self._fillers = [socket.socket() for _ in range(2)]  # more would compete with the router in `open`
+        self._fillers = [socket.socket() for _ in range(2)]  # more would compete with the router in `accept`
         for filler in self._fillers:
             filler.setblocking(False)
             filler.connect_ex(("127.0.0.1", self.port))
 
-    def open(self, timeout_s: float = WAIT_TIMEOUT_S) -> socket.socket:
-        """Establish connections; return the first that is not one of the fillers.
+    def accept(self, timeout_s: float = WAIT_TIMEOUT_S) -> socket.socket:
+        """Accept connections; return the first one that does not fill the backlog.
 
         A connection that the kernel dropped for a full backlog is established once its client sends data.
         """
@@ -310,9 +315,9 @@
 
 
 def free_address() -> tuple[str, int]:
-    """Return an address for a program to listen on.
+    """Return a loopback address with a free port for a program to listen on.
 
-    It is not 127.0.0.1, where a free port may become the local end of another connection at any time.
+    The host is not 127.0.0.1, where a free port may become the local end of another connection at any time.
     """
     host = ".".join(("127", *(str(random.randint(1, 250)) for _ in range(3))))
     with socket.create_server((host, 0)) as free:
@@ -320,8 +325,11 @@
     return host, port
 
 
-class Stand:
-    """A running edge router with two caches, a parent and an origin, and its change log."""
+class ProcessHarness:
+    """A router process with two caches and a change log.
+
+    Its configuration also lists a parent and an origin, on whose ports nothing listens.
+    """
 
     def __init__(
         self,
@@ -329,15 +337,15 @@
         memory_mb: float = 192,
         sockets: int = 1024,
         env: dict[str, str] | None = None,
-        missed: Callable[[Stand], bytes] | None = None,
+        first_frames: Callable[[ProcessHarness], bytes] | None = None,
         **settings: Any,
     ) -> None:
         self.commands: queue.Queue[CacheCommand] = queue.Queue()
         self.caches = [Cache(0x10 + index, self.commands) for index in range(2)]
-        self.log = ChangeLog()
+        self.change_log = ChangeLog()
         self.address = free_address()
-        nodes = [self.instance(cache.ident, cache.listener.port, 1, "box") for cache in self.caches]
-        nodes += [self.instance(0x20, 1, 0, "parent"), self.instance(0x30, 2, 0, "origin")]
+        nodes = [self.node_entry(cache.ident, cache.listener.port, 1, "box") for cache in self.caches]
+        nodes += [self.node_entry(0x20, 1, 0, "parent"), self.node_entry(0x30, 2, 0, "origin")]
         first = {"seq": 1, "fleet": {"generation": 1, "reset": True, "instances": nodes}}
         known = {"seq": 1, "results": [first]}
         self.config: dict[str, Any] = {
@@ -346,16 +354,16 @@
             "seed": "8c1f30d27a5be964",
             "known": known,
             "limits": {"cores": 1.0, "memory_mb": memory_mb, "sockets": sockets},
-            "changelog": f"127.0.0.1:{self.log.listener.port}",
+            "changelog": f"127.0.0.1:{self.change_log.listener.port}",
             "settings": {**SETTINGS, **settings},
         }
-        self.log.missed = missed and (lambda: missed(self))
+        self.change_log.first_frames = first_frames and (lambda: first_frames(self))
         self._descriptors, self._env = descriptors, env or {}
         self.process = self.start()
 
     @staticmethod
-    def plain_config() -> dict[str, Any]:
-        """Return a configuration without nodes, for a free address."""
+    def config_without_nodes() -> dict[str, Any]:
+        """Return the configuration of a router that listens on a free address and knows no nodes."""
         return {
             "name": "n0",
             "listen": ":".join(map(str, free_address())),
@@ -367,8 +375,8 @@
         }
 
     @staticmethod
-    def instance(ident: int, port: int, zone: int, kind: str) -> dict[str, Any]:
-        """Return a node as configurations have it."""
+    def node_entry(ident: int, port: int, zone: int, kind: str) -> dict[str, Any]:
+        """Return the entry of a node in a configuration."""
         return {
             "instanceId": f"s-{ident:08x}",
             "hostPort": f"127.0.0.1:{port}",
@@ -380,8 +388,8 @@
             "startedAtMs": 0,
         }
 
-    def record(self, cache: Cache, state: int, started: int = 0, port: int = 0) -> bytes:
-        """Return a cache's record as the change log sends it."""
+    def endpoint_record(self, cache: Cache, state: int, started: int = 0, port: int = 0) -> bytes:
+        """Return the record of a cache as the change log sends it."""
         return struct.pack(
             ">IIHBBBHIQ",
             cache.ident,
@@ -413,7 +421,7 @@
                 preexec_fn=limit_descriptors,
                 env={**os.environ, **self._env, "RELAY_CONFIG": str(path)},
             )
-        self.wait(lambda: process.poll() is not None or self._is_live(), "the router is ready")
+        self.wait_until(lambda: process.poll() is not None or self._is_live(), "the router is ready")
         return process
 
     def reload(self, text: str) -> None:
@@ -425,7 +433,7 @@
 
     def _is_live(self) -> bool:
         try:
-            return self.client().ask(path="/status/live").status == 200
+            return self.client().exchange(path="/status/live").status == 200
         except (OSError, EOFError):
             return False
 
@@ -433,37 +441,37 @@
         """Return a new connection to the router."""
         return Client(self.address)
 
-    def command(self, word: str = "fetch") -> CacheCommand:
-        """Return the next command of this name that a cache receives; others are skipped."""
-        while (found := self.commands.get(timeout=WAIT_TIMEOUT_S)).word != word:
+    def next_command(self, name: str = "fetch") -> CacheCommand:
+        """Return the next command of this name that a cache receives; skip the others."""
+        while (found := self.commands.get(timeout=WAIT_TIMEOUT_S)).name != name:
             pass
         return found
 
-    def maybe_command(self, timeout_s: float) -> CacheCommand | None:
-        """Return the next command, or None if there is none within the timeout."""
+    def next_command_within(self, timeout_s: float) -> CacheCommand | None:
+        """Return the next command that a cache receives, or None if it receives none within the timeout."""
         with contextlib.suppress(queue.Empty):
             return self.commands.get(timeout=timeout_s)
         return None
 
-    def lines(self, event: str) -> list[str]:
-        """Return the lines of an event in the router's log; the name must be that of a known event."""
+    def log_lines(self, event: str) -> list[str]:
+        """Return the lines of an event in the router's log; the event must be a known one, or "Exception"."""
         assert event in set(LogEvent) or event == "Exception", event
         text = Path(self.folder.name, "log").read_text()
         return [line for line in text.splitlines() if line.split(" ")[1:2] == [event]]
 
     @staticmethod
-    def wait(condition: Callable[[], object], what: str) -> None:
-        """Wait until a condition holds; fail with its description `what` after WAIT_TIMEOUT_S."""
+    def wait_until(condition: Callable[[], object], description: str) -> None:
+        """Wait until a condition holds; fail with its description after WAIT_TIMEOUT_S."""
         deadline = time.monotonic() + WAIT_TIMEOUT_S
         while not condition():
-            assert time.monotonic() < deadline, f"timed out waiting for: {what}"
+            assert time.monotonic() < deadline, f"timed out waiting for: {description}"
             time.sleep(0.02)
 
     def close(self) -> None:
-        """Kill the router if it runs, and close all stand-ins."""
+        """Kill the router if it runs, and close the stand-ins."""
         if self.process.poll() is None:
             self.process.send_signal(signal.SIGKILL)
             self.process.wait()
-        for listener in (self.log.listener, *[cache.listener for cache in self.caches]):
+        for listener in (self.change_log.listener, *[cache.listener for cache in self.caches]):
             listener.close()
         self.folder.cleanup()
--- a/tests/test_attempt_crossings.py
+++ b/tests/test_attempt_races.py
@@ -1,4 +1,4 @@
-"""Races between the decision on an attempt and its end, in orders that the operating system would choose."""
+"""Test races between the decision on an attempt and its end, in each order that may occur."""
 
 from __future__ import annotations
 
@@ -51,7 +51,7 @@
         self.capacity = 1 << 20
         self.writable()
 
-    def answer(
+    def reply(
         self,
         txn: str,
         status: str = "200",
@@ -59,7 +59,7 @@
         body: bytes = b"",
         length: int | None = None,
     ) -> bytes:
-        """Receive the first bytes of a response, all by default; return the remainder."""
+        """Receive the first `length` bytes of a reply, all by default; return the remainder."""
         data = resp.encode(txn.encode(), status.encode(), fields.encode(), body)
         self.buffer.feed(data[:length])
         self.received()
@@ -97,12 +97,28 @@
         self.channels[-1].open_timeout_ms = timeout_s * 1000.0
         return self.channels[-1]
 
-    def submit_and_decide(self, kind: int = 0, key: int = 5, ttl: float = 4015.0, seen: str = "") -> str:
+    def submit_and_decide(
+        self, class_index: int = 0, object_key: int = 5, timeout_ms: float = 4015.0, client_tag: str = ""
+    ) -> str:
         """Submit a request and have it decided; return its transaction id."""
         txn = f"{len(self.answers) + 1:016x}"
         answers = self.answers[txn] = []
         self.route.submit(
-            ClientRequest(txn, "c", f"{key:016x}", "0", kind, key, 0, 3, 1.0, ttl, seen, b"", answers.append)
+            ClientRequest(
+                txn,
+                "c",
+                f"{object_key:016x}",
+                "0",
+                class_index,
+                object_key,
+                0,
+                3,
+                1.0,
+                timeout_ms,
+                client_tag,
+                b"",
+                answers.append,
+            )
         )
         self.route.decide()
         return txn
@@ -129,33 +145,33 @@
     )
 
 
-# -- repeated attempts --
+# -- retries and hedged attempts --
 
 
 @pytest.mark.parametrize(
     ("scope", "verdict"),
     [(DeduplicationScope.ALL, Verdict.REFUSED), (DeduplicationScope.ZONE, Verdict.FAILED)],
 )
-@pytest.mark.parametrize(("opens_after_ms", "is_sent"), [(90.0, True), (110.0, False)])
-def test_no_repeat_begins_after_its_window(
-    opens_after_ms: float, is_sent: bool, scope: DeduplicationScope, verdict: Verdict
+@pytest.mark.parametrize(("opened_after_ms", "is_sent"), [(90.0, True), (110.0, False)])
+def test_retry_is_not_sent_after_deduplication_window(
+    opened_after_ms: float, is_sent: bool, scope: DeduplicationScope, verdict: Verdict
 ) -> None:
-    """The repeat was decided within the deduplication window, but its connection opened late."""
+    """The retry was decided within the deduplication window, but its connection opened after it."""
     harness = RouterHarness(keyed_class(200.0, scope), connect_timeout_ms=1000.0)
     txn = harness.submit_and_decide()
     harness.channels[0].open()
     harness.advance(100.0)
     harness.channels[0].ended("reset")
     assert len(harness.channels) == 2
-    harness.advance(opens_after_ms)
+    harness.advance(opened_after_ms)
     harness.channels[1].open()
     assert harness.channels[1].has_fetch(txn) is is_sent and len(harness.channels) == 2
     if not is_sent:
         assert harness.verdicts(txn) == [verdict]
 
 
-def test_an_attempt_that_waited_is_no_repeat_after_the_window_of_the_second() -> None:
-    """The first attempt's connection accepted no byte, and the hedged one was written before it."""
+def test_unsent_attempt_is_not_sent_after_deduplication_window_of_hedge() -> None:
+    """The first attempt's socket accepted no data, and the hedged attempt was written before it."""
     harness = RouterHarness(keyed_class(1000.0))
     txn = harness.submit_and_decide()
     harness.channels[0].open(capacity=0)
@@ -166,24 +182,24 @@
     harness.advance(1010.0)
     first.accept_more()
     assert not first.has_fetch(txn)
-    second.answer(txn)
+    second.reply(txn)
     assert harness.verdicts(txn) == [Verdict.SERVED]
 
 
-def test_what_surely_did_not_run_opens_no_window() -> None:
+def test_attempt_that_did_not_run_starts_no_deduplication_window() -> None:
     harness = RouterHarness(keyed_class(50.0))
     txn = harness.submit_and_decide()
     harness.channels[0].open()
     harness.advance(100.0)
-    harness.channels[0].answer(txn, "503")
+    harness.channels[0].reply(txn, "503")
     harness.advance(100.0)
     harness.channels[1].open()
     assert harness.channels[1].has_fetch(txn)
 
 
 @pytest.mark.parametrize("disconnects", [True, False])
-def test_nothing_begins_for_a_request_that_has_its_answer(disconnects: bool) -> None:
-    """Unsent attempts are dropped once nobody waits, even where the settings allow no cancelling."""
+def test_unsent_attempt_is_dropped_once_nobody_waits_for_it(disconnects: bool) -> None:
+    """Unsent attempts are dropped once nobody waits, even where the settings allow no cancellation."""
     harness = RouterHarness(cancellation_allowed=False)
     txn = harness.submit_and_decide()
     harness.channels[0].open(capacity=0)
@@ -192,18 +208,18 @@
     else:
         harness.advance(430.0)
         harness.channels[1].open()
-        harness.channels[1].answer(txn)
+        harness.channels[1].reply(txn)
     harness.channels[0].accept_more()
     assert not harness.channels[0].has_fetch(txn) and not len(harness.route.requests)
     assert harness.verdicts(txn) == ([] if disconnects else [Verdict.SERVED])
 
 
-# -- responses of caches --
+# -- replies of caches --
 
 
 @pytest.mark.parametrize("never_cached", [True, False])
 @pytest.mark.parametrize(
-    ("fields", "current"),
+    ("fields", "is_current"),
     [
         ("ver=aa11,born=1", True),
         ("ver=bb22,born=1", False),
@@ -212,24 +228,24 @@
         ("ver=,born=1", False),
     ],
 )
-def test_a_copy_is_current_only_if_a_cache_has_named_it(
-    fields: str, current: bool, never_cached: bool
+def test_unchanged_answer_requires_reply_with_current_tag(
+    fields: str, is_current: bool, never_cached: bool
 ) -> None:
     harness = RouterHarness(make_class(never_cached=never_cached))
-    txn = harness.submit_and_decide(seen="aa11")
+    txn = harness.submit_and_decide(client_tag="aa11")
     harness.channels[0].open()
-    with contextlib.suppress(resp.RespError):  # it ends the connection
-        harness.channels[0].answer(txn, "304", fields)
-    assert harness.verdicts(txn) == [Verdict.UNCHANGED] * current
+    with contextlib.suppress(resp.RespError):  # which closes the connection
+        harness.channels[0].reply(txn, "304", fields)
+    assert harness.verdicts(txn) == [Verdict.UNCHANGED] * is_current
 
 
-def test_nothing_waits_behind_an_answer_that_was_given_up() -> None:
-    """The response of a cancelled attempt may never end; once it has, its connection is used again."""
+def test_no_attempt_waits_behind_reply_of_cancelled_attempt() -> None:
+    """The reply to a cancelled attempt may never end; once it is complete, its connection is used again."""
     harness = RouterHarness(caches=1)
     harness.submit_and_decide()
     channel = harness.channels[0]
     channel.open()
-    remainder = channel.answer(f"{1:016x}", body=b"x" * 100, length=60)
+    remainder = channel.reply(f"{1:016x}", body=b"x" * 100, length=60)
     harness.route.client_disconnected(next(iter(harness.route.requests)))
     second = harness.submit_and_decide()
     assert len(harness.channels) == 2 and not channel.has_fetch(second)
@@ -238,30 +254,30 @@
     assert channel.has_fetch(harness.submit_and_decide())
 
 
-def test_an_answer_that_was_given_up_and_never_ends_is_not_listened_to_for_long() -> None:
+def test_connection_with_endless_reply_of_cancelled_attempt_is_closed() -> None:
     harness = RouterHarness(caches=1)
     harness.submit_and_decide()
     channel = harness.channels[0]
     channel.open()
-    channel.answer(f"{1:016x}", body=b"x" * 100_000, length=60)
+    channel.reply(f"{1:016x}", body=b"x" * 100_000, length=60)
     harness.route.client_disconnected(next(iter(harness.route.requests)))
-    for _ in range(7):  # a byte is received now and then
+    for _ in range(7):  # a byte is received every 100 ms
         harness.advance(100.0)
         channel.buffer.feed(b"x")
         channel.received()
     assert channel.is_closed
 
 
-# -- connections that open late, or never --
+# -- connections that open late or never --
 
 
 def changed_members(harness: RouterHarness, **changes: Any) -> MembersUpdate:
-    """Return an update with changed fields of the one cache."""
+    """Return an update with changed fields of the only cache."""
     member = harness.members[0]
     return MembersUpdate(False, (member._replace(node=member.node._replace(**changes)),))
 
 
-def test_a_start_anew_while_a_connection_comes_up_is_no_failure_of_the_new_process(
+def test_cache_restart_during_connect_is_no_failure_of_new_process(
     capsys: pytest.CaptureFixture[str],
 ) -> None:
     """The router closes the connection to the old process, and the attempt moves to another one."""
@@ -273,11 +289,11 @@
     harness.channels[0].ended()
     assert len(next(iter(harness.route.requests)).attempts) == 1 and "ejected" not in capsys.readouterr().err
     harness.channels[1].open()
-    harness.channels[1].answer(txn)
+    harness.channels[1].reply(txn)
     assert harness.verdicts(txn) == [Verdict.SERVED]
 
 
-def test_one_late_connection_beside_one_that_works_ejects_no_cache(
+def test_connect_timeout_beside_working_connection_does_not_eject_cache(
     capsys: pytest.CaptureFixture[str],
 ) -> None:
     harness = RouterHarness(make_class(idempotency=Idempotency.NON_IDEMPOTENT, never_cached=True), caches=1)
@@ -289,11 +305,11 @@
     assert "ejected" not in capsys.readouterr().err
     harness.channels[2].open()
     for channel, txn in ((harness.channels[2], second), (harness.channels[0], first)):
-        channel.answer(txn)
+        channel.reply(txn)
         assert harness.verdicts(txn) == [Verdict.SERVED]
 
 
-def test_a_late_connection_is_told_as_failed_where_nothing_is_heard(
+def test_connect_timeout_without_other_connection_ejects_cache(
     capsys: pytest.CaptureFixture[str],
 ) -> None:
     harness = RouterHarness(caches=1)
@@ -303,18 +319,18 @@
     assert "ejected" in capsys.readouterr().err
 
 
-def test_what_is_up_and_free_is_taken_before_what_still_comes_up() -> None:
+def test_idle_connection_is_used_before_one_that_is_still_connecting() -> None:
     harness = RouterHarness(caches=1)
     harness.submit_and_decide()
     second = harness.submit_and_decide()
     harness.channels[1].open()
-    harness.channels[1].answer(second)
+    harness.channels[1].reply(second)
     # so that no attempt waits for the first connection
     harness.route.client_disconnected(next(iter(harness.route.requests)))
     assert harness.channels[1].has_fetch(harness.submit_and_decide())
 
 
-def test_what_waits_for_a_late_connection_takes_one_that_comes_free_and_goes_once() -> None:
+def test_attempt_waiting_for_late_connection_takes_freed_one_and_is_sent_once() -> None:
     harness = RouterHarness(make_class(idempotency=Idempotency.NON_IDEMPOTENT, never_cached=True), caches=1)
     first, second, third = (
         harness.submit_and_decide(),
@@ -323,19 +339,19 @@
     )
     used, late, later = harness.channels
     used.open()
-    used.answer(first)
+    used.reply(first)
     assert used.has_fetch(second) and not used.has_fetch(third)
-    late.open()  # its own attempt has moved, but another attempt waits elsewhere
+    late.open()  # its own attempt has moved, but another attempt still waits
     assert late.has_fetch(third)
     later.open()
     for channel, txn in ((used, second), (late, third)):
-        channel.answer(txn)
+        channel.reply(txn)
         assert harness.verdicts(txn) == [Verdict.SERVED] and harness.channels_with_fetch(txn) == [channel]
 
 
-@pytest.mark.parametrize("first_up", [0, 1])
-def test_what_waits_for_a_slow_connection_goes_by_the_first_of_two(first_up: int) -> None:
-    """The attempt moves once. A node to which neither connection opens is noticed no later for it."""
+@pytest.mark.parametrize("first_to_open", [0, 1])
+def test_attempt_waiting_for_slow_connection_takes_first_of_two_to_open(first_to_open: int) -> None:
+    """The attempt moves once. A node that accepts neither connection must be detected no later for it."""
     harness = RouterHarness(
         make_class(idempotency=Idempotency.NON_IDEMPOTENT, never_cached=True),
         caches=1,
@@ -343,13 +359,13 @@
     )
     txn = harness.submit_and_decide()
     harness.advance(390.0)
-    assert len(harness.channels) == 2  # once, in spite of several sweeps
+    assert len(harness.channels) == 2  # one more only, in spite of several sweeps
     slow, other = harness.channels
     assert 100.0 < 400.0 - other.open_timeout_ms < 310.0
-    first, second = (slow, other) if first_up == 0 else (other, slow)
+    first, second = (slow, other) if first_to_open == 0 else (other, slow)
     first.open()
     second.open()
-    first.answer(txn)
+    first.reply(txn)
     assert harness.channels_with_fetch(txn) == [first] and harness.verdicts(txn) == [Verdict.SERVED]
 
 
@@ -357,14 +373,14 @@
 def test_nothing_goes_on_a_connection_that_the_cache_may_be_closing(
     idle_timeout_ms: float, idle_for_ms: float
 ) -> None:
-    """An idle connection must not be used between two sweeps, which are 200 ms apart."""
+    """Sweeps are 200 ms apart; between them, no connection may be used that is close to its idle time-out."""
     harness = RouterHarness(caches=1, connection_idle_ms=idle_timeout_ms)
     first = harness.submit_and_decide()
     harness.advance(30.0)  # between two sweeps
     harness.channels[0].open()
-    harness.channels[0].answer(first)
+    harness.channels[0].reply(first)
     if idle_for_ms > 170.0:
-        harness.advance(170.0)  # to right after a sweep
+        harness.advance(170.0)  # until right after a sweep
         harness.advance(idle_for_ms - 170.0)
     else:
         harness.advance(idle_for_ms)
@@ -374,7 +390,7 @@
     assert harness.channels[-1].has_fetch(second)
 
 
-def test_what_is_undecided_at_the_end_of_a_drain_is_refused_and_no_alarm(
+def test_undecided_request_at_end_of_drain_is_refused_without_error_log(
     capsys: pytest.CaptureFixture[str],
 ) -> None:
     """A request that is undecided at the end of a drain must not fail, as nothing of it ran."""
@@ -391,7 +407,7 @@
     assert "request_undecided" not in capsys.readouterr().err
 
 
-def test_what_comes_after_the_end_of_a_drain_is_refused_at_once(capsys: pytest.CaptureFixture[str]) -> None:
+def test_request_after_end_of_drain_is_refused_at_once(capsys: pytest.CaptureFixture[str]) -> None:
     """A request that arrives after its deadline must not fail, as nothing of it ran."""
     harness = RouterHarness(make_class(idempotency=Idempotency.NON_IDEMPOTENT, never_cached=True))
     harness.route.admit.final_deadline_ms = harness.clock.now()
