--- a/tests/test_client_crossings.py
+++ b/tests/test_client_faults.py
@@ -1,4 +1,4 @@
-"""Clients that disconnect, flood the router or send requests in parts, at inconvenient moments."""
+"""Test clients that disconnect, flood the router or send requests in parts at inconvenient times."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 import trio
 import trio.testing
 from conftest import make_class, make_nodes, make_settings
-from stand import Client, Stand, record
+from process_harness import Client, ProcessHarness, fastcgi_record
 
 from stonecove.discovery import Member, MembersUpdate
 from stonecove.exchange import Answer, ClientRequest
@@ -34,8 +34,8 @@
 from stonecove.state.requests import OpenRequest
 from stonecove.transport.client_connection import ClientConnection
 
-ABORT = record(2, 1)
-HEADER = struct.pack(">BBHHBB", 1, 5, 1, 65_535, 0, 0)
+ABORT = fastcgi_record(2, 1)
+LONG_RECORD_HEADER = struct.pack(">BBHHBB", 1, 5, 1, 65_535, 0, 0)
 
 
 class ClientSocket:
@@ -74,15 +74,15 @@
         return True
 
     def feed(self, data: bytes) -> None:
-        for at in range(0, len(data), 4096):
-            self._buffer.feed(data[at : at + 4096])
+        for offset in range(0, len(data), 4096):
+            self._buffer.feed(data[offset : offset + 4096])
             self.received()
 
 
 class RouterHarness:
-    """A router without I/O: front end, stages, and channels to caches that open when the test says so."""
+    """A router without I/O: front end, stages, and channels to caches that the test opens."""
 
-    def __init__(self, may_cancel: bool = True, memory_bytes: float = 48e6) -> None:
+    def __init__(self, cancellation_allowed: bool = True, memory_bytes: float = 48e6) -> None:
         self.time_s = 1000.0
         self.clock = Clock(lambda: self.time_s)
         self.timers = Timers(self.clock, lambda: self.time_s)
@@ -91,7 +91,8 @@
         self.channels: list[Channel] = []
         self.answers: list[Answer] = []
         settings = make_settings(
-            make_class(deadline_ms=60_000.0, latency_objective_ms=30_000.0), cancellation_allowed=may_cancel
+            make_class(deadline_ms=60_000.0, latency_objective_ms=30_000.0),
+            cancellation_allowed=cancellation_allowed,
         )
         self.route = Route(settings, 7, self.clock, self.timers, self.budget, 0.0, self._connect)
         self.route.send.max_connections = 100
@@ -109,134 +110,141 @@
         return SimulatedClient(sock or ClientSocket(), self.front, self.clock.now, self.budget)
 
 
-def request(ident: int = 1, path: str = "/svc/pictures", **what: Any) -> bytes:
+def request(ident: int = 1, path: str = "/svc/pictures", **options: Any) -> bytes:
     """Return the records of a complete request."""
-    return Client.request(None, ident, path, **what)  # type: ignore[arg-type]
+    return Client.encode_request(None, ident, path, **options)  # type: ignore[arg-type]
 
 
-def peak_memory_mb(stand: Stand) -> float:
+def peak_memory_mb(harness: ProcessHarness) -> float:
     """Return the router's peak memory in MB."""
-    text = Path(f"/proc/{stand.process.pid}/status").read_text()
+    text = Path(f"/proc/{harness.process.pid}/status").read_text()
     return int(text.partition("VmHWM:")[2].split()[0]) / 1e3
 
 
 @pytest.fixture
-def stand() -> Iterator[Stand]:
-    running = Stand()
+def harness() -> Iterator[ProcessHarness]:
+    running = ProcessHarness()
     yield running
-    assert running.process.poll() is None and not running.lines("internal_error")
+    assert running.process.poll() is None and not running.log_lines("internal_error")
     running.close()
 
 
 # -- clients that disconnect --
 
 
-def disconnect(client: Client, how: str) -> None:
+def disconnect(client: Client, disconnection: str) -> None:
     """Abort request 1, or end the connection in the given way."""
-    if how == "abort":
+    if disconnection == "abort":
         client.sock.sendall(ABORT)
-    elif how == "half-close":
+    elif disconnection == "half-close":
         client.sock.shutdown(socket.SHUT_WR)
     else:
-        if how == "reset":
+        if disconnection == "reset":
             client.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
         client.close()
 
 
-def regular(client: Client) -> None:
-    """Do nothing beyond the request."""
+def send_nothing(client: Client) -> None:
+    """Send nothing beyond the request."""
 
 
-def rejected_often(client: Client) -> None:
+def send_rejected_requests(client: Client) -> None:
     """Send requests for an unknown class until the router stops reading requests."""
     client.sock.sendall(b"".join(request(ident, "/svc/nothing") for ident in range(2, 23)))
-    assert {client.answer().status for _ in range(21)} == {404}
+    assert {client.read_answer().status for _ in range(21)} == {404}
 
 
-def aborted_often(client: Client) -> None:
+def send_many_aborts(client: Client) -> None:
     """Send hundreds of aborts for requests that are not open."""
-    client.sock.sendall(b"".join(record(2, ident) for ident in range(2, 900)))
+    client.sock.sendall(b"".join(fastcgi_record(2, ident) for ident in range(2, 900)))
 
 
-@pytest.mark.parametrize("how", ["abort", "FIN", "half-close", "reset"])
-@pytest.mark.parametrize("before", [regular, rejected_often, aborted_often])
-def test_a_client_that_leaves_is_noticed_whatever_it_did_before(stand: Stand, before: Any, how: str) -> None:
-    """A client that is about to be disconnected must still be read, or its requests are sent on."""
-    client = stand.client()
+@pytest.mark.parametrize("disconnection", ["abort", "FIN", "half-close", "reset"])
+@pytest.mark.parametrize("send_before", [send_nothing, send_rejected_requests, send_many_aborts])
+def test_disconnect_is_noticed_whatever_the_client_sent_before(
+    harness: ProcessHarness, send_before: Any, disconnection: str
+) -> None:
+    """A client that is about to be disconnected must still be read, or its requests are sent to caches."""
+    client = harness.client()
     client.send(X_TTL_MS="60000")
-    fetch = stand.command()
-    before(client)
-    assert (
-        stand.client().ask(path="/status/live").status == 200
-    )  # by now it has seen all that was sent before
-    disconnect(client, how)
-    found = stand.maybe_command(2.0)
-    assert found is not None and (found.word, found.txn) == ("abort", fetch.txn)
-
-
-def test_an_abort_behind_much_data_of_a_client_that_reads_nothing(stand: Stand) -> None:
-    client = stand.client()
+    fetch = harness.next_command()
+    send_before(client)
+    # once another client has its answer, the router has read all that was sent before
+    assert harness.client().exchange(path="/status/live").status == 200
+    disconnect(client, disconnection)
+    found = harness.next_command_within(2.0)
+    assert found is not None and (found.name, found.txn) == ("abort", fetch.txn)
+
+
+def test_abort_behind_much_data_of_client_that_reads_nothing_is_forwarded(harness: ProcessHarness) -> None:
+    client = harness.client()
     client.sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
     for ident in range(1, 33):
         client.send(ident, X_ROW=f"{ident:016x}", X_TTL_MS="60000")
-    fetches = [stand.command() for _ in range(32)]
+    fetches = [harness.next_command() for _ in range(32)]
     for fetch in fetches:
         if fetch.fields["item"] != f"{1:016x}":
             fetch.reply(body=bytes(240_000))
-    client.sock.sendall(record(5, 99, bytes(60_000)) * 30 + ABORT)
-    assert stand.command("abort").txn == next(f.txn for f in fetches if f.fields["item"] == f"{1:016x}")
+    client.sock.sendall(fastcgi_record(5, 99, bytes(60_000)) * 30 + ABORT)
+    assert harness.next_command("abort").txn == next(
+        f.txn for f in fetches if f.fields["item"] == f"{1:016x}"
+    )
 
 
-@pytest.mark.parametrize("bad", [record(1, 1, struct.pack(">HB5x", 1, 1)), record(9, 0), request(1)])
-def test_what_a_client_sends_once_it_is_left_is_passed_over_but_for_aborts(bad: bytes) -> None:
+@pytest.mark.parametrize(
+    "data", [fastcgi_record(1, 1, struct.pack(">HB5x", 1, 1)), fastcgi_record(9, 0), request(1)]
+)
+def test_only_aborts_are_processed_while_client_is_being_disconnected(data: bytes) -> None:
     harness = RouterHarness()
     client = harness.client()
     client.feed(request(1) + b"".join(request(ident, "/svc/nothing") for ident in range(2, 25)))
     harness.route.decide()
     written = len(client._sock.written)  # type: ignore[attr-defined]
-    client.feed(bad)
+    client.feed(data)
     assert len(client._sock.written) == written and not client.closed  # type: ignore[attr-defined]
     assert len(harness.route.requests) == 1
     client.feed(ABORT)
     assert not len(harness.route.requests)
     client = harness.client()
     client.feed(request(1) + b"".join(request(ident, "/svc/nothing") for ident in range(2, 25)))
-    client.feed(record(5, 99, bytes(60_000)) * 20)
-    assert client.closed  # a client that is being disconnected may not send without end
+    client.feed(fastcgi_record(5, 99, bytes(60_000)) * 20)
+    assert client.closed  # a client that is being disconnected may not send without limit
 
 
-def test_an_abort_behind_a_record_that_was_not_whole_in_time() -> None:
+def test_abort_behind_overdue_record_is_processed() -> None:
     harness = RouterHarness()
     client = harness.client()
-    client.feed(request(1) + request(2)[:-8] + HEADER)
+    client.feed(request(1) + request(2)[:-8] + LONG_RECORD_HEADER)
     harness.time_s += 2.2
     client.expire_overdue(harness.clock.now())
     assert client._closing_reason and not client.closed
-    client.feed(bytes(65_535) + record(5, 2) + request(3) + ABORT)
+    client.feed(bytes(65_535) + fastcgi_record(5, 2) + request(3) + ABORT)
     assert not len(harness.route.requests) and not harness.budget._reserved_bytes
 
 
-@pytest.mark.parametrize("may_cancel", [True, False])
-@pytest.mark.parametrize("how", ["abort", "end"])
-@pytest.mark.parametrize("state", ["undecided", "connecting", "full", "moved", "tried again"])
-def test_what_waits_is_not_sent_on_for_a_client_that_left(state: str, how: str, may_cancel: bool) -> None:
-    """Whatever an attempt waits for, and also where the settings allow no cancelling."""
-    harness, sock = RouterHarness(may_cancel), ClientSocket(accepts=state != "full")
+@pytest.mark.parametrize("cancellation_allowed", [True, False])
+@pytest.mark.parametrize("disconnection", ["abort", "end"])
+@pytest.mark.parametrize("state", ["undecided", "connecting", "socket full", "moved", "retried"])
+def test_waiting_attempt_is_not_sent_after_client_disconnects(
+    state: str, disconnection: str, cancellation_allowed: bool
+) -> None:
+    """This holds whatever the attempt waits for, and also where the settings allow no cancellation."""
+    harness, sock = RouterHarness(cancellation_allowed), ClientSocket(accepts=state != "socket full")
     client = harness.client()
     client.feed(request(1, X_TTL_MS="60000"))
     if state != "undecided":
         harness.route.decide()
         channel = harness.channels[-1]
-        if state == "full":
+        if state == "socket full":
             channel.opened(sock)
         elif state == "moved":
             channel.reached = True  # it opened and was reset before anything was written
             channel.ended("reset")
-        elif state == "tried again":
+        elif state == "retried":
             channel.ended("refused")
-        assert len(harness.channels) == 1 + (state in ("moved", "tried again"))
+        assert len(harness.channels) == 1 + (state in ("moved", "retried"))
     harness.time_s += 0.1
-    client.feed(ABORT) if how == "abort" else client.ended()
+    client.feed(ABORT) if disconnection == "abort" else client.ended()
     harness.time_s += 0.3
     harness.route.decide()
     for channel in harness.channels:
@@ -248,21 +256,21 @@
     assert not sock.written and not len(harness.route.requests) and not harness.budget._reserved_bytes
 
 
-@pytest.mark.parametrize("may_cancel", [True, False])
-def test_what_was_written_is_aborted_when_its_client_leaves(may_cancel: bool) -> None:
-    harness, sock = RouterHarness(may_cancel), ClientSocket()
+@pytest.mark.parametrize("cancellation_allowed", [True, False])
+def test_written_fetch_is_aborted_when_client_disconnects(cancellation_allowed: bool) -> None:
+    harness, sock = RouterHarness(cancellation_allowed), ClientSocket()
     client = harness.client()
     client.feed(request(1, X_TXN="9b1f03aa5c7e2d41", X_TTL_MS="60000"))
     harness.route.decide()
     harness.channels[-1].opened(sock)
     client.feed(ABORT)
-    assert (b"abort\r\n$16\r\n9b1f03aa5c7e2d41" in sock.written) is may_cancel
+    assert (b"abort\r\n$16\r\n9b1f03aa5c7e2d41" in sock.written) is cancellation_allowed
 
 
 # -- floods, and their effect on other clients --
 
 
-def test_a_client_for_which_we_have_no_memory_is_not_left_for_it() -> None:
+def test_client_is_not_disconnected_for_shortage_of_memory() -> None:
     """A shortage of memory must not cost a regular client its open or unread requests."""
     harness = RouterHarness(memory_bytes=100.0)
     client, sock = harness.client(), ClientSocket()
@@ -274,75 +282,76 @@
     assert len(harness.route.requests) == 1
 
 
-@pytest.mark.parametrize("earlier", ["nothing", "an earlier request"])
-def test_a_client_whose_request_is_unread_keeps_its_place(earlier: str) -> None:
+@pytest.mark.parametrize("earlier", ["no request", "answered request"])
+def test_client_with_unread_request_is_not_evicted(earlier: str) -> None:
     """Requests that arrive while the router is busy must not be lost to new clients."""
-    stand = Stand(sockets=16)  # of which clients get 8
+    harness = ProcessHarness(sockets=16)  # of which clients get 8
     try:
-        for _ in range(10):  # the system picks who is woken first
-            held = [stand.client() for _ in range(8)]
-            for client in held if earlier != "nothing" else held[:1]:
-                assert client.ask(path="/status/live").status == 200
-            stand.process.send_signal(signal.SIGSTOP)
-            time.sleep(0.15)  # by now all count as silent, or idle
-            late = stand.client()
-            for client in [*held, late]:
+        for _ in range(10):  # the operating system chooses which socket is served first
+            connected = [harness.client() for _ in range(8)]
+            for client in connected if earlier != "no request" else connected[:1]:
+                assert client.exchange(path="/status/live").status == 200
+            harness.process.send_signal(signal.SIGSTOP)
+            time.sleep(0.15)  # after this time all clients count as silent or idle
+            late = harness.client()
+            for client in [*connected, late]:
                 client.send(X_ROW="7f3a9c21e0b4d655")
-            stand.process.send_signal(signal.SIGCONT)
-            for _ in held:
-                stand.command().reply()
-            assert [client.answer().status for client in held] == [200] * 8
-            stand.command().reply()
-            assert late.answer().status == 200
-            for client in [*held, late]:
+            harness.process.send_signal(signal.SIGCONT)
+            for _ in connected:
+                harness.next_command().reply()
+            assert [client.read_answer().status for client in connected] == [200] * 8
+            harness.next_command().reply()
+            assert late.read_answer().status == 200
+            for client in [*connected, late]:
                 client.close()
     finally:
-        stand.close()
+        harness.close()
 
 
-@pytest.mark.parametrize("by", ["room", "check"])
+@pytest.mark.parametrize("closed_by", ["eviction", "overdue check"])
 @pytest.mark.parametrize("unread", [b"", request()[:40]])
-def test_no_room_is_made_by_what_is_unread(unread: bytes, by: str) -> None:
+def test_client_with_unread_data_is_not_closed(unread: bytes, closed_by: str) -> None:
     harness, sock = RouterHarness(), ClientSocket()
     client, sock.unread = harness.client(sock), unread
     harness.time_s += 2.2
     server: Any = SimpleNamespace(_clock=harness.clock, _clients={client}, _evicting=set(), _max_clients=8)
-    if by == "room":
+    if closed_by == "eviction":
         Server._evict_clients(server)
     else:
         client.expire_overdue(harness.clock.now())
     assert bool(client._closing_reason) is not bool(unread) and not client.closed
 
 
-def test_stalled_incomplete_requests_make_room() -> None:
-    """Incomplete requests that hold all places must be ended for a regular client that waits."""
-    stand = Stand(sockets=16)
+def test_stalled_incomplete_request_is_evicted_for_new_client() -> None:
+    """Where incomplete requests hold all connections, one must be closed for a client that waits."""
+    harness = ProcessHarness(sockets=16)
     try:
-        incomplete = [stand.client() for _ in range(8)]
+        incomplete = [harness.client() for _ in range(8)]
         for client in incomplete:
             client.sock.sendall(request()[:-8])
-        late = stand.client()
-        assert late.ask(path="/status/live").status == 200
-        ends = []
+        late = harness.client()
+        assert late.exchange(path="/status/live").status == 200
+        statuses = []
         for client in incomplete:
             try:
-                ends.append(client.answer().status)
+                statuses.append(client.read_answer().status)
             except (EOFError, ConnectionResetError):
-                ends.append(0)
-        assert 0 in ends and set(ends) <= {0, 408}  # it took the place of one, which was told nothing
+                statuses.append(0)
+        # the connection that made way for the new client was closed without an answer
+        assert 0 in statuses and set(statuses) <= {0, 408}
     finally:
-        stand.close()
+        harness.close()
 
 
 @pytest.mark.parametrize("memory_mb", [64, 80, 192])
 def test_size_decides_nothing_while_memory_is_short(memory_mb: int) -> None:
-    """Small requests must not take all memory as it is released, so that large ones are never admitted."""
-    harness, chooser = RouterHarness(memory_bytes=memory_mb * 0.25e6), random.Random(7)
+    """Small requests must not take all memory that is released, or large ones are never admitted."""
+    harness, random_source = RouterHarness(memory_bytes=memory_mb * 0.25e6), random.Random(7)
     admit, submitted, admitted = harness.route.admit, Counter[str](), Counter[str]()
     open_requests: deque[OpenRequest] = deque()
     for number in range(20_000):
-        kind = "large" if chooser.random() < 0.1 else "small"
-        size = 240.0 if kind == "large" else chooser.uniform(10.0, 40.0)  # KB
+        kind = "large" if random_source.random() < 0.1 else "small"
+        size = 240.0 if kind == "large" else random_source.uniform(10.0, 40.0)  # KB
         submitted[kind] += 1
         found = admit.open_request(
             1000.0,
@@ -365,7 +374,7 @@
         if found is not None:
             admitted[kind] += 1
             open_requests.append(found)
-        if chooser.random() < 0.5 and open_requests:  # half as many end as are admitted
+        if random_source.random() < 0.5 and open_requests:  # half as many requests end as are submitted
             completed = open_requests.popleft()
             completed.answered = True
             admit.close_request(completed)
@@ -374,8 +383,8 @@
     assert shares["small"] < 0.9 and shares["large"] > 0.9 * shares["small"]
 
 
-def test_incomplete_requests_of_a_few_clients_keep_nobody_out() -> None:
-    """Another client's complete request is always admitted, and all is released once they are ended."""
+def test_incomplete_requests_of_few_clients_do_not_block_other_clients() -> None:
+    """Another client's complete request is always admitted, and closing the flood releases all memory."""
     harness = RouterHarness(memory_bytes=16e6)
     flood = [harness.client() for _ in range(24)]
     for client in flood:
@@ -389,42 +398,44 @@
     assert not harness.budget._incomplete_bytes
 
 
-def test_records_that_are_never_whole_are_held_within_bounds() -> None:
-    """Incomplete requests must not exhaust the memory, of which only what has been read is counted."""
-    stand = Stand(memory_mb=64)
+def test_memory_of_incomplete_records_is_bounded() -> None:
+    """Incomplete requests must not exhaust the memory, whose limit counts only data that was read."""
+    harness = ProcessHarness(memory_mb=64)
     try:
-        regular, incomplete = stand.client(), [stand.client() for _ in range(300)]
-        before = peak_memory_mb(stand)
+        regular, incomplete = harness.client(), [harness.client() for _ in range(300)]
+        before = peak_memory_mb(harness)
         for client in incomplete:
-            client.sock.sendall(request()[:-8] + HEADER + bytes(65_000))
+            client.sock.sendall(request()[:-8] + LONG_RECORD_HEADER + bytes(65_000))
         regular.send(path="/svc/confirm", body=bytes(4000))
-        stand.command().reply(body=b"usual")
-        assert regular.answer().body == b"usual"
+        harness.next_command().reply(body=b"usual")
+        assert regular.read_answer().body == b"usual"
         for client in incomplete:
             with contextlib.suppress(ConnectionResetError):
                 while client.sock.recv(4096):
-                    pass  # until its end: all that was sent has been read
-        assert peak_memory_mb(stand) < before + 16.0  # 40 MB when each connection held its half record
+                    pass  # at the end of the connection, all data that was sent has been read
+        assert peak_memory_mb(harness) < before + 16.0  # 40 MB if each connection keeps its partial record
     finally:
-        stand.close()
+        harness.close()
 
 
-@pytest.mark.parametrize("step", [1, 7, 4096, 70_000])
-def test_a_long_record_is_the_same_however_it_is_cut(step: int) -> None:
+@pytest.mark.parametrize("chunk_bytes", [1, 7, 4096, 70_000])
+def test_long_record_is_parsed_alike_however_it_is_split(chunk_bytes: int) -> None:
     body = random.Random(3).randbytes(60_000)
-    data = request(1, body=body, padding=200) + ABORT + request(1, body=body) + record(2, 9) + request(2)
+    data = (
+        request(1, body=body, padding=200) + ABORT + request(1, body=body) + fastcgi_record(2, 9) + request(2)
+    )
     harness = RouterHarness()
     client = harness.client()
-    for at in range(0, len(data), step):
-        client.feed(data[at : at + step])
+    for offset in range(0, len(data), chunk_bytes):
+        client.feed(data[offset : offset + chunk_bytes])
     assert [open_request.client_request.body for open_request in harness.route.requests] == [body, b""]
     assert not harness.budget._incomplete_bytes and client._partial_since_ms == 0 == len(client._buffer)
 
 
-def test_a_record_that_drips_is_ended_in_time() -> None:
+def test_connection_with_slowly_received_record_is_closed_in_time() -> None:
     harness = RouterHarness()
     client = harness.client()
-    client.feed(request()[:-8] + HEADER)
+    client.feed(request()[:-8] + LONG_RECORD_HEADER)
     for _ in range(25):
         harness.time_s += 0.1
         client.feed(b"x")
@@ -432,8 +443,8 @@
     assert client._closing_reason == "a record is not whole in time"
 
 
-def test_cancelled_timers_do_not_pile_up() -> None:
-    """As with clients that connect, claim to wait for a minute and disconnect."""
+def test_cancelled_timers_do_not_accumulate() -> None:
+    """Clients may repeatedly send requests with a long time-out and abort them."""
     harness = RouterHarness()
     client = harness.client()
     timer = harness.timers.call_at(harness.clock.now() + 50.0, lambda: None)
@@ -443,14 +454,14 @@
     assert not len(harness.route.requests)
 
 
-def test_floods_that_go_at_once_take_nothing_from_others() -> None:
-    """Hundreds of requests, long bodies, incomplete requests, a repeated id, and then a FIN or a reset."""
-    stand, stopped = Stand(memory_mb=64), threading.Event()
+def test_floods_before_disconnects_do_not_affect_other_clients() -> None:
+    """A flood has hundreds of requests, long bodies, incomplete requests and a repeated id."""
+    harness, stopped = ProcessHarness(memory_mb=64), threading.Event()
     fetched: set[str] = set()
 
     def serve() -> None:
         while not stopped.is_set():
-            if (fetch := stand.maybe_command(0.05)) is not None and fetch.word == "fetch":
+            if (fetch := harness.next_command_within(0.05)) is not None and fetch.name == "fetch":
                 fetched.add(fetch.fields["item"])
                 if fetch.fields["item"] == "7f3a9c21e0b4d655":
                     fetch.reply(body=bytes(20_000))
@@ -458,9 +469,9 @@
     server = threading.Thread(target=serve, daemon=True)
     server.start()
     try:
-        regular, chooser, before = stand.client(), random.Random(5), peak_memory_mb(stand)
+        regular, random_source, before = harness.client(), random.Random(5), peak_memory_mb(harness)
         for number in range(60):
-            bad = stand.client()
+            flooding = harness.client()
             txn, data = f"{number:016x}", b""
             for ident in range(1, 301):
                 data += request(
@@ -469,65 +480,70 @@
                     X_ROW=f"{ident:016x}",
                     X_TXN=txn if number % 3 else None,
                     X_TTL_MS="60000",
-                    body=bytes(chooser.choice((0, 0, 9000))),
+                    body=bytes(random_source.choice((0, 0, 9000))),
                 )
-            data += record(5, 300, bytes(60_000)) * 5 + b"".join(record(2, ident) for ident in range(400))
+            data += fastcgi_record(5, 300, bytes(60_000)) * 5 + b"".join(
+                fastcgi_record(2, ident) for ident in range(400)
+            )
             with contextlib.suppress(OSError):
-                bad.sock.sendall(data[: chooser.randrange(len(data) // 2, len(data))])
-            disconnect(bad, chooser.choice(("FIN", "reset")))
+                flooding.sock.sendall(data[: random_source.randrange(len(data) // 2, len(data))])
+            disconnect(flooding, random_source.choice(("FIN", "reset")))
             regular.send()
-            assert regular.answer().status == 200
-        assert peak_memory_mb(stand) < before + 24.0
-        assert not stand.lines("internal_error") and sum(map(len, stand.lines("request_malformed"))) < 20_000
+            assert regular.read_answer().status == 200
+        assert peak_memory_mb(harness) < before + 24.0
+        assert (
+            not harness.log_lines("internal_error")
+            and sum(map(len, harness.log_lines("request_malformed"))) < 20_000
+        )
     finally:
         stopped.set()
         server.join()
-        stand.close()
+        harness.close()
 
 
 def test_incomplete_requests_are_ended_where_each_check_comes_late() -> None:
-    """On a busy host, incomplete requests would otherwise hold their places for good."""
+    """On a busy host, incomplete requests would otherwise keep their connections forever."""
     checked_at: list[float] = []
 
-    async def play() -> None:
+    async def run_scenario() -> None:
         client = SimpleNamespace(expire_overdue=checked_at.append)
         server: Any = SimpleNamespace(_clients=[client], _clock=Clock(trio.current_time))
         async with trio.open_nursery() as nursery:
             nursery.start_soon(Server._check_clients, server)
             for _ in range(10):
                 await trio.sleep(0.1)
-                mock.jump(0.8)  # nobody ran for so long
+                mock_clock.jump(0.8)  # no task ran during this time
             nursery.cancel_scope.cancel()
 
-    mock = trio.testing.MockClock(autojump_threshold=0.0)
-    trio.run(play, clock=mock)
+    mock_clock = trio.testing.MockClock(autojump_threshold=0.0)
+    trio.run(run_scenario, clock=mock_clock)
     assert len(checked_at) >= 5
 
 
-def test_a_request_received_in_parts_during_a_suspension_is_not_ended() -> None:
-    """Its remainder is in the socket as the router resumes, and is read before the time-out counts."""
-    stand = Stand()
+def test_request_completed_during_suspension_is_not_closed() -> None:
+    """Its remainder is in the socket when the router resumes, and is read before the time-out counts."""
+    harness = ProcessHarness()
     try:
-        clients = [stand.client() for _ in range(4)]
-        requests = [client.request(1, X_ROW="7f3a9c21e0b4d655") for client in clients]
+        clients = [harness.client() for _ in range(4)]
+        requests = [client.encode_request(1, X_ROW="7f3a9c21e0b4d655") for client in clients]
         for client, data in zip(clients, requests, strict=True):
             client.sock.sendall(data[:40])
         time.sleep(0.3)
-        stand.process.send_signal(signal.SIGSTOP)
+        harness.process.send_signal(signal.SIGSTOP)
         time.sleep(2.5)
         for client, data in zip(clients, requests, strict=True):
             client.sock.sendall(data[40:])
         time.sleep(0.1)
-        stand.process.send_signal(signal.SIGCONT)
+        harness.process.send_signal(signal.SIGCONT)
         for _ in clients:
-            stand.command().reply()
-        assert [client.answer().status for client in clients] == [200] * 4
+            harness.next_command().reply()
+        assert [client.read_answer().status for client in clients] == [200] * 4
     finally:
-        stand.close()
+        harness.close()
 
 
-def test_a_client_that_was_accepted_before_a_stop_is_not_ended_before_it_is_read() -> None:
-    """A check that follows a suspension must not come before the task that reads the connection."""
+def test_client_accepted_before_suspension_is_read_before_it_is_closed() -> None:
+    """A check after a suspension must not close a connection before its task has read it."""
     near, far = socket.socketpair()
     with near, far:
         near.setblocking(False)
--- a/tests/test_configuration_processes.py
+++ b/tests/test_configuration_processes.py
@@ -1,4 +1,4 @@
-"""Roll-outs over sockets: commands as processes, a stand-in ensemble, routers' keepers in this process."""
+"""Roll-outs over sockets: commands in processes, a stand-in ensemble and configuration agents."""
 
 from __future__ import annotations
 
@@ -11,9 +11,9 @@
 
 import pytest
 import trio
+from coordination_harness import CoordinationEnsemble
 from kazoo.client import KazooClient
-from keeper import CoordinationEnsemble
-from stand import WAIT_TIMEOUT_S, Stand
+from process_harness import WAIT_TIMEOUT_S, ProcessHarness
 
 from stonecove.fleet.rollout_controller import RolloutController, service_session
 from stonecove.operator_config.records import ConfigurationRecord
@@ -50,16 +50,16 @@
 
 
 class Member:
-    """One router's keeper and session; it reports its health only once the keeper's `run` is started."""
+    """One router's agent and session; it reports its health only once the agent's `run` is started."""
 
     def __init__(self, name: str, servers: list[str], start_wait: float = 5000.0) -> None:
         addresses = addresses_of(servers)
-        table = {**Stand.plain_config(), "name": name}
+        table = {**ProcessHarness.config_without_nodes(), "name": name}
         self.name = name
         self.router = FakeRouter()
         self.ensemble = ZooKeeperClient(addresses, 1, FIGURES, lambda: None)
         self.counts = {"served": 10}
-        self.keeper = ConfigurationAgent(
+        self.agent = ConfigurationAgent(
             ConfigurationRecord(True, PATH, start_wait),
             config_from(table, {}),
             table["settings"],
@@ -67,12 +67,12 @@
             self.counts,
             Clock(),
         )
-        self.keeper.attach(self.ensemble)
+        self.agent.attach(self.ensemble)
 
     @property
     def in_force(self) -> int:
         """Return the version in force."""
-        return self.keeper.follower.in_force
+        return self.agent.follower.in_force
 
     @property
     def warm_up(self) -> float:
@@ -102,7 +102,7 @@
         self.members.append(member)
         self.nursery.start_soon(member.ensemble.run)
         if reports_health:
-            self.nursery.start_soon(member.keeper.run)
+            self.nursery.start_soon(member.agent.run)
         return member
 
     async def fleet(self, count: int, **more: Any) -> None:
@@ -249,7 +249,7 @@
         code, _, error = await scene.end(second)
         assert code == 3 and "has taken over" in error
         for member in scene.members:
-            scene.nursery.start_soon(member.keeper.run)
+            scene.nursery.start_soon(member.agent.run)
         assert (await scene.end(third))[0] == 0
         assert {member.in_force for member in scene.members} == {1}
 
@@ -277,11 +277,11 @@
         await scene.fleet(2)
         assert await scene.publish(1000.0) is RolloutState.COMPLETE
         late = scene.add("late")
-        await late.keeper.ready()
+        await late.agent.ready()
         assert late.in_force == 1 and late.warm_up == 1000.0
 
         unconnected = scene.add("alone", servers=["127.0.0.1:1"], start_wait=100.0)
-        await unconnected.keeper.ready()
+        await unconnected.agent.ready()
         assert unconnected.in_force == 0 and unconnected.router.settings is None
 
     play(scene)
@@ -294,12 +294,12 @@
         partitioned = scene.add("away", servers=[far])
         await scene.wait(lambda: len(scene.reports()) == 4, "all report")
         assert await scene.publish(1000.0, [near]) is RolloutState.COMPLETE
-        scene.ensemble.do("partition 1")
+        scene.ensemble.run_command("partition 1")
         await scene.wait(lambda: "away" not in scene.reports(), "its session has expired")
         for warm_up in (2000.0, 3000.0):
             assert await scene.publish(warm_up, [near]) is RolloutState.COMPLETE
         assert partitioned.in_force == 1 and partitioned.warm_up == 1000.0
-        scene.ensemble.do("heal 1")
+        scene.ensemble.run_command("heal 1")
         await scene.wait(lambda: partitioned.in_force == 3, "it applies the present version")
         await scene.wait(lambda: scene.reports().get("away", Report()).in_force == 3, "it reports so")
         assert partitioned.warm_up == 3000.0
@@ -313,15 +313,15 @@
         change = scene.change(1000.0)
         process = scene.start("publish", change, "--waves", "0.5,1", "--wave-timeout", 60_000)
         await scene.wait(lambda: any(member.in_force == 1 for member in scene.members), "the first wave")
-        scene.ensemble.do("partition")
+        scene.ensemble.run_command("partition")
         await scene.wait(
             lambda: not any(member.ensemble.session.connected for member in scene.members),
             "all are disconnected",
         )
         for member in scene.members:
-            scene.nursery.start_soon(member.keeper.run)
+            scene.nursery.start_soon(member.agent.run)
         assert {member.in_force for member in scene.members} == {0, 1}
-        scene.ensemble.do("heal")
+        scene.ensemble.run_command("heal")
         code, line, error = await scene.end(process)
         assert code == 0, error
         assert values(line)["in_force"] == "4"
@@ -368,7 +368,7 @@
     from stonecove.commands.main import cli
 
     own = tmp_path / "config.json"
-    own.write_text(json.dumps(Stand.plain_config()))
+    own.write_text(json.dumps(ProcessHarness.config_without_nodes()))
     file = tmp_path / "change.json"
     file.write_text(text)
     done = CliRunner().invoke(
--- a/tests/test_other_settings.py
+++ b/tests/test_deployment_settings.py
@@ -1,4 +1,4 @@
-"""Basic operation of the real program under the settings of different deployments."""
+"""Test basic operation of the real program with the settings of different deployments."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 from typing import Any
 
 import pytest
-from stand import WAIT_TIMEOUT_S, Cache, CacheCommand, Client, Stand
+from process_harness import WAIT_TIMEOUT_S, Cache, CacheCommand, Client, ProcessHarness
 
 from stonecove.pipeline.admit import Admit
 from stonecove.pipeline.intake import Intake
@@ -30,8 +30,8 @@
 
 
 DEPLOYMENTS: dict[str, dict[str, Any]] = {
-    # short deadlines, three zones, kinds in another order, keys by cell, few options allowed
-    "brisk": {
+    # short deadlines, three zones, node kinds in another order, keys valid in one cell, few options allowed
+    "short_deadlines": {
         "areas": ["north", "south", "west"],
         "models": ["source", "mid", "leaf"],
         "zone": 2,
@@ -74,8 +74,8 @@
             "overload_for": 1000.0,
         },
     },
-    # long deadlines, one zone, no parents, no class that may be repeated
-    "slow": {
+    # long deadlines, one zone, no parents, no idempotent class
+    "long_deadlines": {
         "areas": ["site"],
         "models": ["store", "shelf"],
         "zone": 0,
@@ -123,8 +123,8 @@
 }
 
 
-class DeploymentStand(Stand):
-    """A test environment with the node kinds and zones of a deployment; each cache is a cell of its own."""
+class DeploymentHarness(ProcessHarness):
+    """A test environment with the node kinds and zones of a deployment; each cache has its own cell."""
 
     def __init__(self, deployment: dict[str, Any], **more: Any) -> None:
         self.deployment = deployment
@@ -148,25 +148,25 @@
 
     def drain(self, cache: Cache) -> None:
         kind, zone = self.cache_kind_and_zone
-        self.log.tell(
+        self.change_log.send_event(
             2,
             2,
             struct.pack(
                 ">IIHBBBHIQ", cache.ident, 0x7F000001, cache.listener.port, 1, zone, kind, 0, 1000, 0
             ),
         )
-        self.wait(
-            lambda: any("state=draining" in line for line in self.lines("endpoint_updated")), "the drain"
+        self.wait_until(
+            lambda: any("state=draining" in line for line in self.log_lines("endpoint_updated")), "the drain"
         )
 
     def send(self, client: Client, class_index: int, ident: int = 1, ttl: float = 0.0) -> None:
         """Send a request of a class, as its clients do."""
-        kind = self.deployment["classes"][class_index]
-        key = {"X_TXN_KEY": secrets.token_hex(8)} if kind["effect"] == "token" else {}
+        traffic_class = self.deployment["classes"][class_index]
+        key = {"X_TXN_KEY": secrets.token_hex(8)} if traffic_class["effect"] == "token" else {}
         client.send(
             ident,
-            path=f"/svc/{kind['name']}",
-            X_TTL_MS=str(ttl or kind["deadline"]),
+            path=f"/svc/{traffic_class['name']}",
+            X_TTL_MS=str(ttl or traffic_class["deadline"]),
             X_ROW=secrets.token_hex(8),
             **key,
         )
@@ -174,26 +174,26 @@
     def request_fetch(
         self, client: Client, class_index: int, ident: int = 1, ttl: float = 0.0
     ) -> CacheCommand:
-        """Send a request and return its fetch; if a busy router rejects it, send it again."""
+        """Send a request and return its fetch; send it again if a busy router rejects it."""
         for _ in range(20):
             self.send(client, class_index, ident, ttl)
-            while (fetch := self.maybe_command(2.0)) is not None:
-                if fetch.word == "fetch":
+            while (fetch := self.next_command_within(2.0)) is not None:
+                if fetch.name == "fetch":
                     return fetch
-            assert client.answer().status == 503
-        raise AssertionError("refused 20 times in a row")
+            assert client.read_answer().status == 503
+        raise AssertionError("the router rejected the request 20 times in a row")
 
 
 @pytest.fixture(params=DEPLOYMENTS)
-def stand(request: pytest.FixtureRequest) -> Iterator[DeploymentStand]:
-    running = DeploymentStand(DEPLOYMENTS[request.param])
+def harness(request: pytest.FixtureRequest) -> Iterator[DeploymentHarness]:
+    running = DeploymentHarness(DEPLOYMENTS[request.param])
     yield running
-    assert running.process.poll() in (None, 0) and not running.lines("internal_error")
+    assert running.process.poll() in (None, 0) and not running.log_lines("internal_error")
     running.close()
 
 
-def classes_of(stand: DeploymentStand) -> Iterator[tuple[int, dict[str, Any]]]:
-    yield from enumerate(stand.deployment["classes"])
+def classes_of(harness: DeploymentHarness) -> Iterator[tuple[int, dict[str, Any]]]:
+    yield from enumerate(harness.deployment["classes"])
 
 
 def reset(fetch: CacheCommand) -> None:
@@ -202,88 +202,91 @@
     fetch.sock.close()
 
 
-def is_refusal(stand: DeploymentStand, status: int, fields: dict[str, str]) -> bool:
-    """Return whether a response is a rejection, with a Retry-After if clients respect one."""
-    is_announced = stand.deployment["limits"].get("retry_after", False)
-    return status == 503 and (int(fields["X-Throttle-Ms"]) > 0) == is_announced
+def is_refusal(harness: DeploymentHarness, status: int, fields: dict[str, str]) -> bool:
+    """Return whether an answer is a rejection, with a retry delay if and only if the settings allow one."""
+    expects_retry_delay = harness.deployment["limits"].get("retry_after", False)
+    return status == 503 and (int(fields["X-Throttle-Ms"]) > 0) == expects_retry_delay
 
 
-def test_each_class_is_served(stand: DeploymentStand) -> None:
-    client = stand.client()
-    for class_index, kind in classes_of(stand):
-        fetch = stand.request_fetch(client, class_index)
-        assert fetch.fields["cls"] == kind["name"] and 0 < int(fetch.fields["limit"]) <= kind["deadline"]
-        cached = not stand.deployment["domain"]["never_kept"][class_index]
+def test_each_class_is_served(harness: DeploymentHarness) -> None:
+    client = harness.client()
+    for class_index, traffic_class in classes_of(harness):
+        fetch = harness.request_fetch(client, class_index)
+        assert (
+            fetch.fields["cls"] == traffic_class["name"]
+            and 0 < int(fetch.fields["limit"]) <= traffic_class["deadline"]
+        )
+        cached = not harness.deployment["domain"]["never_kept"][class_index]
         assert fetch.fields["from"] == (
-            "s-00000020" if cached and stand.deployment["domain"]["shield_kind"] >= 0 else "s-00000030"
+            "s-00000020" if cached and harness.deployment["domain"]["shield_kind"] >= 0 else "s-00000030"
         )
         fetch.reply(body=b"%d" % class_index)
-        assert client.answer()[1:4:2] == (200, b"%d" % class_index)
+        assert client.read_answer()[1:4:2] == (200, b"%d" % class_index)
 
 
-def test_what_never_ran_is_refused(stand: DeploymentStand) -> None:
-    client = stand.client()
-    for class_index, _ in classes_of(stand):
-        stand.request_fetch(client, class_index).reply("503", tell="")
-        while (more := stand.maybe_command(0.2)) is not None:
-            more.reply("503", tell="")
-        answer = client.answer()
-        assert is_refusal(stand, answer.status, answer.fields)
+def test_request_that_never_ran_is_refused(harness: DeploymentHarness) -> None:
+    client = harness.client()
+    for class_index, _ in classes_of(harness):
+        harness.request_fetch(client, class_index).reply("503", tell="")
+        while (retry := harness.next_command_within(0.2)) is not None:
+            retry.reply("503", tell="")
+        answer = client.read_answer()
+        assert is_refusal(harness, answer.status, answer.fields)
 
 
-@pytest.mark.parametrize("how", ["500", "reset"])
-def test_what_may_have_run_goes_out_again_only_where_its_class_allows_it(
-    stand: DeploymentStand, how: str
+@pytest.mark.parametrize("failure", ["500", "reset"])
+def test_request_that_may_have_run_is_retried_only_if_its_class_allows_it(
+    harness: DeploymentHarness, failure: str
 ) -> None:
-    client = stand.client()
-    for class_index, kind in classes_of(stand):
-        first = stand.request_fetch(client, class_index)
-        reset(first) if how == "reset" else first.reply("500", tell="")
-        if kind["effect"] == "pure":
-            second = stand.command()
+    client = harness.client()
+    for class_index, traffic_class in classes_of(harness):
+        first = harness.request_fetch(client, class_index)
+        reset(first) if failure == "reset" else first.reply("500", tell="")
+        if traffic_class["effect"] == "pure":
+            second = harness.next_command()
             assert second.txn == first.txn
             second.reply()
-            assert client.answer().status == 200
+            assert client.read_answer().status == 200
             continue
-        while (repeat := stand.maybe_command(0.3)) is not None and repeat.word == "fetch":
-            # a key is known within its cell only, and each cache is a cell
-            assert kind["effect"] == "token" and (repeat.txn, repeat.cache) == (first.txn, first.cache)
-            reset(repeat)
-        assert client.answer().status == 502
-    assert stand.commands.empty()
-
-
-def test_the_deadline_is_kept(stand: DeploymentStand) -> None:
-    client = stand.client()
-    for class_index, kind in classes_of(stand):
-        stand.request_fetch(client, class_index, ttl=min(kind["deadline"], 1200.0))
-        answer = client.answer()
+        while (retry := harness.next_command_within(0.3)) is not None and retry.name == "fetch":
+            # a key is known only in its cell, and each cache has its own cell
+            assert traffic_class["effect"] == "token" and (retry.txn, retry.cache) == (first.txn, first.cache)
+            reset(retry)
+        assert client.read_answer().status == 502
+    assert harness.commands.empty()
+
+
+def test_request_is_answered_at_its_deadline(harness: DeploymentHarness) -> None:
+    client = harness.client()
+    for class_index, traffic_class in classes_of(harness):
+        harness.request_fetch(client, class_index, ttl=min(traffic_class["deadline"], 1200.0))
+        answer = client.read_answer()
         assert (
-            is_refusal(stand, answer.status, answer.fields)
-            if kind["effect"] == "pure"
+            is_refusal(harness, answer.status, answer.fields)
+            if traffic_class["effect"] == "pure"
             else (answer.status == 502)
         )
 
 
-def test_nothing_goes_to_a_cache_that_drains(stand: DeploymentStand) -> None:
-    stand.drain(stand.caches[0])
-    client = stand.client()
+def test_draining_cache_gets_no_attempts(harness: DeploymentHarness) -> None:
+    harness.drain(harness.caches[0])
+    client = harness.client()
     for ident in range(1, 9):
-        fetch = stand.request_fetch(client, 0, ident)
-        assert fetch.cache is stand.caches[1]
+        fetch = harness.request_fetch(client, 0, ident)
+        assert fetch.cache is harness.caches[1]
         fetch.reply()
-        assert client.answer().status == 200
+        assert client.read_answer().status == 200
 
 
-def test_a_stop_loses_nothing(stand: DeploymentStand) -> None:
-    early, late = stand.client(), stand.client()
-    first = stand.request_fetch(early, 0)
-    stand.process.send_signal(signal.SIGTERM)
-    stand.wait(lambda: stand.lines("router_stopping"), "the stop")
-    stand.request_fetch(late, 0).reply(body=b"late")
+def test_shutdown_loses_no_request(harness: DeploymentHarness) -> None:
+    early, late = harness.client(), harness.client()
+    first = harness.request_fetch(early, 0)
+    harness.process.send_signal(signal.SIGTERM)
+    harness.wait_until(lambda: harness.log_lines("router_stopping"), "the shutdown to begin")
+    harness.request_fetch(late, 0).reply(body=b"late")
     first.reply(body=b"early")
-    assert late.answer().body == b"late" and early.answer().body == b"early"
-    assert stand.process.wait(WAIT_TIMEOUT_S) == 0
+    assert late.read_answer().body == b"late" and early.read_answer().body == b"early"
+    assert harness.process.wait(WAIT_TIMEOUT_S) == 0
 
 
 @pytest.mark.parametrize(
@@ -296,18 +299,18 @@
         {"classes": [class_record("a", "pure", 5.0, float("nan"))]},
     ],
 )
-def test_settings_that_cannot_be_used_are_one_line(tmp_path: Path, settings: dict[str, Any]) -> None:
-    config = Stand.plain_config()
+def test_unusable_settings_are_reported_in_one_line(tmp_path: Path, settings: dict[str, Any]) -> None:
+    config = ProcessHarness.config_without_nodes()
     path = tmp_path / "config.json"
     path.write_text(json.dumps({**config, "settings": {**config["settings"], **settings}}))
-    done = subprocess.run(
+    completed = subprocess.run(
         [sys.executable, "-m", "stonecove"],
         env={"RELAY_CONFIG": str(path)},
         capture_output=True,
         text=True,
         timeout=WAIT_TIMEOUT_S,
     )
-    assert (done.returncode, done.stderr.count("\n")) == (2, 1) and "settings" in done.stderr
+    assert (completed.returncode, completed.stderr.count("\n")) == (2, 1) and "settings" in completed.stderr
 
 
 @pytest.mark.parametrize(
@@ -319,10 +322,10 @@
         (300.0, 3_600_000.0, 60_000.0),
     ],
 )
-def test_a_request_may_take_as_long_as_its_class_does(
+def test_request_may_take_as_long_as_its_class_allows(
     deadline: float, ttl: float, expected_ms: float
 ) -> None:
-    """Long requests must not be cut short, and a request can't claim to wait without end."""
+    """Long requests must not be cut short, and no request may set an unlimited deadline."""
     settings = settings_from({"zone": 0, "classes": [class_record("a", "pure", deadline, deadline)]})
     fields = {"X-Row": "7f3a9c21e0b4d655", "X-Txn": "9b1f03aa5c7e2d41", "X-Ttl-Ms": f"{ttl:.0f}"}
     client_request = Intake(settings).parse("/svc/a", fields, b"", lambda answer: None)
@@ -332,7 +335,7 @@
     assert request is not None and expected_ms - 20.0 <= request.deadline_ms - 1000.0 <= expected_ms
 
 
-def test_connections_have_time_to_come_up_where_the_settings_name_none() -> None:
+def test_connect_timeout_has_a_minimum_if_settings_have_none() -> None:
     for limits in ({}, {"connect_timeout": 0.0}):
         settings = settings_from(
             {"zone": 0, "classes": [class_record("a", "pure", 5.0, 5.0)], "limits": limits}
--- a/tests/test_descriptors_full.py
+++ b/tests/test_descriptors_full.py
@@ -1,4 +1,4 @@
-"""Idle clients use up the descriptors while discovery is down; the router's own connections still open."""
+"""Idle clients use all descriptors while discovery is down; the router still opens its own connections."""
 
 from __future__ import annotations
 
@@ -13,32 +13,34 @@
 from pathlib import Path
 
 import pytest
-from stand import ChangeLog, Client, Stand
+from process_harness import ChangeLog, Client, ProcessHarness
 
-DESCRIPTOR_LIMIT = 64  # the process's limit, which the configuration does not state
+DESCRIPTOR_LIMIT = 64  # of the process; the configuration may state a higher one
 
 
-def open_descriptors(stand: Stand) -> int:
-    return len(list(Path(f"/proc/{stand.process.pid}/fd").iterdir()))
+def open_descriptors(harness: ProcessHarness) -> int:
+    return len(list(Path(f"/proc/{harness.process.pid}/fd").iterdir()))
 
 
-def answered(stand: Stand, client: Client) -> bool:
-    """Return whether a client has its answer, or the shortage of descriptors was noticed."""
-    return bool(select.select([client.sock], [], [], 0)[0]) or bool(stand.lines("descriptors_exhausted"))
+def is_answered_or_exhausted(harness: ProcessHarness, client: Client) -> bool:
+    """Return whether a client has its answer, or the router has logged that no descriptor is left."""
+    return bool(select.select([client.sock], [], [], 0)[0]) or bool(
+        harness.log_lines("descriptors_exhausted")
+    )
 
 
-def exhaust_descriptors(stand: Stand) -> list[Client]:
-    """Connect clients that send one request and stay, until no descriptor is left and no client waits."""
+def exhaust_descriptors(harness: ProcessHarness) -> list[Client]:
+    """Connect clients that stay after the answer to one request, until no descriptor is left."""
     clients: list[Client] = []
-    while open_descriptors(stand) < DESCRIPTOR_LIMIT and not stand.lines("descriptors_exhausted"):
-        clients.append(stand.client())
+    while open_descriptors(harness) < DESCRIPTOR_LIMIT and not harness.log_lines("descriptors_exhausted"):
+        clients.append(harness.client())
         clients[-1].send(path="/status/live")
-        stand.wait(partial(answered, stand, clients[-1]), "the answer to a client")
+        harness.wait_until(partial(is_answered_or_exhausted, harness, clients[-1]), "the answer to a client")
     return clients
 
 
-class Flood(threading.Thread):
-    """Clients that send nothing, and reconnect whenever they are disconnected."""
+class ReconnectingClients(threading.Thread):
+    """Clients that send nothing, and reconnect when they are disconnected."""
 
     def __init__(self, address: tuple[str, int], count: int) -> None:
         super().__init__(daemon=True)
@@ -58,126 +60,130 @@
         for sock in clients:
             sock.close()
 
-    def end(self) -> None:
+    def stop(self) -> None:
         self._stopped.set()
         self.join()
 
 
 class WebServer:
-    """A web server that reconnects if its idle connection was closed."""
+    """A web server that sends requests to the router, and reconnects if its idle connection was closed."""
 
-    def __init__(self, stand: Stand) -> None:
-        self._stand, self._client = stand, stand.client()
+    def __init__(self, harness: ProcessHarness) -> None:
+        self._harness, self._client = harness, harness.client()
         assert (
-            self._client.ask(path="/status/live").status == 200
-        )  # a client without a request is ended after 2 s
+            self._client.exchange(path="/status/live").status == 200
+        )  # a client without a request is disconnected after 2 s
 
-    def ask(self, number: int) -> int:
-        """Return the status of the answer to a request for that object."""
+    def request_object(self, number: int) -> int:
+        """Request an object; return the status of the answer."""
         while True:
             try:
-                return self._client.ask(X_ROW=f"{number:016x}").status
+                return self._client.exchange(X_ROW=f"{number:016x}").status
             except (EOFError, ConnectionError):
                 self._client.close()
-                self._client = self._stand.client()
+                self._client = self._harness.client()
 
 
 class AnsweringCaches(threading.Thread):
-    """Answers all fetches."""
+    """Caches that answer all fetches."""
 
-    def __init__(self, stand: Stand) -> None:
+    def __init__(self, harness: ProcessHarness) -> None:
         super().__init__(daemon=True)
-        self._stand, self._stopped = stand, threading.Event()
+        self._harness, self._stopped = harness, threading.Event()
         self.start()
 
     def run(self) -> None:
         while not self._stopped.is_set():
-            fetch = self._stand.maybe_command(0.05)
-            if fetch is not None and fetch.word == "fetch":
+            fetch = self._harness.next_command_within(0.05)
+            if fetch is not None and fetch.name == "fetch":
                 fetch.reply()
 
-    def end(self) -> None:
+    def stop(self) -> None:
         self._stopped.set()
         self.join()
 
 
 @pytest.fixture(params=[(1024, "refuses"), (1024, "is silent"), (DESCRIPTOR_LIMIT, "refuses")], ids=str)
-def exhausted(request: pytest.FixtureRequest) -> Iterator[tuple[Stand, socket.socket]]:
-    """A router with few descriptors, whether its configuration states the limit or not, and the socket of its
-    change log, which is down.
+def exhausted(request: pytest.FixtureRequest) -> Iterator[tuple[ProcessHarness, socket.socket]]:
+    """Yield a router with few descriptors whose change log is down, and the socket of that change log.
+
+    The configuration states the limit, or a higher one.
     """
     sockets, outage = request.param
-    stand = Stand(descriptors=DESCRIPTOR_LIMIT, sockets=sockets)
-    caches = AnsweringCaches(stand)
-    stand.log.listener.close()
+    harness = ProcessHarness(descriptors=DESCRIPTOR_LIMIT, sockets=sockets)
+    caches = AnsweringCaches(harness)
+    harness.change_log.listener.close()
     try:
         with socket.socket() as log_socket:
             log_socket.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-            log_socket.bind(("127.0.0.1", stand.log.listener.port))
+            log_socket.bind(("127.0.0.1", harness.change_log.listener.port))
             if outage == "is silent":
                 log_socket.listen()  # connections open, and nothing is sent
-            stand.wait(lambda: stand.lines("change_log_disconnected"), "the end of the log")
-            yield stand, log_socket
-        assert stand.process.poll() is None and not stand.lines("internal_error")
+            harness.wait_until(
+                lambda: harness.log_lines("change_log_disconnected"), "the disconnection from the change log"
+            )
+            yield harness, log_socket
+        assert harness.process.poll() is None and not harness.log_lines("internal_error")
     finally:
-        caches.end()
-        stand.close()
+        caches.stop()
+        harness.close()
 
 
 @pytest.mark.parametrize("first", ["log", "caches"])
-def test_the_log_and_the_caches_are_reached_though_idle_clients_hold_all_there_is(
-    exhausted: tuple[Stand, socket.socket], first: str
+def test_change_log_and_caches_are_reached_while_idle_clients_use_all_descriptors(
+    exhausted: tuple[ProcessHarness, socket.socket], first: str
 ) -> None:
-    """Either the change log or the caches need a descriptor first."""
-    stand, log_socket = exhausted
-    web_server = WebServer(stand)
+    """`first` tells whether the change log or the caches need a descriptor first."""
+    harness, log_socket = exhausted
+    web_server = WebServer(harness)
     clients = (
-        exhaust_descriptors(stand)
-        if stand.config["limits"]["sockets"] > DESCRIPTOR_LIMIT
-        else [stand.client() for _ in range(DESCRIPTOR_LIMIT)]
+        exhaust_descriptors(harness)
+        if harness.config["limits"]["sockets"] > DESCRIPTOR_LIMIT
+        else [harness.client() for _ in range(DESCRIPTOR_LIMIT)]
     )
     if first == "caches":
         request_all(web_server, range(1, 25))
-    log = return_log(stand, log_socket)
+    log = restart_change_log(harness, log_socket)
     request_all(web_server, range(25, 49))
     log.listener.close()
     for client in clients:
         client.close()
 
 
-def test_clients_that_come_again_and_again_leave_descriptors_to_what_may_have_to_come_up(
-    exhausted: tuple[Stand, socket.socket],
+def test_reconnecting_clients_leave_descriptors_for_upstream_connections(
+    exhausted: tuple[ProcessHarness, socket.socket],
 ) -> None:
-    stand, log_socket = exhausted
-    flood, web_server = Flood(stand.address, 2 * DESCRIPTOR_LIMIT), WebServer(stand)
+    harness, log_socket = exhausted
+    reconnecting, web_server = ReconnectingClients(harness.address, 2 * DESCRIPTOR_LIMIT), WebServer(harness)
     try:
         request_all(web_server, range(1, 25))
-        log = return_log(stand, log_socket)
+        log = restart_change_log(harness, log_socket)
         request_all(web_server, range(25, 49))
-        assert max(samples(stand)) < DESCRIPTOR_LIMIT
+        assert max(count_descriptors(harness)) < DESCRIPTOR_LIMIT
         log.listener.close()
     finally:
-        flood.end()
+        reconnecting.stop()
 
 
-def samples(stand: Stand) -> Iterator[int]:
-    """Yield the number of descriptors in use, repeatedly for half a second."""
+def count_descriptors(harness: ProcessHarness) -> Iterator[int]:
+    """Yield the number of open descriptors, repeatedly for half a second."""
     for _ in range(50):
-        yield open_descriptors(stand)
+        yield open_descriptors(harness)
         time.sleep(0.01)
 
 
 def request_all(web_server: WebServer, numbers: range) -> None:
-    served = [web_server.ask(number) for number in numbers]
+    served = [web_server.request_object(number) for number in numbers]
     assert served == [200] * len(served)
 
 
-def return_log(stand: Stand, log_socket: socket.socket) -> ChangeLog:
-    """Start the change log again, and wait until the router has received a drain."""
+def restart_change_log(harness: ProcessHarness, log_socket: socket.socket) -> ChangeLog:
+    """Start the change log again, and wait until the router has received a drain from it."""
     log_socket.listen()
-    log, drain = ChangeLog(log_socket), stand.record(stand.caches[0], 1)
-    log.missed = lambda: struct.pack(">IQB", 9 + len(drain), 2, 2) + drain
-    stand.wait(
-        lambda: any("draining" in line for line in stand.lines("endpoint_updated")), "what the log tells"
+    log, drain = ChangeLog(log_socket), harness.endpoint_record(harness.caches[0], 1)
+    log.first_frames = lambda: struct.pack(">IQB", 9 + len(drain), 2, 2) + drain
+    harness.wait_until(
+        lambda: any("draining" in line for line in harness.log_lines("endpoint_updated")),
+        "the drain",
     )
     return log
--- a/tests/test_example.py
+++ b/tests/test_example.py
@@ -10,7 +10,7 @@
 from contextlib import contextmanager
 from pathlib import Path
 
-from stand import free_address
+from process_harness import free_address
 
 EXAMPLES = Path(__file__).parent.parent / "examples"
 
--- a/tests/test_fleet_daemon.py
+++ b/tests/test_fleet_daemon.py
@@ -17,13 +17,13 @@
 from typing import Any
 
 import pytest
-from stand import WAIT_TIMEOUT_S, Client, Stand
+from process_harness import WAIT_TIMEOUT_S, Client, ProcessHarness
 
 from stonecove.runtime.log_events import LogEvent
 
 
 class Daemon:
-    """A supervisor process whose instances use the stand's caches."""
+    """A supervisor process whose instances use the harness's caches."""
 
     def __init__(
         self,
@@ -33,11 +33,11 @@
         operator: str = "",
         base: dict[str, Any] | None = None,
     ) -> None:
-        self.stand = Stand()
-        self.stand.process.kill()
-        self.stand.process.wait()
+        self.harness = ProcessHarness()
+        self.harness.process.kill()
+        self.harness.process.wait()
         self.folder, self.base = folder / "fleet", folder / "base.json"
-        self.base.write_text(json.dumps(base or self.stand.config))
+        self.base.write_text(json.dumps(base or self.harness.config))
         self.host = ".".join(("127", *(str(random.randint(1, 250)) for _ in range(3))))
         self.operator = folder / "operator.cue"
         self.count, self.more = count, more
@@ -108,7 +108,7 @@
             found = self.status()
             return bool(found) and all(found[name]["phase"] == phase for name in names or found)
 
-        Stand.wait(all_in_phase, f"{names or 'all'} {phase}")
+        ProcessHarness.wait_until(all_in_phase, f"{names or 'all'} {phase}")
 
     def client(self, number: int = 0) -> Client:
         """Connect a client to an instance."""
@@ -130,7 +130,7 @@
             if f"{path.parent}" in Path(f"/proc/{pid}/environ").read_text():
                 os.kill(pid, signal.SIGKILL)
         self.errors.close()
-        self.stand.close()
+        self.harness.close()
 
 
 @pytest.fixture
@@ -148,8 +148,8 @@
     assert (daemon.folder / "control.sock").stat().st_mode & 0o777 == 0o600
     client = daemon.client(1)
     client.send()
-    daemon.stand.command().reply(body=b"x")
-    assert client.answer().body == b"x"
+    daemon.harness.next_command().reply(body=b"x")
+    assert client.read_answer().body == b"x"
     assert "held" not in daemon.do("drain", "r-0") and daemon.status()["r-0"]["phase"] == "stopped"
     daemon.do("status", code=0)  # an instance stopped by an operator is no failure
     daemon.do("start", "r-0")
@@ -168,18 +168,20 @@
     clients = [daemon.client(number) for number in (0, 1)]
     for client in clients:
         client.send()
-    fetches = [daemon.stand.command() for _ in clients]
+    fetches = [daemon.harness.next_command() for _ in clients]
     before = daemon.status()
     os.kill(before["r-0"]["pid"], signal.SIGKILL)
     with pytest.raises((EOFError, OSError)):
-        clients[0].answer()
+        clients[0].read_answer()
     for fetch in fetches:
         try:
             fetch.reply(body=b"x")
         except OSError:
             continue
-    assert clients[1].answer().body == b"x"
-    Stand.wait(lambda: daemon.status()["r-0"]["pid"] not in (None, before["r-0"]["pid"]), "a new process")
+    assert clients[1].read_answer().body == b"x"
+    ProcessHarness.wait_until(
+        lambda: daemon.status()["r-0"]["pid"] not in (None, before["r-0"]["pid"]), "a new process"
+    )
     daemon.wait_phase("ready")
     after = daemon.status()
     assert after["r-0"]["restarts"] == 1 and after["r-1"]["pid"] == before["r-1"]["pid"]
@@ -188,7 +190,7 @@
 def test_a_hanging_instance_that_ignores_sigterm_is_killed_and_restarted(daemon: Daemon) -> None:
     before = daemon.status()["r-0"]["pid"]
     os.kill(before, signal.SIGSTOP)
-    Stand.wait(lambda: daemon.status()["r-0"]["pid"] not in (None, before), "a new process")
+    ProcessHarness.wait_until(lambda: daemon.status()["r-0"]["pid"] not in (None, before), "a new process")
     daemon.wait_phase("ready")
     assert daemon.lines("instance_killed") and "health checks" in daemon.lines("instance_killed")[0]
 
@@ -199,7 +201,7 @@
         daemon.wait_phase("ready")
         before = {name: unit["pid"] for name, unit in daemon.status().items()}
         daemon.begin("roll")
-        Stand.wait(
+        ProcessHarness.wait_until(
             lambda: daemon.status().get("r-0", {}).get("pid", before["r-0"]) != before["r-0"], "the first"
         )
         daemon.process.kill()
@@ -208,11 +210,11 @@
         assert alive  # instances run on without a supervisor
         client = daemon.client(2)
         daemon.process = daemon.start()
-        Stand.wait(lambda: daemon.lines("rolling_restart_finished"), "the rest of the roll")
+        ProcessHarness.wait_until(lambda: daemon.lines("rolling_restart_finished"), "the rest of the roll")
         after = {name: unit["pid"] for name, unit in daemon.status().items()}
         assert all(after[name] != before[name] for name in before)
         assert len(daemon.lines("instance_adopted")) >= 2 and daemon.lines("rolling_restart_resumed")
-        assert client.ended()
+        assert client.is_disconnected()
     finally:
         daemon.close()
 
@@ -248,11 +250,11 @@
     daemon.wait_phase("ready", "r-2")
     daemon.write(1)
     daemon.do("reload")
-    Stand.wait(lambda: set(daemon.status()) == {"r-0"}, "one instance")
+    ProcessHarness.wait_until(lambda: set(daemon.status()) == {"r-0"}, "one instance")
     daemon.write(1, "roll_out: 0")
     assert "roll_out" in daemon.do("reload", code=2)
     daemon.process.send_signal(signal.SIGHUP)
-    Stand.wait(lambda: daemon.lines("fleet_reload_rejected"), "a refusal")
+    ProcessHarness.wait_until(lambda: daemon.lines("fleet_reload_rejected"), "a refusal")
     assert daemon.status()["r-0"]["phase"] == "ready"
 
 
@@ -317,10 +319,10 @@
     with socket.socket(socket.AF_UNIX, socket.SOCK_DGRAM) as manager:
         manager.bind(str(path))
         manager.settimeout(WAIT_TIMEOUT_S)
-        stand = Stand(env={"NOTIFY_SOCKET": str(path)})
+        harness = ProcessHarness(env={"NOTIFY_SOCKET": str(path)})
         try:
             _received_states(manager, "READY=1")
-            stand.process.terminate()
+            harness.process.terminate()
             _received_states(manager, "STOPPING=1")
         finally:
-            stand.close()
+            harness.close()
--- a/tests/test_fleet_failures.py
+++ b/tests/test_fleet_failures.py
@@ -11,8 +11,8 @@
 from pathlib import Path
 
 import pytest
-from keeper import BOXES, CoordinationEnsemble, record
-from stand import CacheCommand, Stand
+from coordination_harness import CACHES_PATH, CoordinationEnsemble, node_record
+from process_harness import CacheCommand, ProcessHarness
 from test_fleet_daemon import Daemon
 
 from stonecove.fleet.control import send_command
@@ -21,11 +21,11 @@
 
 
 @pytest.fixture
-def keeper() -> Iterator[CoordinationEnsemble]:
+def ensemble() -> Iterator[CoordinationEnsemble]:
     """Provide a coordination server."""
-    started_keeper = CoordinationEnsemble()
-    yield started_keeper
-    started_keeper.close()
+    started_ensemble = CoordinationEnsemble()
+    yield started_ensemble
+    started_ensemble.close()
 
 
 def test_commands_work_while_the_disk_is_full_and_are_stored_later(tmp_path: Path) -> None:
@@ -39,8 +39,8 @@
         assert send_command(daemon.folder, "status")["journal"]["failed"] > 0
         client = daemon.client(1)
         client.send()
-        daemon.stand.command().reply(body=b"x")
-        assert client.answer().body == b"x"
+        daemon.harness.next_command().reply(body=b"x")
+        assert client.read_answer().body == b"x"
         resource.prlimit(daemon.process.pid, resource.RLIMIT_FSIZE, (hard, hard))
         daemon.do("drain", "r-1")  # written together with the earlier entry
         daemon.process.kill()
@@ -52,18 +52,22 @@
 
 
 def test_instances_serve_on_after_losing_membership_at_once(
-    tmp_path: Path, keeper: CoordinationEnsemble
+    tmp_path: Path, ensemble: CoordinationEnsemble
 ) -> None:
     """Partition the coordination server from all; once it is back, all must notice a draining cache."""
     members = tmp_path / "members.cue"
     members.write_text(
-        f'sources: zookeeper: {{servers: ["{keeper.servers[0]}"], path: "{BOXES}", session_timeout: 1s\n'
+        f'sources: zookeeper: {{servers: ["{ensemble.servers[0]}"], path: "{CACHES_PATH}", '
+        "session_timeout: 1s\n"
         "back_off: {first: 20ms, longest: 200ms}}\n"
     )
     daemon = Daemon(tmp_path, count=INSTANCES)
     try:
         daemon.wait_phase("ready")
-        cache_nodes = [keeper.box(record(cache.ident, cache.listener.port)) for cache in daemon.stand.caches]
+        cache_nodes = [
+            ensemble.register_cache(node_record(cache.ident, cache.listener.port))
+            for cache in daemon.harness.caches
+        ]
         group = daemon.operator.read_text().replace("first_port", f'operator: "{members}", first_port')
         daemon.operator.write_text(group)
         daemon.do("reload")
@@ -76,32 +80,34 @@
             used = set()
             for number, client in enumerate(clients):
                 client.send(1, X_ROW=f"{number * 7919 + 1:016x}")
-                fetch: CacheCommand = daemon.stand.command()
+                fetch: CacheCommand = daemon.harness.next_command()
                 used.add(fetch.cache.ident)
                 fetch.reply(body=b"x")
-                assert client.answer().status == 200
+                assert client.read_answer().status == 200
             return used
 
         def lines(event: str) -> int:
             return sum(path.read_text().count(f" {event} ") for path in daemon.folder.glob("r-*/log"))
 
         assert len(all_served()) == 2
-        keeper.do("partition")
-        Stand.wait(lambda: lines("coordination_disconnected") >= INSTANCES, "all instances lost the server")
+        ensemble.run_command("partition")
+        ProcessHarness.wait_until(
+            lambda: lines("coordination_disconnected") >= INSTANCES, "all instances lost the server"
+        )
         all_served()
-        keeper.do("heal")
-        Stand.wait(
+        ensemble.run_command("heal")
+        ProcessHarness.wait_until(
             lambda: cache_nodes[0].client is not None and cache_nodes[0].client.connected,
             "the cache is connected again",
         )
-        cache_nodes[0].say(state="draining")
-        drain_line = f"node=s-{daemon.stand.caches[0].ident:08x} state=draining"
-        Stand.wait(
+        cache_nodes[0].update_record(state="draining")
+        drain_line = f"node=s-{daemon.harness.caches[0].ident:08x} state=draining"
+        ProcessHarness.wait_until(
             lambda: all(drain_line in path.read_text() for path in daemon.folder.glob("r-*/log")),
             "all instances noticed the drain",
         )
         time.sleep(0.25)
-        assert all_served() == {daemon.stand.caches[1].ident}
+        assert all_served() == {daemon.harness.caches[1].ident}
         assert all(unit["restarts"] <= 1 for unit in daemon.status().values())
     finally:
         daemon.close()
@@ -153,7 +159,7 @@
         daemon.base.write_text(json.dumps(base))
         daemon.do("restart")
         daemon.wait_phase("ready")
-        Stand.wait(lambda: len(daemon.leases()["holders"]) == 2, "both holders")
+        ProcessHarness.wait_until(lambda: len(daemon.leases()["holders"]) == 2, "both holders")
         sent_ms: list[float] = []
         before = {name: unit["pid"] for name, unit in daemon.status().items()}
         until = time.monotonic() + 5.0
@@ -165,11 +171,11 @@
                 shift.write_text(f"{-back}")
             for client in clients:
                 client.send(1, X_ROW=f"{number:016x}", X_WORKING_SET_KB="420")  # 100 ms of work
-                fetch = daemon.stand.command()
+                fetch = daemon.harness.next_command()
                 if fetch.cache.ident == 0x10:
                     sent_ms.append(time.time() * 1000)
                 fetch.reply(body=b"x")
-                served += client.answer().status == 200
+                served += client.read_answer().status == 200
         limit_ms = 4.0 * 0.25 * 3000.0 * 1.6  # of work; the limit grows by less than 1.6 during the test
         max_work_ms = (
             max(sum(at - 3000.0 < then <= at for then in sent_ms) * 100.0 for at in sent_ms)
@@ -179,7 +185,9 @@
         assert served == 2 * number and 0 < max_work_ms <= limit_ms
         assert {name: unit["pid"] for name, unit in daemon.status().items()} == before  # no restarts
         if back:
-            Stand.wait(lambda: _clock_went_back(daemon.folder / "r-0" / "log"), "a line with the new time")
+            ProcessHarness.wait_until(
+                lambda: _clock_went_back(daemon.folder / "r-0" / "log"), "a line with the new time"
+            )
     finally:
         daemon.close()
 
@@ -189,13 +197,13 @@
     daemon = Daemon(tmp_path, more="leases: {}\n limits: {rate: 1000, burst: 1000}")
     try:
         daemon.wait_phase("ready")
-        Stand.wait(lambda: len(daemon.leases()["holders"]) == 2, "both holders")
+        ProcessHarness.wait_until(lambda: len(daemon.leases()["holders"]) == 2, "both holders")
         daemon.process.send_signal(signal.SIGSTOP)
         client = daemon.client()
         for number in range(20):
             client.send(number + 1)
-            daemon.stand.command().reply(body=struct.pack(">H", number))
-            assert client.answer().status == 200
+            daemon.harness.next_command().reply(body=struct.pack(">H", number))
+            assert client.read_answer().status == 200
         daemon.process.send_signal(signal.SIGCONT)
         daemon.wait_phase("ready")
     finally:
--- a/tests/test_golden_coordination_formats.py
+++ b/tests/test_golden_coordination_formats.py
@@ -1,4 +1,4 @@
-"""Formats of coordination against golden data: gossip, roll-outs, records, ZooKeeper."""
+"""Compare the formats of coordination (gossip, roll-outs, records, ZooKeeper) with golden data."""
 
 from __future__ import annotations
 
@@ -8,9 +8,9 @@
 import golden_coordination_rollouts as rollouts
 import golden_coordination_sessions as sessions
 import pytest
-from golden_folder import Case, Folder, main
+from golden_folder import Case, GoldenFolder, main
 
-FOLDER = Folder("coordination")
+FOLDER = GoldenFolder("coordination")
 CASES: tuple[Case, ...] = (
     gossip.DATAGRAMS,
     *rollouts.FORMATS,
--- a/tests/test_golden_decisions.py
+++ b/tests/test_golden_decisions.py
@@ -1,4 +1,4 @@
-"""The routing decisions, and the simulator protocol around them, match the recordings."""
+"""Compare the routing decisions and the simulator protocol with their recordings."""
 
 from __future__ import annotations
 
@@ -14,55 +14,55 @@
 from unittest import mock
 
 import pytest
-from golden_decisions_cases import SCENARIOS, Conversation, Recording, router_settings, summary_of
+from golden_decisions_cases import SCENARIOS, Recording, Simulation, router_settings, summary_of
 from golden_decisions_storage import FOLDER, difference_from, read_json, write_json
-from golden_decisions_types import CACHED, DESCRIBERS, EVENT_FACTORIES, NOTES, OUTCOMES, Step
+from golden_decisions_types import CACHE_STATUSES, CACHED, DESCRIBERS, EVENT_FACTORIES, OUTCOMES, Step
 
 from stonecove import simulator_adapter
 
-BY_NAME = {scenario.name: scenario for scenario in SCENARIOS}
+SCENARIOS_BY_NAME = {scenario.name: scenario for scenario in SCENARIOS}
 
 
 @cache
-def conversation(name: str) -> Recording:
-    """Return the conversation of that name with the present program."""
-    return Conversation(BY_NAME[name]).run()
+def run_scenario(name: str) -> Recording:
+    """Return the recording of a scenario, which runs once per process."""
+    return Simulation(SCENARIOS_BY_NAME[name]).run()
 
 
 # -- the director --
 
 
-@pytest.mark.parametrize("name", BY_NAME)
+@pytest.mark.parametrize("name", SCENARIOS_BY_NAME)
 def test_director_answers_as_recorded(name: str) -> None:
-    assert not difference_from(f"director-{name}.json", summary_of(conversation(name)))
+    assert not difference_from(f"director-{name}.json", summary_of(run_scenario(name)))
 
 
-def test_recordings_hold_every_kind_of_event_action_outcome_and_note() -> None:
-    events, actions, outcomes, notes = (Counter[str]() for _ in range(4))
-    for name in BY_NAME:
+def test_recordings_cover_every_event_action_outcome_and_cache_status() -> None:
+    events, actions, outcomes, cache_statuses = (Counter[str]() for _ in range(4))
+    for name in SCENARIOS_BY_NAME:
         stored = read_json(f"director-{name}.json")
         events.update(stored["event_kinds"])
         actions.update(stored["action_kinds"])
         outcomes.update(stored["outcomes"])
-        notes.update(stored["notes"])
+        cache_statuses.update(stored["notes"])
     assert set(events) == set(EVENT_FACTORIES)
     assert set(actions) == {
         "send", "cancel", "reject", "fail", "timer", "watch", "log", "request-lease", "return-lease"
     }  # fmt: skip
     assert len(actions) == len(DESCRIBERS)
     assert set(outcomes) == {str(code) for code in OUTCOMES}
-    assert set(notes) == {str(code) for code in NOTES}
+    assert set(cache_statuses) == {str(code) for code in CACHE_STATUSES}
 
 
 # -- the wire: records of events, in the published layout --
 
 LAUNCH, STOP, PEER_MESSAGE = 70, 50, 90
 NOT_ON_THE_WIRE = ("fleet-size", "settings-change", "lease-terms", "lease")
-LOG = 50
-ACTION_BYTES = {30: 10, 40: 9, LOG: 7, 60: 17, 70: 6, 80: 39, 110: 17}  # without the text of a log line
+LOG_CODE = 50
+ACTION_BYTES = {30: 10, 40: 9, LOG_CODE: 7, 60: 17, 70: 6, 80: 39, 110: 17}  # without the text of a log line
 INSTANCES = {3: "ordinary", 4: "overloaded-origin", 5: "no-parents"}
-STREAM_EVENTS = 450  # of each instance
-RESTARTED_AFTER = 300  # batches, after which one instance is stopped and launched again
+EVENTS_PER_INSTANCE = 450
+RESTART_AFTER_BATCHES = 300  # then one instance is stopped and launched again
 
 
 def _address(node: int) -> tuple[int, int]:
@@ -80,7 +80,7 @@
 
 
 def event_record(instance: int, step: Step) -> bytes:
-    """Return the record of an event; raise KeyError for one that does not exist on the wire."""
+    """Return the record of an event; raise KeyError if the protocol has no record for it."""
     kind, values = step
     match kind:
         case "purge":
@@ -92,25 +92,36 @@
             list_kind, endpoints = values
             entries = [
                 struct.pack(
-                    ">BdBHIHHf", one.kind, one.started_ms, one.state, one.cell, *_address(one.node), one.zone,
-                    one.weight,
+                    ">BdBHIHHf", endpoint.kind, endpoint.started_ms, endpoint.state, endpoint.cell,
+                    *_address(endpoint.node), endpoint.zone, endpoint.weight,
                 )
-                for one in endpoints
+                for endpoint in endpoints
             ]  # fmt: skip
             return struct.pack(">BIBII", 30, instance, list_kind, 9, len(entries)) + b"".join(entries)
         case "response-start":
             request, attempt, node = values
             return struct.pack(">BIIBIHd", 40, instance, request, attempt, *_address(node), 1.5)
         case "attempt-end":
-            request, attempt, node, outcome, duration_ms, final, note, fill_wait_ms, load = values
+            request, attempt, node, outcome, duration_ms, final, cache_status, fill_wait_ms, load = values
             return struct.pack(
                 ">BIIBIHBdBIdB", 60, instance, request, attempt, *_address(node), outcome, duration_ms, final,
-                note, fill_wait_ms, len(load),
+                cache_status, fill_wait_ms, len(load),
             ) + _floats(load)  # fmt: skip
         case "request":
-            request, cls, key, timeout_ms, size_kb, group, chunk = values
+            request, class_index, key, timeout_ms, size_kb, group, chunk = values
             return struct.pack(
-                ">BIIHHQdfffH", 80, instance, request, cls, 0, key, timeout_ms, size_kb, group, chunk, 0
+                ">BIIHHQdfffH",
+                80,
+                instance,
+                request,
+                class_index,
+                0,
+                key,
+                timeout_ms,
+                size_kb,
+                group,
+                chunk,
+                0,
             )
         case "probe-end":
             node, succeeded, duration_ms, load = values
@@ -128,8 +139,8 @@
     return struct.pack(">dII", now, 16 + len(body), len(records)) + body
 
 
-def _odd_records(instance: int) -> list[bytes]:
-    """Return records without a counterpart in the conversations: unknown codes and instances, a probe."""
+def _unusual_records(instance: int) -> list[bytes]:
+    """Return records that the scenarios do not produce: unknown codes and instances, a probe."""
     entry = struct.pack(">BdBHIHHf", 0, 0.0, 9, 0, *_address(0xA01), 1, 20.0)
     unknown_outcome = ("attempt-end", (1, 0, 0xA01, 77, 5.0, False, 99, 0.0, ()))
     return [
@@ -144,26 +155,32 @@
 
 
 def stream_batches() -> list[tuple[float, list[bytes]]]:
-    """Return timed batches with the events of the conversations of three instances."""
-    timed = []
+    """Return timed batches with the events of three instances, each from its scenario."""
+    timed_records = []
     for instance, name in INSTANCES.items():
-        found = conversation(name)
-        steps = list(zip(found.times, found.events, strict=True))[:STREAM_EVENTS]
-        timed += [
+        recording = run_scenario(name)
+        steps = list(zip(recording.times, recording.events, strict=True))[:EVENTS_PER_INSTANCE]
+        timed_records += [
             (now, event_record(instance, step)) for now, step in steps if step[0] not in NOT_ON_THE_WIRE
         ]
-    timed.sort(key=lambda one: one[0])
-    launches = [launch_record(one, BY_NAME[name].settings[0]) for one, name in INSTANCES.items()]
+    timed_records.sort(key=lambda entry: entry[0])
+    launches = [
+        launch_record(instance, SCENARIOS_BY_NAME[name].settings[0]) for instance, name in INSTANCES.items()
+    ]
     batches = [(0.0, list[bytes]()), (99_000.0, launches)]
-    place = 0
-    while place < len(timed):
-        part = timed[place : place + 1 + place % 7 % 3]
-        batches.append((part[-1][0], [record for _, record in part]))
-        place += len(part)
-        if len(batches) == RESTARTED_AFTER:
-            endpoints = tuple(BY_NAME[INSTANCES[4]].endpoints)
-            again = [struct.pack(">BI", STOP, 4), launches[1], event_record(4, ("list", (CACHED, endpoints)))]
-            batches.append((part[-1][0], again + _odd_records(3)))
+    position = 0
+    while position < len(timed_records):
+        chunk = timed_records[position : position + 1 + position % 7 % 3]
+        batches.append((chunk[-1][0], [record for _, record in chunk]))
+        position += len(chunk)
+        if len(batches) == RESTART_AFTER_BATCHES:
+            endpoints = tuple(SCENARIOS_BY_NAME[INSTANCES[4]].endpoints)
+            restart_records = [
+                struct.pack(">BI", STOP, 4),
+                launches[1],
+                event_record(4, ("list", (CACHED, endpoints))),
+            ]
+            batches.append((chunk[-1][0], restart_records + _unusual_records(3)))
     return batches
 
 
@@ -172,11 +189,11 @@
     return b"".join(batch(now, *records) for now, records in stream_batches())
 
 
-def converse(data: bytes) -> bytes:
+def adapter_output(data: bytes) -> bytes:
     """Return the output of the adapter for a stream."""
-    sink = io.BytesIO()
-    simulator_adapter.serve(io.BytesIO(data), sink)
-    return sink.getvalue()
+    output = io.BytesIO()
+    simulator_adapter.serve(io.BytesIO(data), output)
+    return output.getvalue()
 
 
 def replies_of(data: bytes) -> list[bytes]:
@@ -191,24 +208,24 @@
 
 def action_codes(reply: bytes) -> list[int]:
     """Return the codes of the actions in a reply."""
-    codes, at = [], 8
-    while at < len(reply):
-        codes.append(reply[at])
-        at += ACTION_BYTES[reply[at]]
-        if codes[-1] == LOG:
-            at += int(struct.unpack_from(">H", reply, at - 2)[0])
+    codes, offset = [], 8
+    while offset < len(reply):
+        codes.append(reply[offset])
+        offset += ACTION_BYTES[reply[offset]]
+        if codes[-1] == LOG_CODE:
+            offset += int(struct.unpack_from(">H", reply, offset - 2)[0])
     assert len(codes) == struct.unpack_from(">I", reply)[0]
     return codes
 
 
-def test_wire_answers_the_recorded_bytes() -> None:
-    written = (FOLDER / "wire-output.bin").read_bytes()
-    found = converse((FOLDER / "wire-input.bin").read_bytes())
-    if found != written:
-        pairs = enumerate(zip(replies_of(written), replies_of(found), strict=False))
-        number = next((number for number, (was, now) in pairs if was != now), -1)
+def test_wire_output_equals_recorded_bytes() -> None:
+    recorded = (FOLDER / "wire-output.bin").read_bytes()
+    output = adapter_output((FOLDER / "wire-input.bin").read_bytes())
+    if output != recorded:
+        pairs = enumerate(zip(replies_of(recorded), replies_of(output), strict=False))
+        number = next((number for number, (recorded_reply, reply) in pairs if recorded_reply != reply), -1)
         pytest.fail(f"the reply to batch {number} differs from the recorded one")
-    assert {code for reply in replies_of(written) for code in action_codes(reply)} == {
+    assert {code for reply in replies_of(recorded) for code in action_codes(reply)} == {
         30,
         40,
         50,
@@ -218,13 +235,13 @@
     }
 
 
-def test_wire_input_holds_every_code() -> None:
+def test_wire_input_covers_every_record_code() -> None:
     assert (FOLDER / "wire-input.bin").read_bytes() == make_stream()
     codes = {record[0] for _, records in stream_batches() for record in records}
     assert codes == {10, 20, 30, 40, STOP, 60, LAUNCH, 80, PEER_MESSAGE, 100, 110}
 
 
-# -- the wire: what cannot be read --
+# -- the wire: malformed input --
 
 
 def _request_record() -> bytes:
@@ -232,7 +249,7 @@
 
 
 def malformed_streams() -> dict[str, bytes]:
-    """Return malformed streams, by fault."""
+    """Return malformed streams by the name of their fault."""
     launch = launch_record(3, router_settings())
     request = _request_record()
     return {
@@ -253,7 +270,7 @@
 
 
 def reported_streams() -> dict[str, bytes]:
-    """Return streams whose first record leads to a reported error, by fault."""
+    """Return streams whose first record leads to a reported error, by the name of their fault."""
     incomplete = router_settings()
     del incomplete["zone"]
     return {
@@ -266,7 +283,7 @@
 
 
 def broken_streams() -> dict[str, dict[str, str]]:
-    """Return all streams that cannot be served, as hexadecimal text."""
+    """Return all streams that lead to an error, as hexadecimal text."""
     return {
         "malformed": {name: data.hex() for name, data in malformed_streams().items()},
         "reported": {name: data.hex() for name, data in reported_streams().items()},
@@ -285,35 +302,37 @@
     return {"exit": code, "output": output.getvalue().hex(), "errors": errors.getvalue()}
 
 
-def run_reported(data: bytes) -> dict[str, Any]:
+def run_reporting_stream(data: bytes) -> dict[str, Any]:
     """Return the report of an error: code, instance and the message, without the traceback above it."""
-    reply = converse(data)
+    reply = adapter_output(data)
     count, _, code, instance, length = struct.unpack_from(">IIBIH", reply)
-    last = reply[15:].decode().splitlines()[-1]
+    last_line = reply[15:].decode().splitlines()[-1]
     return {
         "records": count,
         "code": code,
         "instance": instance,
         "whole": len(reply) == 15 + length,
-        "message": last.partition(": ")[2],
+        "message": last_line.partition(": ")[2],
     }
 
 
-def errors_found(streams: dict[str, dict[str, str]]) -> dict[str, dict[str, Any]]:
+def stream_errors(streams: dict[str, dict[str, str]]) -> dict[str, dict[str, Any]]:
     """Return the results of streams given as hexadecimal text."""
     return {
         "malformed": {name: run_main(bytes.fromhex(data)) for name, data in streams["malformed"].items()},
-        "reported": {name: run_reported(bytes.fromhex(data)) for name, data in streams["reported"].items()},
+        "reported": {
+            name: run_reporting_stream(bytes.fromhex(data)) for name, data in streams["reported"].items()
+        },
     }
 
 
-def test_wire_refuses_malformed_input_as_recorded() -> None:
+def test_wire_rejects_malformed_input_as_recorded() -> None:
     stored = read_json("wire-errors.json")
     assert stored["streams"] == broken_streams()
-    found = errors_found(stored["streams"])
-    assert found["malformed"] == stored["malformed"]
-    assert found["reported"] == stored["reported"]
-    assert all(result["exit"] == 2 and result["errors"] for result in found["malformed"].values())
+    errors = stream_errors(stored["streams"])
+    assert errors["malformed"] == stored["malformed"]
+    assert errors["reported"] == stored["reported"]
+    assert all(result["exit"] == 2 and result["errors"] for result in errors["malformed"].values())
 
 
 # -- recording --
@@ -321,13 +340,13 @@
 
 def record() -> None:
     """Rewrite all golden files of this module."""
-    for name in BY_NAME:
-        write_json(FOLDER / f"director-{name}.json", summary_of(conversation(name)))
+    for name in SCENARIOS_BY_NAME:
+        write_json(FOLDER / f"director-{name}.json", summary_of(run_scenario(name)))
     stream = make_stream()
     (FOLDER / "wire-input.bin").write_bytes(stream)
-    (FOLDER / "wire-output.bin").write_bytes(converse(stream))
+    (FOLDER / "wire-output.bin").write_bytes(adapter_output(stream))
     streams = broken_streams()
-    write_json(FOLDER / "wire-errors.json", {"streams": streams, **errors_found(streams)})
+    write_json(FOLDER / "wire-errors.json", {"streams": streams, **stream_errors(streams)})
 
 
 if __name__ == "__main__" and sys.argv[1:] == ["--record"]:
--- a/tests/test_golden_exchanges.py
+++ b/tests/test_golden_exchanges.py
@@ -1,4 +1,4 @@
-"""Golden data of whole exchanges: FastCGI or HTTP from a client, RESP to caches, and back."""
+"""Compare whole exchanges with golden data: FastCGI or HTTP with a client, RESP with caches."""
 
 from __future__ import annotations
 
@@ -69,8 +69,8 @@
 Meaning = dict[str, object]
 
 
-def printed(data: bytes) -> object:
-    """Return bytes as text, or long ones by length and checksum with their start and end."""
+def text_or_digest(data: bytes) -> object:
+    """Return bytes as text; long ones as length, checksum, start and end."""
     if len(data) < MAX_PRINTED_BYTES:
         return shown(data)
     return {
@@ -85,14 +85,14 @@
 
 
 def client_request(settings: Settings, cls: str = "picture", **fields: Any) -> ClientRequest:
-    """Return a request as a front end submits it, with these fields instead of the usual ones."""
-    kinds = [each.name for each in settings.classes]
-    usual: dict[str, Any] = {
+    """Return a request as a front end submits it, with these fields instead of the defaults."""
+    class_names = [request_class.name for request_class in settings.classes]
+    defaults: dict[str, Any] = {
         "txn": TXN,
         "cls": cls,
         "item": "00000000000000ff",
         "chunk": "0",
-        "class_index": kinds.index(cls),
+        "class_index": class_names.index(cls),
         "object_key": 255,
         "chunk_index": 0,
         "group": 0,
@@ -102,12 +102,12 @@
         "body": b"",
         "reply": lambda answer: None,
     }
-    return ClientRequest(**{**usual, **fields})
+    return ClientRequest(**{**defaults, **fields})
 
 
 def make_attempt(incoming: ClientRequest, settings: Settings, **action: Any) -> Attempt:
     """Return an attempt at node 17 that has 900 ms left, with these fields of its action."""
-    usual = SendAttempt(
+    default_action = SendAttempt(
         request_id=1,
         node_id=17,
         deadline_ms=NOW_MS + 900.0,
@@ -117,7 +117,7 @@
         fetch_mode=0,
     )
     request = OpenRequest(1, incoming, settings.classes[incoming.class_index], NOW_MS + 985.0)
-    return Attempt(request, 0, usual._replace(**action), NOW_MS)
+    return Attempt(request, 0, default_action._replace(**action), NOW_MS)
 
 
 def cache_commands() -> bytes:
@@ -152,17 +152,17 @@
             "body": b"b",
         },
     }
-    found = {
+    commands = {
         name: encode_fetch(make_attempt(client_request(settings), settings, **action), NOW_MS)
         for name, action in actions.items()
     }
     for name, fields in request_fields.items():
         action = actions["every-option"] if name == "every-field" else {}
-        found[name] = encode_fetch(
+        commands[name] = encode_fetch(
             make_attempt(client_request(settings, **fields), settings, **action), NOW_MS
         )
-    found["abort"] = AbortCommand(TXN).begin() or b""
-    return as_json({name: shown(data) for name, data in found.items()})
+    commands["abort"] = AbortCommand(TXN).begin() or b""
+    return as_json({name: shown(data) for name, data in commands.items()})
 
 
 # -- responses of a cache --
@@ -237,11 +237,11 @@
 # -- whole exchanges --
 
 
-class Client(Session):
+class FastCgiClient(Session):
     """A FastCGI client's connection, without I/O."""
 
     def feed(self, data: bytes) -> None:
-        """Receive bytes of the client."""
+        """Receive bytes from the client."""
         self._buffer.feed(data)
         self.received()
 
@@ -251,27 +251,27 @@
     return bytes((1, kind, 0, 1)) + len(content).to_bytes(2, "big") + bytes(2) + content
 
 
-def fastcgi_request(params: Mapping[str, str], body: bytes, keep: bool) -> bytes:
+def fastcgi_request(params: Mapping[str, str], body: bytes, keep_connection: bool) -> bytes:
     """Return the records of request 1."""
     pairs = b"".join(
         bytes((len(name), len(value))) + name.encode() + value.encode() for name, value in params.items()
     )
-    begin = fastcgi_record(1, bytes((0, 1, int(keep), 0, 0, 0, 0, 0)))
+    begin = fastcgi_record(1, bytes((0, 1, int(keep_connection), 0, 0, 0, 0, 0)))
     content = fastcgi_record(4, pairs) + fastcgi_record(4)
     return begin + content + (fastcgi_record(5, body) if body else b"") + fastcgi_record(5)
 
 
-def exchanged(depot: Depot, to_client: bytearray) -> Meaning:
+def describe_exchange(depot: Depot, to_client: bytearray) -> Meaning:
     """Return the effects of an exchange: requests submitted, bytes to caches, bytes to the client."""
-    return {"requests": depot.taken, "to_caches": depot.sent, "to_client": printed(bytes(to_client))}
+    return {"requests": depot.taken, "to_caches": depot.sent, "to_client": text_or_digest(bytes(to_client))}
 
 
 def fastcgi_exchange(case: Mapping[str, Any]) -> Meaning:
     """Return the bytes of one exchange with a FastCGI client."""
     depot, sock = Depot(case["answers"], case.get("endpoints", 3)), PlainSocket()
-    front = FastCgiFrontend(depot.settings, depot.route)
-    front.ready = case.get("ready", False)
-    client = Client(sock, front, depot.clock.now, depot.budget)
+    frontend = FastCgiFrontend(depot.settings, depot.route)
+    frontend.ready = case.get("ready", False)
+    client = FastCgiClient(sock, frontend, depot.clock.now, depot.budget)
     if "records" in case:
         client.feed(input_hex("fastcgi-records.in.hex")[case["records"]][: case.get("cut_at")])
     else:
@@ -282,7 +282,7 @@
         depot.settle()
         client.feed(fastcgi_record(2))
     depot.run()
-    return {**exchanged(depot, sock.written), "ends": client.is_closing()}
+    return {**describe_exchange(depot, sock.written), "ends": client.is_closing()}
 
 
 def fastcgi_exchanges() -> bytes:
@@ -309,68 +309,68 @@
         """Accept as much as fits."""
         if not self.capacity:
             raise BlockingIOError
-        taken = min(self.capacity, len(data))
-        self.capacity -= taken
-        return super().send(data[:taken])
+        accepted = min(self.capacity, len(data))
+        self.capacity -= accepted
+        return super().send(data[:accepted])
 
 
-class Collector:
-    """Records the requests of a connection, and answers none."""
+class RecordingHandler:
+    """A handler that records the requests of a connection and answers none."""
 
     def __init__(self) -> None:
-        self.taken: list[Meaning] = []
+        self.events: list[Meaning] = []
 
     def request(self, connection: Session, ident: int, params: dict[str, str], body: bytes, bad: str) -> bool:
-        """Record a request; reject it if something is wrong with it."""
-        self.taken.append({"request": ident, "body": shown(body), "bad": bool(bad)})
+        """Record a request; reject it if it is invalid."""
+        self.events.append({"request": ident, "body": shown(body), "bad": bool(bad)})
         return not bad
 
     def aborted(self, connection: Session, ident: int) -> None:
         """Record that a client has aborted a request."""
-        self.taken.append({"aborted": ident})
+        self.events.append({"aborted": ident})
 
 
-def with_id(records: bytes, ident: int) -> bytes:
+def with_request_id(records: bytes, request_id: int) -> bytes:
     """Return the records of request 1 under another id."""
-    found, at = bytearray(records), 0
-    while at < len(found):
-        found[at + 2 : at + 4] = ident.to_bytes(2, "big")
-        at += 8 + int.from_bytes(found[at + 4 : at + 6], "big")
-    return bytes(found)
+    renumbered, offset = bytearray(records), 0
+    while offset < len(renumbered):
+        renumbered[offset + 2 : offset + 4] = request_id.to_bytes(2, "big")
+        offset += 8 + int.from_bytes(renumbered[offset + 4 : offset + 6], "big")
+    return bytes(renumbered)
 
 
-def session_turns() -> Meaning:
+def interleaved_answers() -> Meaning:
     """Return the records of concurrent answers through a socket that accepts few bytes at once."""
-    sock, taken = SlowSocket(0), Collector()
-    client = Client(sock, taken, lambda: NOW_MS, ample_budget())
+    sock, handler = SlowSocket(0), RecordingHandler()
+    client = FastCgiClient(sock, handler, lambda: NOW_MS, ample_budget())
     request = fastcgi_request({}, b"", False)
-    for ident in (1, 2, 3):
-        client.feed(with_id(request, ident))
+    for request_id in (1, 2, 3):
+        client.feed(with_request_id(request, request_id))
     client.answer(2, b"head of 2", bytes(100_000))
     client.answer(1, b"head of 1", bytes(40_000))
     client.end(3, 0)
     while not client.is_closing():
         sock.capacity = 9_999
         client.writable()
-    records, at = [], 0
-    while at < len(sock.written):
-        size = int.from_bytes(sock.written[at + 4 : at + 6], "big")
-        records.append({"type": sock.written[at + 1], "id": sock.written[at + 3], "bytes": size})
-        at += 8 + size
+    records, offset = [], 0
+    while offset < len(sock.written):
+        size = int.from_bytes(sock.written[offset + 4 : offset + 6], "big")
+        records.append({"type": sock.written[offset + 1], "id": sock.written[offset + 3], "bytes": size})
+        offset += 8 + size
     sha256 = hashlib.sha256(sock.written).hexdigest()
-    return {"taken": taken.taken, "records": records, "sha256": sha256}
+    return {"taken": handler.events, "records": records, "sha256": sha256}
 
 
 def session_outcome(data: bytes, check_after_ms: float, disconnect: bool) -> Meaning:
-    """Return the outcome of a connection whose client sends this, and is then checked or disconnects."""
-    sock, taken = PlainSocket(), Collector()
-    client = Client(sock, taken, lambda: NOW_MS, ample_budget())
+    """Return the outcome of a connection that sends `data`, is checked for time-outs and may disconnect."""
+    sock, handler = PlainSocket(), RecordingHandler()
+    client = FastCgiClient(sock, handler, lambda: NOW_MS, ample_budget())
     if data:
         client.feed(data)
     client.expire_overdue(NOW_MS + check_after_ms)
     if disconnect:
         client.ended()
-    return {"taken": taken.taken, "ends": client.is_closing(), "written": shown(bytes(sock.written))}
+    return {"taken": handler.events, "ends": client.is_closing(), "written": shown(bytes(sock.written))}
 
 
 def fastcgi_sessions() -> bytes:
@@ -382,16 +382,16 @@
         "request-cut-short": (request[:-8], 2000.0, False),
         "request-cut-short-for-long": (request[:-8], 2001.0, False),
         "record-cut-short-for-long": (request[:30], 2001.0, False),
-        "client-leaves": (request + with_id(request, 2), 0.0, True),
+        "client-leaves": (request + with_request_id(request, 2), 0.0, True),
         "rejected-20-times": (rejected * 20, 0.0, False),
         "rejected-21-times": (rejected * 21, 0.0, False),
     }
-    found = {name: session_outcome(*case) for name, case in cases.items()}
-    return as_json({"turns": session_turns(), **found})
+    outcomes = {name: session_outcome(*case) for name, case in cases.items()}
+    return as_json({"turns": interleaved_answers(), **outcomes})
 
 
-class Listener:
-    """The state of the listener that an HTTP connection uses."""
+class ListenerState:
+    """The part of a listener that an HTTP connection uses."""
 
     def __init__(self, draining: bool) -> None:
         self.requests_in_flight, self.draining = 0, draining
@@ -400,11 +400,11 @@
 async def http_exchange(case: Mapping[str, Any]) -> Meaning:
     """Return the bytes of one exchange with an HTTP client, and whether the router ended the connection."""
     depot = Depot(case["answers"])
-    front = HttpFrontend(depot.settings, depot.route, depot.clock, None, "http")
-    front.ready = case.get("ready", False)
+    frontend = HttpFrontend(depot.settings, depot.route, depot.clock, None, "http")
+    frontend.ready = case.get("ready", False)
     client, server = trio.testing.memory_stream_pair()
-    listener = Listener(case.get("draining", False))
-    connection = HttpConnection(cast(Any, server), "10.9.8.7", front, cast(Any, listener))
+    listener = ListenerState(case.get("draining", False))
+    connection = HttpConnection(cast(Any, server), "10.9.8.7", frontend, cast(Any, listener))
     received = bytearray()
     closed = trio.Event()
 
@@ -434,16 +434,16 @@
         await client.send_eof()
         await closed.wait()
         depot.settle()
-    return {**exchanged(depot, received), "ends": ended}
+    return {**describe_exchange(depot, received), "ends": ended}
 
 
 def http_exchanges() -> bytes:
-    found = {}
+    exchanges = {}
     with quiet_log(), patch("secrets.token_hex", return_value=GENERATED_TXN):
         for name, case in input_json("http-exchanges.in.json").items():
             clock = trio.testing.MockClock(autojump_threshold=0)
-            found[name] = trio.run(partial(http_exchange, case), clock=clock)
-    return as_json(found)
+            exchanges[name] = trio.run(partial(http_exchange, case), clock=clock)
+    return as_json(exchanges)
 
 
 CASES: dict[str, Callable[[], bytes]] = {
@@ -457,7 +457,7 @@
 
 
 @pytest.mark.parametrize("name", CASES)
-def test_exchanges_pass_as_recorded(name: str) -> None:
+def test_exchange_output_matches_golden_files(name: str) -> None:
     check(CASES, name)
 
 
--- a/tests/test_golden_fleet_formats.py
+++ b/tests/test_golden_fleet_formats.py
@@ -1,4 +1,4 @@
-"""Formats of the fleet against golden data: leases, journal, logs, spans, control sockets, notifications."""
+"""Compare the formats of the fleet (leases, journal, logs, spans, control sockets) with golden data."""
 
 from __future__ import annotations
 
--- a/tests/test_golden_settings.py
+++ b/tests/test_golden_settings.py
@@ -1,4 +1,4 @@
-"""Golden data of the settings, the configuration, the deploy file and the log format."""
+"""Compare the settings, the configuration, the deploy file and the log format with golden data."""
 
 from __future__ import annotations
 
@@ -34,98 +34,102 @@
 from stonecove.server.config import Config, ConfigError, config_from, read_config, read_table
 from stonecove.settings import read_settings, settings_from
 
-EFFECTS = {
+IDEMPOTENCY_NAMES = {
     Idempotency.IDEMPOTENT: "idempotent",
     Idempotency.IDEMPOTENCY_KEY: "idempotency-key",
     Idempotency.NON_IDEMPOTENT: "non-idempotent",
 }
-KEY_GROUPS = {DeduplicationScope.ALL: "all", DeduplicationScope.ZONE: "zone", DeduplicationScope.CELL: "cell"}
+DEDUPLICATION_SCOPE_NAMES = {
+    DeduplicationScope.ALL: "all",
+    DeduplicationScope.ZONE: "zone",
+    DeduplicationScope.CELL: "cell",
+}
 
 
 # -- meanings --
 
 
-def describe_class(one: ClassSettings) -> dict[str, object]:
+def describe_class(request_class: ClassSettings) -> dict[str, object]:
     """Return a request class's settings under neutral keys."""
     return {
-        "name": one.name,
-        "priority_weight": one.priority_weight,
-        "late_priority_weight": one.late_priority_weight,
-        "latency_objective_ms": one.latency_objective_ms,
-        "latency_objective_stretch": one.objective_stretch,
-        "deadline_ms": one.deadline_ms,
-        "idempotency": EFFECTS[one.idempotency],
-        "idempotency_key_scope": KEY_GROUPS[one.deduplication_scope],
-        "deduplication_window_ms": one.deduplication_window_ms,
-        "fresh_ms": one.fresh_ms,
-        "stale_ms": one.stale_ms,
-        "stale_value": one.stale_priority_weight,
-        "never_cached": one.never_cached,
+        "name": request_class.name,
+        "priority_weight": request_class.priority_weight,
+        "late_priority_weight": request_class.late_priority_weight,
+        "latency_objective_ms": request_class.latency_objective_ms,
+        "latency_objective_stretch": request_class.objective_stretch,
+        "deadline_ms": request_class.deadline_ms,
+        "idempotency": IDEMPOTENCY_NAMES[request_class.idempotency],
+        "idempotency_key_scope": DEDUPLICATION_SCOPE_NAMES[request_class.deduplication_scope],
+        "deduplication_window_ms": request_class.deduplication_window_ms,
+        "fresh_ms": request_class.fresh_ms,
+        "stale_ms": request_class.stale_ms,
+        "stale_value": request_class.stale_priority_weight,
+        "never_cached": request_class.never_cached,
     }
 
 
-def describe_settings(one: Settings) -> dict[str, object]:
+def describe_settings(settings: Settings) -> dict[str, object]:
     """Return the settings under neutral keys."""
     return {
-        "classes": [describe_class(each) for each in one.classes],
-        "zone": one.zone,
-        "routers": one.fleet_size,
-        "routers_by_zone": list(one.routers_by_zone),
-        "zone_link_kb_per_s": list(one.zone_link_kb_per_s),
-        "client_kb_per_s": one.client_kb_per_s,
-        "parent_kind": one.parent_kind,
-        "origin_kind": one.origin_kind,
-        "caches_join_fills": one.fill_joining_allowed,
-        "nodes_have_weights": one.weights_known,
-        "bypass_allowed": one.parent_bypass_allowed,
-        "sibling_fills": one.siblings,
-        "slow_start_initial_fraction": one.slow_start_initial_fraction,
-        "slow_start_ms": one.slow_start_ms,
-        "overload_multiple": one.overload_multiple,
-        "overload_window_ms": one.overload_window_ms,
-        "parent_slow_start_initial_fraction": one.parent_slow_start_initial_fraction,
-        "parent_slow_start_ms": one.parent_slow_start_ms,
-        "parent_overload_multiple": one.parent_overload_multiple,
-        "purge_grace_ms": one.purge_grace_ms,
-        "purge_settled_ms": one.purge_settled_ms,
-        "drain_grace_ms": one.drain_grace_ms,
-        "max_attempts": one.max_attempts,
-        "hedging_allowed": one.hedging_allowed,
-        "cancellation_allowed": one.cancellation_allowed,
-        "health_checks_allowed": one.health_checks_allowed,
-        "retry_after_allowed": one.retry_after_allowed,
-        "max_retry_after_ms": one.max_retry_after_ms,
-        "connect_timeout_ms": one.connect_timeout_ms,
-        "load_report_fields": list(one.load_report_fields),
-        "endpoint_list_is_polled": one.endpoint_list_polled,
-        "zone_names": list(one.zones),
-        "node_kind_names": list(one.kinds),
-        "max_in_flight_requests": one.max_open_requests,
-        "max_streams_per_connection": one.streams_per_connection,
-        "connection_idle_ms": one.connection_idle_ms,
-        "connections_cost_the_fleet": one.handshakes_priced,
-        "messages_between_routers_allowed": one.router_messages_allowed,
+        "classes": [describe_class(request_class) for request_class in settings.classes],
+        "zone": settings.zone,
+        "routers": settings.fleet_size,
+        "routers_by_zone": list(settings.routers_by_zone),
+        "zone_link_kb_per_s": list(settings.zone_link_kb_per_s),
+        "client_kb_per_s": settings.client_kb_per_s,
+        "parent_kind": settings.parent_kind,
+        "origin_kind": settings.origin_kind,
+        "caches_join_fills": settings.fill_joining_allowed,
+        "nodes_have_weights": settings.weights_known,
+        "bypass_allowed": settings.parent_bypass_allowed,
+        "sibling_fills": settings.siblings,
+        "slow_start_initial_fraction": settings.slow_start_initial_fraction,
+        "slow_start_ms": settings.slow_start_ms,
+        "overload_multiple": settings.overload_multiple,
+        "overload_window_ms": settings.overload_window_ms,
+        "parent_slow_start_initial_fraction": settings.parent_slow_start_initial_fraction,
+        "parent_slow_start_ms": settings.parent_slow_start_ms,
+        "parent_overload_multiple": settings.parent_overload_multiple,
+        "purge_grace_ms": settings.purge_grace_ms,
+        "purge_settled_ms": settings.purge_settled_ms,
+        "drain_grace_ms": settings.drain_grace_ms,
+        "max_attempts": settings.max_attempts,
+        "hedging_allowed": settings.hedging_allowed,
+        "cancellation_allowed": settings.cancellation_allowed,
+        "health_checks_allowed": settings.health_checks_allowed,
+        "retry_after_allowed": settings.retry_after_allowed,
+        "max_retry_after_ms": settings.max_retry_after_ms,
+        "connect_timeout_ms": settings.connect_timeout_ms,
+        "load_report_fields": list(settings.load_report_fields),
+        "endpoint_list_is_polled": settings.endpoint_list_polled,
+        "zone_names": list(settings.zones),
+        "node_kind_names": list(settings.kinds),
+        "max_in_flight_requests": settings.max_open_requests,
+        "max_streams_per_connection": settings.streams_per_connection,
+        "connection_idle_ms": settings.connection_idle_ms,
+        "connections_cost_the_fleet": settings.handshakes_priced,
+        "messages_between_routers_allowed": settings.router_messages_allowed,
     }
 
 
-def describe_config(one: Config) -> dict[str, object]:
+def describe_config(config: Config) -> dict[str, object]:
     """Return the router's configuration under neutral keys."""
     return {
-        "name": one.name,
-        "listen": list(one.listen),
-        "seed": one.seed,
-        "max_sockets": one.sockets,
-        "memory_mb": one.memory_mb,
-        "cores": one.cores,
-        "transfer_bytes_per_s": one.pace,
-        "change_log": list(one.changelog),
-        "change_log_position": one.last,
-        "known": [describe_update(each) for each in one.known],
-        "settings": describe_settings(one.settings),
-        "settings_as_written": dict(one.table),
-        "peers": list(one.peers),
-        "peer_listen": one.peer_listen,
-        "settings_version": one.version,
+        "name": config.name,
+        "listen": list(config.listen),
+        "seed": config.seed,
+        "max_sockets": config.sockets,
+        "memory_mb": config.memory_mb,
+        "cores": config.cores,
+        "transfer_bytes_per_s": config.pace,
+        "change_log": list(config.changelog),
+        "change_log_position": config.last,
+        "known": [describe_update(update) for update in config.known],
+        "settings": describe_settings(config.settings),
+        "settings_as_written": dict(config.table),
+        "peers": list(config.peers),
+        "peer_listen": config.peer_listen,
+        "settings_version": config.version,
     }
 
 
@@ -212,8 +216,8 @@
     variants = input_json("config-variants.in.json")
     return as_json(
         {
-            name: describe_config(config_from(each["table"], each["environment"]))
-            for name, each in variants.items()
+            name: describe_config(config_from(variant["table"], variant["environment"]))
+            for name, variant in variants.items()
         }
     )
 
@@ -234,12 +238,12 @@
 
 def config_file_errors() -> bytes:
     """Return the errors of reading the file, with its path replaced by FILE."""
-    found = {"not-named": config_error(lambda: read_table({}))}
-    found["named-empty"] = config_error(lambda: read_table({"RELAY_CONFIG": ""}))
+    errors = {"not-named": config_error(lambda: read_table({}))}
+    errors["named-empty"] = config_error(lambda: read_table({"RELAY_CONFIG": ""}))
     with tempfile.TemporaryDirectory() as folder:
         path = Path(folder) / "config.json"
         environment = {"RELAY_CONFIG": str(path)}
-        found["missing"] = config_error(lambda: read_table(environment))
+        errors["missing"] = config_error(lambda: read_table(environment))
         contents = {
             "empty": b"",
             "cut-short": b'{"name": ',
@@ -251,23 +255,23 @@
         }
         for name, content in contents.items():
             path.write_bytes(content)
-            found[name] = config_error(lambda: read_config(environment))
+            errors[name] = config_error(lambda: read_config(environment))
         path.unlink()
         path.mkdir()
-        found["folder"] = config_error(lambda: read_table(environment))
-        return as_json({name: text.replace(str(path), "FILE") for name, text in found.items()})
+        errors["folder"] = config_error(lambda: read_table(environment))
+        return as_json({name: text.replace(str(path), "FILE") for name, text in errors.items()})
 
 
 def environment_names() -> bytes:
     """Return the environment variables that the program's sources name in code."""
-    found = set()
+    names = set()
     for path in (ROOT / "stonecove").rglob("*.py"):
         for node in ast.walk(ast.parse(path.read_text())):
             if isinstance(node, ast.Constant) and isinstance(node.value, str):
                 name = node.value
                 if re.fullmatch(r"(RELAY|STONECOVE|NOTIFY|WATCHDOG)_[A-Z_]+", name):
-                    found.add(name)
-    return as_json(sorted(found))
+                    names.add(name)
+    return as_json(sorted(names))
 
 
 # -- the deploy file --
@@ -311,14 +315,14 @@
 
 def reachable_sources(modules: list[str]) -> set[Path]:
     """Return the sources of these modules and of all that they import, also within functions."""
-    found: set[Path] = set()
-    waiting = list(modules)
-    while waiting:
-        path = source_of(waiting.pop())
-        if path is not None and path not in found:
-            found.add(path)
-            waiting += imported_modules(path)
-    return found
+    sources: set[Path] = set()
+    pending = list(modules)
+    while pending:
+        path = source_of(pending.pop())
+        if path is not None and path not in sources:
+            sources.add(path)
+            pending += imported_modules(path)
+    return sources
 
 
 def modules_at_start() -> list[str]:
@@ -329,17 +333,17 @@
         "except SystemExit as end:\n    assert end.code == 2, end.code\n"
         "print(*[name for name in sys.modules if name.split('.')[0] == 'stonecove'])"
     )
-    done = subprocess.run(
+    process = subprocess.run(
         [sys.executable, "-c", program], cwd=ROOT, env={}, capture_output=True, text=True, check=True
     )
-    return done.stdout.split()
+    return process.stdout.split()
 
 
 # -- the log --
 
 
 def log_lines() -> bytes:
-    """Return lines of every kind of field, at a fixed time."""
+    """Return log lines with fields of every kind, at a fixed time."""
     fields: dict[str, object] = {
         "whole": 7,
         "fraction": 2.25,
@@ -362,7 +366,7 @@
 
 
 def log_written() -> bytes:
-    """Return the log on standard error, where repeated lines of one event are limited per second."""
+    """Return the log on standard error; the lines of a rate-limited event are limited per second."""
     written = io.StringIO()
     with contextlib.redirect_stderr(written):
         for second in (1764576100.5, 1764576101.5, 1764576102.5):
@@ -391,7 +395,7 @@
 
 
 @pytest.mark.parametrize("name", CASES)
-def test_formats_read_and_print_as_recorded(name: str) -> None:
+def test_output_matches_golden_files(name: str) -> None:
     check(CASES, name)
 
 
@@ -418,10 +422,12 @@
     paths = [source_of(name) for name in modules]
     sources = {path for path in paths if path} if loaded else reachable_sources(modules)
     table = deploy_table()
-    named = [ROOT / path for path in table["policy"] + table["node"]]
+    listed = [ROOT / path for path in table["policy"] + table["node"]]
     package = ROOT / "stonecove" / "__init__.py"
     missing = {
-        path for path in sources if path != package and not any(path.is_relative_to(one) for one in named)
+        path
+        for path in sources
+        if path != package and not any(path.is_relative_to(listed_path) for listed_path in listed)
     }
     assert missing == set()
 
--- a/tests/test_golden_tools.py
+++ b/tests/test_golden_tools.py
@@ -1,4 +1,4 @@
-"""Golden tests of the command line, its exit codes and output, and the environment variables.
+"""Compare the command line, its exit codes and output, and the environment variables with golden data.
 
 Record again with `PYTHONPATH=. python tests/test_golden_tools.py --record` from the repository's root.
 """
@@ -25,14 +25,15 @@
 import pytest
 import trio
 from click.testing import CliRunner
-from golden_tools_cases import ROOT, as_json, load, recorded, write
+from golden_tools_cases import REPOSITORY, json_round_trip, read_golden, read_json, write_golden
 
 from stonecove.commands.main import cli
 from stonecove.rollout.messages import Report, Target
 
-NAMES = re.compile(r"^(STONECOVE|RELAY|NOTIFY|WATCHDOG)_[A-Z_]+$")
-MENTIONS = re.compile(r"environ|getenv|\benv\b|STONECOVE_|RELAY_|NOTIFY_|WATCHDOG_")  # modules to parse
-BAD_INPUT: tuple[tuple[str, ...], ...] = (
+VARIABLE_NAME = re.compile(r"^(STONECOVE|RELAY|NOTIFY|WATCHDOG)_[A-Z_]+$")
+# Modules without a match are not parsed.
+ENVIRONMENT_USE = re.compile(r"environ|getenv|\benv\b|STONECOVE_|RELAY_|NOTIFY_|WATCHDOG_")
+INVALID_COMMANDS: tuple[tuple[str, ...], ...] = (
     ("nonsense",), ("config", "nonsense"), ("config", "check", "FOLDER/nothing.cue"),
     ("config", "check", "FOLDER/bad.cue"), ("config", "show", "--operator", "FOLDER/bad.cue"),
     ("config", "explain"), ("demo", "--requests", "1"),
@@ -61,7 +62,7 @@
     ("scale", "run", "--nonsense"), ("scale", "run", "FOLDER/nothing.cue"), ("trial", "run"),
     ("explore", "run", "--processes", "99"), ("token", "verify"), ("keys", "rotate", "FOLDER/ring.json"),
 )  # fmt: skip
-FILES = {
+COMMAND_FILES = {
     "bad.cue": 'members: colour: 3\nsources: changelog: rank: "x"\n', "empty.cue": "",
     "each.cue": 'members: socket: "/run/stonecove/{name}.sock"\n', "list.json": "[]",
     "zone.json": '{"zone": 2}', "good.json": '{"page": 1}',
@@ -71,34 +72,40 @@
 # -- the tree of commands --
 
 
-def _kind(kind: Any) -> Any:
-    if isinstance(kind, click.Choice):
-        return {"choices": list(kind.choices)}
-    if isinstance(kind, (click.IntRange, click.FloatRange)):
-        name = "integer" if isinstance(kind, click.IntRange) else "float"
-        return {"range_of": name, "least": kind.min, "most": kind.max}
-    if isinstance(kind, click.Path):
-        return {"path": {"exists": kind.exists, "files": kind.file_okay, "folders": kind.dir_okay}}
-    return kind.name
+def _parameter_type(parameter_type: Any) -> Any:
+    if isinstance(parameter_type, click.Choice):
+        return {"choices": list(parameter_type.choices)}
+    if isinstance(parameter_type, (click.IntRange, click.FloatRange)):
+        name = "integer" if isinstance(parameter_type, click.IntRange) else "float"
+        return {"range_of": name, "least": parameter_type.min, "most": parameter_type.max}
+    if isinstance(parameter_type, click.Path):
+        return {
+            "path": {
+                "exists": parameter_type.exists,
+                "files": parameter_type.file_okay,
+                "folders": parameter_type.dir_okay,
+            }
+        }
+    return parameter_type.name
 
 
-def _default(parameter: click.Parameter) -> Any:
+def _default_value(parameter: click.Parameter) -> Any:
     value = parameter.default
     if value is None or type(value).__name__ == "Sentinel" or callable(value):
         return None
     return list(value) if isinstance(value, (tuple, list)) else value
 
 
-def _parameter(parameter: click.Parameter) -> dict[str, Any]:
+def _describe_parameter(parameter: click.Parameter) -> dict[str, Any]:
     is_option = isinstance(parameter, click.Option)
     return {
         "kind": "option" if is_option else "argument",
         "names": [*parameter.opts, *parameter.secondary_opts]
         if is_option
         else [parameter.human_readable_name],
-        "type": _kind(parameter.type),
-        "default": _default(parameter)
-        or (False if getattr(parameter, "is_flag", False) else _default(parameter)),
+        "type": _parameter_type(parameter.type),
+        "default": _default_value(parameter)
+        or (False if getattr(parameter, "is_flag", False) else _default_value(parameter)),
         "required": parameter.required,
         "values": parameter.nargs,
         "repeatable": getattr(parameter, "multiple", False),
@@ -108,26 +115,26 @@
     }
 
 
-def _commands(command: click.Command, path: str) -> Iterator[tuple[str, click.Command]]:
+def _walk_commands(command: click.Command, path: str) -> Iterator[tuple[str, click.Command]]:
     yield path, command
     if isinstance(command, click.Group):
         for name in sorted(command.commands):
-            yield from _commands(command.commands[name], f"{path} {name}")
+            yield from _walk_commands(command.commands[name], f"{path} {name}")
 
 
 def command_tree() -> Any:
-    """Return all verbs with their options and arguments: names, forms and defaults."""
+    """Return all commands with their options and arguments: names, types and defaults."""
     return {
-        path: [_parameter(parameter) for parameter in command.params]
-        for path, command in _commands(cli, "stonecove")
+        path: [_describe_parameter(parameter) for parameter in command.params]
+        for path, command in _walk_commands(cli, "stonecove")
     }
 
 
-# -- commands on bad input, and on the operators' files --
+# -- commands with invalid input, and with the operator's files --
 
 
-def _run(folder: str, *arguments: str, **environment: str) -> dict[str, Any]:
-    """Return exit code and output of a command, without usage texts, which belong to click."""
+def _run_command(folder: str, *arguments: str, **environment: str) -> dict[str, Any]:
+    """Return exit code and output of a command, without usage texts, which click writes."""
     result = CliRunner().invoke(
         cli, [argument.replace("FOLDER", folder) for argument in arguments], env=environment
     )
@@ -141,33 +148,33 @@
     }
 
 
-def bad_input() -> Any:
+def invalid_commands() -> Any:
     """Return the results of commands with invalid input."""
     results = []
     with tempfile.TemporaryDirectory() as folder:
-        for file_name, text in FILES.items():
+        for file_name, text in COMMAND_FILES.items():
             Path(folder, file_name).write_text(text)
-        for arguments in BAD_INPUT:
-            results.append(_run(folder, *arguments, STONECOVE_OPERATOR=f"{folder}/nothing.cue"))
+        for arguments in INVALID_COMMANDS:
+            results.append(_run_command(folder, *arguments, STONECOVE_OPERATOR=f"{folder}/nothing.cue"))
     return results
 
 
 def config_commands() -> Any:
     """Return the output of `stonecove config` for the bundled operator's file and an empty one."""
-    bundled_file, results = str(ROOT / "deploy" / "operator.cue"), []
+    bundled_file, results = str(REPOSITORY / "deploy" / "operator.cue"), []
     with tempfile.TemporaryDirectory() as folder:
         Path(folder, "empty.cue").write_text("")
         Path(folder, "given.cue").write_bytes(Path(bundled_file).read_bytes())
         for file in ("FOLDER/empty.cue", "FOLDER/given.cue"):
             results += [
-                _run(folder, "config", "check", file),
-                _run(folder, "config", "check", "--operator", file),
-                _run(folder, "config", "show", "--operator", file),
-                _run(folder, "config", "explain", "--operator", file, "members.keep"),
-                _run(folder, "config", "explain", "--operator", file, "sources.changelog"),
-                _run(folder, "config", "explain", "--operator", file, "nothing.at.all"),
+                _run_command(folder, "config", "check", file),
+                _run_command(folder, "config", "check", "--operator", file),
+                _run_command(folder, "config", "show", "--operator", file),
+                _run_command(folder, "config", "explain", "--operator", file, "members.keep"),
+                _run_command(folder, "config", "explain", "--operator", file, "sources.changelog"),
+                _run_command(folder, "config", "explain", "--operator", file, "nothing.at.all"),
             ]
-        results.append(_run(folder, "config", "check", STONECOVE_OPERATOR=f"{folder}/given.cue"))
+        results.append(_run_command(folder, "config", "check", STONECOVE_OPERATOR=f"{folder}/given.cue"))
     return results
 
 
@@ -177,12 +184,12 @@
     with tempfile.TemporaryDirectory() as folder:
         Path(folder, "empty.json").write_text("{}")
         for config in (None, f"{folder}/nothing.json", f"{folder}/empty.json"):
-            inherited = {key: value for key, value in os.environ.items() if not NAMES.match(key)}
-            environment = inherited | ({"RELAY_CONFIG": config} if config else {})
+            inherited = {key: value for key, value in os.environ.items() if not VARIABLE_NAME.match(key)}
+            variables = inherited | ({"RELAY_CONFIG": config} if config else {})
             process = subprocess.run(
                 [sys.executable, "-m", "stonecove"],
-                env=environment,
-                cwd=ROOT,
+                env=variables,
+                cwd=REPOSITORY,
                 capture_output=True,
                 text=True,
                 check=False,
@@ -196,7 +203,7 @@
 
 
 @contextlib.contextmanager
-def _answering(path: Path, answer: Any) -> Iterator[list[str]]:
+def _answer_queries(path: Path, answer: Any) -> Iterator[list[str]]:
     """Answer every request on a socket with the same JSON; yield the list of requests."""
     requests: list[str] = []
     listener = socket.socket(socket.AF_UNIX)
@@ -218,8 +225,8 @@
     try:
         yield requests
     finally:
-        with socket.socket(socket.AF_UNIX) as last:
-            last.connect(str(path))
+        with socket.socket(socket.AF_UNIX) as closing_connection:
+            closing_connection.connect(str(path))
         thread.join()
         listener.close()
 
@@ -232,15 +239,15 @@
         tempfile.TemporaryDirectory() as folder,
     ):
         time.tzset()
-        for case in load("asked_answers.json"):
+        for case in read_json("asked_answers.json"):
             path = Path(folder, "control.sock" if case["command"][0] == "fleet" else "members.sock")
             target = ["--folder", folder] if case["command"][0] == "fleet" else ["--socket", str(path)]
             group, *rest = case["command"]
             for json_option in ([], ["--json"]):
-                with _answering(path, case["answer"]) as requests:
-                    result = _run(folder, group, *target, *json_option, *rest)
+                with _answer_queries(path, case["answer"]) as requests:
+                    result = _run_command(folder, group, *target, *json_option, *rest)
                 path.unlink()
-                result["arguments"] = [word.replace(folder, "FOLDER") for word in result["arguments"]]
+                result["arguments"] = [argument.replace(folder, "FOLDER") for argument in result["arguments"]]
                 results.append({**result, "asked": requests})
     time.tzset()
     return results
@@ -249,7 +256,7 @@
 def rollout_commands() -> Any:
     """Return the output and exit codes of `stonecove configuration` for targets and reports."""
     results = []
-    for case in load("rollout_states.json"):
+    for case in read_json("rollout_states.json"):
         target = Target.decode(json.dumps(case["target"]).encode()) if case["target"] else None
         reports = {
             name: Report.decode(json.dumps(report).encode()) for name, report in case["reports"].items()
@@ -264,7 +271,7 @@
             ]
             outcome = target, reports
             with mock.patch.object(trio, "run", lambda _session, outcome=outcome: outcome):
-                result = _run("FOLDER", *arguments, COLUMNS="120")
+                result = _run_command("FOLDER", *arguments, COLUMNS="120")
             results.append({"case": case["name"], **result})
     return results
 
@@ -272,11 +279,11 @@
 # -- files that commands read --
 
 
-def fleet_files() -> Any:
+def fleet_file_commands() -> Any:
     """Return the output of `fleet logs` and `fleet trace` for files that instances have written."""
     results = []
     with tempfile.TemporaryDirectory() as folder:
-        for file_name, text in load("fleet_files.json").items():
+        for file_name, text in read_json("fleet_files.json").items():
             path = Path(folder, file_name)
             path.parent.mkdir(exist_ok=True)
             path.write_text(text)
@@ -285,7 +292,7 @@
             ("logs", "--grep", "ready"), ("trace", "2a"), ("trace", "2b"),
         ):  # fmt: skip
             for json_option in ((), ("--json",)):
-                results.append(_run(folder, "fleet", "--folder", "FOLDER", *json_option, *arguments))
+                results.append(_run_command(folder, "fleet", "--folder", "FOLDER", *json_option, *arguments))
     return results
 
 
@@ -299,7 +306,7 @@
     return isinstance(node, ast.Name) and node.id in ("env", "environ", "environment")
 
 
-def _keys(tree: ast.AST) -> Iterator[ast.expr]:
+def _environment_keys(tree: ast.AST) -> Iterator[ast.expr]:
     """Yield the keys that a module reads or removes from the environment."""
     for node in ast.walk(tree):
         if isinstance(node, ast.Subscript) and _is_environment(node.value):
@@ -312,7 +319,7 @@
                 yield node.args[0]
 
 
-def _variables(tree: ast.Module) -> set[str]:
+def _environment_variables(tree: ast.Module) -> set[str]:
     """Return a module's environment variables: looked-up keys, and strings that match such a name."""
     constants = {
         target.id: statement.value.value
@@ -326,8 +333,8 @@
         for node in ast.walk(tree)
         if isinstance(node, ast.Constant) and isinstance(node.value, str)
     }
-    names = {text for text in texts if NAMES.match(text)}
-    for key in _keys(tree):
+    names = {text for text in texts if VARIABLE_NAME.match(text)}
+    for key in _environment_keys(tree):
         if isinstance(key, ast.Constant):
             names.add(str(key.value))
         else:
@@ -335,31 +342,35 @@
     return names
 
 
-def environment() -> Any:
+def environment_variables() -> Any:
     """Return, sorted, the environment variables that the program reads or sets for its child processes."""
-    texts = [path.read_text() for path in (ROOT / "stonecove").rglob("*.py")]
-    return sorted(set[str]().union(*(_variables(ast.parse(text)) for text in texts if MENTIONS.search(text))))
+    texts = [path.read_text() for path in (REPOSITORY / "stonecove").rglob("*.py")]
+    return sorted(
+        set[str]().union(
+            *(_environment_variables(ast.parse(text)) for text in texts if ENVIRONMENT_USE.search(text))
+        )
+    )
 
 
 OUTPUTS: dict[str, Callable[[], Any]] = {
     "command_tree.json": command_tree,
-    "bad_input.json": bad_input,
+    "bad_input.json": invalid_commands,
     "config_commands.json": config_commands,
     "run_without_configuration.json": run_without_configuration,
     "asking_commands.json": query_commands,
     "rollout_commands.json": rollout_commands,
-    "fleet_files_commands.json": fleet_files,
-    "environment.json": environment,
+    "fleet_files_commands.json": fleet_file_commands,
+    "environment.json": environment_variables,
 }
 
 
 @pytest.mark.parametrize("name", OUTPUTS)
 def test_command_output_matches_golden_files(name: str) -> None:
-    assert as_json(OUTPUTS[name]()) == recorded(name)
+    assert json_round_trip(OUTPUTS[name]()) == read_golden(name)
 
 
 def test_every_command_prints_help() -> None:
-    for path in load("command_tree.json"):
+    for path in read_json("command_tree.json"):
         arguments = path.split()[1:]
         result = CliRunner().invoke(cli, [*arguments, "--help"])
         assert result.exit_code == 0, path
@@ -369,7 +380,7 @@
 def record() -> None:
     """Write all golden files but the inputs, which are written by hand."""
     for name, output in OUTPUTS.items():
-        write(name, output())
+        write_golden(name, output())
 
 
 if __name__ == "__main__" and "--record" in sys.argv:
--- a/tests/test_golden_tools_explore.py
+++ b/tests/test_golden_tools_explore.py
@@ -21,15 +21,15 @@
 from click.testing import CliRunner
 from golden_tools_cases import (
     FOLDER,
-    ROOT,
-    as_json,
+    REPOSITORY,
     describe_frontier,
     describe_result,
     describe_scope,
     describe_trace,
-    load,
-    recorded,
-    write,
+    json_round_trip,
+    read_golden,
+    read_json,
+    write_golden,
 )
 
 from stonecove.commands.main import cli
@@ -38,38 +38,43 @@
 from stonecove.explore.search import Frontier, Options, Result, SavedError, WorkerPool
 from stonecove.explore.trace import Trace
 
-TRACES = sorted((ROOT / "tests" / "traces").glob("*.json"))
+TRACES = sorted((REPOSITORY / "tests" / "traces").glob("*.json"))
 FRONTIER, FRONTIER_SCOPE, FRONTIER_DEPTH = "frontier.log", "log", 4
-ENDED, ENDED_SCOPE, ENDED_DEPTH, ENDED_SEED = "frontier.links", "links", 2, "given-back-twice"
-LEVELS_BEFORE_THE_SAVE = 2
-COUNTED = (("keyed", 4), ("purge", 3), ("confirm", 3), ("page", 3), ("drain", 2), ("log", 2))
+COMPLETED_FRONTIER, COMPLETED_SCOPE, COMPLETED_DEPTH, COMPLETED_SEED = (
+    "frontier.links",
+    "links",
+    2,
+    "given-back-twice",
+)
+LEVELS_BEFORE_SAVE = 2
+COUNTED_SCOPES = (("keyed", 4), ("purge", 3), ("confirm", 3), ("page", 3), ("drain", 2), ("log", 2))
 COUNTED_MACHINES = (("zk-watch", 4), ("lease-two", 2), ("life-one", 2), ("swarm-lives", 3))
-SEEDED = (
+SEEDED_FAULTS = (
     ("link-taken-twice", "confirm", 3, ("ask 0", "up c1.0", "wait")),
     ("given-back-twice", "links", 2, ()),
 )
 
 
 @pytest.fixture(autouse=True)
-def _no_seed_stays() -> Iterator[None]:
+def _remove_planted_fault() -> Iterator[None]:
     yield
     seeds.plant("")
 
 
-def _small(name: str, depth: int) -> scope.Scope:
+def _small_scope(name: str, depth: int) -> scope.Scope:
     return scope.named(scope.SMALL, name).with_bounds(depth=depth)
 
 
-def _forget(pool: WorkerPool) -> None:
-    """Explore something else: a process that explores the same twice lets no state settle again."""
-    runner.explore(_small("page", 1), pool)
+def _explore_another_scope(pool: WorkerPool) -> None:
+    """Explore another scope, since a process that explores the same scope twice settles no state again."""
+    runner.explore(_small_scope("page", 1), pool)
 
 
 # -- traces --
 
 
 def replay_traces() -> Any:
-    """Return the meaning of each kept trace, and its steps as they happen, with and without its fault."""
+    """Return the meaning of each stored trace, and its replay with and without its fault."""
     entries = []
     for path in TRACES:
         trace = Trace.read(path)
@@ -78,35 +83,42 @@
             "trace": describe_trace(trace),
             "story": trace.format_report(),
         }
-        for name, played in (("with its fault", trace), ("without", dataclasses.replace(trace, seed=""))):
-            steps, violations = played.play()
+        for name, variant in (("with its fault", trace), ("without", dataclasses.replace(trace, seed=""))):
+            steps, violations = variant.play()
             entry[name] = {
-                "steps": [{"at_ms": one.at_ms, "step": one.step, "text": one.text} for one in steps],
-                "violations": [{"property": one.prop, "reason": one.why} for one in violations],
+                "steps": [
+                    {"at_ms": played_step.at_ms, "step": played_step.step, "text": played_step.text}
+                    for played_step in steps
+                ],
+                "violations": [
+                    {"property": violation.prop, "reason": violation.why} for violation in violations
+                ],
             }
         seeds.plant("")
         entries.append(entry)
     return entries
 
 
-def trace_written() -> str:
-    """Return the text of a trace with nothing at its default."""
-    made = scope.Scope("all-set", ("image", "page"), 3, 2, 4, 5, 6, ("reset", "drain"), ("hit", "old"), True,
-                       True, False, True, ("c1", "o1"), ("ask 0",), "each field")  # fmt: skip
+def written_trace() -> str:
+    """Return the text of a trace in which no field has its default value."""
+    custom_scope = scope.Scope(
+        "all-set", ("image", "page"), 3, 2, 4, 5, 6, ("reset", "drain"), ("hit", "old"), True, True, False,
+        True, ("c1", "o1"), ("ask 0",), "each field",
+    )  # fmt: skip
     return Trace(
-        made, ("ask 0", "up c1.0", "settle"), "no-leak", "shown by nothing", "given-back-twice"
+        custom_scope, ("ask 0", "up c1.0", "settle"), "no-leak", "shown by nothing", "given-back-twice"
     ).to_json()
 
 
 def trace_errors() -> Any:
     """Return the error messages for invalid traces."""
-    good = TRACES[0].read_text()
+    valid = TRACES[0].read_text()
     texts = {
         "not JSON": "{",
         "a list": "[]",
-        "another format": good.replace('"format": 1', '"format": 2'),
-        "without steps": good.replace('"steps"', '"staps"'),
-        "a field of the scope that is not known": good.replace('"caches"', '"caches_"'),
+        "another format": valid.replace('"format": 1', '"format": 2'),
+        "without steps": valid.replace('"steps"', '"staps"'),
+        "a field of the scope that is not known": valid.replace('"caches"', '"caches_"'),
     }
     entries = {}
     for name, text in texts.items():
@@ -116,17 +128,17 @@
     return entries
 
 
-def scopes_meaning() -> Any:
+def describe_scopes() -> Any:
     """Return the bounds of all scopes, and the names of all properties, faults and answers."""
     return {
-        "small": [describe_scope(one) for one in scope.SCOPES["small"]],
-        "full": [describe_scope(one) for one in scope.SCOPES["full"]],
+        "small": [describe_scope(item) for item in scope.SCOPES["small"]],
+        "full": [describe_scope(item) for item in scope.SCOPES["full"]],
         "walk": {**describe_scope(scope.WALK), "request_classes": len(scope.WALK.requests)},
-        "answers": {word: {"status": code, "note": note} for word, (code, note) in scope.ANSWERS.items()},
+        "answers": {answer: {"status": code, "note": note} for answer, (code, note) in scope.ANSWERS.items()},
         "small_machines": {name: bounds.depth for name, bounds in runner.SMALL_MACHINES.items()},
-        "properties": {name: {"text": one.text} for name, one in PROPERTIES.items()},
+        "properties": {name: {"text": item.text} for name, item in PROPERTIES.items()},
         "seeded_faults": [
-            {"name": one.name, "breaks": one.breaks, "scopes": list(one.scopes)} for one in seeds.SEEDS
+            {"name": item.name, "breaks": item.breaks, "scopes": list(item.scopes)} for item in seeds.SEEDS
         ],
     }
 
@@ -134,45 +146,51 @@
 # -- explorations --
 
 
-def counts() -> Any:
+def exploration_counts() -> Any:
     """Return the counts and violations of explorations with small bounds."""
-    found: dict[str, Any] = {}
+    results: dict[str, Any] = {}
     with WorkerPool(1) as pool:
-        _forget(pool)
-        for name, depth in COUNTED:
-            found[f"{name}, depth {depth}"] = describe_result(runner.explore(_small(name, depth), pool))
+        _explore_another_scope(pool)
+        for name, depth in COUNTED_SCOPES:
+            results[f"{name}, depth {depth}"] = describe_result(
+                runner.explore(_small_scope(name, depth), pool)
+            )
         for name, depth in COUNTED_MACHINES:
             bounds = runner.SMALL_MACHINES[name]._replace(depth=depth)
-            found[f"{name}, depth {depth}"] = describe_result(runner.explore_machine(bounds, pool))
-        for seed, name, depth, first in SEEDED:
-            bounds_after = _small(name, depth).with_bounds(prefix=first)
-            result = runner.explore(bounds_after, pool, Options(stop_at_first=True), seed)
-            found[f"{name} with {seed}"] = describe_result(result)
+            results[f"{name}, depth {depth}"] = describe_result(runner.explore_machine(bounds, pool))
+        for seed, name, depth, first_steps in SEEDED_FAULTS:
+            prefixed_scope = _small_scope(name, depth).with_bounds(prefix=first_steps)
+            result = runner.explore(prefixed_scope, pool, Options(stop_at_first=True), seed)
+            results[f"{name} with {seed}"] = describe_result(result)
             seeds.plant("")
-    return found
+    return results
 
 
-def walks() -> Any:
+def walk_counts() -> Any:
     """Return the counts of seeded random walks."""
-    done = runner.run_walks(1, 1, 150)
-    return {"walks": done.walks, "steps": done.steps, "by_step": dict(sorted(done.steps_by_action.items()))}
+    result = runner.run_walks(1, 1, 150)
+    return {
+        "walks": result.walks,
+        "steps": result.steps,
+        "by_step": dict(sorted(result.steps_by_action.items())),
+    }
 
 
 # -- saved frontiers --
 
 
 class _StopExplorationError(Exception):
-    """Enough levels were explored."""
+    """Raised to stop an exploration after enough levels."""
 
 
 def saved_frontier(folder: Path) -> Path:
-    """Return the frontier that an exploration has saved before it was stopped after some levels."""
+    """Return the file of the frontier that an exploration saved before it was stopped after some levels."""
     path, levels = folder / FRONTIER, 0
 
     def count(_result: Result, _entries: int) -> None:
         nonlocal levels
         levels += 1
-        if levels > LEVELS_BEFORE_THE_SAVE:
+        if levels > LEVELS_BEFORE_SAVE:
             raise _StopExplorationError
 
     options = Options(save=path, save_interval_s=0.0)
@@ -181,13 +199,13 @@
         mock.patch.object(time, "monotonic", lambda: 0.0),
         pytest.raises(_StopExplorationError),
     ):
-        runner.explore(_small(FRONTIER_SCOPE, FRONTIER_DEPTH), pool, options, progress=count)
+        runner.explore(_small_scope(FRONTIER_SCOPE, FRONTIER_DEPTH), pool, options, progress=count)
     return path
 
 
 def globals_of(data: bytes) -> list[str]:
-    """Return the module and class names that a pickle holds."""
-    found, texts, memo, last = set(), list[str](), list[str | None](), None
+    """Return the module and class names in a pickle."""
+    names, texts, memo, last = set(), list[str](), list[str | None](), None
     for operation, argument, _ in pickletools.genops(data):
         if operation.name == "MEMOIZE":
             memo.append(last)
@@ -198,55 +216,59 @@
         elif operation.name in ("BINGET", "LONG_BINGET"):
             last = memo[int(argument or 0)]
         elif operation.name == "GLOBAL":
-            found.add(str(argument))
+            names.add(str(argument))
         elif operation.name == "STACK_GLOBAL":
-            found.add(f"{texts[-2]} {texts[-1]}")
+            names.add(f"{texts[-2]} {texts[-1]}")
         if last is not None:
             texts.append(last)
-    return sorted(found)
+    return sorted(names)
 
 
 def frontier_key(data: bytes) -> str:
-    """Return what names the exploration in a saved frontier: its first text."""
+    """Return the key of the exploration in a saved frontier, which is its first text."""
     return next(str(argument) for _, argument, _ in pickletools.genops(data) if isinstance(argument, str))
 
 
-def ended_frontier(folder: Path) -> Path:
-    """Return what a whole exploration with a seeded fault has saved in the end."""
-    path = folder / ENDED
+def completed_frontier(folder: Path) -> Path:
+    """Return the file that a completed exploration with a seeded fault has saved."""
+    path = folder / COMPLETED_FRONTIER
     with WorkerPool(1) as pool, mock.patch.object(time, "monotonic", lambda: 0.0):
-        _forget(pool)
-        runner.explore(_small(ENDED_SCOPE, ENDED_DEPTH), pool, Options(save=path), ENDED_SEED)
+        _explore_another_scope(pool)
+        runner.explore(
+            _small_scope(COMPLETED_SCOPE, COMPLETED_DEPTH), pool, Options(save=path), COMPLETED_SEED
+        )
     seeds.plant("")
     return path
 
 
-def ended_meaning() -> Any:
-    """Return what the committed frontier of a completed exploration holds, by names and by meaning."""
-    data = (FOLDER / ENDED).read_bytes()[16:]
+def describe_completed_frontier() -> Any:
+    """Return the class names and the meaning of the committed frontier of a completed exploration."""
+    data = (FOLDER / COMPLETED_FRONTIER).read_bytes()[16:]
     key = frontier_key(data)
     with tempfile.TemporaryDirectory() as name, WorkerPool(1) as pool:
-        path = Path(name, ENDED)
-        shutil.copy(FOLDER / ENDED, path)
-        result = runner.explore(_small(ENDED_SCOPE, ENDED_DEPTH), pool, Options(save=path), ENDED_SEED)
+        path = Path(name, COMPLETED_FRONTIER)
+        shutil.copy(FOLDER / COMPLETED_FRONTIER, path)
+        result = runner.explore(
+            _small_scope(COMPLETED_SCOPE, COMPLETED_DEPTH), pool, Options(save=path), COMPLETED_SEED
+        )
     seeds.plant("")
     return {"key": key, "names": globals_of(data), "loaded": describe_result(result)}
 
 
-def frontier_meaning() -> Any:
-    """Return what the committed frontier holds, by names and by meaning, and what it goes on to."""
+def describe_committed_frontier() -> Any:
+    """Return the class names and the meaning of the committed frontier, and the result of resuming it."""
     data = (FOLDER / FRONTIER).read_bytes()[16:]
     key = frontier_key(data)
     with tempfile.TemporaryDirectory() as name, WorkerPool(1) as pool:
         path = Path(name, FRONTIER)
         shutil.copy(FOLDER / FRONTIER, path)
-        bounds = _small(FRONTIER_SCOPE, FRONTIER_DEPTH)
-        _forget(pool)
+        bounds = _small_scope(FRONTIER_SCOPE, FRONTIER_DEPTH)
+        _explore_another_scope(pool)
         resumed = runner.explore(bounds, pool, Options(save=path, save_interval_s=1e9))
         completed = runner.explore(bounds, pool, Options(save=path, save_interval_s=1e9))
-        _forget(pool)
+        _explore_another_scope(pool)
         fresh = runner.explore(bounds, pool)
-        _forget(pool)
+        _explore_another_scope(pool)
     return {
         "key": key,
         "names": globals_of(data),
@@ -257,73 +279,75 @@
     }
 
 
-def command_lines() -> Any:
-    """Return what `stonecove explore` prints that is the same each time, and its exit codes."""
+def command_output() -> Any:
+    """Return the exit codes of `stonecove explore` and its output, with figures that vary masked."""
     entries = []
     with (
         tempfile.TemporaryDirectory() as name,
         WorkerPool(1) as pool,
-        mock.patch.object(runner, "CHANNEL_DEPTH", 5),  # whole, it and the codecs would take seconds
+        mock.patch.object(runner, "CHANNEL_DEPTH", 5),  # in full, the channel and the codecs take seconds
         mock.patch.object(runner, "explore_codecs", lambda: Result(states=1, transitions=2)),
     ):
-        _forget(pool)
+        _explore_another_scope(pool)
         shutil.copy(FOLDER / FRONTIER, Path(name, FRONTIER))
         Path(name, "no.json").write_text("{}")
-        run, one = ("run", "--scope", "log", "--depth"), ("--processes", "1")
-        for words in (
-            (*run, str(FRONTIER_DEPTH), *one, "--save", f"{name}/frontier"),
-            (*run, "5", *one, "--save", f"{name}/frontier"),
-            ("run", "--scope", "zk-watch", "--depth", "3", *one),
+        run_log_scope, one_process = ("run", "--scope", "log", "--depth"), ("--processes", "1")
+        for command in (
+            (*run_log_scope, str(FRONTIER_DEPTH), *one_process, "--save", f"{name}/frontier"),
+            (*run_log_scope, "5", *one_process, "--save", f"{name}/frontier"),
+            ("run", "--scope", "zk-watch", "--depth", "3", *one_process),
             ("run", "--scope", "nowhere"),
             ("run", "--scope", "small", "--depth", "2"),
             ("seeded", "--only", "nothing"),
-            ("walk", "--walks", "1", "--steps", "40", "--seed", "3", *one),
+            ("walk", "--walks", "1", "--steps", "40", "--seed", "3", *one_process),
             ("replay", str(TRACES[0])),
             ("replay", str(TRACES[0]), "--chart", f"{name}/chart.txt"),
             ("replay", f"{name}/no.json"),
             ("replay", f"{name}/nothing.json"),
         ):
-            done = CliRunner().invoke(cli, ["explore", *words])
+            result = CliRunner().invoke(cli, ["explore", *command])
             seeds.plant("")
             texts = [
-                text.replace(name, "FOLDER").replace(f"{ROOT}/", "")
-                for text in (*words, done.stdout, done.stderr)
+                text.replace(name, "FOLDER").replace(f"{REPOSITORY}/", "")
+                for text in (*command, result.stdout, result.stderr)
             ]
-            *arguments, out, error = [
+            *arguments, stdout, stderr = [
                 re.sub(r"(seconds|states_per_s)=[\d.]+", r"\1=N", text) for text in texts
             ]
-            out = re.sub(r" +[\d.]+ s  ", " N s  ", out)
-            error = error.partition("of another exploration")[0] if "of another" in error else error
+            stdout = re.sub(r" +[\d.]+ s  ", " N s  ", stdout)
+            stderr = stderr.partition("of another exploration")[0] if "of another" in stderr else stderr
             entries.append(
-                {"arguments": arguments, "exit_code": done.exit_code, "stdout": out, "stderr": error}
+                {"arguments": arguments, "exit_code": result.exit_code, "stdout": stdout, "stderr": stderr}
             )
     return entries
 
 
 OUTPUTS: dict[str, Callable[[], Any]] = {
     "traces_played.json": replay_traces,
-    "trace_written.txt": trace_written,
+    "trace_written.txt": written_trace,
     "trace_errors.json": trace_errors,
-    "scopes.json": scopes_meaning,
-    "explored_counts.json": counts,
-    "explored_walks.json": walks,
-    "frontier_meaning.json": frontier_meaning,
-    "frontier_ended_meaning.json": ended_meaning,
-    "explore_commands.json": command_lines,
+    "scopes.json": describe_scopes,
+    "explored_counts.json": exploration_counts,
+    "explored_walks.json": walk_counts,
+    "frontier_meaning.json": describe_committed_frontier,
+    "frontier_ended_meaning.json": describe_completed_frontier,
+    "explore_commands.json": command_output,
 }
 
 
 @pytest.mark.parametrize("name", OUTPUTS)
-def test_explorer_output_equals_recording(name: str) -> None:
-    assert as_json(OUTPUTS[name]()) == recorded(name)
+def test_explorer_output_matches_golden_files(name: str) -> None:
+    assert json_round_trip(OUTPUTS[name]()) == read_golden(name)
 
 
 def test_properties_name_modules_that_exist() -> None:
-    named = [
-        module for one in PROPERTIES.values() for module in re.findall(r"[a-z_]+(?:/[a-z_]+)+", one.source)
+    modules = [
+        module
+        for checked_property in PROPERTIES.values()
+        for module in re.findall(r"[a-z_]+(?:/[a-z_]+)+", checked_property.source)
     ]
-    assert len(named) >= 20
-    assert [module for module in named if not (ROOT / "stonecove" / f"{module}.py").is_file()] == []
+    assert len(modules) >= 20
+    assert [module for module in modules if not (REPOSITORY / "stonecove" / f"{module}.py").is_file()] == []
 
 
 @pytest.mark.parametrize("path", TRACES, ids=lambda path: path.stem)
@@ -332,17 +356,17 @@
 
 
 def test_frontier_is_saved_as_recorded(tmp_path: Path) -> None:
-    """By its meaning: the order within sets of texts differs from process to process."""
+    """Compare meanings, since the order within sets of strings differs between processes."""
     path = saved_frontier(tmp_path)
-    made = Frontier.load(path, frontier_key(path.read_bytes()[16:]))
-    assert as_json(describe_frontier(made)) == load("frontier_meaning.json")["frontier"]
-    completed = ended_frontier(tmp_path)
+    frontier = Frontier.load(path, frontier_key(path.read_bytes()[16:]))
+    assert json_round_trip(describe_frontier(frontier)) == read_json("frontier_meaning.json")["frontier"]
+    completed = completed_frontier(tmp_path)
     result = Frontier.load(completed, frontier_key(completed.read_bytes()[16:])).result
-    assert as_json(describe_result(result)) == load("frontier_ended_meaning.json")["loaded"]
+    assert json_round_trip(describe_result(result)) == read_json("frontier_ended_meaning.json")["loaded"]
 
 
 def test_resumed_frontier_reaches_counts_of_complete_run() -> None:
-    meaning = load("frontier_meaning.json")
+    meaning = read_json("frontier_meaning.json")
     assert meaning["gone_on_to"] == meaning["from_the_start"] == meaning["loaded_when_done"]
     assert meaning["frontier"]["result"]["states"] < meaning["gone_on_to"]["states"]
 
@@ -359,12 +383,12 @@
 
 def record() -> None:
     """Write all golden files; a frontier only if there is none."""
-    for file, saved in ((FRONTIER, saved_frontier), (ENDED, ended_frontier)):
+    for file, saved in ((FRONTIER, saved_frontier), (COMPLETED_FRONTIER, completed_frontier)):
         if not (FOLDER / file).exists():
             with tempfile.TemporaryDirectory() as name:
                 shutil.copy(saved(Path(name)), FOLDER / file)
     for name, output in OUTPUTS.items():
-        write(name, output())
+        write_golden(name, output())
         seeds.plant("")
 
 
--- a/tests/test_http.py
+++ b/tests/test_http.py
@@ -20,7 +20,7 @@
 from cryptography import x509
 from cryptography.hazmat.primitives import hashes, serialization
 from cryptography.hazmat.primitives.asymmetric import ec
-from stand import WAIT_TIMEOUT_S, Stand, free_address
+from process_harness import WAIT_TIMEOUT_S, ProcessHarness, free_address
 
 from stonecove.access import formats
 from stonecove.access.keys import KeyRing, generate
@@ -140,8 +140,8 @@
     {prefix: "/svc/page", depot: true, formats: ["bearer"], skew: 0ms}]"""
 
 
-class HttpStand:
-    """A stand whose router has an HTTP front end and requires tokens; fetches are answered and counted."""
+class HttpHarness:
+    """A harness whose router has an HTTP front end and requires tokens; fetches are answered and counted."""
 
     def __init__(self, folder: Path, tls: str = "", more: str = "", answer: bool = True) -> None:
         self.ring_file = folder / "ring.json"
@@ -152,7 +152,7 @@
             f'access: {{ring: "{self.ring_file}"\n{POLICIES}\n{more}}}\n'
             f'http: {{listen: "{self.address[0]}:{self.address[1]}"\n{tls}}}\n'
         )
-        self.stand = Stand(env={"STONECOVE_OPERATOR": str(operator)})
+        self.harness = ProcessHarness(env={"STONECOVE_OPERATOR": str(operator)})
         self.fetched: Counter[str] = Counter()
         self._stopping = threading.Event()
         self._thread = threading.Thread(target=self._answer, daemon=True)
@@ -166,7 +166,7 @@
 
     def _answer(self) -> None:
         while not self._stopping.is_set():
-            if (fetch := self.stand.maybe_command(0.05)) is not None and fetch.word == "fetch":
+            if (fetch := self.harness.next_command_within(0.05)) is not None and fetch.name == "fetch":
                 self.fetched[fetch.fields["cls"]] += 1
                 fetch.reply(body=b"0123456789")
 
@@ -195,21 +195,21 @@
     def close(self) -> None:
         """Stop answering, and the router."""
         self._stopping.set()
-        self.stand.close()
+        self.harness.close()
 
 
 @pytest.fixture
-def fronted(tmp_path: Path) -> Iterator[HttpStand]:
-    """Return a stand that is closed after the test."""
-    stand = HttpStand(tmp_path)
-    yield stand
-    stand.close()
+def fronted(tmp_path: Path) -> Iterator[HttpHarness]:
+    """Return a harness that is closed after the test."""
+    harness = HttpHarness(tmp_path)
+    yield harness
+    harness.close()
 
 
 IMAGE = f"/svc/image/{OBJECT}"
 
 
-def test_an_object_in_parts_by_get_head_range_and_etag(fronted: HttpStand) -> None:
+def test_an_object_in_parts_by_get_head_range_and_etag(fronted: HttpHarness) -> None:
     """Guards against wrong status, fields or body of GET, HEAD and Range requests for chunks of an object."""
     assert fronted.ask("/status/live")[0] == 200
     token, client = fronted.token(), fronted.connect()
@@ -226,13 +226,13 @@
     assert fronted.ask(IMAGE, token, client=client)[0] == 200  # part 0
 
 
-def test_a_forged_write_is_refused_once_and_no_cache_sees_it(fronted: HttpStand) -> None:
+def test_a_forged_write_is_refused_once_and_no_cache_sees_it(fronted: HttpHarness) -> None:
     """Guards against writes by a forged, repeated, missing or wrong token, and a token in the log."""
     valid = fronted.token(jti="one", mth=["POST"])
     forged = valid[:-3] + ("AAA" if not valid.endswith("AAA") else "BBB")
     status, answer, _ = fronted.ask("/svc/confirm/0000000000000001/0", forged, "POST")
-    assert status == 403 and "token_rejected" in str(fronted.stand.lines("token_rejected"))
-    assert not fronted.fetched and forged not in str(fronted.stand.lines("token_rejected"))
+    assert status == 403 and "token_rejected" in str(fronted.harness.log_lines("token_rejected"))
+    assert not fronted.fetched and forged not in str(fronted.harness.log_lines("token_rejected"))
     assert fronted.ask("/svc/confirm/0000000000000001/0", valid, "POST")[0] == 200
     assert fronted.ask("/svc/confirm/0000000000000001/0", valid, "POST")[0] == 403  # a token for one request
     assert fronted.fetched["confirm"] == 1
@@ -241,7 +241,7 @@
     assert fronted.fetched["confirm"] == 1
 
 
-def test_replay_on_two_connections_in_one_instant_lets_one_in(fronted: HttpStand) -> None:
+def test_replay_on_two_connections_in_one_instant_lets_one_in(fronted: HttpHarness) -> None:
     """Guards against a single-use token that is accepted twice when both requests arrive together."""
     statuses: Counter[int] = Counter()
     for number in range(10):
@@ -264,12 +264,14 @@
 
 
 def test_a_token_that_expires_in_the_middle_of_an_object_is_valid_for_its_remainder(
-    fronted: HttpStand,
+    fronted: HttpHarness,
 ) -> None:
     """Guards against a transfer cut off between the chunks of one object, and against access to another."""
     token, client = fronted.token(exp=time.time() + 1.2), fronted.connect()
     assert fronted.ask(f"{IMAGE}/0", token, client=client)[0] == 200
-    Stand.wait(lambda: time.time() > json.loads(_claims(token))["exp"] + 0.1, "the token has expired")
+    ProcessHarness.wait_until(
+        lambda: time.time() > json.loads(_claims(token))["exp"] + 0.1, "the token has expired"
+    )
     assert [fronted.ask(f"{IMAGE}/{part}", token, client=client)[0] for part in range(1, 4)] == [200] * 3
     assert fronted.ask("/svc/image/0000000000000009/0", token, client=client)[0] == 403
 
@@ -280,18 +282,22 @@
     return base64.urlsafe_b64decode(token.split(".")[1] + "==")
 
 
-def test_the_depot_claim_is_required_by_a_policy_with_depot(fronted: HttpStand) -> None:
+def test_the_depot_claim_is_required_by_a_policy_with_depot(fronted: HttpHarness) -> None:
     """Guards against tokens of another depot, or of none, where the policy requires this one."""
     assert fronted.ask("/svc/page/1/0".replace("1", OBJECT), fronted.token(depot="edge-2"))[0] == 403
     assert fronted.ask("/svc/page/1/0".replace("1", OBJECT), fronted.token())[0] == 403
     assert fronted.ask("/svc/page/1/0".replace("1", OBJECT), fronted.token(depot="edge-1"))[0] == 200
 
 
-def _wait_lines(fronted: HttpStand, event: str, count: int) -> None:
-    Stand.wait(lambda: len(fronted.stand.lines(event)) >= count, f"{count} lines {event}")
+def _wait_lines(fronted: HttpHarness, event: str, count: int) -> None:
+    ProcessHarness.wait_until(
+        lambda: len(fronted.harness.log_lines(event)) >= count, f"{count} lines {event}"
+    )
 
 
-def test_keys_are_rotated_and_retired_under_load_without_a_refused_valid_request(fronted: HttpStand) -> None:
+def test_keys_are_rotated_and_retired_under_load_without_a_refused_valid_request(
+    fronted: HttpHarness,
+) -> None:
     """Guards against valid requests rejected during a reload, and a ring file readable by others."""
     second = generate("k2", "ES256", [], 0.0)
     both = ring(second)
@@ -311,16 +317,17 @@
         worker.start()
     try:
         for table, key in ((both, "k2"), (ring(second, retired="k1"), "k2")):
-            count = len(fronted.stand.lines("access_config_reloaded")) + 1
+            count = len(fronted.harness.log_lines("access_config_reloaded")) + 1
             fronted.write(table)
-            fronted.stand.process.send_signal(signal.SIGHUP)
+            fronted.harness.process.send_signal(signal.SIGHUP)
             _wait_lines(fronted, "access_config_reloaded", count)
             current["key"] = key
             time.sleep(0.3)
         fronted.ring_file.chmod(0o644)
-        fronted.stand.process.send_signal(signal.SIGHUP)
-        Stand.wait(
-            lambda: fronted.stand.lines("access_config_rejected"), "a ring readable by others is rejected"
+        fronted.harness.process.send_signal(signal.SIGHUP)
+        ProcessHarness.wait_until(
+            lambda: fronted.harness.log_lines("access_config_rejected"),
+            "a ring readable by others is rejected",
         )
     finally:
         stopping.set()
@@ -347,7 +354,7 @@
     ],
 )
 def test_bad_clients_get_one_answer_and_others_are_served(
-    fronted: HttpStand, data: bytes, status: int
+    fronted: HttpHarness, data: bytes, status: int
 ) -> None:
     """Guards against a malformed, oversized or unfinished request that is not answered by its status."""
     with socket.create_connection(fronted.address, WAIT_TIMEOUT_S) as sock:
@@ -363,12 +370,12 @@
 
 def test_a_client_that_disconnects_and_one_that_expects_continue(tmp_path: Path) -> None:
     """Guards against a late answer for a closed connection, and a wrong use of 100 (Continue)."""
-    fronted = HttpStand(tmp_path, answer=False)
+    fronted = HttpHarness(tmp_path, answer=False)
     try:
         head = f"GET {IMAGE}/0 HTTP/1.1\r\nHost: e\r\nAuthorization: Bearer {fronted.token()}\r\n\r\n"
         with socket.create_connection(fronted.address, WAIT_TIMEOUT_S) as sock:
             sock.sendall(head.encode())
-            fetch = fronted.stand.command()
+            fetch = fronted.harness.next_command()
         fetch.reply(body=b"late")
         with socket.create_connection(fronted.address, WAIT_TIMEOUT_S) as sock:
             head = (
@@ -378,7 +385,7 @@
             sock.sendall(head.encode())
             assert sock.recv(100).startswith(b"HTTP/1.1 100 ")
             sock.sendall(b"abc")
-            fetch = fronted.stand.command()
+            fetch = fronted.harness.next_command()
             assert fetch.fields["cls"] == "confirm" and fetch.body == b"abc"
             fetch.reply(body=b"ok")
             assert sock.recv(1000).startswith(b"HTTP/1.1 200 ")
@@ -418,7 +425,7 @@
 def test_tls_and_a_new_certificate_in_service(tmp_path: Path) -> None:
     """Guards against a reload that drops connections, or that applies an unusable certificate."""
     cert, key = certificate(tmp_path, "first")
-    fronted = HttpStand(tmp_path, tls=f'tls: {{certificate: "{cert}", key: "{key}"}}')
+    fronted = HttpHarness(tmp_path, tls=f'tls: {{certificate: "{cert}", key: "{key}"}}')
     context = ssl.SSLContext(ssl.PROTOCOL_TLS_CLIENT)
     context.check_hostname, context.verify_mode = False, ssl.CERT_NONE
 
@@ -441,15 +448,17 @@
         assert common_name(old) == "first"
         assert fronted.ask(f"{IMAGE}/0", fronted.token(), client=old)[0] == 200
         certificate(tmp_path, "second")
-        fronted.stand.process.send_signal(signal.SIGHUP)
-        Stand.wait(lambda: fronted.stand.lines("http_reloaded"), "the new certificate")
+        fronted.harness.process.send_signal(signal.SIGHUP)
+        ProcessHarness.wait_until(lambda: fronted.harness.log_lines("http_reloaded"), "the new certificate")
         assert (
             fronted.ask(f"{IMAGE}/1", fronted.token(), client=old)[0] == 200
         )  # an open connection stays usable
         assert common_name(connect()) == "second"
         cert.write_text("nonsense")
-        fronted.stand.process.send_signal(signal.SIGHUP)
-        Stand.wait(lambda: fronted.stand.lines("certificate_rejected"), "the certificate is rejected")
+        fronted.harness.process.send_signal(signal.SIGHUP)
+        ProcessHarness.wait_until(
+            lambda: fronted.harness.log_lines("certificate_rejected"), "the certificate is rejected"
+        )
         assert common_name(connect()) == "second"
         with socket.create_connection(fronted.address, WAIT_TIMEOUT_S) as plain:
             plain.sendall(b"GET / HTTP/1.1\r\nHost: e\r\n\r\n")
@@ -461,20 +470,21 @@
 
 def test_tokens_over_fastcgi_where_the_operator_file_requires_them(tmp_path: Path) -> None:
     """Guards against FastCGI requests that bypass the token check where the operator file enables it."""
-    fronted = HttpStand(tmp_path, more="fastcgi: true")
+    fronted = HttpHarness(tmp_path, more="fastcgi: true")
     try:
-        client = fronted.stand.client()
+        client = fronted.harness.client()
         cgi = {"REMOTE_ADDR": "10.0.0.1", "REQUEST_METHOD": "GET"}
-        assert client.ask(cgi=cgi).status == 401
-        assert client.ask(cgi=cgi, AUTHORIZATION=f"Bearer {fronted.token()}").status == 200
-        assert client.ask(cgi={**cgi, "QUERY_STRING": "hdnts=exp=1~hmac=aa"}).status == 403
+        assert client.exchange(cgi=cgi).status == 401
+        assert client.exchange(cgi=cgi, AUTHORIZATION=f"Bearer {fronted.token()}").status == 200
+        assert client.exchange(cgi={**cgi, "QUERY_STRING": "hdnts=exp=1~hmac=aa"}).status == 403
         key = KeyRing.read(ring()).keys["e1"]
         text = formats.sign_edge_auth(
             key, int(time.time()) + 60, acl="/svc/image/*", source="10.0.0.1", data="kid:e1"
         )
-        assert client.ask(cgi={**cgi, "QUERY_STRING": f"hdnts={text}"}).status == 200
+        assert client.exchange(cgi={**cgi, "QUERY_STRING": f"hdnts={text}"}).status == 200
         assert (
-            client.ask(cgi={**cgi, "REMOTE_ADDR": "10.0.0.2", "QUERY_STRING": f"hdnts={text}"}).status == 403
+            client.exchange(cgi={**cgi, "REMOTE_ADDR": "10.0.0.2", "QUERY_STRING": f"hdnts={text}"}).status
+            == 403
         )
         assert fronted.fetched["image"] == 2
     finally:
@@ -483,17 +493,17 @@
 
 def test_a_drain_answers_open_requests_and_ends(tmp_path: Path) -> None:
     """Guards against a shutdown that drops an open HTTP request or does not end."""
-    fronted = HttpStand(tmp_path, answer=False)
+    fronted = HttpHarness(tmp_path, answer=False)
     try:
         client = fronted.connect()
         client.request("GET", f"{IMAGE}/0", headers={"Authorization": f"Bearer {fronted.token()}"})
-        fetch = fronted.stand.command()
-        fronted.stand.process.terminate()
+        fetch = fronted.harness.next_command()
+        fronted.harness.process.terminate()
         time.sleep(0.2)
         fetch.reply(body=b"last")
         answer = client.getresponse()
         assert answer.read() == b"last" and answer.headers["Connection"] == "close"
-        assert fronted.stand.process.wait(WAIT_TIMEOUT_S) == 0
+        assert fronted.harness.process.wait(WAIT_TIMEOUT_S) == 0
     finally:
         fronted.close()
 
@@ -513,7 +523,7 @@
     twice = 'policies: [{prefix: "/a"}, {prefix: "/a/"}]' if fault == "policies" else "policies: []"
     operator.write_text(f'access: {{ring: "{ring_file}"\n{twice}}}\n')
     config = tmp_path / "config.json"
-    config.write_text(json.dumps(Stand.plain_config()))
+    config.write_text(json.dumps(ProcessHarness.config_without_nodes()))
     done = subprocess.run(
         [sys.executable, "-m", "stonecove"],
         capture_output=True,
--- a/tests/test_readme.py
+++ b/tests/test_readme.py
@@ -1,4 +1,4 @@
-"""The README's example runs and prints what a reader would expect."""
+"""The example of the README runs and prints the routing decisions that it shows."""
 
 import re
 from pathlib import Path
@@ -6,7 +6,7 @@
 import pytest
 
 
-def test_example_runs(capsys: pytest.CaptureFixture[str]) -> None:
+def test_readme_example_runs(capsys: pytest.CaptureFixture[str]) -> None:
     text = Path(__file__).parent.parent.joinpath("README.md").read_text()
     code = re.search(r"```python\n(.*?)```", text, re.S)
     assert code is not None
--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -7,7 +7,7 @@
 from typing import Any
 
 import pytest
-from stand import SETTINGS
+from process_harness import SETTINGS
 
 from stonecove.rollout.controller import (
     Finished,
--- a/tests/test_scale_hollow.py
+++ b/tests/test_scale_hollow.py
@@ -6,7 +6,7 @@
 from pathlib import Path
 
 import numpy as np
-from stand import Stand
+from process_harness import ProcessHarness
 
 from stonecove.scale.child import Child
 from stonecove.scale.control_machine import FIRST_NUMBER
@@ -140,8 +140,12 @@
         return number
 
     def wait_until_caught_up(self) -> None:
-        Stand.wait(lambda: self.hollow.sample().receiving == ROUTER_COUNT, "all routers to receive a frame")
-        Stand.wait(lambda: not self.hollow.count_lagging(self.log.last), "all routers to catch up")
+        ProcessHarness.wait_until(
+            lambda: self.hollow.sample().receiving == ROUTER_COUNT, "all routers to receive a frame"
+        )
+        ProcessHarness.wait_until(
+            lambda: not self.hollow.count_lagging(self.log.last), "all routers to catch up"
+        )
 
     def reports(self) -> list[MachineReport]:
         return self.control.reports()
@@ -186,7 +190,9 @@
         fleet.control.kill(0)
         number = fleet.publish_purges(10)
         # Routers 0, 3 and 6 follow machine 0.
-        Stand.wait(lambda: fleet.hollow.count_lagging(number) == 3, "the other routers to receive it")
+        ProcessHarness.wait_until(
+            lambda: fleet.hollow.count_lagging(number) == 3, "the other routers to receive it"
+        )
         fleet.control.start(0)
         fleet.wait_until_caught_up()
         assert _lost_and_repeated(fleet) == (0, 0)
@@ -200,9 +206,9 @@
         zone = location_of(0).zone
         fleet.control.partition([zone], True)
         number = fleet.publish_purges()
-        Stand.wait(lambda: fleet.hollow.count_lagging(number) == 1, "all others to receive it")
+        ProcessHarness.wait_until(lambda: fleet.hollow.count_lagging(number) == 1, "all others to receive it")
         # All connections that it closes meanwhile are established at once when the partition ends.
-        Stand.wait(
+        ProcessHarness.wait_until(
             lambda: fleet.hollow.sample().events["change_log_disconnected"] >= 2,
             "it to close two connections",
         )
@@ -235,19 +241,21 @@
     try:
         fleet.wait_until_caught_up()
         reader.start()
-        Stand.wait(lambda: reader.received > 0, "the slow reader to receive data")
+        ProcessHarness.wait_until(lambda: reader.received > 0, "the slow reader to receive data")
 
         def publish_until_disconnected() -> bool:
             fleet.log.publish(UNKNOWN_KIND, bytes(LARGE_EVENT_BYTES))
             number = fleet.publish_purges()
-            Stand.wait(lambda: not fleet.hollow.count_lagging(number), "all others to receive it")
+            ProcessHarness.wait_until(
+                lambda: not fleet.hollow.count_lagging(number), "all others to receive it"
+            )
             return fleet.reports()[0].cut_off > 0
 
-        Stand.wait(publish_until_disconnected, "the slow reader to be disconnected")
+        ProcessHarness.wait_until(publish_until_disconnected, "the slow reader to be disconnected")
         assert fleet.reports()[0].most_behind <= max_lag_bytes + 2 * LARGE_EVENT_BYTES + 1000
         # It reads the rest, and reconnects with the number of its last event.
         reader.max_read_bytes, reader.read_interval_s = 65_536, 0.001
-        Stand.wait(lambda: reader.last == fleet.log.last, "it to catch up")
+        ProcessHarness.wait_until(lambda: reader.last == fleet.log.last, "it to catch up")
         assert reader.connections == 2
     finally:
         reader.close()
@@ -257,7 +265,7 @@
 def test_hollow_routers_can_take_part_in_gossip(tmp_path: Path) -> None:
     fleet = FleetHarness(tmp_path, swarm=True)
     try:
-        Stand.wait(
+        ProcessHarness.wait_until(
             lambda: fleet.hollow.sample().events["gossip_share_changed"] >= 2 * ROUTER_COUNT,
             "all to receive claims of others",
         )
@@ -266,7 +274,7 @@
         assert not sample.bugs
         fleet.hollow.kill({1})
         number = fleet.publish_purges()
-        Stand.wait(lambda: fleet.hollow.count_lagging(number) == 1, "all others to receive it")
+        ProcessHarness.wait_until(lambda: fleet.hollow.count_lagging(number) == 1, "all others to receive it")
         fleet.hollow.start({1}, 0.0)
         fleet.wait_until_caught_up()
         assert _lost_and_repeated(fleet) == (0, 0)
--- a/tests/test_scale_run.py
+++ b/tests/test_scale_run.py
@@ -10,7 +10,7 @@
 from pathlib import Path
 
 import pytest
-from stand import Stand
+from process_harness import ProcessHarness
 
 from stonecove.scale import faults
 from stonecove.scale.child import ChildError
@@ -97,9 +97,13 @@
     )
     process = subprocess.Popen([sys.executable, "-c", program, str(tmp_path)])
     log = tmp_path / "edge-0" / "log"
-    Stand.wait(lambda: log.exists() and " router_ready " in log.read_text(), "the real router to be ready")
+    ProcessHarness.wait_until(
+        lambda: log.exists() and " router_ready " in log.read_text(), "the real router to be ready"
+    )
     children = _children(process.pid)
     assert len(children) >= 5
     process.send_signal(signal.SIGTERM)
     assert process.wait(30.0) == 128 + signal.SIGTERM
-    Stand.wait(lambda: not any(Path(f"/proc/{pid}").exists() for pid in children), "all processes to exit")
+    ProcessHarness.wait_until(
+        lambda: not any(Path(f"/proc/{pid}").exists() for pid in children), "all processes to exit"
+    )
--- a/tests/test_sharing.py
+++ b/tests/test_sharing.py
@@ -14,7 +14,7 @@
 
 import pytest
 from conftest import DirectorHarness, make_nodes, make_settings, sent_attempts
-from stand import Stand
+from process_harness import ProcessHarness
 from test_fleet_daemon import Daemon
 
 from stonecove.quotas.lending import Lending, LendingError
@@ -324,19 +324,19 @@
 
 
 def test_instances_share_by_the_socket_and_a_trace_shows_a_request(sharing: Daemon) -> None:
-    Stand.wait(lambda: len(sharing.leases()["holders"]) == 2, "both holders")
+    ProcessHarness.wait_until(lambda: len(sharing.leases()["holders"]) == 2, "both holders")
     assert (sharing.folder / "leases.sock").stat().st_mode & 0o777 == 0o600
     client = sharing.client()
     client.send(X_TXN="00000000000000aa")
-    sharing.stand.command().reply(body=b"x")
-    assert client.answer().status == 200
+    sharing.harness.next_command().reply(body=b"x")
+    assert client.read_answer().status == 200
 
     def traced() -> bool:
         return "outcome=ok" in "".join(path.read_text() for path in sharing.folder.glob("*/trace")).replace(
             '"outcome": "ok"', "outcome=ok"
         )
 
-    Stand.wait(traced, "spans in the file")
+    ProcessHarness.wait_until(traced, "spans in the file")
     report = sharing.do("trace", "00000000000000aa")
     assert "verdict=served" in report and "written" in report and "attempt" in report and "arrived" in report
     sharing.do("trace", "00000000000000ab", code=1)
@@ -349,38 +349,38 @@
     answers = []
     for number in range(12):
         client.send(number + 1, cgi={"REMOTE_ADDR": "10.0.0.9"})
-        if (fetch := sharing.stand.maybe_command(0.3)) is not None:
+        if (fetch := sharing.harness.next_command_within(0.3)) is not None:
             fetch.reply(body=b"x")
-        answers.append(client.answer())
+        answers.append(client.read_answer())
     statuses = {answer.status for answer in answers}
     assert statuses == {200, 503}
     assert any(answer.status == 503 and int(answer.fields["X-Throttle-Ms"]) > 0 for answer in answers)
 
 
 def test_holders_survive_the_lessor_and_reconnect(sharing: Daemon) -> None:
-    Stand.wait(lambda: len(sharing.leases()["holders"]) == 2, "both holders")
+    ProcessHarness.wait_until(lambda: len(sharing.leases()["holders"]) == 2, "both holders")
     before = {name: unit["pid"] for name, unit in sharing.status().items()}
     sharing.process.kill()
     sharing.process.wait()
     client = sharing.client()
     client.send()
-    sharing.stand.command().reply(body=b"x")  # served from the unleased share, without a lessor
-    assert client.answer().status == 200
+    sharing.harness.next_command().reply(body=b"x")  # served from the unleased share, without a lessor
+    assert client.read_answer().status == 200
     sharing.process = sharing.start()
-    Stand.wait(lambda: len(sharing.leases().get("holders", {})) == 2, "both holders again")
+    ProcessHarness.wait_until(lambda: len(sharing.leases().get("holders", {})) == 2, "both holders again")
     assert {name: unit["pid"] for name, unit in sharing.status().items()} == before
 
 
 def test_a_killed_holder_is_removed_and_its_successor_gets_a_cooldown(sharing: Daemon) -> None:
-    Stand.wait(lambda: len(sharing.leases()["holders"]) == 2, "both holders")
+    ProcessHarness.wait_until(lambda: len(sharing.leases()["holders"]) == 2, "both holders")
     os.kill(sharing.status()["r-0"]["pid"], signal.SIGKILL)
-    Stand.wait(lambda: sharing.status()["r-0"]["restarts"] == 1, "a new start")
-    Stand.wait(lambda: len(sharing.leases()["holders"]) == 2, "both holders again")
+    ProcessHarness.wait_until(lambda: sharing.status()["r-0"]["restarts"] == 1, "a new start")
+    ProcessHarness.wait_until(lambda: len(sharing.leases()["holders"]) == 2, "both holders again")
     assert 0 < LeaseFile.read(sharing.folder / "r-0" / "leases.json").rest <= WINDOW
 
 
 def test_malformed_messages_end_only_their_own_connection(sharing: Daemon) -> None:
-    Stand.wait(lambda: len(sharing.leases()["holders"]) == 2, "both holders")
+    ProcessHarness.wait_until(lambda: len(sharing.leases()["holders"]) == 2, "both holders")
     for words in (
         b"nonsense\n",
         b'{"do": "ask"}\n',
--- a/tests/test_cold_fleet.py
+++ b/tests/test_slow_start_budget.py
@@ -1,4 +1,7 @@
-"""The work that all routers of a fleet send to a cache or parent in slow start: 30 directors on one clock."""
+"""Test the work that all routers of a fleet send to a cache or parent in slow start.
+
+The fleet is 30 directors on one clock.
+"""
 
 from __future__ import annotations
 
@@ -26,14 +29,14 @@
 )
 
 ROUTERS = 30
-REQUESTS_PER_MS = 1.5  # of the fleet: about twice what the node can bear at the start of its slow start
+REQUESTS_PER_MS = 1.5  # of the fleet: about twice the node's capacity at the beginning of its slow start
 DURATION_MS = 4000.0
 START_MS = 1_000_000.0  # Unix time
 MIN_SIZE_KB, MAX_SIZE_KB = 10.0, 40.0  # 1 KB takes 1 ms to send
 MEAN_SIZE_KB = (MIN_SIZE_KB + MAX_SIZE_KB) / 2
 ROUND_TRIP_MS = 15.0  # in addition to the sending time
 SLOW_CACHE, WARM_CACHE, WARM_PARENT, SLOW_PARENT = 11, 12, 21, 22
-NODE_WEIGHT = 30.0  # transfers at once
+NODE_WEIGHT = 30.0  # concurrent transfers
 SETTINGS = make_settings(
     fleet_size=ROUTERS,
     routers_by_zone=(0, ROUTERS),
@@ -75,20 +78,20 @@
 
 CACHE_ROLE = Role(SLOW_CACHE, 0, 1, (warm_node(WARM_PARENT, 1, 0),), warm_node(WARM_CACHE, 0, 1))
 PARENT_ROLE = Role(SLOW_PARENT, 1, 0, (warm_node(WARM_CACHE, 0, 1),), warm_node(WARM_PARENT, 1, 0))
-Schedule = Iterator[tuple[float, Callable[["Fleet"], None]]]  # ms since the start, in order, and the step
+Schedule = Iterator[tuple[float, Callable[["Fleet"], None]]]  # steps with ascending times in ms
 
 
 class Fleet:
-    """Directors on one clock and servers that answer every attempt; records the work of the observed node."""
+    """Directors on one clock and nodes that answer attempts; records the work of the node in slow start."""
 
     def __init__(self, role: Role) -> None:
         self.role = role
         self.started_ms = START_MS
         self.directors = [Director(SETTINGS, 100 + index) for index in range(ROUTERS)]
-        self.sent: list[tuple[float, float]] = []  # time and work
+        self.sent: list[tuple[float, float]] = []  # time and work, in ms
         self.requests = 0
         self._random = random.Random(7)
-        self._answers: list[tuple[float, int, int, AttemptEnded]] = []  # time, order, director
+        self._answers: list[tuple[float, int, int, AttemptEnded]] = []  # time, request, director
         self._sizes: dict[int, float] = {}
         self.now_ms = START_MS
 
@@ -165,8 +168,8 @@
 
     # -- the limit --
 
-    def allowed(self, at_ms: float) -> float:
-        """Return the limit of the settings for the window that ends then, in requests of mean work."""
+    def limit_requests(self, at_ms: float) -> float:
+        """Return the configured limit for the window that ends at `at_ms`, in requests of mean work."""
         initial_fraction, slow_start_ms, multiple = (
             (
                 SETTINGS.parent_slow_start_initial_fraction,
@@ -180,15 +183,15 @@
         fraction = initial_fraction + (1.0 - initial_fraction) * min(1.0, progress)
         return multiple * fraction * SETTINGS.overload_window_ms * NODE_WEIGHT / MEAN_SIZE_KB
 
-    def worst(self) -> tuple[float, float, float]:
-        """Return the largest work in a window: as a fraction of the bound, in mean requests, and when."""
+    def largest_window(self) -> tuple[float, float, float]:
+        """Return the largest work in a window: as a fraction of the bound, in mean requests, and its time."""
         window, total, largest = deque[tuple[float, float]](), 0.0, (0.0, 0.0, 0.0)
         for at_ms, work in self.sent:
             window.append((at_ms, work))
             total += work
             while window[0][0] <= at_ms - SETTINGS.overload_window_ms:
                 total -= window.popleft()[1]
-            limit = self.allowed(at_ms)
+            limit = self.limit_requests(at_ms)
             largest = max(
                 largest,
                 (
@@ -200,18 +203,18 @@
         return largest
 
 
-def start(role: Role) -> Schedule:
+def remain_in_slow_start(role: Role) -> Schedule:
     """Keep the node in slow start from the beginning."""
     yield 0.0, lambda fleet: fleet.send_snapshot(role.node(START_MS))
 
 
-def snapshots(role: Role) -> Schedule:
-    """Deliver snapshots of the list again and again."""
+def repeat_snapshots(role: Role) -> Schedule:
+    """Deliver a snapshot of the endpoint list every 100 ms."""
     for number in range(int(DURATION_MS / 100.0)):
         yield 100.0 * number, lambda fleet: fleet.send_snapshot(role.node(START_MS))
 
 
-def join(role: Role) -> Schedule:
+def join_beside_peer(role: Role) -> Schedule:
     """Add the node beside a peer, which drains and is removed soon after."""
     yield 0.0, lambda fleet: fleet.send_snapshot(role.peer)
 
@@ -224,49 +227,49 @@
     yield 700.0, lambda fleet: fleet.send_delta(role.peer._replace(state=NodeState.REMOVED))
 
 
-def _repeat(role: Role, first: Callable[[Fleet], None], second: Callable[[Fleet], None]) -> Schedule:
+def repeat_steps(role: Role, first: Callable[[Fleet], None], second: Callable[[Fleet], None]) -> Schedule:
     yield 0.0, lambda fleet: fleet.send_snapshot(role.node(START_MS))
     for number in range(1, int(DURATION_MS / 400.0)):
         yield 400.0 * number, first
         yield 400.0 * number + 50.0, second
 
 
-def drain(role: Role) -> Schedule:
-    """Drain the node for a moment, again and again."""
-    yield from _repeat(
+def drain_node(role: Role) -> Schedule:
+    """Drain the node for 50 ms every 400 ms."""
+    yield from repeat_steps(
         role,
         lambda fleet: fleet.send_delta(role.node(START_MS, NodeState.DRAINING)),
         lambda fleet: fleet.send_delta(role.node(START_MS)),
     )
 
 
-def leave_and_return(role: Role) -> Schedule:
-    """Remove the node and list it again without a restart, so that its slow start goes on."""
-    yield from _repeat(
+def remove_and_list_again(role: Role) -> Schedule:
+    """Remove the node and list it again without a restart, so that its slow start continues."""
+    yield from repeat_steps(
         role,
         lambda fleet: fleet.send_delta(role.node(START_MS, NodeState.REMOVED)),
         lambda fleet: fleet.send_delta(role.node(START_MS)),
     )
 
 
-def missing_in_snapshots(role: Role) -> Schedule:
+def omit_from_snapshots(role: Role) -> Schedule:
     """Leave the node out of every other snapshot."""
-    yield from _repeat(
+    yield from repeat_steps(
         role, lambda fleet: fleet.send_snapshot(), lambda fleet: fleet.send_snapshot(role.node(START_MS))
     )
 
 
-def restarted(role: Role) -> Schedule:
-    """Restart the node again and again: each slow start is a full one, whatever was sent before."""
+def restart_node(role: Role) -> Schedule:
+    """Restart the node repeatedly: each restart begins a full slow start, whatever was sent before."""
 
     def restart(fleet: Fleet) -> None:
         fleet.started_ms = fleet.now_ms
         fleet.send_delta(role.node(fleet.now_ms))
 
-    yield from _repeat(role, lambda fleet: None, restart)
+    yield from repeat_steps(role, lambda fleet: None, restart)
 
 
-def routers_return(role: Role) -> Schedule:
+def restart_routers(role: Role) -> Schedule:
     """Restart all routers one after the other."""
     yield 0.0, lambda fleet: fleet.send_snapshot(role.node(START_MS))
     for index in range(ROUTERS):
@@ -278,16 +281,24 @@
 
 
 ROLES = {"cache": CACHE_ROLE, "parent": PARENT_ROLE}
-SCENARIOS: list[Any] = [start, snapshots, join, drain, restarted, routers_return]
+SCENARIOS: list[Any] = [
+    remain_in_slow_start,
+    repeat_snapshots,
+    join_beside_peer,
+    drain_node,
+    restart_node,
+    restart_routers,
+]
 
 
 def excess_work(role: Role, scenario: Callable[[Role], Schedule]) -> str:
-    """Run a scenario; return by how much the work exceeded the bound, "" if it did not."""
+    """Run a scenario; return by how much the work exceeded the bound, or "" if it did not."""
     fleet = Fleet(role)
     fleet.run(scenario(role))
-    assert len(fleet.sent) > 0.3 * fleet.allowed(START_MS)  # the node is used, and the demand is higher
-    assert fleet.requests / DURATION_MS * SETTINGS.overload_window_ms > 2.0 * fleet.allowed(START_MS)
-    fraction, count, at_ms = fleet.worst()
+    # the node is used, and the demand exceeds its limit
+    assert len(fleet.sent) > 0.3 * fleet.limit_requests(START_MS)
+    assert fleet.requests / DURATION_MS * SETTINGS.overload_window_ms > 2.0 * fleet.limit_requests(START_MS)
+    fraction, count, at_ms = fleet.largest_window()
     return (
         f"{count:.0f} requests of mean work, {fraction:.2f} of the bound, at {at_ms:.0f} ms"
         if fraction > 1.0
@@ -297,17 +308,17 @@
 
 @pytest.mark.parametrize("scenario", SCENARIOS, ids=lambda scenario: scenario.__name__)
 @pytest.mark.parametrize("role", ROLES)
-def test_a_fleet_keeps_to_the_budget_of_a_node_in_slow_start(
+def test_fleet_stays_within_budget_of_node_in_slow_start(
     role: str, scenario: Callable[[Role], Schedule]
 ) -> None:
     assert not excess_work(ROLES[role], scenario)
 
 
-def test_a_node_that_is_listed_again_in_slow_start_gets_no_second_budget() -> None:
-    """Guard against charges within the window that are dropped with the removed entry."""
+def test_node_listed_again_in_slow_start_gets_no_second_budget() -> None:
+    """The charges of the current window must not be dropped with the removed entry."""
     found = {
         f"{name}, {scenario.__name__}": excess_work(role, scenario)
         for name, role in ROLES.items()
-        for scenario in (leave_and_return, missing_in_snapshots)
+        for scenario in (remove_and_list_again, omit_from_snapshots)
     }
     assert found == dict.fromkeys(found, "")
--- a/tests/test_swarm_beside.py
+++ b/tests/test_swarm_beside.py
@@ -12,8 +12,8 @@
 from typing import Any
 
 import pytest
-from keeper import ROUTERS, CoordinationEnsemble, operator_text
-from stand import Stand
+from coordination_harness import ROUTERS_PATH, CoordinationEnsemble, operator_text
+from process_harness import ProcessHarness
 from test_fleet_daemon import Daemon
 
 from stonecove.standins.depot import Depot
@@ -28,20 +28,20 @@
 
 
 @pytest.fixture
-def keeper() -> Iterator[CoordinationEnsemble]:
-    keeper = CoordinationEnsemble()
-    yield keeper
-    keeper.close()
+def ensemble() -> Iterator[CoordinationEnsemble]:
+    ensemble = CoordinationEnsemble()
+    yield ensemble
+    ensemble.close()
 
 
 def test_the_greater_count_applies_beside_a_coordination_service(
-    keeper: CoordinationEnsemble, tmp_path: Path
+    ensemble: CoordinationEnsemble, tmp_path: Path
 ) -> None:
     """Check that neither a session that outlives its router nor one that expires early enlarges the share."""
-    presence = f'presence: {{path: "{ROUTERS}", shares: "derived", grow: 50ms, shrink: 200ms}}'
+    presence = f'presence: {{path: "{ROUTERS_PATH}", shares: "derived", grow: 50ms, shrink: 200ms}}'
     trial = trial_of('title: "t", routers: 3, lasts: 1s, window: 300ms', "t", 1)
-    testbed = Testbed(trial, 5, tmp_path, operator_text(keeper, None, presence, "session_timeout: 3s"))
-    client = keeper.client()
+    testbed = Testbed(trial, 5, tmp_path, operator_text(ensemble, None, presence, "session_timeout: 3s"))
+    client = ensemble.client()
 
     def effective_fleet_size(index: int) -> int:
         return int(testbed.routers[index].lines("gossip_share_changed")[-1]["fleet_size"])
@@ -54,13 +54,13 @@
         for index in range(3):
             testbed.start(index)
         assert testbed.until(testbed.joined, 30.0)
-        assert testbed.until(lambda: len(client.get_children(ROUTERS)) == 3, 30.0)
+        assert testbed.until(lambda: len(client.get_children(ROUTERS_PATH)) == 3, 30.0)
         assert effective_fleet_size(0) == 3
         stranger = json.dumps({"name": "x", "zone": "edge-1", "state": "ready", "listen": "127.0.0.1:9"})
-        client.create(f"{ROUTERS}/stranger", stranger.encode(), ephemeral=True)
+        client.create(f"{ROUTERS_PATH}/stranger", stranger.encode(), ephemeral=True)
         assert testbed.until(lambda: [effective_fleet_size(index) for index in range(3)] == [4, 4, 4], 10.0)
         assert gossip_fleet_size(0) == 3  # gossip itself counts three
-        client.delete(f"{ROUTERS}/stranger")
+        client.delete(f"{ROUTERS_PATH}/stranger")
         assert testbed.until(lambda: [effective_fleet_size(index) for index in range(3)] == [3, 3, 3], 10.0)
         # Killed: gossip detects it at once; the service's session lasts longer, and its count applies.
         testbed.kill(2)
@@ -73,7 +73,7 @@
         assert float(line["at"]) > detected > killed
         # Paused: the service's session expires; gossip still counts the router, and its count applies.
         testbed.routers[1].pause()
-        assert testbed.until(lambda: "edge-1" not in client.get_children(ROUTERS), 20.0)
+        assert testbed.until(lambda: "edge-1" not in client.get_children(ROUTERS_PATH), 20.0)
         time.sleep(0.5)  # longer than the service's `shrink`
         assert effective_fleet_size(0) == 2 and testbed.routers[0].send_query("fleet") is not None
         testbed.routers[1].resume()
@@ -107,8 +107,10 @@
 
     def wait_joined(self) -> None:
         """Wait until all have their full share and hold leases."""
-        Stand.wait(lambda: all(self.status(index).get("joined") for index in range(self.count)), "all joined")
-        Stand.wait(lambda: len(self.daemon.leases()["holders"]) == self.count, "all holders")
+        ProcessHarness.wait_until(
+            lambda: all(self.status(index).get("joined") for index in range(self.count)), "all joined"
+        )
+        ProcessHarness.wait_until(lambda: len(self.daemon.leases()["holders"]) == self.count, "all holders")
 
     def status(self, index: int) -> dict[str, Any]:
         """Return the gossip status of an instance; empty while it cannot be queried."""
@@ -155,11 +157,13 @@
             os.kill(stopped, signal.SIGKILL)
         elif fault == "lessor killed in a roll":
             fleet.daemon.begin("roll")
-            Stand.wait(lambda: fleet.pids() != before, "a new start")
+            ProcessHarness.wait_until(lambda: fleet.pids() != before, "a new start")
             fleet.daemon.process.kill()
             fleet.daemon.process.wait()
             fleet.daemon.process = fleet.daemon.start()
-            Stand.wait(lambda: not set(fleet.pids()) & set(before), "all rolled by the one that follows")
+            ProcessHarness.wait_until(
+                lambda: not set(fleet.pids()) & set(before), "all rolled by the one that follows"
+            )
             fleet.daemon.wait_phase("ready")
         else:
             os.kill(stopped, signal.SIGSTOP)
--- a/tests/test_trial.py
+++ b/tests/test_trial.py
@@ -12,7 +12,7 @@
 from pathlib import Path
 
 import pytest
-from stand import Stand, free_address
+from process_harness import ProcessHarness, free_address
 
 from stonecove.explore import scope
 from stonecove.explore.copying import run
@@ -191,7 +191,7 @@
 def test_invalid_swarm_configuration_exits_with_code_2_and_one_line(
     operator_text: str, changes: dict[str, object], expected_text: str, tmp_path: Path
 ) -> None:
-    config = json.loads(json.dumps(Stand.plain_config()))
+    config = json.loads(json.dumps(ProcessHarness.config_without_nodes()))
     listen = ":".join(map(str, free_address()))
     config |= {"peer_listen": listen, "peers": ["127.0.0.1:9"], **changes}
     config["settings"]["limits"]["peers"] = changes.get("may", True)
