--- a/tests/test_zookeeper.py
+++ b/tests/test_zookeeper.py
@@ -7,12 +7,12 @@
 from collections.abc import Callable, Iterator
 
 import pytest
+from coordination_harness import CoordinationEnsemble
 from hypothesis import given, seed, settings
 from hypothesis import strategies as st
 from kazoo.client import KazooClient
 from kazoo.exceptions import BadVersionError, NodeExistsError, NoNodeError, NotEmptyError, RolledBackError
-from keeper import CoordinationEnsemble
-from stand import WAIT_TIMEOUT_S, Stand
+from process_harness import WAIT_TIMEOUT_S, ProcessHarness
 
 from stonecove.protocols.buffer import Buffer
 from stonecove.protocols.zookeeper import jute
@@ -387,7 +387,9 @@
     with kazoo.Lock("/recipes/lock", "one"):
         thread = threading.Thread(target=second, daemon=True)
         thread.start()
-        Stand.wait(lambda: len(kazoo.Lock("/recipes/lock").contenders()) == 2, "the second contender")
+        ProcessHarness.wait_until(
+            lambda: len(kazoo.Lock("/recipes/lock").contenders()) == 2, "the second contender"
+        )
         order.append("one")
     thread.join(WAIT_TIMEOUT_S)
     assert order == ["one", "two"]
@@ -409,16 +411,16 @@
     parties = [client.Party("/recipes/party", name) for client, name in ((kazoo, "a"), (other, "b"))]
     for party in parties:
         party.join()
-    Stand.wait(lambda: len(parties[0]) == 2, "both at the party")
+    ProcessHarness.wait_until(lambda: len(parties[0]) == 2, "both at the party")
     lists: list[list[str]] = []
     kazoo.ensure_path("/recipes/list")
     kazoo.ChildrenWatch("/recipes/list", lambda names: lists.append(sorted(names)))
     other.create("/recipes/list/x", ephemeral=True)
-    Stand.wait(lambda: lists[-1] == ["x"], "the watch on children")
+    ProcessHarness.wait_until(lambda: lists[-1] == ["x"], "the watch on children")
     other.stop()
     other.close()
-    Stand.wait(lambda: lists[-1] == [], "the end of the other's session")
-    Stand.wait(lambda: len(parties[0]) == 1, "the other has left the party")
+    ProcessHarness.wait_until(lambda: lists[-1] == [], "the end of the other's session")
+    ProcessHarness.wait_until(lambda: len(parties[0]) == 1, "the other has left the party")
 
 
 def test_kazoo_survives_dropped_connections_and_detects_expiry(ensemble: CoordinationEnsemble) -> None:
@@ -426,11 +428,11 @@
     client.add_listener(lambda state: states.append(state))
     client.create("/alive", ephemeral=True)
     ident = f"{client.client_id[0]:#x}"
-    ensemble.do(f"drop {ident}")
-    Stand.wait(lambda: states == ["SUSPENDED", "CONNECTED"], "connected again")
+    ensemble.run_command(f"drop {ident}")
+    ProcessHarness.wait_until(lambda: states == ["SUSPENDED", "CONNECTED"], "connected again")
     assert client.exists("/alive") is not None
-    ensemble.do(f"expire {ident}")
-    Stand.wait(lambda: "LOST" in states and states[-1] == "CONNECTED", "a new session")
+    ensemble.run_command(f"expire {ident}")
+    ProcessHarness.wait_until(lambda: "LOST" in states and states[-1] == "CONNECTED", "a new session")
     assert client.exists("/alive") is None and f"{client.client_id[0]:#x}" != ident
     client.stop()
     client.close()
