--- a/tests/golden_formats_cases.py
+++ b/tests/golden_formats_cases.py
@@ -33,22 +33,22 @@
 
     A line `== NAME` begins a string; `#` begins a comment; `61*5` stands for 61 five times.
     """
-    found: dict[str, bytearray] = {}
+    strings: dict[str, bytearray] = {}
     current = bytearray()
     for line in input_bytes(name).decode().splitlines():
         text = line.partition("#")[0].strip()
         if text.startswith("== "):
-            current = found[text[3:]] = bytearray()
+            current = strings[text[3:]] = bytearray()
         else:
-            for word in text.split():
-                digits, _, count = word.partition("*")
+            for token in text.split():
+                digits, _, count = token.partition("*")
                 current += bytes.fromhex(digits) * int(count or 1)
-    return {case: bytes(data) for case, data in found.items()}
+    return {case: bytes(data) for case, data in strings.items()}
 
 
-def input_sections(name: str, mark: str = "//== ") -> dict[str, str]:
-    """Return the named texts of a file in which a line of the mark and a name begins each of them."""
-    parts = ("\n" + input_bytes(name).decode()).split("\n" + mark)[1:]
+def input_sections(name: str, marker: str = "//== ") -> dict[str, str]:
+    """Return the named texts of a file in which a line of the marker and a name begins each of them."""
+    parts = ("\n" + input_bytes(name).decode()).split("\n" + marker)[1:]
     sections = {}
     for part in parts:
         case, _, text = part.partition("\n")
@@ -56,48 +56,48 @@
     return sections
 
 
-def plain_numbers(meaning: object) -> object:
+def normalize_numbers(meaning: object) -> object:
     """Return a meaning with each integral float as an integer, since 5 and 5.0 mean the same."""
     if isinstance(meaning, float) and meaning.is_integer():
         return int(meaning)
     if isinstance(meaning, Mapping):
-        return {key: plain_numbers(value) for key, value in meaning.items()}
+        return {key: normalize_numbers(value) for key, value in meaning.items()}
     if isinstance(meaning, (list, tuple)):
-        return [plain_numbers(value) for value in meaning]
+        return [normalize_numbers(value) for value in meaning]
     return meaning
 
 
 def as_json(meaning: object) -> bytes:
     """Return a meaning as the bytes of a golden file."""
-    return (json.dumps(plain_numbers(meaning), indent=1, sort_keys=True) + "\n").encode()
+    return (json.dumps(normalize_numbers(meaning), indent=1, sort_keys=True) + "\n").encode()
 
 
-def shown(data: bytes) -> str:
+def latin1_text(data: bytes) -> str:
     """Return bytes as text of one character per byte, which is legible in JSON."""
     return data.decode("latin-1")
 
 
-def check(cases: Cases, name: str) -> None:
+def check_golden_file(cases: Cases, name: str) -> None:
     """Check that the program produces the golden file of that name."""
     assert cases[name]().decode() == (FOLDER / name).read_text()
 
 
-def record(cases: Cases) -> None:
+def record_golden_files(cases: Cases) -> None:
     """Write all golden files if the command line requests it."""
     if sys.argv[1:] != ["--record"]:
         sys.exit("usage: --record")
-    for name, make in cases.items():
-        (FOLDER / name).write_bytes(make())
+    for name, make_output in cases.items():
+        (FOLDER / name).write_bytes(make_output())
 
 
-def differences(full: object, default: object, path: str = "") -> Iterator[tuple[str, bool]]:
+def compare_fields(full: object, default: object, path: str = "") -> Iterator[tuple[str, bool]]:
     """Yield each field of two meanings with whether they differ there."""
     if isinstance(full, dict) and isinstance(default, dict):
         assert full.keys() == default.keys(), path
         for key in full:
-            yield from differences(full[key], default[key], f"{path}.{key}")
+            yield from compare_fields(full[key], default[key], f"{path}.{key}")
     elif isinstance(full, list) and isinstance(default, list) and default and isinstance(full[0], dict):
-        yield from differences(full[0], default[0], f"{path}[0]")
+        yield from compare_fields(full[0], default[0], f"{path}[0]")
     else:
         yield path, full != default
 
--- a/tests/golden_formats_depot.py
+++ b/tests/golden_formats_depot.py
@@ -7,7 +7,7 @@
 from contextlib import contextmanager
 from typing import Any
 
-from golden_formats_cases import input_bytes, shown
+from golden_formats_cases import input_bytes, latin1_text
 
 from stonecove.exchange import ClientRequest
 from stonecove.pipeline.route import Route
@@ -23,7 +23,7 @@
 
 NOW_MS = 1764576000000.0
 SEED = 7
-MAX_TIMERS = 100  # timer rounds of one exchange
+MAX_TIMER_ROUNDS = 100  # of one exchange
 
 
 def exchange_settings() -> Settings:
@@ -45,7 +45,7 @@
         "size_kb": request.size_kb,
         "timeout_ms": request.timeout_ms,
         "client_tag": request.client_tag,
-        "body": shown(request.body),
+        "body": latin1_text(request.body),
         "idempotency_key": request.idempotency_key,
         "client": request.client,
     }
@@ -63,7 +63,7 @@
     assert not errors
 
 
-class PlainSocket:
+class RecordingSocket:
     """A socket that accepts and records all bytes."""
 
     def __init__(self) -> None:
@@ -79,12 +79,12 @@
         raise BlockingIOError
 
 
-class CacheLink:
+class CacheConnection:
     """One connection from the router to a cache."""
 
     def __init__(self, channel: Channel, address: tuple[str, int]) -> None:
         self.channel, self.address = channel, address
-        self.sock = PlainSocket()
+        self.sock = RecordingSocket()
         self.ended = False
 
     def open(self) -> None:
@@ -114,11 +114,11 @@
 
     def __init__(self, answers: Iterable[list[str]], endpoints: int = 3) -> None:
         self.settings = exchange_settings()
-        self.taken: list[dict[str, object]] = []  # requests that a front end passed on, in order
-        self.sent: list[dict[str, object]] = []  # commands to caches, in order
+        self.received_requests: list[dict[str, object]] = []  # passed on by a front end, in order
+        self.sent_commands: list[dict[str, object]] = []  # to caches, in order
         self._now = NOW_MS
         self._answers = iter(answers)
-        self._links: list[CacheLink] = []
+        self._connections: list[CacheConnection] = []
         self.clock = Clock(lambda: self._now / 1000.0)
         self._timers = Timers(self.clock, lambda: self._now / 1000.0)
         self.budget = MemoryBudget()
@@ -126,54 +126,54 @@
         self.route = Route(self.settings, SEED, self.clock, self._timers, self.budget, 4.3e6, self._connect)
         self.route.send.max_connections = 100
         self.route.shared_limit_check = self._record
-        for update in known_events(known_list(endpoints), self.settings):
+        for update in known_events(endpoint_list_json(endpoints), self.settings):
             self.route.handle_membership_event(update)
 
     def _record(self, request: ClientRequest) -> str:
         """Record a request, and reject none."""
-        self.taken.append(describe_request(request))
+        self.received_requests.append(describe_request(request))
         return ""
 
     def _connect(self, owner: Owner, address: tuple[str, int], timeout: float) -> Channel:
         channel = Channel(owner, self.clock.now)
-        self._links.append(CacheLink(channel, address))
+        self._connections.append(CacheConnection(channel, address))
         return channel
 
-    def _take_commands(self, link: CacheLink) -> bool:
+    def _handle_commands(self, connection: CacheConnection) -> bool:
         """Record the commands sent to a cache and answer its fetches; return whether there were any."""
-        data, link.sock.written = bytes(link.sock.written), bytearray()
+        data, connection.sock.written = bytes(connection.sock.written), bytearray()
         if not data:
             return False
-        self.sent.append({"to": list(link.address), "bytes": shown(data)})
+        self.sent_commands.append({"to": list(connection.address), "bytes": latin1_text(data)})
         for txn in re.findall(rb"\$5\r\nfetch\r\n\$16\r\n([0-9a-f]{16})\r\n", data):
             if answer := next(self._answers, None):
-                link.answer(txn, *answer)
+                connection.answer(txn, *answer)
         return True
 
-    def settle(self) -> None:
+    def run_until_idle(self) -> None:
         """Decide, send and answer until nothing is left to do at the present time."""
         busy = True
         while busy:
             busy = self.route.decide()
-            for link in list(self._links):
-                link.open()
-                busy |= self._take_commands(link)
-                if link.channel.is_closed:
-                    link.end()
+            for connection in list(self._connections):
+                connection.open()
+                busy |= self._handle_commands(connection)
+                if connection.channel.is_closed:
+                    connection.end()
 
     def run(self) -> None:
-        """Settle; while requests are open, advance to the next timer."""
-        self.settle()
-        for _ in range(MAX_TIMERS):
+        """Run until idle; while requests are open, advance to the next timer."""
+        self.run_until_idle()
+        for _ in range(MAX_TIMER_ROUNDS):
             if all(request.answered for request in self.route.requests):
                 return
             self._now = max(self._now, self._timers.next_due() * 1000.0)
             self._timers.run_due()
-            self.settle()
+            self.run_until_idle()
 
 
-def known_list(endpoints: int) -> dict[str, Any]:
-    """Return up to three endpoints as JSON of the change log: a cache, the parent, the origin."""
+def endpoint_list_json(endpoints: int) -> dict[str, Any]:
+    """Return up to three endpoints as change log JSON: a cache, the parent, the origin."""
     instances = [
         {
             "instanceId": f"s-000000{number}1",
--- a/tests/golden_gossip_cases.py
+++ b/tests/golden_gossip_cases.py
@@ -1,7 +1,7 @@
 """Seeded runs of gossiping routers over a simulated network that loses, delays, repeats and partitions.
 
-Datagrams are recorded by their bytes; `describe_share` and the table of log events map the program's names to
-neutral ones.
+Datagrams are recorded by a digest of their bytes. Shares and log events are recorded under neutral names,
+which do not change with the names in the code.
 """
 
 from __future__ import annotations
@@ -38,7 +38,7 @@
     lease_min_s=2.5,
 )
 WINDOW_S = 1.0
-NOTES = {  # by the program's name of a log event: its neutral name
+NEUTRAL_EVENT_NAMES = {  # by the name of the log event
     "gossip_view_changed": "view-changed",
     "gossip_member_changed": "member-changed",
     "gossip_stopped": "was-stopped",
@@ -50,12 +50,12 @@
 
 
 def describe_share(state: ShareState) -> list[Any]:
-    """Return the usable share: whether the router has joined, its fraction, and of how many routers."""
+    """Return whether the router has joined, its usable fraction, and the counted routers: all and by zone."""
     return [state.joined, state.usable_fraction, state.counted_routers, list(state.counted_by_zone)]
 
 
 class UnconfirmedGossip(Gossip):
-    """Accept each claim of FAILED at once, as the program at commit ac9ef58 did, which was recorded."""
+    """Gossip that accepts each claim of FAILED at once, as the recorded version, commit ac9ef58, did."""
 
     def receive_claim(self, claim: Claim, sender: int, now: float) -> None:
         """Accept a claim without confirmation."""
@@ -64,13 +64,13 @@
 
 @dataclass(slots=True)
 class Router:
-    """One simulated router; its processes use its address one after the other."""
+    """One simulated router address; its processes use it one after the other."""
 
     index: int
     swarm: Swarm | None = None
-    skew_s: float = 0.0  # by which its clock is off
+    skew_s: float = 0.0  # added to its wall clock
     tick_at: float = math.inf
-    stopped_until: float = 0.0
+    paused_until: float = 0.0
 
 
 class GossipFleet:
@@ -87,22 +87,22 @@
         self._queue: list[tuple[float, int, Callable[[], None]]] = []
         self._order = itertools.count()
         self.lines: list[list[Any]] = []  # datagrams and log events in order of occurrence
-        self.kinds: Counter[str] = Counter()
-        self.noted: Counter[str] = Counter()
+        self.datagram_kinds: Counter[str] = Counter()
+        self.log_events: Counter[str] = Counter()
 
     def run(self, fault_s: float, quiet_s: float) -> None:
         """Start all routers, inject faults for `fault_s` seconds, then run `quiet_s` seconds without any."""
         for router in self._routers:
             self._start(router, 0.0)
-        self._at(1.5, lambda: self._inject_fault(fault_s))
-        self._at(0.1, self._record_shares)
+        self._schedule(1.5, lambda: self._inject_fault(fault_s))
+        self._schedule(0.1, self._record_shares)
         while self._queue and self._queue[0][0] <= fault_s + quiet_s:
             at, _, callback = heapq.heappop(self._queue)
             self._now = max(self._now, at)
             callback()
         self._now = fault_s + quiet_s
 
-    def end(self) -> list[Any]:
+    def answers_at_end(self) -> list[Any]:
         """Return each router's answers to an operator: its view, its share, its members."""
         answers = []
         for router in self._routers:
@@ -115,17 +115,17 @@
         return answers
 
     def _ask(self, swarm: Swarm, question: list[str]) -> dict[str, Any]:
-        """Return the answer to an operator's question; addresses are those of a router's slots."""
+        """Return the answer to an operator's question, with one address for each slot of the router."""
         addresses = [(f"10.0.0.{slot}", 7000) for slot in range(len(self._routers) - 1)]
         return answer(question, swarm, "me", self._now, addresses, swarm.gossip.counts)
 
     def _record_shares(self) -> None:
         """Record the share on which each router acts."""
         for router in self._routers:
-            if router.swarm is not None and router.stopped_until <= self._now:
+            if router.swarm is not None and router.paused_until <= self._now:
                 share = describe_share(router.swarm.share_state(self._now))
                 self.lines.append(["share", self._now, router.index, *share])
-        self._at(self._now + 0.35, self._record_shares)
+        self._schedule(self._now + 0.35, self._record_shares)
 
     # -- faults --
 
@@ -147,7 +147,7 @@
             case 1:
                 self._start(router, rng.choice((0.0, -30.0)))  # a new process at once
             case 2:
-                router.stopped_until = self._now + rng.uniform(0.1, 2.5)
+                router.paused_until = self._now + rng.uniform(0.1, 2.5)
             case 3:
                 others = rng.sample(range(len(self._routers)), len(self._routers) // 2)
                 self._cuts |= {(router.index, other) for other in others}
@@ -155,22 +155,22 @@
                     self._cuts |= {(other, router.index) for other in others}
             case 4 | 5:
                 self._cuts.clear()
-            case 6 if swarm is not None and router.stopped_until <= self._now:
+            case 6 if swarm is not None and router.paused_until <= self._now:
                 swarm.announce_leaving(self._now)
                 self._flush(router, swarm)
-                self._at(self._now + 0.2, lambda: self._leave(router, swarm))
-            case 7 if swarm is not None and router.stopped_until <= self._now:
+                self._schedule(self._now + 0.2, lambda: self._leave(router, swarm))
+            case 7 if swarm is not None and router.paused_until <= self._now:
                 question = ["gone", f"10.0.0.{rng.randrange(len(self._routers))}:7000"]
                 self.lines.append(["answer", self._now, router.index, self._ask(swarm, question)])
                 self._flush(router, swarm)
             case 8 if swarm is None:
                 self._start(router, 0.0, f"router-{(router.index + 1) % len(self._routers)}")
-        self._at(self._now + rng.uniform(0.1, 1.2), lambda: self._inject_fault(until))
+        self._schedule(self._now + rng.uniform(0.1, 1.2), lambda: self._inject_fault(until))
 
     def _start(self, router: Router, skew_s: float, name: str = "") -> None:
-        router.skew_s, router.stopped_until, router.tick_at = skew_s, 0.0, math.inf
+        router.skew_s, router.paused_until, router.tick_at = skew_s, 0.0, math.inf
         count, zone = len(self._routers), router.index % self._zones
-        routers_by_zone = tuple(len(range(one, count, self._zones)) for one in range(self._zones))
+        routers_by_zone = tuple(len(range(number, count, self._zones)) for number in range(self._zones))
         lease_s = CONFIG.lease_duration_s(count)
         shares = Shares(count - 1, zone, count, routers_by_zone, WINDOW_S, self._now, lease_s=lease_s)
         unix_ms = self._unix_ms(router)
@@ -194,19 +194,19 @@
     def _unix_ms(self, router: Router) -> float:
         return EPOCH_MS + (self._now + router.skew_s) * 1000.0
 
-    def _at(self, when: float, callback: Callable[[], None]) -> None:
-        heapq.heappush(self._queue, (when, next(self._order), callback))
+    def _schedule(self, at: float, callback: Callable[[], None]) -> None:
+        heapq.heappush(self._queue, (at, next(self._order), callback))
 
     def _schedule_tick(self, router: Router, delay_s: float) -> None:
         if self._now + delay_s < router.tick_at:
             router.tick_at, swarm = self._now + delay_s, router.swarm
-            self._at(router.tick_at, lambda: self._tick(router, swarm))
+            self._schedule(router.tick_at, lambda: self._tick(router, swarm))
 
     def _tick(self, router: Router, swarm: Swarm | None) -> None:
         if swarm is None or router.swarm is not swarm or self._now < router.tick_at:
             return
-        if router.stopped_until > self._now:
-            self._at(router.stopped_until, lambda: self._tick(router, swarm))
+        if router.paused_until > self._now:
+            self._schedule(router.paused_until, lambda: self._tick(router, swarm))
             return
         swarm.tick(self._now, self._unix_ms(router))
         self._flush(router, swarm)
@@ -214,43 +214,43 @@
         self._schedule_tick(router, swarm.tick_delay_s(self._now))
 
     def _flush(self, router: Router, swarm: Swarm) -> None:
-        out, swarm.gossip.outgoing = swarm.gossip.outgoing, []
-        for slot, datagram in out:
+        outgoing, swarm.gossip.outgoing = swarm.gossip.outgoing, []
+        for slot, datagram in outgoing:
             data = encode(datagram)
-            to = slot if slot < router.index else slot + 1
+            target = slot if slot < router.index else slot + 1
             digest = hashlib.sha256(data).hexdigest()[:16]
-            self.lines.append(["sent", self._now, router.index, to, len(data), digest])
-            self.kinds[str(int(decode(data).kind))] += 1
-            self._transmit(router.index, to, data)
+            self.lines.append(["sent", self._now, router.index, target, len(data), digest])
+            self.datagram_kinds[str(int(decode(data).kind))] += 1
+            self._transmit(router.index, target, data)
         notes, swarm.gossip.notes = swarm.gossip.notes, []
         for note in notes:
-            self.lines.append([NOTES[note.event], self._now, router.index])
-            self.noted[NOTES[note.event]] += 1
+            self.lines.append([NEUTRAL_EVENT_NAMES[note.event], self._now, router.index])
+            self.log_events[NEUTRAL_EVENT_NAMES[note.event]] += 1
 
-    def _transmit(self, source: int, to: int, data: bytes) -> None:
+    def _transmit(self, source: int, target: int, data: bytes) -> None:
         rng = self._random
         for _ in range(1 + (rng.random() < 0.03)):
-            if (source, to) not in self._cuts and rng.random() >= 0.04:
+            if (source, target) not in self._cuts and rng.random() >= 0.04:
                 at = self._now + rng.uniform(0.0025, 0.019)
-                self._at(at, lambda: self._deliver(source, to, data))
+                self._schedule(at, lambda: self._deliver(source, target, data))
 
-    def _deliver(self, source: int, to: int, data: bytes) -> None:
-        router = self._routers[to]
-        if router.stopped_until > self._now:
-            self._at(router.stopped_until, lambda: self._deliver(source, to, data))
+    def _deliver(self, source: int, target: int, data: bytes) -> None:
+        router = self._routers[target]
+        if router.paused_until > self._now:
+            self._schedule(router.paused_until, lambda: self._deliver(source, target, data))
         elif router.swarm is not None:
-            slot = source if source < to else source - 1
+            slot = source if source < target else source - 1
             router.swarm.receive(slot, decode(data), self._now, self._unix_ms(router))
             self._flush(router, router.swarm)
             self._schedule_tick(router, router.swarm.tick_delay_s(self._now))
-        elif (to, source) not in self._cuts:
-            self._refuse(self._routers[source], to, data)
+        elif (target, source) not in self._cuts:
+            self._refuse(self._routers[source], target, data)
 
-    def _refuse(self, router: Router, to: int, data: bytes) -> None:
+    def _refuse(self, router: Router, target: int, data: bytes) -> None:
         """Notify the sender, if it runs, that no process has that address."""
         number = parse_number(data[:8])
-        if router.swarm is not None and number is not None and router.stopped_until <= self._now:
-            slot = to if to < router.index else to - 1
+        if router.swarm is not None and number is not None and router.paused_until <= self._now:
+            slot = target if target < router.index else target - 1
             router.swarm.receive_refusal(slot, number, self._now)
             self._flush(router, router.swarm)
             self._schedule_tick(router, router.swarm.tick_delay_s(self._now))
--- a/tests/golden_merge_cases.py
+++ b/tests/golden_merge_cases.py
@@ -1,4 +1,4 @@
-"""Seeded reports of three endpoint sources, and the results of their merge.
+"""Seeded claims of three endpoint sources, and the results of their merge.
 
 Only the `describe_...` functions and the table of alarms refer to the program's fields.
 """
@@ -19,7 +19,7 @@
 from stonecove.routing.endpoints import NodeState
 
 EPOCH_MS = 1_700_000_000_000.0
-GONE, DRAINING, READY = NodeState.REMOVED, NodeState.DRAINING, NodeState.READY
+REMOVED, DRAINING, READY = NodeState.REMOVED, NodeState.DRAINING, NodeState.READY
 NAMES = TopologyNames(("hub", "edge-1", "edge-2"), ("small", "large", "parent", "origin"))
 RULES = RosterRules(
     stale_after_ms=6000.0,
@@ -34,7 +34,7 @@
     max_flap_hold_ms=3000.0,
     max_record_bytes=400,
 )
-ALARMS = {  # by the name of a log event: its neutral name, and its fields in order
+ALARMS = {  # by log event: its name in the golden data, and its fields in order
     "endpoint_record_invalid": ("unreadable-record", ("node", "reason")),
     "mass_departure_suspected": ("mass-departure", ("departed", "total")),
     "mass_departure_confirmed": ("departure-confirmed", ("departed", "returned")),
@@ -115,8 +115,8 @@
         ]
         self._merge = EndpointMerger(self._sources, retain_last_list)
         self._roster = Roster(NAMES, RULES, self._emit_claim, self._request_confirmation, self._log_alarm)
-        self._now = EPOCH_MS
-        self._names: dict[str, int] = {}  # owner sessions of the ephemeral nodes
+        self._now_ms = EPOCH_MS
+        self._owners: dict[str, int] = {}  # owner sessions of the ephemeral nodes, by name of the node
         self._transactions = itertools.count(1)
         self._entries: list[Any] = []
         self.seen: Counter[str] = Counter()
@@ -126,26 +126,26 @@
         lines = []
         for _ in range(steps):
             self._entries = []
-            self._now += self._rng.choice((0.0, 1.0, 20.0, 150.0, 400.0))
+            self._now_ms += self._rng.choice((0.0, 1.0, 20.0, 150.0, 400.0))
             self._step()
             self._deliver()
             lines.append(self._entries)
             self.seen.update(entry[0] for entry in self._entries)
         return lines
 
-    def _note(self, kind: str, *values: Any) -> None:
+    def _record_entry(self, kind: str, *values: Any) -> None:
         self._entries.append([kind, *values])
 
     def _emit_claim(self, ident: int, claim: Claim) -> None:
-        self._note("claim", ident, *describe_claim(claim))
-        self._merge.apply_claim(self._source_named("zookeeper"), ident, claim, self._now)
+        self._record_entry("claim", ident, *describe_claim(claim))
+        self._merge.apply_claim(self._source_named("zookeeper"), ident, claim, self._now_ms)
 
     def _request_confirmation(self) -> None:
-        self._note("confirmation-wanted")
+        self._record_entry("confirmation-wanted")
 
     def _log_alarm(self, event: str, **fields: Any) -> None:
         name, order = ALARMS[event]
-        self._note(name, *(fields[field] for field in order))
+        self._record_entry(name, *(fields[field] for field in order))
         assert set(fields) == set(order)
 
     def _source_named(self, name: str) -> EndpointSource:
@@ -153,64 +153,66 @@
 
     def _step(self) -> None:
         rng, roster = self._rng, self._roster
-        roll = rng.random()
-        if roll < 0.30:
+        draw = rng.random()
+        if draw < 0.30:
             self._put(rng.choice(self.IDS))
-        elif roll < 0.48:
+        elif draw < 0.48:
             count = rng.choice((1, 1, 1, 2, 7))
-            names = rng.sample(sorted(self._names), min(len(self._names), count))
-            self._remove_names(names)
-            roster.remove(names, self._now)
-        elif roll < 0.54:
-            self._remove_names(rng.sample(sorted(self._names), min(len(self._names), rng.randrange(3))))
-            roster.apply_snapshot(frozenset(self._names), rng.random() < 0.5, self._now)
-        elif roll < 0.57:
-            roster.connection_lost(self._now)
-            self._now += rng.choice((100.0, 2000.0, 7000.0))
-            roster.tick(self._now)
-        elif roll < 0.67:
-            roster.tick(self._now)
+            names = rng.sample(sorted(self._owners), min(len(self._owners), count))
+            self._remove_owners(names)
+            roster.remove(names, self._now_ms)
+        elif draw < 0.54:
+            self._remove_owners(rng.sample(sorted(self._owners), min(len(self._owners), rng.randrange(3))))
+            roster.apply_snapshot(frozenset(self._owners), rng.random() < 0.5, self._now_ms)
+        elif draw < 0.57:
+            roster.connection_lost(self._now_ms)
+            self._now_ms += rng.choice((100.0, 2000.0, 7000.0))
+            roster.tick(self._now_ms)
+        elif draw < 0.67:
+            roster.tick(self._now_ms)
             next_tick_ms = roster.next_tick_ms()
-            self._note("due", None if next_tick_ms == math.inf else next_tick_ms, roster.unconfirmed)
-        elif roll < 0.70:
-            roster.prune(self._now)
-        elif roll < 0.90:
-            self._direct_claim()
-        elif roll < 0.95:
+            self._record_entry("due", None if next_tick_ms == math.inf else next_tick_ms, roster.unconfirmed)
+        elif draw < 0.70:
+            roster.prune(self._now_ms)
+        elif draw < 0.90:
+            self._claim_directly()
+        elif draw < 0.95:
             name = rng.choice(("changelog", "dns"))
-            self._merge.set_current(self._source_named(name), rng.random() < 0.75, self._now)
-        elif roll < 0.96:
+            self._merge.set_current(self._source_named(name), rng.random() < 0.75, self._now_ms)
+        elif draw < 0.96:
             self._update_ranks()
         else:
             ident = rng.choice(self.IDS)
-            self._note("explained", ident, describe_explanation(self._merge.explain(ident)))
+            self._record_entry("explained", ident, describe_explanation(self._merge.explain(ident)))
 
     def _put(self, ident: int) -> None:
         rng = self._rng
         name = rng.choice((f"n{ident}", f"n{ident}", f"twin{ident}"))
-        if self._names.get(name) is None:
-            self._names[name] = rng.choice((100 + ident, 200 + next(self._transactions)))
+        if self._owners.get(name) is None:
+            self._owners[name] = rng.choice((100 + ident, 200 + next(self._transactions)))
         czxid = rng.choice((ident, next(self._transactions)))
-        self._roster.put(name, endpoint_record(rng, ident), czxid, self._now, self._names[name], self._now)
+        self._roster.put(
+            name, endpoint_record(rng, ident), czxid, self._now_ms, self._owners[name], self._now_ms
+        )
 
-    def _remove_names(self, names: list[str]) -> None:
+    def _remove_owners(self, names: list[str]) -> None:
         for name in names:
-            del self._names[name]
+            del self._owners[name]
 
-    def _direct_claim(self) -> None:
+    def _claim_directly(self) -> None:
         rng = self._rng
         source = self._source_named(rng.choice(("changelog", "changelog", "dns")))
         ident = rng.choice(self.IDS)
-        state = rng.choice((READY, READY, READY, DRAINING, GONE))
+        state = rng.choice((READY, READY, READY, DRAINING, REMOVED))
         member = None
         if state is READY or rng.random() < 0.5:
             record = b""
             while not record.startswith(b'{"id": "s-'):
                 record = endpoint_record(rng, ident)
             member = parse_member(record, NAMES)
-        self._merge.apply_claim(source, ident, Claim(state, member, f"said to be {int(state)}"), self._now)
+        self._merge.apply_claim(source, ident, Claim(state, member, f"said to be {int(state)}"), self._now_ms)
         known = self._merge.claim_of(source, ident)
-        self._note("claimed", source.name, ident, None if known is None else describe_claim(known))
+        self._record_entry("claimed", source.name, ident, None if known is None else describe_claim(known))
 
     def _update_ranks(self) -> None:
         rng = self._rng
@@ -221,15 +223,17 @@
             EndpointSource(source.name, rank) for source, rank in zip(self._sources, ranks, strict=True)
         ]
         try:
-            self._merge.update_ranks(sources, rng.random() < 0.5, self._now)
+            self._merge.update_ranks(sources, rng.random() < 0.5, self._now_ms)
         except ValueError as error:
-            self._note("error", str(error))
+            self._record_entry("error", str(error))
 
     def _deliver(self) -> None:
-        """Deliver pending changes most of the time, as the owner of the merge does."""
+        """Deliver urgent changes at once and others at times later, as the owner of the merge does."""
         merge = self._merge
-        merge.set_current(self._source_named("zookeeper"), self._roster.is_current(self._now), self._now)
+        merge.set_current(
+            self._source_named("zookeeper"), self._roster.is_current(self._now_ms), self._now_ms
+        )
         if merge.has_changes() and (merge.urgent or self._rng.random() < 0.6):
             urgent = merge.urgent
-            self._note("told", urgent, [describe_member(member) for member in merge.take_changes()])
-            self._note("known", merge.node_ids(), len(merge))
+            self._record_entry("told", urgent, [describe_member(member) for member in merge.take_changes()])
+            self._record_entry("known", merge.node_ids(), len(merge))
--- a/tests/golden_rollout_cases.py
+++ b/tests/golden_rollout_cases.py
@@ -1,4 +1,4 @@
-"""Seeded runs of roll-outs: routers that follow and controllers that write one target.
+"""Seeded runs of roll-outs: routers that follow one target, and controllers that write it.
 
 Targets and reports are recorded as they are stored; the functions named `describe_...` map the other types.
 """
@@ -16,9 +16,9 @@
 from stonecove.rollout.progress import Progress, progress_of
 
 EPOCH_MS = 1_700_000_000_000.0
-# Possible faults of a version.
+# The possible faults of a version; "" is none. Repeated ones are drawn more often.
 FAULTS = ("", "", "unusable", "unusable", "harmful", "harmful", "unreadable", "missing", "other-version")
-ROUTERS = [f"edge-{number}" for number in range(24)]
+ROUTER_NAMES = [f"edge-{number}" for number in range(24)]
 
 
 def describe_step(step: controller.Step) -> list[Any]:
@@ -56,16 +56,16 @@
         self._faults: dict[int, str] = {}  # the fault of a version
         self._reports: dict[str, bytes] = {}
         self._followers: dict[str, Follower] = {}
-        self._line: list[Any] = []
+        self._entries: list[Any] = []
         self.seen: Counter[str] = Counter()
 
     def run(self, steps: int) -> list[list[Any]]:
         """Return for each step what was written, reported and refused."""
         lines = []
-        for name in ROUTERS:
-            self._join(name)
+        for name in ROUTER_NAMES:
+            self._add_router(name)
         for _ in range(steps):
-            self._line = []
+            self._entries = []
             self._now_ms += self._random.choice((20.0, 60.0, 120.0, 300.0))
             self._churn()
             for follower in list(self._followers.values()):
@@ -73,17 +73,17 @@
                     self._follow(follower)
             self._operate()
             self._control()
-            lines.append([self._now_ms, *self._line])
-            self.seen.update(entry[0] for entry in self._line)
+            lines.append([self._now_ms, *self._entries])
+            self.seen.update(entry[0] for entry in self._entries)
         return lines
 
-    def _note(self, kind: str, *values: Any) -> None:
-        self._line.append([kind, *values])
+    def _record_entry(self, kind: str, *values: Any) -> None:
+        self._entries.append([kind, *values])
 
     # -- routers --
 
-    def _join(self, name: str) -> None:
-        follower = Follower(name, f"10.1.0.{ROUTERS.index(name)}:80", self._now_ms)
+    def _add_router(self, name: str) -> None:
+        follower = Follower(name, f"10.1.0.{ROUTER_NAMES.index(name)}:80", self._now_ms)
         self._followers[name] = follower
         self._report(follower)
 
@@ -91,20 +91,20 @@
         data = follower.report().encode()
         if self._reports.get(follower.name) != data:
             self._reports[follower.name] = data
-            self._note("report", follower.name, data.decode())
+            self._record_entry("report", follower.name, data.decode())
 
     def _churn(self) -> None:
         rng = self._random
-        name = rng.choice(ROUTERS)
+        name = rng.choice(ROUTER_NAMES)
         draw = rng.random()
         if draw < 0.05 and name in self._followers:
             del self._followers[name], self._reports[name]
         elif draw < 0.15 and name not in self._followers:
-            self._join(name)
+            self._add_router(name)
         elif draw < 0.35:
-            refused = [one for one, data in self._reports.items() if json.loads(data)["refused"]]
-            for one in refused:
-                self._followers[one].retry_refused()
+            refusing = [router for router, data in self._reports.items() if json.loads(data)["refused"]]
+            for router in refusing:
+                self._followers[router].retry_refused()
         elif draw < 0.37 and name in self._followers:
             self._followers[name].reset_revision()
 
@@ -124,9 +124,9 @@
         fetched = version if self._random.random() < 0.95 else version + 1  # superseded while it was fetched
         overlay = follower.decode_overlay(fetched, self._versions.get(fetched), self._now_ms)
         if overlay is None:
-            self._note("not-taken", follower.name, fetched)
+            self._record_entry("not-taken", follower.name, fetched)
             return
-        self._note("fetched", follower.name, overlay.version, json.dumps(dict(overlay.merge)))
+        self._record_entry("fetched", follower.name, overlay.version, json.dumps(dict(overlay.merge)))
         if self._faults.get(version) == "unusable" and self._random.random() < 0.15:
             follower.record_refusal(version, "classes: there are none" * 20, self._now_ms)
         elif self._random.random() < 0.998:
@@ -149,10 +149,10 @@
     def _store(self, target: Target, kind: str) -> None:
         self._target = target.encode()
         self._revision += 1
-        self._note(kind, self._target.decode())
+        self._record_entry(kind, self._target.decode())
 
     def _operate(self) -> None:
-        """Run one of the operators' commands now and then."""
+        """Run an operator's command in a tenth of the steps, and in each step until there is a target."""
         rng = self._random
         target, reports = self._stored_state()
         if target is not None and rng.random() > 0.1:
@@ -178,7 +178,7 @@
                     controller.roll_back_to(target, version, reports, self._now_ms, "operator"), command
                 )
         except (controller.RolloutError, MessageError) as error:
-            self._note("error", command, str(error))
+            self._record_entry("error", command, str(error))
 
     def _publish(self) -> int:
         rng, version = self._random, 1 + max(self._faults, default=0)
@@ -200,9 +200,9 @@
             return
         step = controller.next_step(target, reports, self._now_ms, self._random.choice(("one", "two")))
         entry = describe_step(step)
-        self._note(*entry)
+        self._record_entry(*entry)
         self.seen[f"state {target.state.value}"] += 1
         if entry[0] == "write":
             self._target = entry[1].encode()
             self._revision += 1
-        self._note("progress", *describe_progress(progress_of(target, reports)))
+        self._record_entry("progress", *describe_progress(progress_of(target, reports)))
--- a/tests/gossip_cuts.py
+++ b/tests/gossip_partitions.py
@@ -1,4 +1,4 @@
-"""A simulated fleet under partitions, and the reachable members that its routers declared failed."""
+"""A simulated fleet under partitions, with the members that its routers declared failed."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
         """Start all routers and wait until they have joined."""
         self.model = SwarmModel(count, seed=seed, zones=zones)
         self.zones = zones
-        self.severed: set[tuple[int, int]] = set()
+        self.ever_partitioned: set[tuple[int, int]] = set()
         for index in range(count):
             self.model.start(index)
         assert self.model.until(self.model.joined, 30.0) < 30.0
@@ -32,10 +32,10 @@
         """Partition a zone from all others; with `both` false, only datagrams that it sends are dropped."""
         zone = self.zone(number)
         others = [index for index in range(len(self.model.routers)) if index not in zone]
-        before = set(self.model.cuts)
+        cuts_before = set(self.model.cuts)
         self.model.cut(zone, others, both)
-        for source, target in self.model.cuts - before:
-            self.severed |= {(source, target), (target, source)}
+        for source, target in self.model.cuts - cuts_before:
+            self.ever_partitioned |= {(source, target), (target, source)}
 
     def heal(self, *still_partitioned: int) -> None:
         """End all partitions but those of the zones given."""
@@ -56,17 +56,17 @@
 
     def failures_of_reachable(self) -> list[tuple[int, int]]:
         """Return those of `failures` between routers that were never partitioned from each other."""
-        return [pair for pair in self.failures() if pair not in self.severed]
+        return [pair for pair in self.failures() if pair not in self.ever_partitioned]
 
-    def run_older_program(self, indices: Iterable[int]) -> None:
-        """Let these routers accept each claim at once, as older programs did."""
+    def accept_claims_unconfirmed(self, indices: Iterable[int]) -> None:
+        """Let these routers accept each claim of FAILED at once, as older versions do."""
         for index in indices:
             swarm = self.model.routers[index].swarm
             assert swarm is not None
             swarm.gossip.__class__ = UnconfirmedGossip
 
     def tables(self) -> set[frozenset[tuple[int, tuple[int, bool, int, int]]]]:
-        """Return the different tables of all running routers; each with the router's own claim."""
+        """Return the distinct tables of all running routers, each with the router's own claim."""
         return {
             frozenset(
                 [(member.claim.ident, member.claim.order()) for member in router.swarm.gossip.table]
--- a/tests/test_access.py
+++ b/tests/test_access.py
@@ -1,4 +1,4 @@
-"""Unit tests of the access package: token formats with hand-made tokens, then each reason for refusal."""
+"""Unit tests of the access package: token formats, malformed and forged tokens, the gate's reasons."""
 
 from __future__ import annotations
 
@@ -31,10 +31,10 @@
 PATH = "/svc/guide-video/7f3a9c21e0b4d655/3"
 OBJECT = "7f3a9c21e0b4d655"
 SECRET = "00112233445566778899aabbccddeeff"
-_RSA = generate("rsa1", "RSA-SHA1", ["cloudfront"], 0.0)
+_RSA_KEY = generate("rsa1", "RSA-SHA1", ["cloudfront"], 0.0)
 RING: dict[str, Any] = {
     "keys": [
-        _RSA,
+        _RSA_KEY,
         {**generate("ec1", "ECDSA-SHA256", ["cloudfront"], 0.0)},
         {"id": "edge1", "algorithm": "HMAC-SHA256", "use": ["edge-auth"], "secret": SECRET},
         {"id": "hs1", "algorithm": "HS256", "use": ["bearer", "cdni"], "secret": SECRET * 2},
@@ -45,8 +45,8 @@
 }
 
 
-def make_request(path: str = PATH, query: str = "", **more: Any) -> Request:
-    base: dict[str, Any] = {
+def make_request(path: str = PATH, query: str = "", **fields: Any) -> Request:
+    defaults: dict[str, Any] = {
         "method": "GET",
         "scheme": "http",
         "host": "edge.example",
@@ -54,35 +54,35 @@
         "depot": "edge-1",
         "target": f"{path}?{query}" if query else path,
     }
-    return Request(**{**base, **more})
+    return Request(**{**defaults, **fields})
 
 
 _KEY_RING = KeyRing.read(RING)
 
 
-def make_gate(**policy: Any) -> Gate:
-    token_policy = Policy("/svc", **policy)
+def make_gate(**policy_fields: Any) -> Gate:
+    token_policy = Policy("/svc", **policy_fields)
     open_policy = Policy("/svc/open", token=False)
     return Gate(Routes([token_policy, open_policy]), _KEY_RING, Limits(seen=1000, checks=1000.0))
 
 
-def ring_key(gate: Gate, ident: str) -> Key:
-    return gate.ring.keys[ident]
+def ring_key(gate: Gate, key_id: str) -> Key:
+    return gate.ring.keys[key_id]
 
 
-def decide(gate: Gate, request: Request, now: float = NOW, item: str = OBJECT) -> Decision:
-    return gate.check(request, item, now, now)
+def decide(gate: Gate, request: Request, now: float = NOW, object_id: str = OBJECT) -> Decision:
+    return gate.check(request, object_id, now, now)
 
 
-def jwt_request(gate: Gate, key: str = "hs1", **claims: Any) -> Request:
-    text = formats.sign_jwt(ring_key(gate, key), {"exp": NOW + 60, "sub": "picker-1", **claims})
-    return make_request(authorization=f"Bearer {text}")
+def jwt_request(gate: Gate, key_id: str = "hs1", **claims: Any) -> Request:
+    token = formats.sign_jwt(ring_key(gate, key_id), {"exp": NOW + 60, "sub": "picker-1", **claims})
+    return make_request(authorization=f"Bearer {token}")
 
 
-# -- Formats, against hand-made tokens --
+# -- Token formats --
 
 
-def test_a_jws_of_the_rfc_is_verified() -> None:
+def test_the_jws_example_of_rfc_7515_is_verified() -> None:
     """Verify the example of RFC 7515, appendix A.1."""
     text = (
         "eyJ0eXAiOiJKV1QiLA0KICJhbGciOiJIUzI1NiJ9.eyJpc3MiOiJqb2UiLA0KICJleHAiOjEzMDA4MTkzODAsDQogImh0dHA6Ly"
@@ -96,7 +96,7 @@
     assert not Key("k", "HS256", (), secret=secret[1:]).verify(message, signature)
 
 
-def test_a_canned_policy_is_the_text_of_the_guide() -> None:
+def test_a_canned_policy_matches_the_cloudfront_documentation() -> None:
     assert formats.canned_policy(
         "http://d111111abcdef8.cloudfront.net/horizon.jpg?size=large", 1258237200
     ) == (
@@ -105,7 +105,7 @@
     )
 
 
-def test_an_edge_auth_token_made_by_hand_is_read() -> None:
+def test_an_edge_auth_token_signed_without_the_program_is_verified() -> None:
     body = f"ip=10.1.2.3~st={NOW - 10:.0f}~exp={NOW + 60:.0f}~acl=/svc/*!/other~id=p~data=kid:edge1"
     mac = hmac.new(bytes.fromhex(SECRET), body.encode(), hashlib.sha256).hexdigest()
     gate = make_gate()
@@ -116,50 +116,52 @@
         ).reason
         is Reason.SIGNATURE
     )
-    by_path = f"exp={NOW + 60:.0f}~data=kid:edge1"
-    mac = hmac.new(bytes.fromhex(SECRET), f"{by_path}~url={PATH}".encode(), hashlib.sha256).hexdigest()
-    assert decide(gate, make_request(query=f"hdnts={by_path}~hmac={mac}")).reason is Reason.GOOD
-    other = PATH.replace("/3", "/4")
-    assert decide(gate, make_request(other, f"hdnts={by_path}~hmac={mac}")).reason is Reason.SIGNATURE
+    path_bound = f"exp={NOW + 60:.0f}~data=kid:edge1"
+    mac = hmac.new(bytes.fromhex(SECRET), f"{path_bound}~url={PATH}".encode(), hashlib.sha256).hexdigest()
+    assert decide(gate, make_request(query=f"hdnts={path_bound}~hmac={mac}")).reason is Reason.GOOD
+    other_path = PATH.replace("/3", "/4")
+    assert decide(gate, make_request(other_path, f"hdnts={path_bound}~hmac={mac}")).reason is Reason.SIGNATURE
 
 
-@pytest.mark.parametrize("ident", ["rsa1", "ec1"])
-@pytest.mark.parametrize("place", ["url", "cookie"])
-def test_cloudfront_by_url_and_cookie_canned_and_custom(ident: str, place: str) -> None:
+@pytest.mark.parametrize("key_id", ["rsa1", "ec1"])
+@pytest.mark.parametrize("location", ["url", "cookie"])
+def test_canned_and_custom_cloudfront_policies_are_enforced_in_url_and_cookies(
+    key_id: str, location: str
+) -> None:
     gate = make_gate()
-    key, until = ring_key(gate, ident), int(NOW + 60)
+    key, expires = ring_key(gate, key_id), int(NOW + 60)
 
-    def signed_request(policy: bytes, canned: bool, path: str = PATH, extra: str = "") -> Request:
-        pairs = formats.sign_cloudfront(key, policy, canned, until)
-        if place == "cookie":
+    def signed_request(policy: bytes, canned: bool, path: str = PATH, own_query: str = "") -> Request:
+        pairs = formats.sign_cloudfront(key, policy, canned, expires)
+        if location == "cookie":
             return make_request(
-                path, extra, cookies=tuple((f"CloudFront-{name}", value) for name, value in pairs)
+                path, own_query, cookies=tuple((f"CloudFront-{name}", value) for name, value in pairs)
             )
         query = "&".join(f"{name}={value}" for name, value in pairs)
-        return make_request(path, f"{extra}&{query}" if extra else query)
+        return make_request(path, f"{own_query}&{query}" if own_query else query)
 
     url = f"http://edge.example{PATH}"
-    canned = formats.canned_policy(url, until)
+    canned = formats.canned_policy(url, expires)
     assert decide(gate, signed_request(canned, True)).reason is Reason.GOOD
     assert decide(gate, signed_request(canned, True, PATH[:-1] + "4")).reason is Reason.SIGNATURE
     assert decide(
-        gate, signed_request(formats.canned_policy(f"{url}?size=2", until), True, extra="size=2")
+        gate, signed_request(formats.canned_policy(f"{url}?size=2", expires), True, own_query="size=2")
     ).admitted
     prefix_policy = formats.custom_policy(
-        "http://edge.example/svc/guide-video/*", until, int(NOW - 5), "10.1.0.0/16"
+        "http://edge.example/svc/guide-video/*", expires, int(NOW - 5), "10.1.0.0/16"
     )
     assert (
         decide(gate, signed_request(prefix_policy, False)).admitted
         and decide(gate, signed_request(prefix_policy, False, PATH[:-1] + "4")).admitted
     )
     assert decide(gate, signed_request(prefix_policy, False, "/svc/item-image/1/0")).reason is Reason.RESOURCE
-    other_source = formats.custom_policy("*", until, 0, "192.0.2.0/24")
+    other_source = formats.custom_policy("*", expires, 0, "192.0.2.0/24")
     assert decide(gate, signed_request(other_source, False)).reason is Reason.SOURCE
-    future_policy = formats.custom_policy("*", until, int(NOW + 30))
+    future_policy = formats.custom_policy("*", expires, int(NOW + 30))
     assert decide(gate, signed_request(future_policy, False)).reason is Reason.NOT_YET
 
 
-def test_cdni_containers_and_renewal_over_a_chain_of_a_thousand() -> None:
+def test_cdni_tokens_are_renewed_a_thousand_times_and_bound_to_their_uri() -> None:
     gate = make_gate(longest=100.0)
     key = ring_key(gate, "es1")
     claims = {
@@ -181,14 +183,14 @@
     assert decide(gate, request, now + 60).reason is Reason.EXPIRED
     assert cookie_path(PATH, 2) == "/svc/guide-video" and cookie_path(PATH, 0) == "/"
     digest = base64.urlsafe_b64encode(hashlib.sha256(f"http://edge.example{PATH}".encode()).digest())
-    exact = {"exp": int(NOW + 10), "cdniuc": f"hash:sha-256;{digest.rstrip(b'=').decode()}"}
-    for path, good in ((PATH, True), (PATH[:-1] + "5", False)):
-        text = formats.sign_jwt(key, exact)
-        assert decide(gate, make_request(path, f"{formats.CDNI_NAME}={text}")).admitted is good
+    url_hash_claims = {"exp": int(NOW + 10), "cdniuc": f"hash:sha-256;{digest.rstrip(b'=').decode()}"}
+    for path, admitted in ((PATH, True), (PATH[:-1] + "5", False)):
+        token = formats.sign_jwt(key, url_hash_claims)
+        assert decide(gate, make_request(path, f"{formats.CDNI_NAME}={token}")).admitted is admitted
 
 
 @pytest.mark.parametrize(
-    ("claims", "why"),
+    ("claims", "detail"),
     [
         ({"cdniuc": "glob:x"}, "container"),
         ({"cdniuc": "regex:(("}, "expression"),
@@ -198,11 +200,11 @@
         ({"cdniuc": "regex:.*", "exp": "soon"}, "exp"),
     ],
 )
-def test_invalid_cdni_claims_are_malformed(claims: dict[str, Any], why: str) -> None:
+def test_invalid_cdni_claims_are_malformed(claims: dict[str, Any], detail: str) -> None:
     gate = make_gate()
-    text = formats.sign_jwt(ring_key(gate, "es1"), {"exp": NOW + 5, **claims})
-    decision = decide(gate, make_request(query=f"{formats.CDNI_NAME}={text}"))
-    assert decision.reason is Reason.MALFORMED and why in decision.log_detail
+    token = formats.sign_jwt(ring_key(gate, "es1"), {"exp": NOW + 5, **claims})
+    decision = decide(gate, make_request(query=f"{formats.CDNI_NAME}={token}"))
+    assert decision.reason is Reason.MALFORMED and detail in decision.log_detail
 
 
 # -- Malformed and forged tokens --
@@ -239,7 +241,7 @@
         unsigned_jws(b"\xff"),
     ],
 )
-def test_a_bearer_that_can_not_be_read_is_malformed(text: str) -> None:
+def test_an_unreadable_bearer_token_is_malformed(text: str) -> None:
     assert decide(make_gate(), make_request(authorization=f"Bearer {text}")).reason in (
         Reason.MALFORMED,
         Reason.TOO_LONG,
@@ -280,24 +282,24 @@
         assert not decide(gate, make_request(authorization=f"Bearer {changed}")).admitted
 
 
-def test_algorithms_are_pinned_to_the_key() -> None:
-    """Algorithm confusion: an HMAC keyed with an RSA public key, and an algorithm other than the key's."""
+def test_a_token_must_use_the_algorithm_of_its_key() -> None:
+    """Guards against algorithm confusion: an RSA public key as HMAC secret, or another digest."""
     gate = make_gate()
     pem = ring_key(gate, "rsa1").public.public_bytes(
         serialization.Encoding.PEM, serialization.PublicFormat.SubjectPublicKeyInfo
     )
-    confused = Key("es1", "HS256", (), secret=pem)
-    text = formats.sign_jwt(confused, {"exp": NOW + 5})
-    assert decide(gate, make_request(authorization=f"Bearer {text}")).reason is Reason.ALGORITHM
-    wrong = Key("hs1", "HS512", (), secret=bytes.fromhex(SECRET * 2))
-    text = formats.sign_jwt(wrong, {"exp": NOW + 5})
-    assert decide(gate, make_request(authorization=f"Bearer {text}")).reason is Reason.ALGORITHM
+    public_key_as_secret = Key("es1", "HS256", (), secret=pem)
+    token = formats.sign_jwt(public_key_as_secret, {"exp": NOW + 5})
+    assert decide(gate, make_request(authorization=f"Bearer {token}")).reason is Reason.ALGORITHM
+    other_algorithm = Key("hs1", "HS512", (), secret=bytes.fromhex(SECRET * 2))
+    token = formats.sign_jwt(other_algorithm, {"exp": NOW + 5})
+    assert decide(gate, make_request(authorization=f"Bearer {token}")).reason is Reason.ALGORITHM
 
 
 def test_only_canonical_paths_are_accepted() -> None:
-    for good in (PATH, "/a", "/a-b_c.d~e/%C3%A4", "/a/b;c=1,2"):
-        assert canon.path_error(good) == "", good
-    for bad in (
+    for canonical_path in (PATH, "/a", "/a-b_c.d~e/%C3%A4", "/a/b;c=1,2"):
+        assert canon.path_error(canonical_path) == "", canonical_path
+    for ambiguous_path in (
         "",
         "a",
         "//a",
@@ -320,7 +322,7 @@
         "/a%5Cb",
         "/a?b",
     ):
-        assert canon.path_error(bad), bad
+        assert canon.path_error(ambiguous_path), ambiguous_path
     assert decide(make_gate(), make_request("/svc//x")).reason is Reason.PATH
 
 
@@ -336,12 +338,12 @@
 # -- The gate: each reason --
 
 
-def test_each_reason_has_its_status_and_open_routes_ask_for_nothing() -> None:
+def test_each_reason_has_its_status_and_open_routes_need_no_token() -> None:
     gate = make_gate()
     assert decide(gate, make_request("/svc/open/x")).reason is Reason.OPEN
     assert decide(gate, make_request("/elsewhere")).reason is Reason.OPEN
     assert decide(gate, make_request()).reason is Reason.MISSING and status_of(Reason.MISSING) == 401
-    assert {status_of(one) for one in Reason} == {400, 401, 403, 429, 503}
+    assert {status_of(reason) for reason in Reason} == {400, 401, 403, 429, 503}
 
 
 @pytest.mark.parametrize(
@@ -367,7 +369,7 @@
         ({}, {"formats": (Format.CDNI,)}, {}, Reason.FORMAT),
     ],
 )
-def test_reasons(
+def test_claims_policy_and_request_determine_the_reason(
     claims: dict[str, Any], policy: dict[str, Any], request_fields: dict[str, Any], reason: Reason
 ) -> None:
     gate = make_gate(**policy)
@@ -375,89 +377,103 @@
     assert decide(gate, make_request(authorization=token, **request_fields)).reason is reason
 
 
-@pytest.mark.parametrize(("ident", "reason"), [("old", Reason.KEY_RETIRED), ("soon", Reason.KEY_NOT_YET)])
-def test_keys_have_their_times(ident: str, reason: Reason) -> None:
+@pytest.mark.parametrize(("key_id", "reason"), [("old", Reason.KEY_RETIRED), ("soon", Reason.KEY_NOT_YET)])
+def test_tokens_of_retired_future_and_unknown_keys_are_refused(key_id: str, reason: Reason) -> None:
     gate = make_gate()
-    assert decide(gate, jwt_request(gate, ident)).reason is reason
-    other = Key("nobody", "HS256", (), secret=b"x" * 32)
-    text = formats.sign_jwt(other, {"exp": NOW + 5})
-    assert decide(gate, make_request(authorization=f"Bearer {text}")).reason is Reason.UNKNOWN_KEY
+    assert decide(gate, jwt_request(gate, key_id)).reason is reason
+    unknown_key = Key("nobody", "HS256", (), secret=b"x" * 32)
+    token = formats.sign_jwt(unknown_key, {"exp": NOW + 5})
+    assert decide(gate, make_request(authorization=f"Bearer {token}")).reason is Reason.UNKNOWN_KEY
 
 
-def test_cookie_and_url_that_disagree_are_refused() -> None:
+def test_different_tokens_in_cookie_and_url_are_refused() -> None:
     gate = make_gate()
-    one = formats.sign_jwt(ring_key(gate, "es1"), {"exp": int(NOW + 9), "cdniuc": "regex:.*", "sub": "a"})
-    other = formats.sign_jwt(ring_key(gate, "es1"), {"exp": int(NOW + 9), "cdniuc": "regex:.*", "sub": "b"})
-    both = make_request(query=f"{formats.CDNI_NAME}={one}", cookies=((formats.CDNI_NAME, other),))
-    assert decide(gate, both).reason is Reason.CONFLICT
-    same = make_request(query=f"{formats.CDNI_NAME}={one}", cookies=((formats.CDNI_NAME, one),))
-    assert decide(gate, same).admitted
-    forged = one[:-4] + ("AAAA" if not one.endswith("AAAA") else "BBBB")
-    second = make_request(query=f"{formats.CDNI_NAME}={one}", cookies=((formats.CDNI_NAME, forged),))
-    assert decide(gate, second).reason is Reason.SIGNATURE
-
-
-def test_a_started_object_may_be_ended_after_its_token_expired() -> None:
+    first_token = formats.sign_jwt(
+        ring_key(gate, "es1"), {"exp": int(NOW + 9), "cdniuc": "regex:.*", "sub": "a"}
+    )
+    second_token = formats.sign_jwt(
+        ring_key(gate, "es1"), {"exp": int(NOW + 9), "cdniuc": "regex:.*", "sub": "b"}
+    )
+    different_tokens = make_request(
+        query=f"{formats.CDNI_NAME}={first_token}", cookies=((formats.CDNI_NAME, second_token),)
+    )
+    assert decide(gate, different_tokens).reason is Reason.CONFLICT
+    same_token_twice = make_request(
+        query=f"{formats.CDNI_NAME}={first_token}", cookies=((formats.CDNI_NAME, first_token),)
+    )
+    assert decide(gate, same_token_twice).admitted
+    forged_token = first_token[:-4] + ("AAAA" if not first_token.endswith("AAAA") else "BBBB")
+    forged_cookie = make_request(
+        query=f"{formats.CDNI_NAME}={first_token}", cookies=((formats.CDNI_NAME, forged_token),)
+    )
+    assert decide(gate, forged_cookie).reason is Reason.SIGNATURE
+
+
+def test_a_started_object_may_be_completed_in_the_grace_after_expiry() -> None:
     gate = make_gate(grace=30.0)
-    token = jwt_request(gate, exp=NOW + 10)
-    assert decide(gate, token).admitted
-    assert decide(gate, token, NOW + 20).admitted and decide(gate, token, NOW + 40).admitted
-    assert decide(gate, token, NOW + 46).reason is Reason.EXPIRED  # further requests do not extend the grace
-    assert decide(gate, token, NOW + 20, item="another").reason is Reason.EXPIRED
-    other_source = make_request(authorization=token.authorization, source="10.9.9.9")
+    request = jwt_request(gate, exp=NOW + 10)
+    assert decide(gate, request).admitted
+    assert decide(gate, request, NOW + 20).admitted and decide(gate, request, NOW + 40).admitted
+    # Further requests do not extend the grace.
+    assert decide(gate, request, NOW + 46).reason is Reason.EXPIRED
+    assert decide(gate, request, NOW + 20, object_id="another").reason is Reason.EXPIRED
+    other_source = make_request(authorization=request.authorization, source="10.9.9.9")
     assert decide(gate, other_source, NOW + 20).reason is Reason.EXPIRED
-    fresh = jwt_request(gate, exp=NOW + 10, jti="other")
-    assert decide(gate, fresh, NOW + 20).reason is Reason.EXPIRED  # never used before its expiry
+    unused_request = jwt_request(gate, exp=NOW + 10, jti="other")
+    assert decide(gate, unused_request, NOW + 20).reason is Reason.EXPIRED  # never used before its expiry
 
 
-def test_a_token_for_one_request_is_good_once_also_by_a_clock_set_back() -> None:
+def test_a_single_use_token_is_accepted_once_even_if_the_clock_is_set_back() -> None:
     gate = make_gate()
-    token = jwt_request(gate, jti="j1", once=True)
-    first = decide(gate, token)
-    assert first.admitted
-    assert decide(gate, token).reason is Reason.REPLAYED
-    assert decide(gate, token, NOW - 3600).reason in (Reason.REPLAYED, Reason.TOO_LONG_LIVED)
-    gate.finish_request(first, executed=True)
-    assert decide(gate, token).reason is Reason.REPLAYED
-    refused = decide(gate, jwt_request(gate, jti="j2", once=True))
-    gate.finish_request(refused, executed=False)  # rejected for lack of capacity: the client may retry
+    request = jwt_request(gate, jti="j1", once=True)
+    first_decision = decide(gate, request)
+    assert first_decision.admitted
+    assert decide(gate, request).reason is Reason.REPLAYED
+    assert decide(gate, request, NOW - 3600).reason in (Reason.REPLAYED, Reason.TOO_LONG_LIVED)
+    gate.finish_request(first_decision, executed=True)
+    assert decide(gate, request).reason is Reason.REPLAYED
+    unexecuted_decision = decide(gate, jwt_request(gate, jti="j2", once=True))
+    # Rejected for lack of capacity: the client may retry.
+    gate.finish_request(unexecuted_decision, executed=False)
     assert decide(gate, jwt_request(gate, jti="j2", once=True)).admitted
 
 
 def test_replay_cache_is_bounded_with_a_reserved_share_for_high_priority() -> None:
-    ids = ReplayCache(100, seed=7)
-    assert [ids.check_and_add(str(n), NOW + 60, NOW) for n in range(100)].count(ReplayStatus.NEW) == 95
-    assert ids.check_and_add("more", NOW + 60, NOW) is ReplayStatus.FULL
+    replay_cache = ReplayCache(100, seed=7)
+    statuses = [replay_cache.check_and_add(str(number), NOW + 60, NOW) for number in range(100)]
+    assert statuses.count(ReplayStatus.NEW) == 95
+    assert replay_cache.check_and_add("more", NOW + 60, NOW) is ReplayStatus.FULL
     assert (
-        ids.check_and_add("more", NOW + 60, NOW, high_priority=True) is ReplayStatus.NEW
-        and ids.check_and_add("0", NOW + 60, NOW) is ReplayStatus.SEEN_BEFORE
+        replay_cache.check_and_add("more", NOW + 60, NOW, high_priority=True) is ReplayStatus.NEW
+        and replay_cache.check_and_add("0", NOW + 60, NOW) is ReplayStatus.SEEN_BEFORE
     )
+    # The others have expired.
     assert (
-        ids.check_and_add("later", NOW + 200, NOW + 100) is ReplayStatus.NEW and len(ids) == 1
-    )  # the others have expired
-    assert (
-        ids.check_and_add("0", NOW + 60, NOW) is ReplayStatus.SEEN_BEFORE
-    )  # the clock was set back, and the id was dropped
+        replay_cache.check_and_add("later", NOW + 200, NOW + 100) is ReplayStatus.NEW
+        and len(replay_cache) == 1
+    )
+    # The clock was set back, and the id was dropped.
+    assert replay_cache.check_and_add("0", NOW + 60, NOW) is ReplayStatus.SEEN_BEFORE
 
 
 @pytest.mark.parametrize("seed", range(3))
-def test_wheel_and_plain_dict_agree(seed: int) -> None:
+def test_the_replay_cache_agrees_with_its_dict_reference(seed: int) -> None:
     rng = random.Random(seed)
-    wheel, reference = ReplayCache(10_000, seed=1), DictReplayCache(10_000)
+    replay_cache, reference = ReplayCache(10_000, seed=1), DictReplayCache(10_000)
     now = NOW
     for _ in range(5000):
         now += rng.expovariate(10)
-        ident = str(rng.randrange(800))
+        token_id = str(rng.randrange(800))
         expires = NOW + 100.0 * (1 + int((now - NOW) / 100)) + 50  # constant over the lifetime of an id
-        if wheel.check_and_add(f"{ident} {expires}", expires, now) is not reference.check_and_add(
-            f"{ident} {expires}", expires, now
+        if replay_cache.check_and_add(f"{token_id} {expires}", expires, now) is not reference.check_and_add(
+            f"{token_id} {expires}", expires, now
         ):
-            raise AssertionError(ident)
+            raise AssertionError(f"the caches disagree on token {token_id}")
 
 
-def test_revocation_by_key_subject_and_token_ends_and_ages() -> None:
+def test_revocations_of_keys_subjects_and_tokens_apply_until_they_expire() -> None:
     gate = make_gate()
-    token = jwt_request(gate, jti="t", iat=NOW - 100)
+    request = jwt_request(gate, jti="t", iat=NOW - 100)
     for kind, name, reason in (
         ("key", "hs1", Reason.REVOKED_KEY),
         ("subject", "picker-1", Reason.REVOKED_SUBJECT),
@@ -465,15 +481,15 @@
     ):
         gate.revoked = RevocationList()
         gate.revoked.revoke(kind, name, NOW - 50, NOW + 1000, NOW)
-        assert decide(gate, token).reason is reason
+        assert decide(gate, request).reason is reason
         assert decide(gate, jwt_request(gate, iat=NOW - 10, jti="t")).admitted  # issued after the revocation
     revoked = RevocationList(max_entries=5000, filter_size=64)
     for number in range(3000):
         revoked.revoke("token", str(number), 1e18, NOW + 10, NOW)
     assert all(revoked.covers("token", str(number), NOW, NOW) for number in range(3000))
-    before = revoked.exact_lookups
+    lookups_before = revoked.exact_lookups
     assert not any(revoked.covers("token", f"x{number}", NOW, NOW) for number in range(3000))
-    assert revoked.exact_lookups - before < 300  # the filter answers nearly all lookups
+    assert revoked.exact_lookups - lookups_before < 300  # the filter answers nearly all lookups
     revoked.sweep(NOW + 11)
     assert len(revoked) == 0 and not revoked.covers("token", "1", NOW, NOW + 11)
     with pytest.raises(ValueError, match="room"):
@@ -481,23 +497,29 @@
             revoked.revoke("token", str(number), 1e18, NOW + 100, NOW + 12)
 
 
-def test_rates_and_open_requests_of_a_subject() -> None:
+def test_rate_and_concurrency_of_a_subject_are_limited() -> None:
     gate = make_gate(rate=2.0, burst=3.0, concurrent=2)
-    first = [decide(gate, jwt_request(gate)) for _ in range(3)]
-    assert [one.reason for one in first] == [Reason.GOOD, Reason.GOOD, Reason.CONCURRENCY]
-    gate.finish_request(first[0], executed=True)
-    fourth = decide(gate, jwt_request(gate))
-    assert fourth.reason is Reason.RATE and 0 < fourth.retry_after_s <= 0.5
+    first_decisions = [decide(gate, jwt_request(gate)) for _ in range(3)]
+    assert [decision.reason for decision in first_decisions] == [Reason.GOOD, Reason.GOOD, Reason.CONCURRENCY]
+    gate.finish_request(first_decisions[0], executed=True)
+    fourth_decision = decide(gate, jwt_request(gate))
+    assert fourth_decision.reason is Reason.RATE and 0 < fourth_decision.retry_after_s <= 0.5
     assert decide(gate, jwt_request(gate, sub="other")).admitted
-    bounded = [Policy(prefix, rate=1.0, burst=1.0) for prefix in ("/svc", "/svc/pick-confirm")]
-    both = Gate(Routes(bounded), _KEY_RING)
-    request = jwt_request(both)
-    write = make_request("/svc/pick-confirm/1/0", authorization=request.authorization)
-    assert decide(both, request).admitted and decide(both, request).reason is Reason.RATE
-    assert decide(both, write).admitted  # reads of a subject do not use up the rate of its writes
-    rates = SubjectLimits(2)
-    assert [rates.take(name, 1.0, 1.0, 0.0) for name in ("a", "b", "c", "a")] == [0.0] * 4  # a was evicted
-    assert rates.take("c", 1.0, 1.0, -100.0) <= 1.0  # a clock set back delays a subject by one burst at most
+    policies = [Policy(prefix, rate=1.0, burst=1.0) for prefix in ("/svc", "/svc/pick-confirm")]
+    two_policy_gate = Gate(Routes(policies), _KEY_RING)
+    request = jwt_request(two_policy_gate)
+    write_request = make_request("/svc/pick-confirm/1/0", authorization=request.authorization)
+    assert (
+        decide(two_policy_gate, request).admitted and decide(two_policy_gate, request).reason is Reason.RATE
+    )
+    # Reads of a subject do not use up the rate of its writes.
+    assert decide(two_policy_gate, write_request).admitted
+    subject_limits = SubjectLimits(2)
+    # The second request of "a" is not delayed, since "a" was evicted.
+    delays = [subject_limits.take(name, 1.0, 1.0, 0.0) for name in ("a", "b", "c", "a")]
+    assert delays == [0.0] * 4
+    # A clock set back delays a subject by one burst at most.
+    assert subject_limits.take("c", 1.0, 1.0, -100.0) <= 1.0
 
 
 def test_a_flood_of_forged_tokens_does_not_block_valid_ones() -> None:
@@ -506,28 +528,28 @@
         KeyRing.read(RING),
         Limits(checks=10.0),
     )
-    good = jwt_request(gate, "es1")
-    assert decide(gate, good).admitted
-    forger = Key("es1", "ES256", (), private=parse_key(generate("x", "ES256", [], 0.0)).private)
+    valid_request = jwt_request(gate, "es1")
+    assert decide(gate, valid_request).admitted
+    forging_key = Key("es1", "ES256", (), private=parse_key(generate("x", "ES256", [], 0.0)).private)
     reasons = [
         decide(
             gate,
-            make_request(authorization="Bearer " + formats.sign_jwt(forger, {"exp": NOW + n})),
-            NOW + n / 1000,
+            make_request(authorization="Bearer " + formats.sign_jwt(forging_key, {"exp": NOW + number})),
+            NOW + number / 1000,
         ).reason
-        for n in range(50)
+        for number in range(50)
     ]
     assert set(reasons) == {Reason.SIGNATURE, Reason.BUSY}
-    assert decide(gate, good, NOW + 0.05).admitted  # from the cache
-    writer = formats.sign_jwt(ring_key(gate, "es1"), {"exp": NOW + 60, "sub": "new"})
+    assert decide(gate, valid_request, NOW + 0.05).admitted  # from the cache
+    write_token = formats.sign_jwt(ring_key(gate, "es1"), {"exp": NOW + 60, "sub": "new"})
     high_priority_write = make_request(
-        "/svc/pick-confirm/1/0", method="POST", authorization=f"Bearer {writer}"
+        "/svc/pick-confirm/1/0", method="POST", authorization=f"Bearer {write_token}"
     )
     assert decide(gate, high_priority_write, NOW + 0.06).admitted  # the reserved share of the budget
-    again = decide(
-        gate, make_request(authorization="Bearer " + formats.sign_jwt(forger, {"exp": NOW})), NOW + 0.07
+    later_forgery = decide(
+        gate, make_request(authorization="Bearer " + formats.sign_jwt(forging_key, {"exp": NOW})), NOW + 0.07
     )
-    assert again.reason in (Reason.SIGNATURE, Reason.BUSY)
+    assert later_forgery.reason in (Reason.SIGNATURE, Reason.BUSY)
 
 
 def test_signature_budget_and_cache_are_bounded() -> None:
@@ -535,27 +557,29 @@
     assert [budget.take(0.0, False) for _ in range(4)] == [True, True, True, False]
     assert budget.take(0.0, True) and not budget.take(0.0, True)
     assert budget.take(-5.0, False) is False  # a clock set back adds no budget
-    verdicts = SignatureCache(2, 2)
+    signature_cache = SignatureCache(2, 2)
     for number in range(5):
-        verdicts.store(bytes([number]), True)
-        verdicts.store(bytes([number + 100]), False)
-    assert verdicts.lookup(bytes([4])) is True and verdicts.lookup(bytes([104])) is False
-    assert verdicts.lookup(bytes([0])) is None
+        signature_cache.store(bytes([number]), True)
+        signature_cache.store(bytes([number + 100]), False)
+    assert signature_cache.lookup(bytes([4])) is True and signature_cache.lookup(bytes([104])) is False
+    assert signature_cache.lookup(bytes([0])) is None
 
 
 def test_replacing_the_ring_keeps_tokens_of_keys_that_remain() -> None:
     gate = make_gate()
-    token = jwt_request(gate)
-    assert decide(gate, token).admitted
-    table = {"keys": [{**one, "retired": True} if one["id"] == "hs1" else one for one in RING["keys"]]}
-    gate.replace_keys(KeyRing.read(table), gate.routes)
-    assert decide(gate, token).reason is Reason.KEY_RETIRED
+    request = jwt_request(gate)
+    assert decide(gate, request).admitted
+    ring_with_retired_key = {
+        "keys": [{**key, "retired": True} if key["id"] == "hs1" else key for key in RING["keys"]]
+    }
+    gate.replace_keys(KeyRing.read(ring_with_retired_key), gate.routes)
+    assert decide(gate, request).reason is Reason.KEY_RETIRED
     gate.replace_keys(KeyRing.read(RING), gate.routes)
-    assert decide(gate, token).admitted
+    assert decide(gate, request).admitted
 
 
 @pytest.mark.parametrize(
-    ("change", "why"),
+    ("changed_fields", "message"),
     [
         ({"id": ""}, "id"),
         ({"algorithm": "none"}, "no algorithm"),
@@ -567,35 +591,37 @@
         ({"algorithm": "RS256"}, "public is missing"),
     ],
 )
-def test_errors_of_invalid_keys_name_the_id_and_no_secret(change: dict[str, Any], why: str) -> None:
-    base = {"id": "k", "algorithm": "HS256", "secret": SECRET}
-    with pytest.raises(KeyRingError, match=why) as error:
-        parse_key({**base, **change})
+def test_errors_of_invalid_keys_name_the_id_and_no_secret(
+    changed_fields: dict[str, Any], message: str
+) -> None:
+    valid_key = {"id": "k", "algorithm": "HS256", "secret": SECRET}
+    with pytest.raises(KeyRingError, match=message) as error:
+        parse_key({**valid_key, **changed_fields})
     assert SECRET not in str(error.value)
-    assert SECRET not in repr(parse_key(base)) and SECRET not in repr(bytes.fromhex(SECRET)) + str(
+    assert SECRET not in repr(parse_key(valid_key)) and SECRET not in repr(bytes.fromhex(SECRET)) + str(
         error.value
     )
 
 
 def test_weak_and_slow_rsa_keys_are_refused() -> None:
-    def pem(public: Any) -> str:
+    def pem(public_key: Any) -> str:
         return str(
-            public.public_bytes(
+            public_key.public_bytes(
                 serialization.Encoding.PEM, serialization.PublicFormat.SubjectPublicKeyInfo
             ).decode()
         )
 
-    small = rsa.generate_private_key(65537, 1024).public_key()
+    short_key = rsa.generate_private_key(65537, 1024).public_key()
     with pytest.raises(KeyRingError, match="1024 bits"):
-        parse_key({"id": "k", "algorithm": "RS256", "public": pem(small)})
+        parse_key({"id": "k", "algorithm": "RS256", "public": pem(short_key)})
     numbers = rsa.generate_private_key(65537, 2048).public_key().public_numbers()
-    slow = rsa.RSAPublicNumbers((1 << 40) + 15, numbers.n).public_key()
+    large_exponent_key = rsa.RSAPublicNumbers((1 << 40) + 15, numbers.n).public_key()
     with pytest.raises(KeyRingError, match="exponent"):
-        parse_key({"id": "k", "algorithm": "RS256", "public": pem(slow)})
+        parse_key({"id": "k", "algorithm": "RS256", "public": pem(large_exponent_key)})
 
 
 @pytest.mark.parametrize("seed", range(3))
-def test_the_trie_finds_what_a_scan_finds(seed: int) -> None:
+def test_the_route_trie_agrees_with_a_linear_scan(seed: int) -> None:
     rng = random.Random(seed)
     prefixes = {"/" + "/".join(rng.choice("abc") for _ in range(rng.randint(1, 5))) for _ in range(80)}
     policies = [Policy(prefix) for prefix in prefixes]
@@ -607,9 +633,9 @@
         Routes([Policy("/a"), Policy("/a/")])
 
 
-def test_times_out_of_range_and_bad_networks_raise_token_errors() -> None:
-    for wrong in (True, "1", -1, 1e300, float("nan")):
+def test_invalid_times_and_networks_raise_token_errors() -> None:
+    for invalid_time in (True, "1", -1, 1e300, float("nan")):
         with pytest.raises(TokenError):
-            formats._parse_time(wrong, "exp")
+            formats._parse_time(invalid_time, "exp")
     with pytest.raises(TokenError):
         parse_networks("10.0.0.0/99")
--- a/tests/test_capacity_control.py
+++ b/tests/test_capacity_control.py
@@ -57,7 +57,7 @@
     return model
 
 
-def test_datagrams_count_at_sender_and_receiver() -> None:
+def test_each_datagram_is_counted_at_sender_and_receiver() -> None:
     model = steady_fleet(6)
     steady = observe(model, lambda: None, lambda: model.run(10.0))
     # Steady state has no claims, so each datagram has minimum size. Some are in flight at either end.
@@ -75,18 +75,18 @@
 
 def test_removed_machine_refuses_no_datagrams() -> None:
     model = steady_fleet(6)
-    before = refusals(model)  # the first routers were refused by those not yet started
+    refusals_before = refusals(model)  # the first routers were refused by those not yet started
     observe(model, lambda: vanish(model, [0]), lambda: model.run(3.0))
-    assert refusals(model) == before
+    assert refusals(model) == refusals_before
     model = steady_fleet(6)
-    before = refusals(model)
+    refusals_before = refusals(model)
     observe(model, lambda: model.kill(0), lambda: model.run(3.0))
-    assert refusals(model) > before
+    assert refusals(model) > refusals_before
 
 
 def test_starting_fleet_sends_more_than_a_steady_one() -> None:
     figures = play_fleet(8, True)
-    assert figures["join_datagrams"] >= 2 * 8 * 7  # each router pings all others and is answered
+    assert figures["join_datagrams"] >= 2 * 8 * 7  # each router pings all others, and each answers
     assert figures["join_datagrams_each_s"] > figures["calm_datagrams_each_s"]
     assert figures["restart_extra_datagrams"] > 2 * 7
     assert figures["memory_mb"] > 0.0
@@ -108,7 +108,7 @@
 def follower_traffic(window_s: float, purges: int) -> Segments:
     """Return the traffic of a follower's connection for `purges` purges within a tenth of a second."""
     server, sink = LogServer(window_s), CountingSink(purges)
-    carried: list[Segments] = []
+    traffic: list[Segments] = []
 
     def serve() -> None:
         while not server.followers:
@@ -124,7 +124,7 @@
         server.flush()
         trio.from_thread.run(sink.done.wait)
         time.sleep(0.1)  # lets the last acknowledgement arrive
-        carried.append(Segments.of(server.followers[0]).since(before))
+        traffic.append(Segments.of(server.followers[0]).since(before))
 
     async def play() -> None:
         with trio.fail_after(20.0):
@@ -139,7 +139,7 @@
     finally:
         set_log_sink(None)
         server.close()
-    return carried[0]
+    return traffic[0]
 
 
 def test_batched_purges_need_fewer_segments_for_the_same_bytes() -> None:
@@ -197,9 +197,8 @@
         set_log_sink(None)
         server.close()
     assert len(sink.delays_s) == len(server.purged_at_s)
-    assert (
-        max(sink.delays_s) > 0.1 > min(sink.delays_s)
-    )  # batched: the first purge of a window waits for its end
+    # Purges are batched: the first one of a window waits for its end.
+    assert max(sink.delays_s) > 0.1 > min(sink.delays_s)
 
 
 def test_traffic_since_counts_only_connections_still_open() -> None:
@@ -215,9 +214,9 @@
         deadline = time.monotonic() + 5.0
         while traffic_since(before, {address[1]}).bytes < 1000 and time.monotonic() < deadline:
             time.sleep(0.005)  # until the data is acknowledged
-        carried = traffic_since(before, {address[1]})
-        assert 1000 < carried.bytes < 1300
-        assert carried.segments >= 2
+        traffic = traffic_since(before, {address[1]})
+        assert 1000 < traffic.bytes < 1300
+        assert traffic.segments >= 2
         for sock in (open_socket, *accepted):
             sock.close()
 
@@ -272,9 +271,9 @@
 
 
 def test_threads_of_a_closed_server_end() -> None:
-    before = threading.active_count()
+    threads_before = threading.active_count()
     LogServer().close()
     deadline = time.monotonic() + 5.0
-    while threading.active_count() > before and time.monotonic() < deadline:
+    while threading.active_count() > threads_before and time.monotonic() < deadline:
         time.sleep(0.005)
-    assert threading.active_count() == before
+    assert threading.active_count() == threads_before
--- a/tests/test_capacity_router.py
+++ b/tests/test_capacity_router.py
@@ -1,4 +1,4 @@
-"""The benchmarks behind docs/CAPACITY.md: what they compute, at small sizes. No speeds are checked."""
+"""Check what the benchmarks behind docs/CAPACITY.md compute, at small sizes; no speeds are checked."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 from stonecove.routing.popularity import Popularity
 from stonecove.routing.slow_start import BUDGET_UTILIZATION, SlowStartBudget
 
-NOW = 1e12
+NOW_MS = 1e12
 
 
 def test_one_routers_load_follows_from_the_platforms_size() -> None:
@@ -78,14 +78,13 @@
 def test_sketch_never_underestimates_and_halves_its_counts() -> None:
     sketch = SketchPopularity(HALF_LIFE_MS, 1 << 12, 50)
     for _ in range(8):
-        sketch.record_request(NOW, 5, 10.0, 0)
+        sketch.record_request(NOW_MS, 5, 10.0, 0)
     assert sketch._estimate(5) == pytest.approx(8.0)
-    sketch.record_request(NOW + HALF_LIFE_MS, 6, 10.0, 0)
-    assert sketch._estimate(6) == pytest.approx(
-        2.0
-    )  # in units of the current weight: 8 old requests count as 4
+    sketch.record_request(NOW_MS + HALF_LIFE_MS, 6, 10.0, 0)
+    # In units of the current weight: 8 old requests count as 4.
+    assert sketch._estimate(6) == pytest.approx(2.0)
     for number in range(1000):
-        sketch.record_request(NOW + HALF_LIFE_MS, 1000 + number % 200, 10.0, 0)
+        sketch.record_request(NOW_MS + HALF_LIFE_MS, 1000 + number % 200, 10.0, 0)
     assert all(sketch._estimate(1000 + number) >= 2 * 5 * 0.999 for number in range(200))
     assert len(sketch._heavy) <= 50
 
@@ -93,8 +92,8 @@
 def test_sketch_keeps_its_proportions_when_rescaled() -> None:
     sketch = SketchPopularity(1000.0, 1 << 10, 50)
     for _ in range(16):
-        sketch.record_request(NOW, 5, 10.0, 0)
-    sketch.record_request(NOW + 17_000.0, 6, 10.0, 0)
+        sketch.record_request(NOW_MS, 5, 10.0, 0)
+    sketch.record_request(NOW_MS + 17_000.0, 6, 10.0, 0)
     assert sketch._estimate(6) == pytest.approx(1.0)
     assert sketch._estimate(5) == pytest.approx(16.0 * 2.0**-17)
     assert sketch._total == pytest.approx(1.0 + 16.0 * 2.0**-17)
@@ -116,9 +115,9 @@
 
 
 def test_pooled_requests_admit_more_and_top_set_is_minimal() -> None:
-    few = capacity_popularity.unbounded_admitted_share(5000, 0.8, 100.0, 20)
-    many = capacity_popularity.unbounded_admitted_share(5000, 0.8, 1000.0, 20)
-    assert 0.0 < few < many < 1.0
+    few_admitted = capacity_popularity.unbounded_admitted_share(5000, 0.8, 100.0, 20)
+    many_admitted = capacity_popularity.unbounded_admitted_share(5000, 0.8, 1000.0, 20)
+    assert 0.0 < few_admitted < many_admitted < 1.0
     top = capacity_popularity.top_set(5000, 0.8)
     assert capacity_popularity.ideal_admitted_share(5000, 0.8, top) >= 0.9
     assert capacity_popularity.ideal_admitted_share(5000, 0.8, top - 1) < 0.9
@@ -130,17 +129,17 @@
     return capacity_slow_start.SimulationResult(3000.0, 10.0, budget)
 
 
-def test_limit_excludes_the_modules_headroom() -> None:
+def test_simulated_limit_excludes_the_budgets_headroom() -> None:
     simulation = empty_simulation()
-    assert simulation.limit_ms(NOW + 1.0) == pytest.approx(4.0 * 0.25 * 3000.0 * 10.0)
-    assert simulation.limit_ms(NOW + 30_000.0) == pytest.approx(4.0 * 3000.0 * 10.0)
+    assert simulation.limit_ms(NOW_MS + 1.0) == pytest.approx(4.0 * 0.25 * 3000.0 * 10.0)
+    assert simulation.limit_ms(NOW_MS + 30_000.0) == pytest.approx(4.0 * 3000.0 * 10.0)
 
 
 def test_worst_window_excludes_expired_attempts() -> None:
     simulation = empty_simulation()
-    simulation.sent = [(NOW, 6000.0), (NOW + 2999.0, 12_000.0), (NOW + 6000.0, 3000.0)]
+    simulation.sent = [(NOW_MS, 6000.0), (NOW_MS + 2999.0, 12_000.0), (NOW_MS + 6000.0, 3000.0)]
     assert simulation.worst() == pytest.approx(18_000.0 / 30_000.0)
-    simulation.sent = [(NOW, 6000.0), (NOW + 3000.0, 12_000.0)]
+    simulation.sent = [(NOW_MS, 6000.0), (NOW_MS + 3000.0, 12_000.0)]
     assert simulation.worst() == pytest.approx(12_000.0 / 30_000.0)
 
 
@@ -211,7 +210,7 @@
     assert capacity_data.stalled_mb(200, 20) > 20 * 0.2 * 0.9
 
 
-def test_single_part_prints_its_figures_last(
+def test_a_single_part_prints_its_figures_on_the_last_line(
     monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
 ) -> None:
     monkeypatch.setattr("sys.argv", ["capacity_router", "control", "--short"])
--- a/tests/test_choice.py
+++ b/tests/test_choice.py
@@ -65,7 +65,7 @@
     assert popularity.cache_rank(0) == popularity.cache_rank(123_456_789) == 1
 
 
-def test_dense_objects_rank_higher() -> None:
+def test_small_objects_rank_above_large_ones_with_as_many_requests() -> None:
     popularity = Popularity(1e9)
     for n in range(3000):
         popularity.record_request(
@@ -83,7 +83,7 @@
     assert popularity.cache_rank(1) == 0 and popularity.cache_rank(11) > 0
 
 
-def test_the_table_is_bounded_and_evicted_requests_still_count() -> None:
+def test_the_table_is_bounded_and_requests_of_evicted_objects_still_count() -> None:
     popularity = Popularity(1e9)
     for n in range(MAX_TRACKED_OBJECTS + 5000):
         popularity.record_request(0.0, n, 1.0, 0)
@@ -91,7 +91,7 @@
     assert popularity._total_count == MAX_TRACKED_OBJECTS + 5000
 
 
-def test_ties_are_broken_the_same_way_everywhere() -> None:
+def test_ties_in_rank_do_not_depend_on_the_order_of_requests() -> None:
     ranks = []
     for order in (range(300), reversed(range(300))):
         popularity = Popularity(1e12)
@@ -104,49 +104,55 @@
 # -- hashing --
 
 
-def nodes(count: int, weight: float = 1.0) -> list[Node]:
+def ready_caches(count: int, weight: float = 1.0) -> list[Node]:
     return [Node(n + 1, 0, 0.0, NodeState.READY, 0, 1, weight) for n in range(count)]
 
 
-def test_shares_follow_the_weights() -> None:
-    listed = [*nodes(3), Node(9, 0, 0.0, NodeState.READY, 0, 1, 3.0)]
-    homes = Counter(RendezvousHash(listed, True).order(key)[0] for key in range(6000))
+def test_shares_of_objects_are_proportional_to_the_weights() -> None:
+    caches = [*ready_caches(3), Node(9, 0, 0.0, NodeState.READY, 0, 1, 3.0)]
+    homes = Counter(RendezvousHash(caches, True).order(key)[0] for key in range(6000))
     assert abs(homes[9] / 6000 - 0.5) < 0.03
-    flat = Counter(RendezvousHash(listed, False).order(key)[0] for key in range(6000))
-    assert abs(flat[9] / 6000 - 0.25) < 0.03
+    unweighted_homes = Counter(RendezvousHash(caches, False).order(key)[0] for key in range(6000))
+    assert abs(unweighted_homes[9] / 6000 - 0.25) < 0.03
 
 
 def test_removing_a_node_moves_only_its_own_objects() -> None:
-    before, after = RendezvousHash(nodes(8), True), RendezvousHash(nodes(7), True)
+    before, after = RendezvousHash(ready_caches(8), True), RendezvousHash(ready_caches(7), True)
     for key in range(500):
         home = before.order(key)[0]
         assert home == 8 or after.order(key)[0] == home
 
 
-def test_all_directors_share_home_and_parent() -> None:
-    one, two = DirectorHarness(), DirectorHarness(make_settings(zone=2))
-    two.deliver(
+def test_all_directors_choose_the_same_home_cache_and_parent() -> None:
+    first_harness, second_harness = DirectorHarness(), DirectorHarness(make_settings(zone=2))
+    second_harness.deliver(
         EndpointListUpdate(
-            EndpointListKind.SNAPSHOT, tuple(n._replace(zone=2) if n.kind == 0 else n for n in two.nodes)
+            EndpointListKind.SNAPSHOT,
+            tuple(n._replace(zone=2) if n.kind == 0 else n for n in second_harness.nodes),
         )
     )
     for key in range(50):
-        for part in (0, 3):
-            first, other = (
-                sent_attempts(harness.request(object_key=key, chunk_index=part))[0] for harness in (one, two)
+        for chunk_index in (0, 3):
+            first_attempt, second_attempt = (
+                sent_attempts(harness.request(object_key=key, chunk_index=chunk_index))[0]
+                for harness in (first_harness, second_harness)
             )
-            assert (first.node_id, first.source_id) == (other.node_id, other.source_id)
-            assert first.source_id in PARENTS
+            assert (first_attempt.node_id, first_attempt.source_id) == (
+                second_attempt.node_id,
+                second_attempt.source_id,
+            )
+            assert first_attempt.source_id in PARENTS
 
 
 def test_chunks_of_one_object_spread_over_the_caches_but_share_the_parent(
     harness: DirectorHarness,
 ) -> None:
-    used = [
-        sent_attempts(harness.request(object_key=77, chunk_index=part, size_kb=1.0))[0] for part in range(24)
+    attempts = [
+        sent_attempts(harness.request(object_key=77, chunk_index=chunk_index, size_kb=1.0))[0]
+        for chunk_index in range(24)
     ]
-    assert {attempt.node_id for attempt in used} == set(CACHES)
-    assert len({attempt.source_id for attempt in used}) == 1
+    assert {attempt.node_id for attempt in attempts} == set(CACHES)
+    assert len({attempt.source_id for attempt in attempts}) == 1
 
 
 def test_without_parents_fills_come_from_the_origin() -> None:
@@ -154,57 +160,60 @@
     assert sent_attempts(harness.request())[0].source_id == ORIGIN
 
 
-def test_a_hot_object_is_spread_and_a_rare_one_is_not(harness: DirectorHarness) -> None:
-    used: dict[int, set[int]] = {1: set(), 2: set()}
+def test_a_popular_object_is_spread_over_caches_and_a_rare_one_is_not(harness: DirectorHarness) -> None:
+    caches_by_object: dict[int, set[int]] = {1: set(), 2: set()}
     for n in range(600):
         key = 2 if n % 50 == 0 else 1 if n % 2 else 1000 + n % 90
         attempt = sent_attempts(harness.request(object_key=key, size_kb=10.0))[0]
-        used.get(key, set()).add(attempt.node_id)
+        caches_by_object.get(key, set()).add(attempt.node_id)
         if n % 4 == 3:
             harness.end_attempt(attempt)
-    assert len(used[1]) > 1 and len(used[2]) == 1
+    assert len(caches_by_object[1]) > 1 and len(caches_by_object[2]) == 1
 
 
 # -- health --
 
 
-def test_a_dead_cache_is_ejected_and_tried_again_by_single_attempts(harness: DirectorHarness) -> None:
+def test_a_dead_cache_is_ejected_and_probed_by_single_attempts(harness: DirectorHarness) -> None:
     attempt = sent_attempts(harness.request())[0]
-    again = sent_attempts(harness.end_attempt(attempt, Outcome.CONNECT_FAILED))[0]
-    assert again.node_id != attempt.node_id
-    harness.end_attempt(again, attempt_index=1)
+    retry = sent_attempts(harness.end_attempt(attempt, Outcome.CONNECT_FAILED))[0]
+    assert retry.node_id != attempt.node_id
+    harness.end_attempt(retry, attempt_index=1)
     assert sent_attempts(harness.request())[0].node_id != attempt.node_id
-    trial = sent_attempts(harness.request(wait_ms=3000.0))[0]
-    assert trial.node_id == attempt.node_id
+    probe = sent_attempts(harness.request(wait_ms=3000.0))[0]
+    assert probe.node_id == attempt.node_id
     assert sent_attempts(harness.request())[0].node_id != attempt.node_id
-    harness.end_attempt(trial)
+    harness.end_attempt(probe)
     assert sent_attempts(harness.request())[0].node_id == attempt.node_id
 
 
 def test_a_silent_cache_is_detected_within_a_few_attempts(harness: DirectorHarness) -> None:
-    silent = sent_attempts(harness.request())[0]
-    attempts = [silent, *(sent_attempts(harness.request())[0] for _ in range(2))]
+    unanswered = sent_attempts(harness.request())[0]
+    attempts = [unanswered, *(sent_attempts(harness.request())[0] for _ in range(2))]
     harness.now_ms += 1500.0
     hedged = [
         attempt
         for earlier in attempts
         for attempt in sent_attempts(harness.deliver(TimerExpired(earlier.request_id)))
     ]
-    assert hedged[0].node_id == hedged[0].source_id == silent.node_id  # just the answer may have been lost
-    assert hedged[-1].node_id != silent.node_id
-    assert sent_attempts(harness.request())[0].node_id != silent.node_id
+    # Only the answer may have been lost.
+    assert hedged[0].node_id == hedged[0].source_id == unanswered.node_id
+    assert hedged[-1].node_id != unanswered.node_id
+    assert sent_attempts(harness.request())[0].node_id != unanswered.node_id
 
 
-def test_after_a_lost_answer_the_same_cache_is_tried_again(harness: DirectorHarness) -> None:
-    lost, other = (
+def test_after_a_lost_answer_the_hedged_request_goes_to_the_same_cache(harness: DirectorHarness) -> None:
+    unanswered, answered = (
         sent_attempts(harness.request(object_key=1))[0],
         sent_attempts(harness.request(object_key=1))[0],
     )
-    harness.end_attempt(other, cache_status=CacheStatus.HIT, wait_ms=100.0)
-    again = sent_attempts(harness.deliver(TimerExpired(lost.request_id), 500.0))
-    assert [attempt.node_id for attempt in again] == [lost.node_id] and again[0].source_id == lost.node_id
+    harness.end_attempt(answered, cache_status=CacheStatus.HIT, wait_ms=100.0)
+    hedged = sent_attempts(harness.deliver(TimerExpired(unanswered.request_id), 500.0))
+    assert [attempt.node_id for attempt in hedged] == [unanswered.node_id] and hedged[
+        0
+    ].source_id == unanswered.node_id
     # The first attempt may still be answered.
-    assert harness.end_attempt(again[0], Outcome.MISS, attempt_index=1) == []
+    assert harness.end_attempt(hedged[0], Outcome.MISS, attempt_index=1) == []
 
 
 def test_no_hedged_requests_are_sent_under_congestion(harness: DirectorHarness) -> None:
@@ -217,43 +226,43 @@
 
 
 def test_a_slow_cache_that_answers_is_not_treated_as_silent(harness: DirectorHarness) -> None:
-    big = sent_attempts(harness.request(size_kb=2000.0))[0]
-    small = [sent_attempts(harness.request())[0] for _ in range(3)]
-    harness.end_attempt(small[0], wait_ms=1000.0, cache_status=CacheStatus.FILLED)
-    for attempt in (big, *small[1:]):
+    large_attempt = sent_attempts(harness.request(size_kb=2000.0))[0]
+    small_attempts = [sent_attempts(harness.request())[0] for _ in range(3)]
+    harness.end_attempt(small_attempts[0], wait_ms=1000.0, cache_status=CacheStatus.FILLED)
+    for attempt in (large_attempt, *small_attempts[1:]):
         assert not sent_attempts(harness.deliver(TimerExpired(attempt.request_id), 10.0))
-    assert sent_attempts(harness.request(size_kb=1.0))[0].node_id == big.node_id
+    assert sent_attempts(harness.request(size_kb=1.0))[0].node_id == large_attempt.node_id
 
 
-def test_a_failed_source_is_not_used_again_for_the_request(harness: DirectorHarness) -> None:
+def test_a_source_that_failed_a_request_is_not_used_again_for_it(harness: DirectorHarness) -> None:
     attempt = sent_attempts(harness.request())[0]
-    again = sent_attempts(
+    first_retry = sent_attempts(
         harness.end_attempt(attempt, Outcome.ERROR, cache_status=CacheStatus.SOURCE_DISCONNECTED)
     )[0]
-    assert again.source_id != attempt.source_id
-    last = sent_attempts(
+    assert first_retry.source_id != attempt.source_id
+    second_retry = sent_attempts(
         harness.end_attempt(
-            again, Outcome.ERROR, cache_status=CacheStatus.SOURCE_DISCONNECTED, attempt_index=1
+            first_retry, Outcome.ERROR, cache_status=CacheStatus.SOURCE_DISCONNECTED, attempt_index=1
         )
     )[0]
-    assert last.source_id == ORIGIN
+    assert second_retry.source_id == ORIGIN
 
 
 def test_retries_are_bounded(harness: DirectorHarness) -> None:
-    sent = 0
+    sent_count = 0
     for n in range(300):
-        attempt = sent_attempts(harness.request(object_key=n))
-        while attempt:
-            sent += 1
-            attempt = sent_attempts(
+        attempts = sent_attempts(harness.request(object_key=n))
+        while attempts:
+            sent_count += 1
+            attempts = sent_attempts(
                 harness.end_attempt(
-                    attempt[0],
+                    attempts[0],
                     Outcome.ERROR,
                     wait_ms=0.1,
-                    attempt_index=len(harness.director.state.in_flight[attempt[0].request_id].attempts) - 1,
+                    attempt_index=len(harness.director.state.in_flight[attempts[0].request_id].attempts) - 1,
                 )
             )
-    assert sent < 300 * 1.25
+    assert sent_count < 300 * 1.25
 
 
 # -- congestion and overload --
@@ -261,22 +270,22 @@
 
 def test_a_congested_cache_is_skipped_in_hash_order(harness: DirectorHarness) -> None:
     order = harness.director.state.endpoints.caches.order(1)
-    sent = [sent_attempts(harness.request(object_key=1, size_kb=600.0)) for _ in range(12)]
-    used = [attempt[0].node_id for attempt in sent if attempt]
-    assert used[0] == order[0] and used[-1] != order[0]
+    attempts_by_request = [sent_attempts(harness.request(object_key=1, size_kb=600.0)) for _ in range(12)]
+    node_ids = [attempts[0].node_id for attempts in attempts_by_request if attempts]
+    assert node_ids[0] == order[0] and node_ids[-1] != order[0]
 
 
 def test_a_popular_large_object_is_spread_by_chunks_without_replicas(harness: DirectorHarness) -> None:
-    used: dict[int, set[int]] = {}
+    caches_by_chunk: dict[int, set[int]] = {}
     pending = sent_attempts(harness.request(object_key=7, size_kb=10.0))[0]
     for n in range(900):
         key, chunk_index = (7, n % 12) if n % 3 else (1000 + n, 0)
         attempt = sent_attempts(harness.request(object_key=key, chunk_index=chunk_index, size_kb=10.0))[0]
         if key == 7:
-            used.setdefault(chunk_index, set()).add(attempt.node_id)
+            caches_by_chunk.setdefault(chunk_index, set()).add(attempt.node_id)
         harness.end_attempt(pending, cache_status=CacheStatus.HIT, wait_ms=10.0)
         pending = attempt
-    assert all(len(caches) == 1 for caches in used.values())
+    assert all(len(caches) == 1 for caches in caches_by_chunk.values())
 
 
 def test_beside_crowded_caches_those_that_warm_take_what_their_budget_lets_in() -> None:
@@ -302,14 +311,14 @@
     )
     attempts = [sent_attempts(harness.request(object_key=n, size_kb=400.0))[0] for n in range(150)]
     assert attempts[0].source_id in PARENTS
-    stored_only = [attempt for attempt in attempts if attempt.source_id == attempt.node_id]
-    assert stored_only and attempts[-1] in stored_only
-    missed = harness.end_attempt(attempts[-1], Outcome.MISS)
-    assert isinstance(missed[-1], RejectRequest) and not sent_attempts(missed)
+    cached_only = [attempt for attempt in attempts if attempt.source_id == attempt.node_id]
+    assert cached_only and attempts[-1] in cached_only
+    actions = harness.end_attempt(attempts[-1], Outcome.MISS)
+    assert isinstance(actions[-1], RejectRequest) and not sent_attempts(actions)
 
 
 def test_slow_answers_of_a_cache_move_large_objects_to_the_next(harness: DirectorHarness) -> None:
-    """Other routers cause the load of the cache; this one has little work there."""
+    """The cache is slow under the load of other routers; this one has few requests there."""
     order = harness.director.state.endpoints.caches.order(1)
     for _ in range(4):
         attempt = sent_attempts(harness.request(object_key=1))[0]
@@ -344,8 +353,10 @@
         harness.end_attempt(attempt[0], cache_status=CacheStatus.HIT, wait_ms=3000.0)
 
 
-@pytest.mark.parametrize(("load", "floor"), [(0.5, 2 / 3), (0.8, 2 / 3), (1.2, 0.5), (1.5, 0.5)])
-def test_the_largest_requests_of_a_class_get_their_part_of_its_answers(load: float, floor: float) -> None:
+@pytest.mark.parametrize(("load", "min_relative_share"), [(0.5, 2 / 3), (0.8, 2 / 3), (1.2, 0.5), (1.5, 0.5)])
+def test_the_largest_requests_of_a_class_get_their_part_of_its_answers(
+    load: float, min_relative_share: float
+) -> None:
     """Guard against overload in which only large requests are rejected."""
     random, count = Random(5), 2500
     harness = DirectorHarness(
@@ -355,13 +366,13 @@
     )
     sizes = [random.lognormvariate(5.3, 1.0) for _ in range(count)]
     in_flight: Counter[int] = Counter()
-    running: list[tuple[float, float, SendAttempt]] = []
+    transfers: list[tuple[float, float, SendAttempt]] = []
     answered = set()
     arrival_ms = harness.now_ms
     for size in sizes:
-        arrival_ms += random.expovariate(load * 20 / 330)  # 20 transfers at once, of 330 ms in the mean
-        while running and running[0][0] <= arrival_ms:
-            harness.now_ms, duration_ms, attempt = heapq.heappop(running)
+        arrival_ms += random.expovariate(load * 20 / 330)  # 20 transfers at once, with a mean of 330 ms
+        while transfers and transfers[0][0] <= arrival_ms:
+            harness.now_ms, duration_ms, attempt = heapq.heappop(transfers)
             in_flight[attempt.node_id] -= 1
             if duration_ms < 5000.0:
                 answered.add(attempt.request_id - 1)
@@ -386,25 +397,29 @@
             duration_ms = size * max(
                 1.0, in_flight[attempt.node_id] / 5
             )  # each of four caches sends five at once
-            heapq.heappush(running, (arrival_ms + duration_ms, duration_ms, attempt))
-    order = sorted(range(count), key=lambda place: -sizes[place])
-    total, tenth, fifth = (
-        sum(place in answered for place in some) / len(some)
-        for some in (order, order[: count // 10], order[count // 10 : 3 * count // 10])
+            heapq.heappush(transfers, (arrival_ms + duration_ms, duration_ms, attempt))
+    by_falling_size = sorted(range(count), key=lambda index: -sizes[index])
+    answered_share, largest_tenth_share, next_fifth_share = (
+        sum(index in answered for index in group) / len(group)
+        for group in (
+            by_falling_size,
+            by_falling_size[: count // 10],
+            by_falling_size[count // 10 : 3 * count // 10],
+        )
     )
-    assert min(tenth, fifth) >= floor * total > 0
+    assert min(largest_tenth_share, next_fifth_share) >= min_relative_share * answered_share > 0
 
 
-def test_before_any_answer_the_latency_objective_stands_for_the_work() -> None:
+def test_before_any_answer_the_work_is_estimated_from_the_latency_objective() -> None:
     """Guard against a new router that sends all requests to a cache in slow start."""
     nodes = [node._replace(started_ms=99_000.0) for node in make_nodes() if node.node_id not in CACHES[1:]]
     settings = make_settings(make_class(latency_objective_ms=500.0))
     harness = DirectorHarness(settings, nodes)
-    sent = sum(len(sent_attempts(harness.request(object_key=n, size_kb=0.0))) for n in range(300))
+    sent_count = sum(len(sent_attempts(harness.request(object_key=n, size_kb=0.0))) for n in range(300))
     capacity = settings.zone_link_kb_per_s[1] / settings.client_kb_per_s
     assert (
         0
-        < sent * 500.0
+        < sent_count * 500.0
         <= settings.overload_multiple
         * settings.slow_start_initial_fraction
         * settings.overload_window_ms
@@ -413,39 +428,39 @@
 
 
 def test_a_share_of_a_link_has_headroom_until_a_slowdown_is_observed() -> None:
-    alone, one_of_many = (LinkLoad.for_share(LinkShare(20.0, share), 100.0) for share in (1.0, 0.05))
-    assert alone.headroom == 0.0 and alone.capacity == 20.0
-    one_of_many.in_flight = 1
-    assert one_of_many.expected_slowdown(0.0) == 1.0
-    one_of_many.observe(0.0, 3000.0, 1000.0)
-    assert one_of_many.expected_slowdown(0.0) >= 2.5
-    assert one_of_many.expected_slowdown(9000.0) < 1.01
+    whole_link, small_share = (LinkLoad.for_share(LinkShare(20.0, share), 100.0) for share in (1.0, 0.05))
+    assert whole_link.headroom == 0.0 and whole_link.capacity == 20.0
+    small_share.in_flight = 1
+    assert small_share.expected_slowdown(0.0) == 1.0
+    small_share.observe(0.0, 3000.0, 1000.0)
+    assert small_share.expected_slowdown(0.0) >= 2.5
+    assert small_share.expected_slowdown(9000.0) < 1.01
 
 
-def test_some_requests_bypass_an_overloaded_origin_for_a_time(harness: DirectorHarness) -> None:
+def test_some_requests_bypass_an_overloaded_origin_for_a_limited_time(harness: DirectorHarness) -> None:
     for key in range(12):
         attempt: SendAttempt | None = sent_attempts(harness.request(object_key=key, size_kb=1.0))[0]
         while attempt:
-            number = len(harness.director.state.in_flight[attempt.request_id].attempts) - 1
-            more = sent_attempts(
+            attempt_index = len(harness.director.state.in_flight[attempt.request_id].attempts) - 1
+            retries = sent_attempts(
                 harness.end_attempt(
                     attempt,
                     Outcome.REJECTED_OVERLOADED,
                     cache_status=CacheStatus.ORIGIN_FAILED,
-                    attempt_index=number,
+                    attempt_index=attempt_index,
                 )
             )
-            attempt = more[0] if more else None
+            attempt = retries[0] if retries else None
     attempts = [sent_attempts(harness.request(object_key=key, size_kb=1.0))[0] for key in range(100, 160)]
     bypassing = [attempt for attempt in attempts if attempt.fetch_mode & FetchMode.CACHED_ONLY]
     assert len(bypassing) > 40
-    ended = harness.end_attempt(bypassing[-1], Outcome.MISS, cache_status=CacheStatus.SOURCE_MISSING_OBJECT)
-    assert isinstance(ended[-1], RejectRequest) and not sent_attempts(ended)
-    later = [
+    actions = harness.end_attempt(bypassing[-1], Outcome.MISS, cache_status=CacheStatus.SOURCE_MISSING_OBJECT)
+    assert isinstance(actions[-1], RejectRequest) and not sent_attempts(actions)
+    later_attempts = [
         sent_attempts(harness.request(object_key=key, size_kb=1.0, wait_ms=2000.0))[0]
         for key in range(200, 220)
     ]
-    assert not any(attempt.fetch_mode & FetchMode.CACHED_ONLY for attempt in later[8:])
+    assert not any(attempt.fetch_mode & FetchMode.CACHED_ONLY for attempt in later_attempts[8:])
 
 
 @pytest.mark.parametrize(
@@ -471,9 +486,11 @@
     )
     for key in range(4):
         attempt = sent_attempts(harness.request(object_key=key))[0]
-        ended = harness.end_attempt(attempt, outcome, cache_status=cache_status)
+        actions = harness.end_attempt(attempt, outcome, cache_status=cache_status)
         assert (
-            not sent_attempts(ended) and isinstance(ended[-1], RejectRequest) and ended[-1].retry_after_ms > 0
+            not sent_attempts(actions)
+            and isinstance(actions[-1], RejectRequest)
+            and actions[-1].retry_after_ms > 0
         )
 
 
@@ -484,15 +501,15 @@
             Outcome.REJECTED_OVERLOADED,
             cache_status=CacheStatus.ORIGIN_FAILED,
         )
-    retries = 0
+    retry_count = 0
     for key in range(100, 130):
         if (
             attempt := sent_attempts(harness.request(object_key=key, size_kb=1.0))[0]
         ).fetch_mode & FetchMode.CACHED_ONLY:
-            again = sent_attempts(harness.end_attempt(attempt, Outcome.REJECTED_OVERLOADED))
-            assert all(more.fetch_mode & FetchMode.CACHED_ONLY for more in again)
-            retries += len(again)
-    assert retries > 5
+            retries = sent_attempts(harness.end_attempt(attempt, Outcome.REJECTED_OVERLOADED))
+            assert all(retry.fetch_mode & FetchMode.CACHED_ONLY for retry in retries)
+            retry_count += len(retries)
+    assert retry_count > 5
 
 
 @pytest.mark.parametrize("cache_status", [CacheStatus.NONE, CacheStatus.FILLED])
@@ -500,39 +517,41 @@
     harness: DirectorHarness, cache_status: CacheStatus
 ) -> None:
     attempt = sent_attempts(harness.request())[0]
-    health = harness.director.state.source_detectors[attempt.source_id]
-    health.failure_count, health.ejected_until_ms = 2.0, harness.now_ms + 1e6
+    detector = harness.director.state.source_detectors[attempt.source_id]
+    detector.failure_count, detector.ejected_until_ms = 2.0, harness.now_ms + 1e6
     harness.end_attempt(attempt, cache_status=cache_status)
-    assert health.is_available(harness.now_ms) and health.failure_count == 0
+    assert detector.is_available(harness.now_ms) and detector.failure_count == 0
 
 
 def test_slow_fills_at_one_cache_do_not_count_as_a_slow_zone_link() -> None:
     harness = DirectorHarness(
         make_settings(weights_known=True), [n._replace(weight=100.0) for n in make_nodes()]
     )
-    slow = harness.director.state.endpoints.caches.order(1)[0]
+    slow_node_id = harness.director.state.endpoints.caches.order(1)[0]
     for key in range(60):
         attempt = sent_attempts(harness.request(object_key=key, size_kb=100.0))[0]
         harness.end_attempt(
-            attempt, wait_ms=1500.0 if attempt.node_id == slow else 100.0, cache_status=CacheStatus.FILLED
+            attempt,
+            wait_ms=1500.0 if attempt.node_id == slow_node_id else 100.0,
+            cache_status=CacheStatus.FILLED,
         )
     assert harness.director.state.zone_link.slowdown(harness.now_ms) < 2.0
     assert sent_attempts(harness.request(object_key=1, size_kb=600.0))[0].source_id in PARENTS
 
 
 def test_the_congestion_threshold_is_lower_in_a_large_fleet() -> None:
-    """A router does not see the load that others add while an answer is under way."""
-    alone = DirectorHarness(make_settings(routers_by_zone=(0, 1, 1)))
-    beside = DirectorHarness(make_settings(routers_by_zone=(0, 40, 1), fleet_size=41))
-    used_home = []
-    for harness in (alone, beside):
+    """A router does not see the load that other routers add while an answer is being sent."""
+    single_router = DirectorHarness(make_settings(routers_by_zone=(0, 1, 1)))
+    large_fleet = DirectorHarness(make_settings(routers_by_zone=(0, 40, 1), fleet_size=41))
+    sent_to_home = []
+    for harness in (single_router, large_fleet):
         for _ in range(2):
             attempt = sent_attempts(harness.request(object_key=1, size_kb=100.0))[0]
             harness.end_attempt(attempt, wait_ms=215.0, cache_status=CacheStatus.HIT)
-        used_home.append(
+        sent_to_home.append(
             sent_attempts(harness.request(object_key=1, size_kb=1500.0))[0].node_id == attempt.node_id
         )
-    assert used_home == [True, False]
+    assert sent_to_home == [True, False]
 
 
 # -- freshness --
@@ -541,14 +560,14 @@
 def test_stale_copies_serve_only_retries_and_are_revalidated() -> None:
     harness = DirectorHarness(make_settings(make_class(fresh_ms=1000.0, stale_ms=3000.0)))
     attempt = sent_attempts(harness.request())[0]
-    assert attempt.max_age_ms == 1000.0 and attempt.fetch_mode & 8
+    assert attempt.max_age_ms == 1000.0 and attempt.fetch_mode & FetchMode.REVALIDATE
     assert sent_attempts(harness.end_attempt(attempt, Outcome.RESET))[0].max_age_ms == 4000.0
 
 
 # -- bad input --
 
 
-def test_unusual_requests_are_answered(harness: DirectorHarness) -> None:
+def test_requests_with_unusual_fields_are_answered(harness: DirectorHarness) -> None:
     assert harness.request(class_index=9) == [RejectRequest(1, 0.0)]
     assert len(harness.request(timeout_ms=0.0)) == 1
     assert sent_attempts(harness.request(size_kb=0.0)) and sent_attempts(
@@ -565,12 +584,12 @@
     assert harness.deliver(TimerExpired(12345)) == []
 
 
-def test_unusual_endpoint_lists_are_accepted() -> None:
+def test_endpoint_lists_with_duplicates_and_unusual_entries_are_accepted() -> None:
     harness = DirectorHarness(nodes=[])
     assert isinstance(harness.request()[0], RejectRequest)
     entries = make_nodes()
-    strange = [Node(77, 9, -5.0, NodeState.READY, 9, 9, 0.0), Node(78, 1, 0.0, NodeState.READY, 0, 0, 0.0)]
-    harness.deliver(EndpointListUpdate(EndpointListKind.SNAPSHOT, (*entries, *entries, *strange)))
+    unusual = [Node(77, 9, -5.0, NodeState.READY, 9, 9, 0.0), Node(78, 1, 0.0, NodeState.READY, 0, 0, 0.0)]
+    harness.deliver(EndpointListUpdate(EndpointListKind.SNAPSHOT, (*entries, *entries, *unusual)))
     assert sent_attempts(harness.request())[0].node_id in CACHES
 
 
@@ -588,11 +607,14 @@
     assert sent_attempts(harness.request())
 
 
-def test_missing_classes_are_named() -> None:
+def test_settings_without_classes_are_rejected() -> None:
     with pytest.raises(ValueError, match="classes"):
         Director(
             make_settings().__class__(
-                **{**{f: getattr(make_settings(), f) for f in make_settings().__slots__}, "classes": ()}
+                **{
+                    **{name: getattr(make_settings(), name) for name in make_settings().__slots__},
+                    "classes": (),
+                }
             ),
             1,
         )
@@ -600,41 +622,41 @@
 
 # -- determinism --
 
-SCRIPT = """
+DETERMINISM_SCRIPT = """
 import sys
 sys.path.insert(0, "tests")
 from conftest import DirectorHarness, sent_attempts, make_settings
 from stonecove.routing.events import Outcome, PurgeReceived, TimerExpired
-def play(harnesses):
+def run_events(harnesses):
     lines = [[] for _ in harnesses]
     for n in range(500):
-        for place, harness in enumerate(harnesses):
-            acts = harness.request(object_key=n * n % 61, wait_ms=float(n % 7), size_kb=float(n % 400))
-            if n % 3 == 0 and sent_attempts(acts):
+        for index, harness in enumerate(harnesses):
+            actions = harness.request(object_key=n * n % 61, wait_ms=float(n % 7), size_kb=float(n % 400))
+            if n % 3 == 0 and sent_attempts(actions):
                 outcome = Outcome.RESET if n % 9 == 0 else Outcome.OK
-                acts += harness.end_attempt(sent_attempts(acts)[0], outcome)
+                actions += harness.end_attempt(sent_attempts(actions)[0], outcome)
             if n % 50 == 0:
-                acts += harness.deliver(PurgeReceived(5.0, n % 4, 0))
-            acts += harness.deliver(TimerExpired(max(1, harness.last_request_id - 20)), 3.0)
-            lines[place].append(repr(acts))
+                actions += harness.deliver(PurgeReceived(5.0, n % 4, 0))
+            actions += harness.deliver(TimerExpired(max(1, harness.last_request_id - 20)), 3.0)
+            lines[index].append(repr(actions))
     return lines
 other = DirectorHarness(make_settings(fill_joining_allowed=False))
-print(play([DirectorHarness()])[0] == play([DirectorHarness(), other])[0])
-print(play([DirectorHarness()])[0])
+print(run_events([DirectorHarness()])[0] == run_events([DirectorHarness(), other])[0])
+print(run_events([DirectorHarness()])[0])
 """
 
 
 def test_the_same_events_give_the_same_actions() -> None:
     outputs = set()
-    for seed in ("0", "1", "77"):
-        done = subprocess.run(
-            [sys.executable, "-c", SCRIPT],
+    for hash_seed in ("0", "1", "77"):
+        completed = subprocess.run(
+            [sys.executable, "-c", DETERMINISM_SCRIPT],
             capture_output=True,
             text=True,
             check=True,
-            env={"PYTHONHASHSEED": seed, "PYTHONPATH": "."},
+            env={"PYTHONHASHSEED": hash_seed, "PYTHONPATH": "."},
         )
-        outputs.add(done.stdout)
+        outputs.add(completed.stdout)
     assert len(outputs) == 1 and outputs.pop().startswith("True")
 
 
@@ -691,26 +713,27 @@
 # -- bounded state --
 
 
-def test_no_state_is_stored_of_removed_nodes(harness: DirectorHarness) -> None:
-    """Guard against memory that grows with each removed cache, and late ends counted at a wrong node."""
+def test_no_state_of_removed_nodes_is_retained(harness: DirectorHarness) -> None:
+    """Guard against memory that grows with each removed cache, and late attempts counted at a wrong node."""
     director = harness.director
-    for node in range(1000, 1100):
-        fresh = Node(node, 0, 0.0, NodeState.READY, 0, 1, 1.0)
-        harness.deliver(EndpointListUpdate(EndpointListKind.DELTA, (fresh,)))
+    for node_id in range(1000, 1100):
+        entry = Node(node_id, 0, 0.0, NodeState.READY, 0, 1, 1.0)
+        harness.deliver(EndpointListUpdate(EndpointListKind.DELTA, (entry,)))
         sent_to_node = [
             attempt
             for key in range(40)
-            for attempt in sent_attempts(harness.request(object_key=key + 100 * node))
-            if attempt.node_id == node
+            for attempt in sent_attempts(harness.request(object_key=key + 100 * node_id))
+            if attempt.node_id == node_id
         ]
         assert sent_to_node
         harness.end_attempt(sent_to_node[0], Outcome.CONNECT_FAILED)
         harness.deliver(
-            EndpointListUpdate(EndpointListKind.DELTA, (fresh._replace(state=NodeState.REMOVED),))
+            EndpointListUpdate(EndpointListKind.DELTA, (entry._replace(state=NodeState.REMOVED),))
         )
         for attempt in sent_to_node[1:]:
             harness.end_attempt(attempt, Outcome.RESET)
-    harness.update_node(CACHES[0])  # late ends may leave records until the next update of the list
+    # Attempts that end late may leave records until the next update of the list.
+    harness.update_node(CACHES[0])
     tables: list[Collection[int]] = [
         director.state.link_loads,
         director.state.cache_detectors,
@@ -734,24 +757,28 @@
         make_class(deadline_ms=600.0, latency_objective_ms=200.0), connect_timeout_ms=300.0
     )
     harness = DirectorHarness(settings)
-    hung = sent_attempts(harness.request(timeout_ms=600.0))[0]
-    sent_there = 0
+    hung_attempt = sent_attempts(harness.request(timeout_ms=600.0))[0]
+    sent_to_hung = 0
     for _ in range(12):
-        now = harness.now_ms
+        sent_at_ms = harness.now_ms
         actions = harness.request(timeout_ms=600.0)
         attempt = sent_attempts(actions)[0]
-        if attempt.node_id != hung.node_id:
+        if attempt.node_id != hung_attempt.node_id:
             harness.end_attempt(attempt, cache_status=CacheStatus.HIT, wait_ms=50.0)
             continue
-        sent_there += 1
+        sent_to_hung += 1
         for timer in [
-            one for one in actions if isinstance(one, StartTimer) and one.expires_at_ms < now + 600.0
+            action
+            for action in actions
+            if isinstance(action, StartTimer) and action.expires_at_ms < sent_at_ms + 600.0
         ]:
             harness.now_ms = max(harness.now_ms, timer.expires_at_ms)
-            for other in sent_attempts(harness.deliver(TimerExpired(attempt.request_id))):
-                harness.end_attempt(other, cache_status=CacheStatus.HIT, wait_ms=20.0, attempt_index=1)
+            for hedge in sent_attempts(harness.deliver(TimerExpired(attempt.request_id))):
+                harness.end_attempt(hedge, cache_status=CacheStatus.HIT, wait_ms=20.0, attempt_index=1)
         harness.deliver(
-            AttemptEnded(attempt.request_id, 0, hung.node_id, Outcome.TIMEOUT, 600.0, False, 0, 0.0, ()),
+            AttemptEnded(
+                attempt.request_id, 0, hung_attempt.node_id, Outcome.TIMEOUT, 600.0, False, 0, 0.0, ()
+            ),
             600.0,
         )
-    assert sent_there <= 4
+    assert sent_to_hung <= 4
--- a/tests/test_corpus.py
+++ b/tests/test_corpus.py
@@ -13,8 +13,8 @@
 
 
 @pytest.mark.parametrize("name", sorted(TARGETS))
-def test_saved_inputs_cause_no_finding(name: str) -> None:
-    """A fuzz target accepts its saved inputs, at least as many as it starts from."""
+def test_fuzz_targets_find_no_fault_in_their_saved_inputs(name: str) -> None:
+    """Run a fuzz target on its saved inputs; there are at least as many as its initial inputs."""
     target, initial_inputs = TARGETS[name]
     lines = (CORPUS / f"{name}.b64").read_text().split()
     assert len(lines) >= len(initial_inputs)
--- a/tests/test_ephemeral.py
+++ b/tests/test_ephemeral.py
@@ -24,7 +24,7 @@
 )
 from process_harness import SETTINGS, WAIT_TIMEOUT_S, ProcessHarness
 
-MAX_LATE_MS = 300.0  # from a claim to the last new work: 250 ms, and 50 ms for sockets
+MAX_LATE_MS = 300.0  # from a claim to the last new request to the node: 250 ms, and 50 ms for sockets
 MAX_LATE_AT_CACHE_MS = 1500.0  # from the change at the server to the cache, with headroom for a slow machine
 PARENT, ORIGIN = "s-00000020", "s-00000030"
 
@@ -72,17 +72,19 @@
                 except OSError:
                     continue
 
-    def wait_for_answers(self, more: int = 60) -> None:
-        """Wait until a number of further requests have been answered."""
-        target = sum(self.answers.values()) + more
-        ProcessHarness.wait_until(lambda: sum(self.answers.values()) >= target or self.errors, "more answers")
+    def wait_for_answers(self, count: int = 60) -> None:
+        """Wait until `count` further requests have been answered, or a client has failed."""
+        target = sum(self.answers.values()) + count
+        ProcessHarness.wait_until(
+            lambda: sum(self.answers.values()) >= target or self.errors, "further answers"
+        )
 
     def fetches_after(self, since_ms: float, cache: int | None = None, source: str = "") -> list[float]:
         """Return the delays in ms after a time at which fetches reached a cache, or named a source."""
         return [
             at_ms - since_ms
-            for at_ms, ident, named in list(self.fetches)
-            if at_ms > since_ms and (ident == cache if cache is not None else named == source)
+            for at_ms, ident, named_source in list(self.fetches)
+            if at_ms > since_ms and (ident == cache if cache is not None else named_source == source)
         ]
 
     def stop(self) -> None:
@@ -96,56 +98,58 @@
 
 @pytest.fixture
 def ensemble() -> Iterator[CoordinationEnsemble]:
-    running = CoordinationEnsemble(2)
-    yield running
-    running.close()
+    ensemble = CoordinationEnsemble(2)
+    yield ensemble
+    ensemble.close()
 
 
-class Scene:
+class TrafficScenario:
     """A router between traffic and two caches, which both endpoint sources list."""
 
     def __init__(
         self,
         ensemble: CoordinationEnsemble,
         folder: Path,
-        more: str = "",
+        operator_settings: str = "",
         zookeeper: str = "",
         traffic: bool = True,
     ) -> None:
         self.ensemble = ensemble
-        self.routed = CoordinatedRouter(ensemble, folder, more, zookeeper)
-        self.harness = self.routed.harness
-        self.boxes = [
+        self.router = CoordinatedRouter(ensemble, folder, operator_settings, zookeeper)
+        self.harness = self.router.harness
+        self.caches = [
             ensemble.register_cache(node_record(cache.ident, cache.listener.port))
             for cache in self.harness.caches
         ]
         self.parents = [ensemble.register_cache(entry) for entry in parent_records(self.harness)]
         ProcessHarness.wait_until(
             lambda: all(self.ready_in_both(ident) for ident in (0x10, 0x11, 0x20, 0x30)),
-            "both sources list all",
+            "all nodes ready in both sources",
         )
         self.traffic = Traffic(self.harness) if traffic else None
         if self.traffic:
             self.traffic.wait_for_answers()
 
     def ready_in_both(self, ident: int) -> bool:
-        found = self.routed.query("explain", f"s-{ident:08x}")
-        claims = found.get("node", {}).get("claims", [])
+        explanation = self.router.query("explain", f"s-{ident:08x}")
+        claims = explanation.get("node", {}).get("claims", [])
         return [claim["state"] for claim in claims] == ["ready", "ready"]
 
     def history(self, ident: int) -> dict[str, Any]:
-        histories = self.routed.query("trace")["lives"]
-        found: dict[str, Any] = next(history for history in histories if history["id"] == f"s-{ident:08x}")
-        return found
+        histories = self.router.query("trace")["lives"]
+        node_history: dict[str, Any] = next(
+            history for history in histories if history["id"] == f"s-{ident:08x}"
+        )
+        return node_history
 
-    def check_no_late_work(self, ident: int, since_ms: float, source: bool = False) -> None:
-        """Check by the router's report and at the caches that the node got no new work later than allowed."""
+    def check_no_late_work(self, ident: int, since_ms: float, as_source: bool = False) -> None:
+        """Check by the router's report and at the caches that the node got no late new requests."""
         assert self.traffic is not None
         assert self.history(ident)["late_ms"] <= MAX_LATE_MS
-        late = self.traffic.fetches_after(
-            since_ms + MAX_LATE_AT_CACHE_MS, None if source else ident, f"s-{ident:08x}"
+        late_fetches = self.traffic.fetches_after(
+            since_ms + MAX_LATE_AT_CACHE_MS, None if as_source else ident, f"s-{ident:08x}"
         )
-        assert not late
+        assert not late_fetches
 
     def session_end_ms(self, path: str) -> float:
         """Return when the server ended the session that owned the node."""
@@ -156,178 +160,192 @@
     def close(self) -> None:
         if self.traffic:
             self.traffic.stop()
-        assert self.harness.process.poll() is None, "the router died"
+        assert self.harness.process.poll() is None, "the router has exited"
         assert not self.harness.log_lines("internal_error")
-        self.routed.close()
+        self.router.close()
 
 
 @pytest.fixture
-def scene(ensemble: CoordinationEnsemble, tmp_path: Path) -> Iterator[Scene]:
-    made = Scene(ensemble, tmp_path)
-    yield made
-    made.close()
+def scenario(ensemble: CoordinationEnsemble, tmp_path: Path) -> Iterator[TrafficScenario]:
+    scenario = TrafficScenario(ensemble, tmp_path)
+    yield scenario
+    scenario.close()
 
 
 # -- failures under traffic --
 
 
-def test_a_cache_whose_session_expires_while_it_serves(
+def test_a_cache_whose_session_expires_gets_no_new_work_but_finishes_its_requests(
     ensemble: CoordinationEnsemble, tmp_path: Path
 ) -> None:
-    scene = Scene(ensemble, tmp_path, zookeeper="linger: 30s", traffic=False)
-    client = scene.harness.client()
+    scenario = TrafficScenario(ensemble, tmp_path, zookeeper="linger: 30s", traffic=False)
+    client = scenario.harness.client()
     client.send(X_ROW=f"{1:016x}")
-    pending = scene.harness.next_command()
+    pending = scenario.harness.next_command()
     ident = pending.cache.ident
-    box = scene.boxes[ident - 0x10]
-    ensemble.run_command(f"expire {box.session}")
-    scene.routed.wait_for_state(ident, "draining")
-    scene.traffic = Traffic(scene.harness)
-    scene.traffic.wait_for_answers(100)
-    scene.check_no_late_work(ident, scene.session_end_ms(box.path))
+    cache = scenario.caches[ident - 0x10]
+    ensemble.run_command(f"expire {cache.session}")
+    scenario.router.wait_for_state(ident, "draining")
+    scenario.traffic = Traffic(scenario.harness)
+    scenario.traffic.wait_for_answers(100)
+    scenario.check_no_late_work(ident, scenario.session_end_ms(cache.path))
     pending.reply(body=b"still served")  # requests in flight continue
     assert client.read_answer().body == b"still served"
-    explained = scene.routed.query_command("explain", f"s-{ident:08x}")["node"]
+    explained = scenario.router.query_command("explain", f"s-{ident:08x}")["node"]
     assert explained["why"] == "zookeeper: departed, what is out may end"
-    scene.close()
+    scenario.close()
 
 
-@pytest.mark.parametrize(("started", "same"), [(7000, True), (0, False)])
-def test_a_cache_that_disappears_and_returns_within_a_second(scene: Scene, started: int, same: bool) -> None:
-    box, traffic = scene.boxes[0], scene.traffic
+@pytest.mark.parametrize(("started", "same_process"), [(7000, True), (0, False)])
+def test_a_cache_that_returns_within_a_second_gets_work_again(
+    scenario: TrafficScenario, started: int, same_process: bool
+) -> None:
+    cache, traffic = scenario.caches[0], scenario.traffic
     assert traffic is not None
-    box.update_record(started=started)
+    cache.update_record(started=started)
     ProcessHarness.wait_until(
-        lambda: scene.routed.query("explain", "s-00000010")["node"]["started"] == started, "the start"
+        lambda: scenario.router.query("explain", "s-00000010")["node"]["started"] == started,
+        "the new start time of the cache",
     )
     since_ms = time.time() * 1000
-    scene.ensemble.run_command(f"expire {box.session}")
-    scene.routed.wait_for_state(0x10, "draining")
-    scene.ensemble.register_cache(box.record, "again")
-    scene.routed.wait_for_state(0x10, "ready")
+    scenario.ensemble.run_command(f"expire {cache.session}")
+    scenario.router.wait_for_state(0x10, "draining")
+    scenario.ensemble.register_cache(cache.record, "again")
+    scenario.router.wait_for_state(0x10, "ready")
     traffic.wait_for_answers()
-    line = scene.routed.wait_for_lines("endpoint_returned")[0]
-    assert f"same_process={same}" in line
-    node = scene.routed.query("explain", "s-00000010")["node"]
-    assert node["started"] == started if same else node["started"] >= since_ms
+    line = scenario.router.wait_for_lines("endpoint_returned")[0]
+    assert f"same_process={same_process}" in line
+    node = scenario.router.query("explain", "s-00000010")["node"]
+    assert node["started"] == started if same_process else node["started"] >= since_ms
     assert traffic.fetches_after(since_ms, 0x10)  # it gets work again
 
 
 @pytest.mark.parametrize("role", ["target", "source"])
-def test_drain_by_a_change_of_data_during_a_fill(scene: Scene, role: str) -> None:
-    box = scene.boxes[0] if role == "target" else scene.parents[0]
+def test_a_drain_in_a_record_ends_new_work_for_a_target_or_source_of_fills(
+    scenario: TrafficScenario, role: str
+) -> None:
+    cache = scenario.caches[0] if role == "target" else scenario.parents[0]
     ident = 0x10 if role == "target" else 0x20
-    since_ms = box.update_record(state="draining")
-    scene.routed.wait_for_state(ident, "draining")
-    assert scene.traffic is not None
-    scene.traffic.wait_for_answers(150)
-    scene.check_no_late_work(ident, since_ms, role == "source")
-    assert scene.traffic.fetches_after(since_ms, 0x11)
+    since_ms = cache.update_record(state="draining")
+    scenario.router.wait_for_state(ident, "draining")
+    assert scenario.traffic is not None
+    scenario.traffic.wait_for_answers(150)
+    scenario.check_no_late_work(ident, since_ms, role == "source")
+    assert scenario.traffic.fetches_after(since_ms, 0x11)
     if role == "source":
-        assert scene.traffic.fetches_after(since_ms, None, ORIGIN)  # fills continue, from the origin
-    box.update_record(state="up")
-    scene.routed.wait_for_state(ident, "ready")
-
-
-def test_our_own_session_expires_under_load(scene: Scene) -> None:
-    before = scene.routed.query("sources")["coordination"]
-    scene.ensemble.run_command(f"expire {before['session']}")
-    since_ms = scene.boxes[0].update_record(state="draining")
-    scene.routed.wait_for_lines("coordination_session_expired")
-    scene.routed.wait_for_state(0x10, "draining")
-    assert scene.traffic is not None
-    scene.traffic.wait_for_answers(100)
-    scene.check_no_late_work(0x10, since_ms + 1000)  # known once it is read in the new session
-    after = scene.routed.query("sources")["coordination"]
+        assert scenario.traffic.fetches_after(since_ms, None, ORIGIN)  # fills continue, from the origin
+    cache.update_record(state="up")
+    scenario.router.wait_for_state(ident, "ready")
+
+
+def test_a_drain_is_applied_after_the_routers_session_has_expired_under_load(
+    scenario: TrafficScenario,
+) -> None:
+    before = scenario.router.query("sources")["coordination"]
+    scenario.ensemble.run_command(f"expire {before['session']}")
+    since_ms = scenario.caches[0].update_record(state="draining")
+    scenario.router.wait_for_lines("coordination_session_expired")
+    scenario.router.wait_for_state(0x10, "draining")
+    assert scenario.traffic is not None
+    scenario.traffic.wait_for_answers(100)
+    scenario.check_no_late_work(0x10, since_ms + 1000)  # known once it is read in the new session
+    after = scenario.router.query("sources")["coordination"]
     assert after["session"] != before["session"] and after["state"] == "connected"
-    assert scene.routed.state(0x11) == "ready"
+    assert scenario.router.state(0x11) == "ready"
 
 
 def test_a_server_that_falls_behind_is_abandoned(tmp_path: Path) -> None:
     ensemble = CoordinationEnsemble(2)
     try:
-        scene = Scene(ensemble, tmp_path)
-        server = ensemble.servers.index(scene.routed.query("sources")["coordination"]["server"])
-        # A change is received, then the connection breaks, and the other server has not applied it yet.
+        scenario = TrafficScenario(ensemble, tmp_path)
+        server = ensemble.servers.index(scenario.router.query("sources")["coordination"]["server"])
+        # The router receives a change, then its connection breaks; the other server has not applied it yet.
         ensemble.run_command(f"lag 60000 {1 - server}")
         since_ms = (
-            scene.boxes[0].update_record(state="draining")
-            if server in _servers_of(ensemble, scene.boxes[0].session)
-            else (_set_state_at(ensemble, server, scene.boxes[0], "draining"))
+            scenario.caches[0].update_record(state="draining")
+            if server in _connected_servers(ensemble, scenario.caches[0].session)
+            else (_set_state_at_leader(ensemble, server, scenario.caches[0], "draining"))
         )
-        scene.routed.wait_for_state(0x10, "draining")
-        scene.ensemble.run_command(f"drop {scene.routed.query('sources')['coordination']['session']}")
+        scenario.router.wait_for_state(0x10, "draining")
+        scenario.ensemble.run_command(f"drop {scenario.router.query('sources')['coordination']['session']}")
         ProcessHarness.wait_until(
-            lambda: ensemble.trace("refused-behind") or scene.harness.log_lines("coordination_disconnected"),
-            "a break",
+            lambda: (
+                ensemble.trace("refused-behind") or scenario.harness.log_lines("coordination_disconnected")
+            ),
+            "a refused or lost connection",
         )
         ProcessHarness.wait_until(
             lambda: (
-                scene.routed.query("sources")["coordination"]["server"] == ensemble.servers[server]
-                and scene.routed.query("sources")["coordination"]["state"] == "connected"
+                scenario.router.query("sources")["coordination"]["server"] == ensemble.servers[server]
+                and scenario.router.query("sources")["coordination"]["state"] == "connected"
             ),
-            "back at the first",
+            "reconnection to the first server",
         )
-        assert scene.traffic is not None
-        scene.traffic.wait_for_answers(100)
-        scene.check_no_late_work(0x10, since_ms)
-        assert scene.routed.state(0x10) == "draining"
+        assert scenario.traffic is not None
+        scenario.traffic.wait_for_answers(100)
+        scenario.check_no_late_work(0x10, since_ms)
+        assert scenario.router.state(0x10) == "draining"
         assert ensemble.trace("refused-behind")
-        scene.close()
+        scenario.close()
     finally:
         ensemble.close()
 
 
-def _servers_of(ensemble: CoordinationEnsemble, session: str) -> set[int]:
+def _connected_servers(ensemble: CoordinationEnsemble, session: str) -> set[int]:
     """Return the server that a session is connected to, in a set."""
-    found = [
+    servers = [
         entry["server"]
         for entry in ensemble.trace()
         if entry["what"].startswith("session-") and entry.get("session") == session and "server" in entry
     ]
-    return set(found[-1:])
+    return set(servers[-1:])
 
 
-def _set_state_at(ensemble: CoordinationEnsemble, server: int, box: Any, state: str) -> float:
-    """Change a record at the ordering server, as the server of the node's session may lag."""
+def _set_state_at_leader(ensemble: CoordinationEnsemble, server: int, cache: Any, state: str) -> float:
+    """Change a record at the ordering server, as the server of the cache's session may lag."""
     since_ms = time.time() * 1000
-    box.record = {**box.record, "state": state}
-    ensemble.run_command(f"set {box.path} {json.dumps(box.record)}")
+    cache.record = {**cache.record, "state": state}
+    ensemble.run_command(f"set {cache.path} {json.dumps(cache.record)}")
     return since_ms
 
 
-def test_a_partition_with_the_list_ageing(ensemble: CoordinationEnsemble, tmp_path: Path) -> None:
-    scene = Scene(
-        ensemble, tmp_path, zookeeper="stale_for: 2500ms", more="sources: changelog: silent_for: 24h"
+def test_a_list_goes_stale_in_a_partition_and_is_current_again_after_it(
+    ensemble: CoordinationEnsemble, tmp_path: Path
+) -> None:
+    scenario = TrafficScenario(
+        ensemble,
+        tmp_path,
+        zookeeper="stale_for: 2500ms",
+        operator_settings="sources: changelog: silent_for: 24h",
     )
-    box = ensemble.register_cache(
-        node_record(0x40, scene.harness.caches[0].listener.port, address="127.0.0.1:9"), "only-here"
+    cache = ensemble.register_cache(
+        node_record(0x40, scenario.harness.caches[0].listener.port, address="127.0.0.1:9"), "only-here"
     )
-    scene.routed.wait_for_state(0x40, "ready")
+    scenario.router.wait_for_state(0x40, "ready")
     ensemble.run_command("partition")
-    lines = scene.routed.wait_for_lines("endpoint_source_stale", 4)
-    assert "silent_s=" in lines[0] and scene.harness.log_lines("coordination_disconnected")
-    scene.routed.wait_for_state(0x40, "draining")  # no current source knows it
-    assert scene.routed.state(0x10) == "ready"  # the change log knows it
-    assert scene.traffic is not None
-    scene.traffic.wait_for_answers()
+    lines = scenario.router.wait_for_lines("endpoint_source_stale", 4)
+    assert "silent_s=" in lines[0] and scenario.harness.log_lines("coordination_disconnected")
+    scenario.router.wait_for_state(0x40, "draining")  # no current source knows it
+    assert scenario.router.state(0x10) == "ready"  # the change log knows it
+    assert scenario.traffic is not None
+    scenario.traffic.wait_for_answers()
     ensemble.run_command("heal")
     ProcessHarness.wait_until(
-        lambda: scene.routed.query("sources")["sources"][1]["has_say"], "the source is current again"
+        lambda: scenario.router.query("sources")["sources"][1]["has_say"], "the source is current again"
     )
     ensemble.run_command("partition")  # again, healed while the list still stands
-    scene.routed.wait_for_lines("endpoint_source_stale", 5)
+    scenario.router.wait_for_lines("endpoint_source_stale", 5)
     ensemble.run_command("heal")
     ProcessHarness.wait_until(
-        lambda: scene.routed.query("sources")["coordination"]["silent_ms"] == 0.0, "connected again"
+        lambda: scenario.router.query("sources")["coordination"]["silent_ms"] == 0.0, "a restored connection"
     )
-    assert box.path == f"{CACHES_PATH}/only-here"
-    scene.close()
+    assert cache.path == f"{CACHES_PATH}/only-here"
+    scenario.close()
 
 
-def test_two_thousand_watches_at_once(scene: Scene) -> None:
-    client, count = scene.ensemble.client(), 2000
-    made = [
+def test_a_drain_is_applied_in_time_among_two_thousand_changes(scenario: TrafficScenario) -> None:
+    client, count = scenario.ensemble.client(), 2000
+    creations = [
         client.create_async(
             f"{CACHES_PATH}/m{number}",
             json.dumps(
@@ -337,9 +355,11 @@
         )
         for number in range(count)
     ]
-    for one in made:
-        one.get(timeout=WAIT_TIMEOUT_S)
-    ProcessHarness.wait_until(lambda: scene.routed.state(0x1000 + count - 1) == "ready", "all are listed")
+    for creation in creations:
+        creation.get(timeout=WAIT_TIMEOUT_S)
+    ProcessHarness.wait_until(
+        lambda: scenario.router.state(0x1000 + count - 1) == "ready", "listing of all caches"
+    )
     since_ms = time.time() * 1000
     changes = [
         client.set_async(
@@ -356,124 +376,138 @@
         )
         for number in range(count)
     ]
-    since_ms = scene.boxes[0].update_record(state="draining")
-    for one in changes:
-        one.get(timeout=WAIT_TIMEOUT_S)
-    scene.routed.wait_for_state(0x10, "draining")
-    scene.routed.wait_for_state(0x1000 + count - 1, "draining")
-    assert scene.traffic is not None
-    scene.traffic.wait_for_answers()
-    scene.check_no_late_work(0x10, since_ms + 1000)
+    since_ms = scenario.caches[0].update_record(state="draining")
+    for change in changes:
+        change.get(timeout=WAIT_TIMEOUT_S)
+    scenario.router.wait_for_state(0x10, "draining")
+    scenario.router.wait_for_state(0x1000 + count - 1, "draining")
+    assert scenario.traffic is not None
+    scenario.traffic.wait_for_answers()
+    scenario.check_no_late_work(0x10, since_ms + 1000)
     client.stop()  # all 2,000 nodes depart in one transaction
     client.close()
-    scene.routed.wait_for_lines("mass_departure_confirmed")
+    scenario.router.wait_for_lines("mass_departure_confirmed")
     ProcessHarness.wait_until(
-        lambda: scene.routed.state(0x1000) in ("draining", "unknown"), "all have departed"
+        lambda: scenario.router.state(0x1000) in ("draining", "unknown"), "departure of all caches"
     )
-    lines = scene.harness.log_lines("mass_departure_suspected")
+    lines = scenario.harness.log_lines("mass_departure_suspected")
     assert lines and "total=2004" in lines[0]
 
 
-def test_the_server_restarts_with_all_sessions_lost(scene: Scene) -> None:
-    scene.ensemble.run_command("restart")
-    scene.routed.wait_for_lines("mass_departure_confirmed")
-    assert scene.harness.log_lines("mass_departure_suspected")
+def test_the_router_serves_again_after_a_server_restart_that_loses_all_sessions(
+    scenario: TrafficScenario,
+) -> None:
+    scenario.ensemble.run_command("restart")
+    scenario.router.wait_for_lines("mass_departure_confirmed")
+    assert scenario.harness.log_lines("mass_departure_suspected")
     for ident in (0x10, 0x11):
-        scene.routed.wait_for_state(ident, "draining", "gone", "unknown")
-    assert scene.traffic is not None
-    scene.traffic.wait_for_answers(20)  # no node is left, and each request is answered accordingly
-    for box in (*scene.boxes, *scene.parents):
-        ProcessHarness.wait_until(lambda box=box: box.client.connected or True, "kazoo")  # type: ignore[misc]
-        scene.ensemble.register_cache(box.record, f"{box.record['id']}-anew")
+        scenario.router.wait_for_state(ident, "draining", "gone", "unknown")
+    assert scenario.traffic is not None
+    scenario.traffic.wait_for_answers(20)  # no node is left, and each request is answered accordingly
+    for cache in (*scenario.caches, *scenario.parents):
+        ProcessHarness.wait_until(
+            lambda cache=cache: cache.client.connected or True,  # type: ignore[misc]
+            "connection of the cache's client",
+        )
+        scenario.ensemble.register_cache(cache.record, f"{cache.record['id']}-anew")
     for ident in (0x10, 0x11):
-        scene.routed.wait_for_state(ident, "ready")
-    before = scene.traffic.answers[200]
+        scenario.router.wait_for_state(ident, "ready")
+    before = scenario.traffic.answers[200]
     ProcessHarness.wait_until(
-        lambda: scene.traffic is not None and scene.traffic.answers[200] > before + 20, "served again"
+        lambda: scenario.traffic is not None and scenario.traffic.answers[200] > before + 20,
+        "successful answers after the restart",
     )
 
 
-def test_sighup_moves_to_another_ensemble_whole_or_not_at_all(scene: Scene, tmp_path: Path) -> None:
+def test_sighup_moves_to_another_ensemble_only_with_a_valid_operator_file(
+    scenario: TrafficScenario, tmp_path: Path
+) -> None:
     other = CoordinationEnsemble(1)
     try:
-        for box in (*scene.boxes, *scene.parents):
-            state = "draining" if box.record["id"] == "s-00000010" else "up"
-            other.register_cache({**box.record, "state": state}, box.record["id"])
-        text = scene.routed.operator.read_text()
-        scene.routed.operator.write_text(text + "\nmembers: tracce: 5\nsources: zookeeper: linger: 3\n")
-        scene.harness.reload(json.dumps(scene.harness.config))
-        rejected = scene.routed.wait_for_lines("operator_config_rejected", 2)
-        assert "tracce" in rejected[0] + rejected[1] and scene.routed.state(0x10) == "ready"
+        for cache in (*scenario.caches, *scenario.parents):
+            state = "draining" if cache.record["id"] == "s-00000010" else "up"
+            other.register_cache({**cache.record, "state": state}, cache.record["id"])
+        text = scenario.router.operator.read_text()
+        scenario.router.operator.write_text(text + "\nmembers: tracce: 5\nsources: zookeeper: linger: 3\n")
+        scenario.harness.reload(json.dumps(scenario.harness.config))
+        rejected = scenario.router.wait_for_lines("operator_config_rejected", 2)
+        assert "tracce" in rejected[0] + rejected[1] and scenario.router.state(0x10) == "ready"
         moved = text.replace(
-            ", ".join(f'"{server}"' for server in scene.ensemble.servers), f'"{other.servers[0]}"'
+            ", ".join(f'"{server}"' for server in scenario.ensemble.servers), f'"{other.servers[0]}"'
         )
         assert moved != text
-        scene.routed.operator.write_text(moved)
+        scenario.router.operator.write_text(moved)
         since_ms = time.time() * 1000
-        scene.harness.reload(json.dumps(scene.harness.config))
-        scene.routed.wait_for_lines("coordination_path_changed")
-        scene.routed.wait_for_state(0x10, "draining")
-        assert scene.traffic is not None
-        scene.traffic.wait_for_answers(100)
-        scene.check_no_late_work(0x10, since_ms + 1000)
-        assert scene.routed.query("sources")["coordination"]["server"] == other.servers[0]
-        scene.ensemble.run_command(f"expire {scene.boxes[1].session}")  # the old ensemble no longer counts
-        scene.traffic.wait_for_answers(50)
-        assert scene.routed.state(0x11) == "ready"
+        scenario.harness.reload(json.dumps(scenario.harness.config))
+        scenario.router.wait_for_lines("coordination_path_changed")
+        scenario.router.wait_for_state(0x10, "draining")
+        assert scenario.traffic is not None
+        scenario.traffic.wait_for_answers(100)
+        scenario.check_no_late_work(0x10, since_ms + 1000)
+        assert scenario.router.query("sources")["coordination"]["server"] == other.servers[0]
+        # The previous ensemble no longer counts.
+        scenario.ensemble.run_command(f"expire {scenario.caches[1].session}")
+        scenario.traffic.wait_for_answers(50)
+        assert scenario.router.state(0x11) == "ready"
     finally:
         other.close()
 
 
 @pytest.mark.parametrize("command", ["garble 3 SESSION", "slow 120", "readonly on"])
-def test_bad_servers_lead_to_new_connections_and_never_to_a_crash(scene: Scene, command: str) -> None:
-    session = scene.routed.query("sources")["coordination"]["session"]
-    scene.ensemble.run_command(command.replace("SESSION", session))
+def test_faulty_servers_lead_to_new_connections_and_never_to_a_crash(
+    scenario: TrafficScenario, command: str
+) -> None:
+    session = scenario.router.query("sources")["coordination"]["session"]
+    scenario.ensemble.run_command(command.replace("SESSION", session))
     if command == "readonly on":
-        scene.ensemble.run_command(f"drop {session}")
-        scene.routed.wait_for_lines("coordination_disconnected", 2)
-    scene.ensemble.run_command("readonly off")
-    since_ms = scene.boxes[0].update_record(state="draining")
-    scene.routed.wait_for_state(0x10, "draining")
-    assert scene.traffic is not None
-    scene.traffic.wait_for_answers()
-    scene.check_no_late_work(0x10, since_ms + 1000)
-
-
-def test_a_list_that_is_read_again_takes_back_no_drain_of_another_source(scene: Scene) -> None:
-    scene.boxes[0].update_record(state="draining")
-    scene.routed.wait_for_state(0x10, "draining")
-    harness = scene.harness
+        scenario.ensemble.run_command(f"drop {session}")
+        scenario.router.wait_for_lines("coordination_disconnected", 2)
+    scenario.ensemble.run_command("readonly off")
+    since_ms = scenario.caches[0].update_record(state="draining")
+    scenario.router.wait_for_state(0x10, "draining")
+    assert scenario.traffic is not None
+    scenario.traffic.wait_for_answers()
+    scenario.check_no_late_work(0x10, since_ms + 1000)
+
+
+def test_a_repeated_snapshot_does_not_lift_a_drain_of_another_source(scenario: TrafficScenario) -> None:
+    scenario.caches[0].update_record(state="draining")
+    scenario.router.wait_for_state(0x10, "draining")
+    harness = scenario.harness
     entries = b"".join(harness.endpoint_record(cache, 0) for cache in harness.caches)
     harness.change_log.send_event(2, 1, entries + b"")  # the change log repeats its snapshot, as after a gap
     harness.change_log.send_event(3, 2, harness.endpoint_record(harness.caches[1], 1))  # followed by a change
-    scene.routed.wait_for_state(0x11, "draining")
-    assert scene.routed.state(0x10) == "draining"
+    scenario.router.wait_for_state(0x11, "draining")
+    assert scenario.router.state(0x10) == "draining"
     harness.change_log.send_event(
         4, 2, harness.endpoint_record(harness.caches[0], 0)
     )  # a new claim of the most trusted source
-    scene.routed.wait_for_state(0x10, "ready")
+    scenario.router.wait_for_state(0x10, "ready")
 
 
 # -- presence --
 
 
-def test_routers_see_each_other_and_a_leaving_one_announces_it_first(
+def test_routers_see_each_other_and_a_stopping_one_announces_its_drain_first(
     ensemble: CoordinationEnsemble, tmp_path: Path
 ) -> None:
     presence = f'presence: {{path: "{ROUTERS_PATH}", shares: "derived", grow: 50ms, shrink: 200ms}}'
     folders = [tmp_path / name for name in "ab"]
     for folder in folders:
         folder.mkdir()
-    one = CoordinatedRouter(ensemble, folders[0], presence)
-    two = CoordinatedRouter(ensemble, folders[1], presence.replace("presence: {", 'presence: {name: "n1", '))
+    first_router = CoordinatedRouter(ensemble, folders[0], presence)
+    second_router = CoordinatedRouter(
+        ensemble, folders[1], presence.replace("presence: {", 'presence: {name: "n1", ')
+    )
     client = ensemble.client()
     try:
         ProcessHarness.wait_until(
-            lambda: one.query("fleet")["holds"] == {"fleet": 2, "by_zone": [0, 2]}, "two routers"
+            lambda: first_router.query("fleet")["holds"] == {"fleet": 2, "by_zone": [0, 2]},
+            "a fleet of two routers",
         )
         assert any(
             "fleet_size=2" in line and "used=True" in line
-            for line in one.harness.log_lines("fleet_size_changed")
+            for line in first_router.harness.log_lines("fleet_size_changed")
         )
         states: list[str] = []
 
@@ -481,56 +515,62 @@
             states.append(json.loads(data)["state"] if data else "gone")
 
         client.DataWatch(f"{ROUTERS_PATH}/n1", watch)
-        two.harness.process.terminate()
-        assert two.harness.process.wait(WAIT_TIMEOUT_S) == 0
-        ProcessHarness.wait_until(lambda: states[-1:] == ["gone"], "the end of its node")
+        second_router.harness.process.terminate()
+        assert second_router.harness.process.wait(WAIT_TIMEOUT_S) == 0
+        ProcessHarness.wait_until(lambda: states[-1:] == ["gone"], "removal of the stopped router's node")
         assert states == ["ready", "draining", "gone"]
-        log = (Path(two.harness.folder.name) / "log").read_text().splitlines()
+        log = (Path(second_router.harness.folder.name) / "log").read_text().splitlines()
         events = [line.split(" ")[1] for line in log]
         assert events.index("presence_withdrawn") < events.index(
             "router_stopped"
         ) and "acknowledged=True" in "".join(log)
-        ProcessHarness.wait_until(lambda: one.query("fleet")["holds"]["fleet"] == 1, "one router")
+        ProcessHarness.wait_until(
+            lambda: first_router.query("fleet")["holds"]["fleet"] == 1, "a fleet of one router"
+        )
     finally:
         client.stop()
         client.close()
-        one.close()
-        two.close()
+        first_router.close()
+        second_router.close()
 
 
-def test_a_router_that_was_killed_takes_its_name_back(ensemble: CoordinationEnsemble, tmp_path: Path) -> None:
+def test_a_killed_router_takes_over_its_node_after_a_restart(
+    ensemble: CoordinationEnsemble, tmp_path: Path
+) -> None:
     presence = f'presence: {{path: "{ROUTERS_PATH}"}}'
-    routed = CoordinatedRouter(ensemble, tmp_path, presence, zookeeper="session_timeout: 1min")
+    router = CoordinatedRouter(ensemble, tmp_path, presence, zookeeper="session_timeout: 1min")
     other = None
     try:
-        ProcessHarness.wait_until(lambda: len(routed.query("fleet")["peers"]) == 1, "its node")
-        routed.harness.process.kill()
-        routed.harness.process.wait()
-        routed.harness.process = routed.harness.start()
+        ProcessHarness.wait_until(lambda: len(router.query("fleet")["peers"]) == 1, "the router's node")
+        router.harness.process.kill()
+        router.harness.process.wait()
+        router.harness.process = router.harness.start()
         ProcessHarness.wait_until(
-            lambda: [peer["state"] for peer in routed.query("fleet")["peers"]] == ["ready"], "its node"
+            lambda: [peer["state"] for peer in router.query("fleet")["peers"]] == ["ready"],
+            "the router's node",
         )
         folder = tmp_path / "other"
         folder.mkdir()
         other = CoordinatedRouter(ensemble, folder, presence)
         other.wait_for_lines("presence_name_conflict")  # the same name at another address
-        assert len(routed.query("fleet")["peers"]) == 1
-        text = routed.operator.read_text()
-        routed.operator.write_text(text.replace("session_timeout: 1min", "session_timeout: 50s"))
-        routed.harness.reload(
-            json.dumps(routed.harness.config)
+        assert len(router.query("fleet")["peers"]) == 1
+        text = router.operator.read_text()
+        router.operator.write_text(text.replace("session_timeout: 1min", "session_timeout: 50s"))
+        router.harness.reload(
+            json.dumps(router.harness.config)
         )  # another session takes over the router's node
-        routed.wait_for_lines("coordination_path_changed")
+        router.wait_for_lines("coordination_path_changed")
         ProcessHarness.wait_until(
-            lambda: [peer["state"] for peer in routed.query("fleet")["peers"]] == ["ready"], "its node"
+            lambda: [peer["state"] for peer in router.query("fleet")["peers"]] == ["ready"],
+            "the router's node",
         )
-        owner = ensemble.client()
-        found = owner.get(f"{ROUTERS_PATH}/n0")[1].ephemeralOwner
-        owner.stop()
-        owner.close()
-        assert f"{found:#x}" == routed.query("sources")["coordination"]["session"]
+        client = ensemble.client()
+        owner_session = client.get(f"{ROUTERS_PATH}/n0")[1].ephemeralOwner
+        client.stop()
+        client.close()
+        assert f"{owner_session:#x}" == router.query("sources")["coordination"]["session"]
     finally:
-        routed.close()
+        router.close()
         if other is not None:
             other.close()
 
@@ -555,36 +595,48 @@
         harness.close()
 
 
-def test_a_bad_operator_file_ends_the_start_with_all_errors(tmp_path: Path) -> None:
+def test_an_invalid_operator_file_fails_the_start_with_all_errors(tmp_path: Path) -> None:
     harness = ProcessHarness()
     harness.close()
-    bad, config = tmp_path / "bad.cue", tmp_path / "config.json"
-    bad.write_text("members: trace: -1\nfoo: 2\n")
+    operator_file, config = tmp_path / "bad.cue", tmp_path / "config.json"
+    operator_file.write_text("members: trace: -1\nfoo: 2\n")
     config.write_text(json.dumps(harness.config))
-    done = subprocess.run(
-        [sys.executable, "-m", "stonecove", "run", "--operator", str(bad)],
+    completed = subprocess.run(
+        [sys.executable, "-m", "stonecove", "run", "--operator", str(operator_file)],
         capture_output=True,
         text=True,
         check=False,
         timeout=WAIT_TIMEOUT_S,
         env={"RELAY_CONFIG": str(config)},
     )
-    assert done.returncode == 2 and len(done.stderr.splitlines()) == 2 and "members.trace" in done.stderr
+    assert (
+        completed.returncode == 2
+        and len(completed.stderr.splitlines()) == 2
+        and "members.trace" in completed.stderr
+    )
 
 
-def test_the_members_commands_explain_a_node(scene: Scene) -> None:
-    scene.boxes[0].update_record(state="draining")
-    scene.routed.wait_for_state(0x10, "draining")
+def test_the_members_commands_explain_a_node(scenario: TrafficScenario) -> None:
+    scenario.caches[0].update_record(state="draining")
+    scenario.router.wait_for_state(0x10, "draining")
 
     def members_command(*arguments: str) -> str:
-        done = subprocess.run(
-            [sys.executable, "-m", "stonecove", "members", "--socket", str(scene.routed.socket), *arguments],
+        completed = subprocess.run(
+            [
+                sys.executable,
+                "-m",
+                "stonecove",
+                "members",
+                "--socket",
+                str(scenario.router.socket),
+                *arguments,
+            ],
             capture_output=True,
             text=True,
             check=False,
             timeout=WAIT_TIMEOUT_S,
         )
-        return f"{done.returncode} {done.stdout}{done.stderr}"
+        return f"{completed.returncode} {completed.stdout}{completed.stderr}"
 
     explanation = members_command("explain", "s-00000010")
     assert explanation.startswith("0 s-00000010 is draining") and "its record says draining" in explanation
@@ -597,5 +649,5 @@
         "explain", "x"
     ).startswith("1 ")
     assert members_command("fleet").startswith("1 ")
-    assert oct(scene.routed.socket.stat().st_mode & 0o777) == "0o600"
+    assert oct(scenario.router.socket.stat().st_mode & 0o777) == "0o600"
     assert SETTINGS["zone"] == 1
--- a/tests/test_example.py
+++ b/tests/test_example.py
@@ -1,4 +1,4 @@
-"""The example of the README works, on free ports."""
+"""Run the example of the README on free ports."""
 
 from __future__ import annotations
 
@@ -49,29 +49,31 @@
 
 
 def test_example_router_serves_requests_and_drains_a_cache(tmp_path: Path) -> None:
-    text = (EXAMPLES / "config.json").read_text()
-    for address_text in sorted(set(re.findall(r"127\.0\.0\.1:\d+", text))):
-        text = text.replace(address_text, ":".join(map(str, free_address())))
+    config_text = (EXAMPLES / "config.json").read_text()
+    for address_text in sorted(set(re.findall(r"127\.0\.0\.1:\d+", config_text))):
+        config_text = config_text.replace(address_text, ":".join(map(str, free_address())))
     config = tmp_path / "config.json"
-    config.write_text(text)
-    found = re.search(r'"listen": "(.*?)"', text)
-    assert found
+    config.write_text(config_text)
+    listen_match = re.search(r'"listen": "(.*?)"', config_text)
+    assert listen_match
     depot = running(
         str(EXAMPLES / "toy_server.py"), str(config), ready_text="toy depot is up", stream="stdout"
     )
     with (
-        depot as toy,
+        depot as toy_server,
         running(
             "-m", "stonecove", ready_text="change_log_connected", stream="stderr", RELAY_CONFIG=str(config)
         ) as router,
     ):
         for cache_status in ("filled", "hit"):
-            answer = run_client(found[1], "item-image", "7f3a9c21e0b4d655")
+            answer = run_client(listen_match[1], "item-image", "7f3a9c21e0b4d655")
             assert "Status: 200 OK" in answer and answer.endswith("1900 bytes\n")
-            assert toy.stdout
-            assert toy.stdout.readline().endswith(f"item-image 7f3a9c21e0b4d655 part 0: {cache_status}\n")
-        run_client(found[1], "pick-confirm", "1")
-        assert toy.stdin and router.stderr
-        toy.stdin.write("drain s-00000011\n")
-        toy.stdin.flush()
+            assert toy_server.stdout
+            assert toy_server.stdout.readline().endswith(
+                f"item-image 7f3a9c21e0b4d655 part 0: {cache_status}\n"
+            )
+        run_client(listen_match[1], "pick-confirm", "1")
+        assert toy_server.stdin and router.stderr
+        toy_server.stdin.write("drain s-00000011\n")
+        toy_server.stdin.flush()
         assert any("node=s-00000011 state=draining" in line for line in router.stderr)
--- a/tests/test_explore.py
+++ b/tests/test_explore.py
@@ -26,7 +26,7 @@
 
 ROOT = Path(__file__).parent.parent
 TRACES = sorted((Path(__file__).parent / "traces").glob("*.json"))
-LAYERS = {
+LAYERS = {  # by package of stonecove; "" for the modules at its top level
     "": 0,
     "runtime": 0,
     "exchange": 1,
@@ -55,7 +55,7 @@
 }
 
 
-def stonecove(*arguments: str, timeout_s: float = 300.0) -> subprocess.CompletedProcess[str]:
+def run_stonecove(*arguments: str, timeout_s: float = 300.0) -> subprocess.CompletedProcess[str]:
     return subprocess.run(
         [sys.executable, "-m", "stonecove", *arguments],
         capture_output=True,
@@ -65,7 +65,7 @@
     )
 
 
-def small(name: str, **bounds: object) -> scope.Scope:
+def small_scope(name: str, **bounds: object) -> scope.Scope:
     return scope.named(scope.SMALL, name).with_bounds(**bounds)
 
 
@@ -77,7 +77,7 @@
 
 
 def violations_of(result: Result) -> list[tuple[tuple[str, ...], str]]:
-    return [(found.steps, found.violation.prop) for found in result.found]
+    return [(counterexample.steps, counterexample.violation.prop) for counterexample in result.found]
 
 
 # -- imports --
@@ -123,7 +123,7 @@
 
 
 @pytest.mark.parametrize(
-    ("module", "absent"),
+    ("module", "forbidden"),
     [
         ("stonecove.pipeline.route", ("trio",)),
         ("stonecove.protocols.upstream_channel", ("trio",)),
@@ -148,8 +148,8 @@
         ),
     ],
 )
-def test_module_does_not_import(module: str, absent: tuple[str, ...]) -> None:
-    code = f"import sys, {module}; sys.exit(any(name in sys.modules for name in {absent!r}))"
+def test_module_does_not_import_forbidden_modules(module: str, forbidden: tuple[str, ...]) -> None:
+    code = f"import sys, {module}; sys.exit(any(name in sys.modules for name in {forbidden!r}))"
     assert subprocess.run([sys.executable, "-c", code], check=False).returncode == 0
 
 
@@ -166,16 +166,19 @@
 
 
 def test_encoding_ignores_connection_order_only() -> None:
-    start = simulation_start(small("clients"))
+    start = simulation_start(small_scope("clients"))
     reference = run(start, ("ask 0", "ask 1", "decide", "up c1.0", "up c1.1")).encode()
     assert run(start, ("ask 0", "ask 1", "decide", "up c1.1", "up c1.0")).encode() == reference
     assert run(start, ("ask 0", "ask 1", "decide", "up c1.0")).encode() != reference
     assert run(start, ("ask 0", "ask 1", "decide", "up c1.0", "up c1.1", "wait")).encode() != reference
 
 
-@pytest.mark.parametrize("restorer", [Replay(simulation_start(small("links"))), DeepCopy(), Pickle()])
+@pytest.mark.parametrize("restorer", [Replay(simulation_start(small_scope("links"))), DeepCopy(), Pickle()])
 def test_each_restorer_restores_the_same_state(restorer: Restorer) -> None:
-    start, steps = simulation_start(small("links")), ("ask 0", "decide", "up c1.0", "wait", "fire", "up c1.1")
+    start, steps = (
+        simulation_start(small_scope("links")),
+        ("ask 0", "decide", "up c1.0", "wait", "fire", "up c1.1"),
+    )
     simulation = run(start, steps)
     restorer.save(simulation, steps)
     for more_steps in (("hit c1.0 0",), ("reset c1.1", "end c1.1")):
@@ -188,12 +191,12 @@
 
 def test_fingerprint_set_agrees_with_plain_set() -> None:
     np = pytest.importorskip("numpy")
-    generator, fingerprints, plain = np.random.default_rng(7), FingerprintSet(), PlainSet()
+    generator, fingerprints, plain_set = np.random.default_rng(7), FingerprintSet(), PlainSet()
     for size in (1, 5, 700, 3, 900, 40, 2000):
         batch = generator.integers(0, 3000, size, dtype=np.uint64)
-        assert fingerprints.add(batch).tolist() == plain.add(batch).tolist()
-        assert len(fingerprints) == len(plain)
-    assert fingerprints.nbytes() == 8 * len(plain) < plain.nbytes()
+        assert fingerprints.add(batch).tolist() == plain_set.add(batch).tolist()
+        assert len(fingerprints) == len(plain_set)
+    assert fingerprints.nbytes() == 8 * len(plain_set) < plain_set.nbytes()
 
 
 # -- the search --
@@ -201,8 +204,8 @@
 
 @pytest.mark.parametrize(("name", "depth"), [("links", 6), ("confirm", 6), ("drain", 4), ("limits", 4)])
 def test_reduction_skips_no_state_and_no_violation(name: str, depth: int) -> None:
-    complete = explore_scope(small(name, depth=depth), reduce=False, plain_set=True)
-    reduced = explore_scope(small(name, depth=depth), reduce=True)
+    complete = explore_scope(small_scope(name, depth=depth), reduce=False, plain_set=True)
+    reduced = explore_scope(small_scope(name, depth=depth), reduce=True)
     assert (reduced.states, reduced.depth, violations_of(reduced)) == (
         complete.states,
         complete.depth,
@@ -213,13 +216,13 @@
 
 def test_reduction_saves_transitions_when_connections_open_together() -> None:
     assert (
-        explore_scope(small("clients", depth=6)).transitions
-        < explore_scope(small("clients", depth=6), reduce=False).transitions
+        explore_scope(small_scope("clients", depth=6)).transitions
+        < explore_scope(small_scope("clients", depth=6), reduce=False).transitions
     )
 
 
 def test_search_orders_and_process_counts_agree() -> None:
-    bounds = small("confirm", depth=6)
+    bounds = small_scope("confirm", depth=6)
     one_process, four_processes = explore_scope(bounds, processes=1), explore_scope(bounds, processes=4)
     assert (one_process.states, one_process.transitions, violations_of(one_process)) == (
         four_processes.states,
@@ -231,7 +234,7 @@
 
 
 def test_planted_fault_is_found_equally_by_one_and_four_processes() -> None:
-    bounds = small("confirm", depth=6)
+    bounds = small_scope("confirm", depth=6)
     one_process = explore_scope(bounds, processes=1, seed="reset-told-as-never-run")
     four_processes = explore_scope(bounds, processes=4, seed="reset-told-as-never-run")
     assert violations_of(one_process) and violations_of(one_process)[0] == violations_of(four_processes)[0]
@@ -240,29 +243,29 @@
     }
 
 
-def test_run_resumes_after_kill(tmp_path: Path) -> None:
+def test_a_killed_run_resumes_from_its_saved_frontier(tmp_path: Path) -> None:
     arguments = ("explore", "run", "--scope", "purge", "--depth", "7", "--processes", "2")
-    complete = stonecove(*arguments)
-    save = tmp_path / "frontier"
-    killed = subprocess.Popen(
-        [sys.executable, "-m", "stonecove", *arguments, "--save", str(save), "--save-every", "0"],
+    complete = run_stonecove(*arguments)
+    save_path = tmp_path / "frontier"
+    process = subprocess.Popen(
+        [sys.executable, "-m", "stonecove", *arguments, "--save", str(save_path), "--save-every", "0"],
         stdout=subprocess.DEVNULL,
         start_new_session=True,
     )
-    deadline_s = time.monotonic() + 60.0
-    while not Path(f"{save}.purge").exists() and time.monotonic() < deadline_s:
+    deadline = time.monotonic() + 60.0
+    while not Path(f"{save_path}.purge").exists() and time.monotonic() < deadline:
         time.sleep(0.01)
-    os.killpg(killed.pid, signal.SIGKILL)
-    killed.wait()
-    resumed = stonecove(*arguments, "--save", str(save))
+    os.killpg(process.pid, signal.SIGKILL)
+    process.wait()
+    resumed = run_stonecove(*arguments, "--save", str(save_path))
     counts = [
-        re.search(r"states=\d+ transitions=\d+ depth=\d+ violations=0", done.stdout)
-        for done in (complete, resumed)
+        re.search(r"states=\d+ transitions=\d+ depth=\d+ violations=0", completed.stdout)
+        for completed in (complete, resumed)
     ]
     assert counts[0] and counts[1] and counts[0][0] == counts[1][0]
-    saved = Path(f"{save}.purge")
+    saved = Path(f"{save_path}.purge")
     saved.write_bytes(saved.read_bytes()[:-3])
-    truncated = stonecove(*arguments, "--save", str(save))
+    truncated = run_stonecove(*arguments, "--save", str(save_path))
     assert truncated.returncode == 2 and "is torn" in truncated.stderr
 
 
@@ -270,29 +273,29 @@
 
 
 def test_small_scopes_have_no_violation() -> None:
-    done = stonecove("explore", "run", "--scope", "small")
-    assert done.returncode == 0, done.stdout + done.stderr
+    completed = run_stonecove("explore", "run", "--scope", "small")
+    assert completed.returncode == 0, completed.stdout + completed.stderr
     assert re.fullmatch(
         r"scope=small states=\d+ transitions=\d+ depth=\d+ violations=0 seconds=[\d.]+ "
         r"states_per_s=\d+",
-        done.stdout.splitlines()[-1],
+        completed.stdout.splitlines()[-1],
     )
 
 
-def test_every_planted_fault_is_found_and_every_property_violated_by_one() -> None:
+def test_every_planted_fault_is_found_and_every_property_is_violated_by_one() -> None:
     results = runner.find_seeded_faults([seed.name for seed in seeds.SEEDS], min(8, os.cpu_count() or 1))
-    wrong = [
+    unexpected = [
         (result.name, result.crash or result.found)
         for result in results
         if result.found is None or result.found.violation.prop != result.breaks
     ]
-    assert not wrong
+    assert not unexpected
     assert len(seeds.SEEDS) >= 20
     assert {result.breaks for result in results} == set(PROPERTIES)
 
 
 @pytest.mark.parametrize("case", HARD_CASES)
-def test_hard_case_is_within_its_scope(case: str) -> None:
+def test_hard_case_is_reachable_in_its_scope_without_violation(case: str) -> None:
     bounds = scope.named(scope.SMALL, HARD_CASES[case])
     simulation = simulation_start(bounds)()
     for step in HARD_STEPS[case]:
@@ -303,7 +306,7 @@
     assert simulation.violations == []
 
 
-def test_walks_are_reproducible_without_violation() -> None:
+def test_random_walks_are_reproducible_and_find_no_violation() -> None:
     first, second = runner.run_walks(5, 2, 900), runner.run_walks(5, 2, 900)
     assert not first.found and first.steps > 1000
     assert first.steps_by_action == second.steps_by_action
@@ -315,7 +318,7 @@
 @pytest.mark.parametrize("path", TRACES, ids=lambda path: path.stem)
 def test_past_counterexample_stays_fixed(path: Path) -> None:
     trace = Trace.read(path)
-    assert trace.seed, "a stored trace names the planted fault that brings the fixed one back"
+    assert trace.seed, "a stored trace has to name the planted fault that reproduces the fixed fault"
     try:
         _, violations = trace.play()
         assert trace.prop in {violation.prop for violation in violations}
@@ -327,7 +330,7 @@
 
 
 def test_trace_is_shrunk_stored_and_reported(tmp_path: Path) -> None:
-    start = simulation_start(small("confirm"), "reset-told-as-never-run")
+    start = simulation_start(small_scope("confirm"), "reset-told-as-never-run")
     try:
         long_steps = (
             "ask 0",
@@ -340,7 +343,7 @@
             "end c2.0",
         )
         steps = shrink(start, long_steps, "run-is-run")
-        trace = Trace(small("confirm"), steps, "run-is-run", "", "reset-told-as-never-run")
+        trace = Trace(small_scope("confirm"), steps, "run-is-run", "", "reset-told-as-never-run")
         assert len(steps) < len(long_steps)
         assert Trace.from_json(trace.to_json()) == trace
         assert (
@@ -350,8 +353,8 @@
         path.write_text(trace.to_json())
     finally:
         seeds.plant("")
-    done = stonecove("explore", "replay", str(path), "--chart", str(tmp_path / "chart.svg"))
-    assert done.returncode == 1 and "broken: run-is-run" in done.stdout, done.stderr
+    completed = run_stonecove("explore", "replay", str(path), "--chart", str(tmp_path / "chart.svg"))
+    assert completed.returncode == 1 and "broken: run-is-run" in completed.stdout, completed.stderr
     assert "<svg" in (tmp_path / "chart.svg").read_text()
 
 
@@ -367,11 +370,11 @@
     ],
 )
 def test_invalid_arguments_exit_with_2(arguments: tuple[str, ...]) -> None:
-    done = stonecove(*arguments)
-    assert done.returncode == 2 and done.stderr and "Traceback" not in done.stderr
+    completed = run_stonecove(*arguments)
+    assert completed.returncode == 2 and completed.stderr and "Traceback" not in completed.stderr
 
 
 def test_demo_succeeds() -> None:
-    done = stonecove("demo", "--requests", "80")
-    assert done.returncode == 0, done.stdout + done.stderr
-    assert "80 requests, 80 final answers, 0 pick-confirms run twice" in done.stdout
+    completed = run_stonecove("demo", "--requests", "80")
+    assert completed.returncode == 0, completed.stdout + completed.stderr
+    assert "80 requests, 80 final answers, 0 pick-confirms run twice" in completed.stdout
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -25,7 +25,7 @@
 # -- restarts --
 
 
-def running(policy: RestartPolicy = RestartPolicy()) -> InstanceLifecycle:  # noqa: B008
+def ready_instance(policy: RestartPolicy = RestartPolicy()) -> InstanceLifecycle:  # noqa: B008
     """Return an instance that is ready."""
     instance = InstanceLifecycle(policy)
     assert instance.set_should_run(True, 0.0) == [Action.START] and instance.on_health_check(True, 0.1) == []
@@ -35,7 +35,7 @@
 
 def test_backoff_doubles_after_each_crash_until_the_instance_is_suspended() -> None:
     instance, now, backoffs = (
-        running(RestartPolicy(initial_backoff_s=0.2, max_backoff_s=1.0, max_restarts=4)),
+        ready_instance(RestartPolicy(initial_backoff_s=0.2, max_backoff_s=1.0, max_restarts=4)),
         1.0,
         [],
     )
@@ -50,12 +50,12 @@
     assert backoffs == [0.2, 0.4, 0.8, 1.0]
     assert instance.on_exited("ended by SIGSEGV", now) == [Action.ALARM] and instance.phase is Phase.SUSPENDED
     assert "4 restarts within 60 s" in instance.reason and instance.next_deadline() == float("inf")
-    assert instance.set_should_run(True, now + 1) == [Action.START]  # by an operator
+    assert instance.set_should_run(True, now + 1) == [Action.START]  # an operator starts it again
     assert instance.on_exited("x", now + 2) == [] and instance.next_deadline() == now + 2 + 0.2
 
 
 def test_backoff_is_reset_after_a_period_of_readiness() -> None:
-    instance = running(RestartPolicy(backoff_reset_s=30.0))
+    instance = ready_instance(RestartPolicy(backoff_reset_s=30.0))
     instance.on_exited("x", 1.0)
     instance.tick(1.2)
     instance.on_health_check(True, 2.0)
@@ -65,8 +65,8 @@
 
 
 @pytest.mark.parametrize("cause", ["late", "hung", "memory"])
-def test_slow_start_hang_and_excess_memory_lead_to_kill_and_restart(cause: str) -> None:
-    instance, now = (InstanceLifecycle(RestartPolicy()), 0.0) if cause == "late" else (running(), 1.0)
+def test_late_start_hang_and_excess_memory_lead_to_kill_and_restart(cause: str) -> None:
+    instance, now = (InstanceLifecycle(RestartPolicy()), 0.0) if cause == "late" else (ready_instance(), 1.0)
     if cause == "late":
         instance.set_should_run(True, 0.0)
         now = instance.next_deadline()
@@ -86,10 +86,10 @@
     )
 
 
-def test_start_and_stop_requests_in_any_order() -> None:
-    instance = running()
+def test_start_and_restart_requests_take_effect_once_the_process_has_exited() -> None:
+    instance = ready_instance()
     assert instance.set_should_run(False, 1.0) == [Action.TERMINATE]
-    assert instance.set_should_run(True, 1.1) == []  # still stopping
+    assert instance.set_should_run(True, 1.1) == []  # starts once the process has exited
     assert instance.on_exited("ended with 0", 2.0) == [Action.START] and instance.restarts == 0
     instance.set_should_run(False, 2.1)
     assert instance.on_exited("ended with 0", 3.0) == [] and instance.phase is Phase.STOPPED
@@ -100,8 +100,8 @@
     ) == [Action.START]
 
 
-def test_state_is_restored_after_a_clock_that_is_set_back() -> None:
-    instance = running(RestartPolicy(max_restarts=2))
+def test_state_is_restored_even_if_the_clock_was_set_back() -> None:
+    instance = ready_instance(RestartPolicy(max_restarts=2))
     for now in (1.0, 2.0):
         instance.on_exited("x", now)
         instance.tick(instance.next_deadline())
@@ -120,28 +120,32 @@
 
 
 def test_rolling_restart_limits_the_unavailable_instances() -> None:
-    roll = RollingRestart()
-    roll.start(list("abcd"), 2)
-    assert [step.name for step in roll.next_steps(set())] == ["a", "b"]
-    assert roll.next_steps({"a", "b"}) == []
-    roll.mark_ready("a")
-    assert [step.name for step in roll.next_steps({"b"})] == ["c"]
-    roll.mark_ready("b")
-    assert roll.next_steps({"c", "x"}) == []  # x is unavailable for another reason
-    assert [step.name for step in roll.next_steps({"c"})] == ["d"]
+    rolling_restart = RollingRestart()
+    rolling_restart.start(list("abcd"), 2)
+    assert [step.name for step in rolling_restart.next_steps(set())] == ["a", "b"]
+    assert rolling_restart.next_steps({"a", "b"}) == []
+    rolling_restart.mark_ready("a")
+    assert [step.name for step in rolling_restart.next_steps({"b"})] == ["c"]
+    rolling_restart.mark_ready("b")
+    assert rolling_restart.next_steps({"c", "x"}) == []  # x is unavailable for another reason
+    assert [step.name for step in rolling_restart.next_steps({"c"})] == ["d"]
     for name in "cd":
-        roll.mark_ready(name)
-    assert roll.next_steps(set()) == [] and roll.state is RollingState.DONE and roll.finished == list("abcd")
+        rolling_restart.mark_ready(name)
+    assert (
+        rolling_restart.next_steps(set()) == []
+        and rolling_restart.state is RollingState.DONE
+        and rolling_restart.finished == list("abcd")
+    )
 
 
 def test_rolling_restart_stops_at_the_first_failure_and_is_restored() -> None:
-    roll = RollingRestart()
-    roll.start(list("abc"), 1)
-    roll.next_steps(set())
+    rolling_restart = RollingRestart()
+    rolling_restart.start(list("abc"), 1)
+    rolling_restart.next_steps(set())
     with pytest.raises(ValueError, match="under way"):
-        roll.start(["a"], 1)
+        rolling_restart.start(["a"], 1)
     restored = RollingRestart()
-    restored.restore(json.loads(json.dumps(roll.to_journal())), {"a", "c"})
+    restored.restore(json.loads(json.dumps(rolling_restart.to_journal())), {"a", "c"})
     assert (restored.state, restored.in_progress, restored.remaining) == (RollingState.ROLLING, ["a"], ["c"])
     restored.mark_failed("a", "not ready within 10 s")
     assert (
@@ -172,9 +176,9 @@
     assert place_instances({"a": Demand(0.1, 1, 1)}, Host((), 1, 1)).problems == ("no core may be used",)
 
 
-@pytest.mark.parametrize("number", range(30))
-def test_placement_never_overloads_a_core(number: int) -> None:
-    rng = random.Random(number)
+@pytest.mark.parametrize("seed", range(30))
+def test_placement_never_overloads_a_core(seed: int) -> None:
+    rng = random.Random(seed)
     host = Host(tuple(range(rng.randrange(1, 5))), 1 << 30, 100)
     demands = {
         f"r{index}": Demand(rng.choice((0.2, 0.4, 0.5, 1.0)), 1, 1) for index in range(rng.randrange(1, 9))
@@ -191,19 +195,20 @@
 
 # -- leases --
 
-WINDOW, RULE = 4.0, 100.0
+WINDOW_S, LIMIT = 4.0, 100.0
 
 
 def test_leases_are_requested_granted_spent_and_expire() -> None:
-    lessor = Lessor(WINDOW, 0.0)
-    lessor.set_limit(7, RULE, 0.0)
+    lessor = Lessor(WINDOW_S, 0.0)
+    lessor.set_limit(7, LIMIT, 0.0)
     assert lessor.request_lease("a", 1, 7, 1.0) is None  # earlier grants are unknown
     now = 5.0
     holder = LeaseHolder(lessor.lifetime_s)
-    number = holder.begin_request(7, now)
-    assert number == 1 and holder.begin_request(7, now) is None
-    grant = lessor.request_lease("a", number, 7, now)
-    assert grant is not None and lessor.request_lease("a", number, 7, now) == grant  # the same grant again
+    request_number = holder.begin_request(7, now)
+    assert request_number == 1 and holder.begin_request(7, now) is None
+    grant = lessor.request_lease("a", request_number, 7, now)
+    # A repeated request gets the same grant.
+    assert grant is not None and lessor.request_lease("a", request_number, 7, now) == grant
     assert holder.accept_grant(grant, now) and not holder.accept_grant(grant, now)
     assert holder.spend(7, grant.work / 2, now) and not holder.spend(7, grant.work, now)
     assert holder.unspent_work(7, now + lessor.lifetime_s) == 0.0 and not holder.spend(
@@ -216,92 +221,96 @@
     lessor.return_lease("a", 1, grant.work / 2, now + 1)
     lessor.return_lease("a", 1, grant.work / 2, now + 1)
     assert lessor.booked_work(7, now + 1) == pytest.approx(grant.work / 2)
-    assert lessor.booked_work(7, now + WINDOW + lessor.lifetime_s) == 0.0
+    assert lessor.booked_work(7, now + WINDOW_S + lessor.lifetime_s) == 0.0
     assert lessor.request_lease("a", 9, 8, now) is None  # a node without a limit
 
 
-def test_late_unexpected_and_abandoned_grants_are_ignored() -> None:
+def test_grants_that_are_late_abandoned_or_of_another_node_are_ignored() -> None:
     holder = LeaseHolder(1.0)
-    number = holder.begin_request(7, 0.0)
-    assert number is not None
-    assert not holder.accept_grant(Grant(number, 8, 5.0), 0.1)  # of another node
-    number = holder.begin_request(7, 1.5)
-    assert number is not None and not holder.accept_grant(Grant(number, 7, 5.0), 2.5)  # late
-    number = holder.begin_request(7, 3.0)
-    assert number is not None and holder.begin_request(7, 4.1) == number + 1  # abandoned
-    assert not holder.accept_grant(Grant(number, 7, 5.0), 4.2)
-    holder.end_request(number + 1)
-    assert holder.begin_request(7, 4.3) == number + 2 and holder.ignored_grants == 3
-
-
-@pytest.mark.parametrize("number", range(12))
-def test_work_spent_within_any_window_stays_below_the_limit(number: int) -> None:
-    """Play late, lost and repeated grants, restarts of holders and of the lessor, and a growing limit."""
-    chooser = random.Random(number)
-    lessor, now, rule = Lessor(WINDOW, 0.0), 0.0, RULE / 4
+    request_number = holder.begin_request(7, 0.0)
+    assert request_number is not None
+    assert not holder.accept_grant(Grant(request_number, 8, 5.0), 0.1)  # a grant of another node
+    request_number = holder.begin_request(7, 1.5)
+    # The grant arrives too late.
+    assert request_number is not None and not holder.accept_grant(Grant(request_number, 7, 5.0), 2.5)
+    request_number = holder.begin_request(7, 3.0)
+    # The first request is abandoned.
+    assert request_number is not None and holder.begin_request(7, 4.1) == request_number + 1
+    assert not holder.accept_grant(Grant(request_number, 7, 5.0), 4.2)
+    holder.end_request(request_number + 1)
+    assert holder.begin_request(7, 4.3) == request_number + 2 and holder.ignored_grants == 3
+
+
+@pytest.mark.parametrize("seed", range(12))
+def test_work_spent_within_any_window_stays_below_the_limit(seed: int) -> None:
+    """Simulate late, lost and repeated grants, restarts of holders and of the lessor, and a growing limit."""
+    rng = random.Random(seed)
+    lessor, now, limit = Lessor(WINDOW_S, 0.0), 0.0, LIMIT / 4
     holders = [LeaseHolder(lessor.lifetime_s) for _ in range(6)]
-    names = [f"h{place}" for place in range(6)]
+    names = [f"h{position}" for position in range(6)]
     spent: deque[float] = deque()
     in_flight: list[tuple[float, LeaseHolder, Grant]] = []
-    max_spent, work = 0, 0.1
+    max_spent_count, work = 0, 0.1
     for _ in range(12_000):
-        now += chooser.expovariate(400.0)
-        rule = min(RULE, rule * 1.0005)
-        lessor.set_limit(7, rule, now)
-        at = chooser.randrange(6)
-        if chooser.random() < 0.002:
-            lessor.remove_holder(names[at])
-            holders[at], names[at] = LeaseHolder(lessor.lifetime_s), f"{names[at]}'"
-        if chooser.random() < 0.0001:
-            lessor = Lessor(WINDOW, now)
-            lessor.set_limit(7, rule, now)
-        if (asked := holders[at].begin_request(7, now)) is not None:
-            for _ in range(chooser.choice((1, 1, 2))):
-                grant = lessor.request_lease(names[at], asked, 7, now)
+        now += rng.expovariate(400.0)
+        limit = min(LIMIT, limit * 1.0005)
+        lessor.set_limit(7, limit, now)
+        index = rng.randrange(6)
+        if rng.random() < 0.002:
+            lessor.remove_holder(names[index])
+            holders[index], names[index] = LeaseHolder(lessor.lifetime_s), f"{names[index]}'"
+        if rng.random() < 0.0001:
+            lessor = Lessor(WINDOW_S, now)
+            lessor.set_limit(7, limit, now)
+        if (request_number := holders[index].begin_request(7, now)) is not None:
+            for _ in range(rng.choice((1, 1, 2))):
+                grant = lessor.request_lease(names[index], request_number, 7, now)
                 if grant is None:
-                    holders[at].end_request(asked)
-                elif chooser.random() < 0.9:
-                    in_flight.append((now + chooser.choice((0.0, 0.01, 2.0)), holders[at], grant))
-        for one in [one for one in in_flight if one[0] <= now]:
-            one[1].accept_grant(one[2], now)
-            in_flight.remove(one)
-        if holders[at].spend(7, work, now):
+                    holders[index].end_request(request_number)
+                elif rng.random() < 0.9:
+                    in_flight.append((now + rng.choice((0.0, 0.01, 2.0)), holders[index], grant))
+        for delivery in [delivery for delivery in in_flight if delivery[0] <= now]:
+            delivery[1].accept_grant(delivery[2], now)
+            in_flight.remove(delivery)
+        if holders[index].spend(7, work, now):
             spent.append(now)
-        for returned, left in holders[at].pop_expired(now):
-            lessor.return_lease(names[at], returned, left, now)
-        while spent and spent[0] <= now - WINDOW:
+        for lease_number, unspent_work in holders[index].pop_expired(now):
+            lessor.return_lease(names[index], lease_number, unspent_work, now)
+        while spent and spent[0] <= now - WINDOW_S:
             spent.popleft()
-        max_spent = max(max_spent, len(spent))
-        assert len(spent) * work <= 0.7 * rule + 1e-6
-    assert max_spent * work > 0.2 * RULE
+        max_spent_count = max(max_spent_count, len(spent))
+        assert len(spent) * work <= 0.7 * limit + 1e-6
+    assert max_spent_count * work > 0.2 * LIMIT
 
 
 @pytest.mark.parametrize(("holders", "lease_work"), [(1, 1.4), (20, 1.0), (2000, 1.0)])
-def test_lease_size_by_number_of_holders(holders: int, lease_work: float) -> None:
-    lessor = Lessor(WINDOW, -9.0)
-    lessor.set_limit(7, RULE, 0.0)
+def test_lease_size_depends_on_the_number_of_holders_and_the_requested_work(
+    holders: int, lease_work: float
+) -> None:
+    lessor = Lessor(WINDOW_S, -9.0)
+    lessor.set_limit(7, LIMIT, 0.0)
     for number in range(holders):
         lessor.request_lease(f"h{number}", 1, 7, 0.0, 1.0)
-    before = lessor.booked_work(7, 0.0)
-    assert before <= 0.7 * RULE
+    booked_before = lessor.booked_work(7, 0.0)
+    assert booked_before <= 0.7 * LIMIT
     if holders < 50:
         grant = lessor.request_lease("one more", 1, 7, 0.0, 1.0)
         assert grant is not None and grant.work == pytest.approx(lease_work if holders > 1 else 1.4)
     assert unleased_fraction_for(1) == unleased_fraction_for(5) == 0.3 and unleased_fraction_for(
         2000
     ) == pytest.approx(0.00075)
-    lessor_for_large = Lessor(WINDOW, -9.0)
-    lessor_for_large.set_limit(7, RULE, 0.0)
-    large = lessor_for_large.request_lease("one", 1, 7, 0.0, 0.2 * RULE)
-    assert large is not None and large.work == 0.2 * RULE  # a smaller lease could not be spent
+    lessor_for_large = Lessor(WINDOW_S, -9.0)
+    lessor_for_large.set_limit(7, LIMIT, 0.0)
+    large_grant = lessor_for_large.request_lease("one", 1, 7, 0.0, 0.2 * LIMIT)
+    assert large_grant is not None and large_grant.work == 0.2 * LIMIT  # a smaller lease could not be spent
 
 
 def test_a_clock_that_jumps_back_discards_earlier_grants() -> None:
-    lessor = Lessor(WINDOW, 100.0)
-    lessor.set_limit(7, RULE, 110.0)
+    lessor = Lessor(WINDOW_S, 100.0)
+    lessor.set_limit(7, LIMIT, 110.0)
     assert lessor.request_lease("a", 1, 7, 110.0)
     assert lessor.request_lease("a", 2, 7, 50.0) is None
-    lessor.set_limit(7, RULE, 51.0)
+    lessor.set_limit(7, LIMIT, 51.0)
     assert lessor.request_lease("a", 3, 7, 54.4) is None and lessor.request_lease("a", 4, 7, 54.6)
 
 
@@ -318,7 +327,7 @@
         BucketHierarchy(10, 10).add_bucket(("z", "c"), 1, 1, 1)
 
 
-def play(
+def admitted_rates(
     limits: BucketHierarchy, rates: dict[tuple[str, str, str], float], seconds: float = 20.0
 ) -> dict[Any, float]:
     """Return the requests admitted per second, by requester, at the given request rates."""
@@ -336,18 +345,18 @@
     limits = BucketHierarchy(100, 10)
     for zone in "ab":
         limits.add_bucket((zone,), 50, 10, 100)
-    alone = play(limits, {("a", "x", "c"): 300})
-    assert 95 <= alone["a", "x", "c"] <= 105  # the other zone's rate is unused
+    one_zone = admitted_rates(limits, {("a", "x", "c"): 300})
+    assert 95 <= one_zone["a", "x", "c"] <= 105  # the other zone's rate is unused
     limits = BucketHierarchy(100, 10)
     for zone in "ab":
         limits.add_bucket((zone,), 50, 10, 100)
-    both = play(limits, {("a", "x", "c"): 900, ("b", "x", "c"): 60})
-    assert sum(both.values()) <= 106 and both["b", "x", "c"] >= 40
+    both_zones = admitted_rates(limits, {("a", "x", "c"): 900, ("b", "x", "c"): 60})
+    assert sum(both_zones.values()) <= 106 and both_zones["b", "x", "c"] >= 40
 
 
 def test_the_floor_of_a_class_is_not_borrowed() -> None:
     limits = BucketHierarchy(100, 10, 0.2, "pick-confirm")
-    admitted = play(limits, {("a", "item-image", "c"): 1000, ("a", "pick-confirm", "c"): 18})
+    admitted = admitted_rates(limits, {("a", "item-image", "c"): 1000, ("a", "pick-confirm", "c"): 18})
     assert admitted["a", "pick-confirm", "c"] >= 17.9 and admitted["a", "item-image", "c"] <= 82
     assert "fleet" in {limits.take("a", "item-image", "c", 20.0) for _ in range(20)}
 
@@ -400,7 +409,7 @@
         self.files[path] = data
 
 
-PATH = Path("journal")
+JOURNAL_PATH = Path("journal")
 
 
 def test_acknowledged_records_survive_a_crash_at_every_byte() -> None:
@@ -408,29 +417,29 @@
         (f"unit/r{number % 3}", {"wanted": bool(number % 2), "n": number}) for number in range(9)
     ]
     entries.append(("unit/r1", None))
-    complete = CrashDisk()
-    journal = Journal(PATH, complete)
+    complete_disk = CrashDisk()
+    journal = Journal(JOURNAL_PATH, complete_disk)
     for key, value in entries:
         journal.put(key, value)
-    for stop in range(len(complete.files[PATH]) + 1):
-        disk = CrashDisk(stop_after=stop)
+    for crash_at in range(len(complete_disk.files[JOURNAL_PATH]) + 1):
+        disk = CrashDisk(stop_after=crash_at)
         acknowledged: dict[str, Any] = {}
-        at_most: dict[str, Any] = {}
+        with_pending: dict[str, Any] = {}
         try:
-            journal = Journal(PATH, disk)
+            journal = Journal(JOURNAL_PATH, disk)
             for key, value in entries:
-                at_most = {**acknowledged, key: value}
+                with_pending = {**acknowledged, key: value}
                 journal.put(key, value)
-                acknowledged = at_most
+                acknowledged = with_pending
         except KeyboardInterrupt:
             pass
-        restored = Journal(PATH, CrashDisk(disk.files))
-        clean = [
+        restored = Journal(JOURNAL_PATH, CrashDisk(disk.files))
+        allowed_states = [
             {key: value for key, value in state.items() if value is not None}
-            for state in (acknowledged, at_most)
+            for state in (acknowledged, with_pending)
         ]
-        assert restored.values in clean
-        assert Journal(PATH, CrashDisk({PATH: disk.files.get(PATH, b"")})).put("x", 1)
+        assert restored.values in allowed_states
+        assert Journal(JOURNAL_PATH, CrashDisk({JOURNAL_PATH: disk.files.get(JOURNAL_PATH, b"")})).put("x", 1)
 
 
 def test_a_torn_tail_is_truncated_and_an_invalid_record_before_valid_ones_is_an_error() -> None:
@@ -449,15 +458,15 @@
 
 def test_a_failed_write_is_reported_and_repaired_by_the_next(tmp_path: Path) -> None:
     disk = CrashDisk()
-    journal = Journal(PATH, disk)
+    journal = Journal(JOURNAL_PATH, disk)
     assert journal.put("a", 1)
     disk.full = True
     assert not journal.put("b", 2) and journal.values == {"a": 1, "b": 2} and journal.failed_writes == 1
     disk.full = False
-    assert journal.put("c", 3) and Journal(PATH, disk).values == {"a": 1, "b": 2, "c": 3}
-    real = Journal(tmp_path / "journal")
+    assert journal.put("c", 3) and Journal(JOURNAL_PATH, disk).values == {"a": 1, "b": 2, "c": 3}
+    stored_journal = Journal(tmp_path / "journal")
     for number in range(5000):  # beyond a compaction
-        real.put("n", number)
+        stored_journal.put("n", number)
     assert Journal(tmp_path / "journal").values == {"n": 4999}
     assert (tmp_path / "journal").stat().st_size < 100_000
 
@@ -486,14 +495,14 @@
         pipe("event", {"number": number, "pad": "x" * 60})
     assert pipe.dropped > 1000
     dropped, fd = pipe.dropped, logs.open_pipe(path)
-    data, lines = b"", logs.LineSplitter()
+    data, splitter = b"", logs.LineSplitter()
     while True:
         try:
             data += os.read(fd, 65_536)
         except BlockingIOError:
             break
     pipe("event", {"number": "last"})
-    received = lines.feed(data + os.read(fd, 65_536))
+    received = splitter.feed(data + os.read(fd, 65_536))
     assert all(" event number=" in line for line in received[:-2])
     assert received[-2].endswith(f"log-dropped count={dropped}") and received[-1].endswith(
         "event number=last"
@@ -502,14 +511,16 @@
     assert logs.make_pipe(tmp_path) == path
 
 
-def test_lines_as_json_keep_event_and_fields(tmp_path: Path) -> None:
+def test_json_log_lines_keep_event_and_fields(tmp_path: Path) -> None:
     path = logs.make_pipe(tmp_path)
     pipe = open_pipe_sink(f"json:{path}")
     pipe("node", {"id": "s-1", "time": 5})
     fd = logs.open_pipe(path)
-    table = json.loads(os.read(fd, 4096))
+    record = json.loads(os.read(fd, 4096))
     os.close(fd)
-    assert table["event"] == "node" and table["id"] == "s-1" and table["time_"] == 5 and table["time"] > 1e9
+    assert (
+        record["event"] == "node" and record["id"] == "s-1" and record["time_"] == 5 and record["time"] > 1e9
+    )
 
 
 def test_logs_rotate_by_size_and_merge_by_time(tmp_path: Path) -> None:
@@ -527,26 +538,26 @@
     assert all(path.stat().st_size <= 2000 for path in (tmp_path / "a").iterdir())
 
 
-class FullFile(logs.RotatingFile):
-    """A file on a disk that is full, or slow."""
+class FaultyFile(logs.RotatingFile):
+    """A log file on a disk that is full, or that writes with a delay."""
 
-    full, slow = False, 0.0
+    full, write_delay_s = False, 0.0
 
     def write(self, data: bytes) -> None:
         """Write after the delay; raises OSError while the disk is full."""
-        time.sleep(self.slow)
+        time.sleep(self.write_delay_s)
         if self.full:
             raise OSError(28, "No space left on device")
         super().write(data)
 
 
-def test_a_full_or_slow_disk_drops_with_a_count(tmp_path: Path) -> None:
-    writer, file = logs.LogWriter(max_queued_lines=50), FullFile(tmp_path / "log", 10_000, 1)
+def test_log_lines_for_a_full_or_slow_disk_are_dropped_and_counted(tmp_path: Path) -> None:
+    writer, file = logs.LogWriter(max_queued_lines=50), FaultyFile(tmp_path / "log", 10_000, 1)
     file.full = True
     writer.put(file, "1.0 event lost=1")
     while writer.dropped < 1:
         time.sleep(0.001)
-    file.full, file.slow = False, 0.02
+    file.full, file.write_delay_s = False, 0.02
     started = time.monotonic()
     for number in range(500):
         writer.put(file, f"2.0 event number={number}")
@@ -556,7 +567,7 @@
     assert "log-dropped count=" in text and "lost=1" not in text
 
 
-def test_states_are_sent_to_a_service_manager(tmp_path: Path) -> None:
+def test_state_notifications_and_the_watchdog_interval_follow_the_environment(tmp_path: Path) -> None:
     import socket
 
     path = str(tmp_path / "notify")
